--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -4,19 +4,15 @@
 mod net;
 
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+use net::address::own_address;
 use net::*;
 use serde_json::json;
 
-/// An address that nobody listens at, for the gateway to take.
-fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
-}
-
 fn managed(backends: usize) -> (Rig, SocketAddr) {
-    let at = free();
+    let at = own_address();
     (Rig::with(backends, |config| config["management"] = json!(at.to_string())), at)
 }
 
--- a/crates/gateway/tests/support/net.rs
+++ b/crates/gateway/tests/support/net.rs
@@ -10,6 +10,9 @@
 pub use beechrudder_testbed::scripted::*;
 use serde_json::Value;
 
+#[path = "address.rs"]
+pub mod address;
+
 /// A running gateway.
 pub struct Gateway {
     process: Child,
@@ -20,24 +23,42 @@
 
 /// Runs the program with a configuration, and gives what it said if it ends by itself.
 pub fn process(config: &str) -> (Child, tempfile::NamedTempFile) {
+    process_as(config, |_| {})
+}
+
+/// The same with more variables or words than the configuration's.
+pub fn process_as(config: &str, more: impl FnOnce(&mut Command)) -> (Child, tempfile::NamedTempFile) {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(config.as_bytes()).expect("room");
-    let child = Command::new(env!("CARGO_BIN_EXE_slatelock-gateway"))
-        .env("GW_CONFIG", file.path())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the gateway starts");
-    (child, file)
+    let mut command = Command::new(env!("CARGO_BIN_EXE_slatelock-gateway"));
+    command.env("GW_CONFIG", file.path()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    more(&mut command);
+    (command.spawn().expect("the gateway starts"), file)
+}
+
+/// Ends a process that said something else than where it listens, and fails the test with its log.
+fn failed_start(mut process: Child, said: &str) -> ! {
+    let _ = process.kill();
+    let output = process.wait_with_output().expect("a child");
+    panic!("it listens: no; {}, said {said:?}, log:\n{}", output.status, text(&output.stderr));
+}
+
+fn text(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
 }
 
 impl Gateway {
     pub fn start(config: &Value) -> Gateway {
-        let (mut process, file) = process(&config.to_string());
-        let mut said = String::new();
-        let output = process.stdout.take().expect("its output");
-        BufReader::new(output).read_line(&mut said).expect("a line");
-        let address = said.trim_end().strip_prefix("listening on ").expect("it listens");
+        Gateway::start_as(config, |_| {})
+    }
+
+    /// The same with more variables or words than the configuration's.
+    pub fn start_as(config: &Value, more: impl FnOnce(&mut Command)) -> Gateway {
+        let (mut process, file) = process_as(&config.to_string(), more);
+        let mut lines = BufReader::new(process.stdout.take().expect("its output")).lines();
+        let said = lines.by_ref().map_while(Result::ok).find(|line| !line.starts_with("admin on "));
+        let said = said.unwrap_or_default();
+        let Some(address) = said.strip_prefix("listening on ") else { failed_start(process, &said) };
         let address = address.parse().expect("an address");
         let log = BufReader::new(process.stderr.take().expect("its log"));
         let gateway = Gateway { process, address, config: file, log };
@@ -123,12 +144,17 @@
     }
 
     pub fn with(backends: usize, change: impl FnOnce(&mut Value)) -> Rig {
+        Rig::with_as(backends, change, |_| {})
+    }
+
+    /// The same with more variables or words for the program than the configuration's.
+    pub fn with_as(backends: usize, change: impl FnOnce(&mut Value), more: impl FnOnce(&mut Command)) -> Rig {
         let (agent, counter) = (Agent::start(), StandIn::counter());
         let backends: Vec<StandIn> = (0..backends).map(|_| StandIn::backend()).collect();
         let known: Vec<Value> = (0..).zip(&backends).map(|(i, b)| serving(i, b)).collect();
         let mut config = config(agent.address, counter.address, &known);
         change(&mut config);
-        Rig { gateway: Gateway::start(&config), config, agent, counter, backends }
+        Rig { gateway: Gateway::start_as(&config, more), config, agent, counter, backends }
     }
 
     pub fn next(&self) -> (usize, Arrived) {
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -15,6 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use net::address::own_address;
 use net::*;
 use serde_json::{json, Value};
 
@@ -27,9 +28,9 @@
 
 impl Process {
     fn start(config: &Value, socket: &TcpListener, under: &Path) -> Process {
-        let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        let management = own_address();
         let mut config = config.clone();
-        config["management"] = json!(free.to_string());
+        config["management"] = json!(management.to_string());
         config["listen"] = json!(socket.local_addr().expect("an address").to_string());
         let mut file = tempfile::NamedTempFile::new().expect("a file");
         file.write_all(config.to_string().as_bytes()).expect("room");
@@ -44,7 +45,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("it starts");
-        Process { child, management: free, _config: file }
+        Process { child, management, _config: file }
     }
 
     /// What it says to a call; none if it is not there.
