--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,114 +1,164 @@
 //! The admin listener: off unless the operator's file turns it on.
 
+use std::fmt;
+use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_channel::{BindError, Dialer, LineError, Lines, Listener};
+use beechrudder_channel::{BindError, ConnectError, Dialer, LineError, Lines, Listener};
 use beechrudder_fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, LINE_MOST};
 use beechrudder_fleet::Name;
 use beechrudder_operator::{Address, Admin};
-use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, Semaphore};
 use tokio::time::{sleep, timeout};
 
 use crate::input::Input;
 
 /// Connections at once: they take their descriptors from those that are kept for the runtime.
-const CONNECTIONS_MOST: usize = 8;
+const CONNECTIONS_MAX: usize = 8;
 /// How long a connection may say nothing.
-const QUIET_MOST: Duration = Duration::from_secs(60);
-/// How long an answer may take to be written.
-const WRITE_MOST: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a response may take to be written.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a registration may take.
-const REGISTER_MOST: Duration = Duration::from_secs(2);
-/// Pause between registrations: after one that failed, and after one that did not.
-const REGISTER_EVERY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time between registrations.
+const REGISTER_INTERVAL: Duration = Duration::from_secs(10);
+/// Time after a registration that failed.
+const REGISTER_BACKOFF: Duration = Duration::from_secs(1);
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Opens the listener for a gateway of this name.
 pub async fn listen(admin: &Admin, name: &str) -> Result<Listener, BindError> {
     Listener::bind(&admin.listen.of(name), admin.tls.as_ref(), LINE_MOST).await
 }
 
-/// Takes connections until the task ends. Each asks one thing after the other.
+/// Accepts connections until the task ends. Each asks one thing after the other.
 pub async fn serve(listener: Listener, inbox: mpsc::Sender<Input>) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     loop {
-        // Danger: connections that nobody closes. Those beyond the places wait in the listener's line.
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
-        let arrival = match listener.accept().await {
-            Ok(arrival) => arrival,
-            Err(_) => {
-                sleep(ACCEPT_PAUSE).await;
-                continue;
-            }
+        // Connections beyond the permits wait in the listener's line until others close.
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
+        let Ok(arrival) = listener.accept().await else {
+            sleep(ACCEPT_BACKOFF).await;
+            continue;
         };
         let inbox = inbox.clone();
         tokio::spawn(async move {
             match arrival.open().await {
-                Ok(lines) => talk(lines, inbox).await,
+                Ok(lines) => serve_connection(lines, inbox).await,
                 // Why somebody was turned away, never what they sent.
                 Err(e) => tracing::warn!("admin: turned away: {e}"),
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-/// Tells an agent of this gateway, again and again, until the task ends: the agent may start later, or have
-/// lost what it knew. The same again changes nothing there.
+/// Why the agent was not told of this gateway.
+#[derive(Debug)]
+enum RegisterError {
+    Connect(ConnectError),
+    Line(LineError),
+    Rejected(Fault),
+    Unexpected,
+    Closed,
+    TimedOut,
+}
+
+impl fmt::Display for RegisterError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RegisterError::Connect(e) => e.fmt(f),
+            RegisterError::Line(e) => e.fmt(f),
+            RegisterError::Rejected(fault) => f.write_str(&fault.message),
+            RegisterError::Unexpected => f.write_str("it answered something else"),
+            RegisterError::Closed => f.write_str("it ended the connection"),
+            RegisterError::TimedOut => f.write_str("no answer in time"),
+        }
+    }
+}
+
+impl std::error::Error for RegisterError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            RegisterError::Connect(e) => Some(e),
+            RegisterError::Line(e) => Some(e),
+            _ => None,
+        }
+    }
+}
+
+/// Registers this gateway with an agent, again and again, until the task ends: the agent may start later, or
+/// have lost what it knew. The same again changes nothing there.
 pub async fn register(agent: Address, name: Name, admin: Address, dialer: Dialer) {
-    let mut told = String::new();
+    let mut last_problem = String::new();
     loop {
-        let said = match timeout(REGISTER_MOST, tell(&agent, &name, &admin, &dialer)).await {
-            Ok(Ok(())) => String::new(),
-            Ok(Err(why)) => why,
-            Err(_) => "no answer in time".to_string(),
+        let registered = timeout(REGISTER_TIMEOUT, register_once(&agent, &name, &admin, &dialer)).await;
+        let problem = match registered.unwrap_or(Err(RegisterError::TimedOut)) {
+            Ok(()) => String::new(),
+            Err(e) => e.to_string(),
         };
         // Each reason once, and not every few seconds.
-        if said != told && !said.is_empty() {
-            tracing::warn!("register at {agent}: {said}");
+        if problem != last_problem && !problem.is_empty() {
+            tracing::warn!("register at {agent}: {problem}");
         }
-        sleep(if said.is_empty() { REGISTER_EVERY.1 } else { REGISTER_EVERY.0 }).await;
-        told = said;
+        sleep(if problem.is_empty() { REGISTER_INTERVAL } else { REGISTER_BACKOFF }).await;
+        last_problem = problem;
     }
 }
 
-async fn tell(agent: &Address, name: &Name, admin: &Address, dialer: &Dialer) -> Result<(), String> {
-    let lines = dialer.connect(agent, REGISTER_MOST, LINE_MOST).await;
-    let mut lines = lines.map_err(|e| e.to_string())?;
+async fn register_once(
+    agent: &Address,
+    name: &Name,
+    admin: &Address,
+    dialer: &Dialer,
+) -> Result<(), RegisterError> {
+    let connected = dialer.connect(agent, REGISTER_TIMEOUT, LINE_MOST).await;
+    let mut lines = connected.map_err(RegisterError::Connect)?;
     let body = Ask::Register { name: name.clone(), address: admin.to_string() };
-    lines.send(&Numbered { n: 1, body }).await.map_err(|e| e.to_string())?;
-    match lines.next::<Numbered<Say>>().await.map_err(|e| e.to_string())? {
+    lines.send(&Numbered { n: 1, body }).await.map_err(RegisterError::Line)?;
+    match lines.next::<Numbered<Say>>().await.map_err(RegisterError::Line)? {
         Some(Numbered { body: Say::Done(_), .. }) => Ok(()),
-        Some(Numbered { body: Say::Fault(fault), .. }) => Err(fault.message),
-        Some(_) => Err("it answered something else".to_string()),
-        None => Err("it ended the connection".to_string()),
+        Some(Numbered { body: Say::Fault(fault), .. }) => Err(RegisterError::Rejected(fault)),
+        Some(_) => Err(RegisterError::Unexpected),
+        None => Err(RegisterError::Closed),
     }
 }
 
-async fn talk(mut lines: Lines, inbox: mpsc::Sender<Input>) {
-    loop {
-        let (n, said, last) = match timeout(QUIET_MOST, lines.next::<Numbered<GatewayAsk>>()).await {
-            Ok(Ok(Some(Numbered { n, body }))) => {
-                let (say, said) = oneshot::channel();
-                if inbox.send(Input::Asked { ask: body, say }).await.is_err() {
-                    return;
-                }
-                let ending = || GatewaySay::Fault(Fault::new(Code::Unavailable, "the gateway is ending"));
-                (n, said.await.unwrap_or_else(|_| ending()), false)
-            }
-            Ok(Err(LineError::Unreadable(why))) => {
-                (0, GatewaySay::Fault(Fault::new(Code::BadRequest, why)), false)
-            }
-            Ok(Err(e @ LineError::TooLong(_))) => {
-                (0, GatewaySay::Fault(Fault::new(Code::TooLong, e.to_string())), true)
-            }
-            Ok(Ok(None) | Err(LineError::Broken(_))) | Err(_) => return,
-        };
-        let written = timeout(WRITE_MOST, lines.send(&Numbered { n, body: said })).await;
+/// A response, and whether the connection ends with it.
+struct Response {
+    line: Numbered<GatewaySay>,
+    last: bool,
+}
+
+impl Response {
+    fn fault(code: Code, message: String, last: bool) -> Response {
+        Response { line: Numbered { n: 0, body: GatewaySay::Fault(Fault::new(code, message)) }, last }
+    }
+}
+
+async fn serve_connection(mut lines: Lines, inbox: mpsc::Sender<Input>) {
+    while let Some(Response { line, last }) = next_response(&mut lines, &inbox).await {
+        let written = timeout(WRITE_TIMEOUT, lines.send(&line)).await;
         if last || !matches!(written, Ok(Ok(()))) {
             return;
         }
     }
 }
+
+/// Reads a request, and has the event loop answer it; `None` when the connection ends.
+async fn next_response(lines: &mut Lines, inbox: &mpsc::Sender<Input>) -> Option<Response> {
+    match timeout(IDLE_TIMEOUT, lines.next::<Numbered<GatewayAsk>>()).await {
+        Ok(Ok(Some(Numbered { n, body: request }))) => {
+            let (reply, response) = oneshot::channel();
+            inbox.send(Input::AdminRequest { request, reply }).await.ok()?;
+            let ending = || GatewaySay::Fault(Fault::new(Code::Unavailable, "the gateway is ending"));
+            let body = response.await.unwrap_or_else(|_| ending());
+            Some(Response { line: Numbered { n, body }, last: false })
+        }
+        Ok(Err(LineError::Unreadable(why))) => Some(Response::fault(Code::BadRequest, why, false)),
+        Ok(Err(e @ LineError::TooLong(_))) => Some(Response::fault(Code::TooLong, e.to_string(), true)),
+        Ok(Ok(None) | Err(LineError::Broken(_))) | Err(_) => None,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/backend_table/tests.rs
@@ -0,0 +1,86 @@
+use super::*;
+use beechrudder_fleet::{Change, Order, Revision};
+
+fn endpoint(name: &str, status: Status) -> Endpoint {
+    let address = "127.0.0.1:1".parse().expect("an address");
+    let (zone, kind) = ("room".to_string(), "m".to_string());
+    Endpoint { name: name.to_string(), address, zone, kind, group: 3, status, weight: 1.0, since_ms: 0.0 }
+}
+
+fn order(desired: &mut Desired, seq: u64, subject: &str, change: Change) {
+    let (id, revision) = (format!("o{seq}").parse().expect("an id"), Revision { term: 1, seq });
+    desired.apply(&Order { id, revision, subject: subject.parse().expect("one"), change });
+}
+
+fn only(desired: &Desired) -> Overrides<'_> {
+    static NONE: std::sync::OnceLock<Book> = std::sync::OnceLock::new();
+    Overrides { desired, book: NONE.get_or_init(Book::default) }
+}
+
+fn state(table: &BackendTable, name: &str) -> Readiness {
+    table.entry(&table.rows[name], &[]).state
+}
+
+#[test]
+fn discovery_wins_over_an_undrain_and_an_order_over_serving() {
+    let (mut table, mut desired) = (BackendTable::new(), Desired::default());
+    order(&mut desired, 1, "a", Change::Drain);
+    order(&mut desired, 2, "b", Change::Undrain);
+    table.update(endpoint("a", Status::Serving), only(&desired), &[]);
+    table.update(endpoint("b", Status::Draining), only(&desired), &[]);
+    assert_eq!((state(&table, "a"), state(&table, "b")), (Readiness::Draining, Readiness::Draining));
+    order(&mut desired, 3, "a", Change::Undrain);
+    let changed = table.apply_overrides(only(&desired), &[]);
+    assert_eq!(changed.len(), 1);
+    assert_eq!(state(&table, "a"), Readiness::Ready);
+    // Ordered by its group, one that comes later is drained from the first.
+    order(&mut desired, 4, "group/3", Change::Drain);
+    table.update(endpoint("c", Status::Serving), only(&desired), &[]);
+    assert_eq!(state(&table, "c"), Readiness::Draining);
+    table.update(endpoint("c", Status::Deleted), only(&desired), &[]);
+    assert_eq!(state(&table, "c"), Readiness::Gone);
+}
+
+#[test]
+fn shares_are_weights_over_the_greatest() {
+    let (mut table, mut desired) = (BackendTable::new(), Desired::default());
+    for name in ["a", "b", "c"] {
+        table.update(endpoint(name, Status::Serving), only(&desired), &[]);
+    }
+    order(&mut desired, 1, "a", Change::Weight(0.5));
+    assert_eq!(table.apply_overrides(only(&desired), &[]).len(), 1);
+    let share = |table: &BackendTable, name: &str| table.entry(&table.rows[name], &[]).share;
+    assert_eq!((share(&table, "a"), share(&table, "b")), (0.5, 1.0));
+    order(&mut desired, 2, "b", Change::Weight(4.0));
+    let changed = table.apply_overrides(only(&desired), &[]);
+    assert_eq!(changed.iter().map(|(e, _)| e.id).collect::<Vec<_>>(), [1, 2, 3]);
+    let shares = ["a", "b", "c"].map(|n| share(&table, n));
+    assert_eq!(shares, [0.125, 1.0, 0.25]);
+}
+
+#[test]
+fn a_number_is_never_used_again() {
+    let (mut table, desired) = (BackendTable::new(), Desired::default());
+    let first = table.update(endpoint("a", Status::Serving), only(&desired), &[]).map(|e| e.id);
+    table.retain(|_| false);
+    assert!(table.update(endpoint("a", Status::Deleted), only(&desired), &[]).is_none());
+    let second = table.update(endpoint("a", Status::Serving), only(&desired), &[]).map(|e| e.id);
+    assert_ne!(first, second);
+}
+
+#[test]
+fn a_ban_holds_through_another_life_and_a_return_is_cold() {
+    let (mut table, desired, mut book) = (BackendTable::new(), Desired::default(), Book::default());
+    let call = |line: &str| beechrudder_maintenance::Call::read(line.as_bytes()).expect("a call");
+    table.update(endpoint("a", Status::Serving), only(&desired), &[]);
+    book.carry_out(&call("DISABLE a"), true, 5.0).expect("it is listed");
+    assert_eq!(table.apply_overrides(Overrides { desired: &desired, book: &book }, &[]).len(), 1);
+    assert_eq!(state(&table, "a"), Readiness::Draining);
+    let again = Endpoint { since_ms: 7.0, ..endpoint("a", Status::Serving) };
+    table.update(again, Overrides { desired: &desired, book: &book }, &[]);
+    assert_eq!(state(&table, "a"), Readiness::Draining);
+    book.carry_out(&call("ENABLE a"), true, 9.0).expect("it is banned");
+    let changed = table.apply_overrides(Overrides { desired: &desired, book: &book }, &[]);
+    assert_eq!(changed[0].0.state, Readiness::Ready);
+    assert_eq!((changed[0].0.started_ms, changed[0].0.cold_from_ms()), (7.0, 9.0));
+}
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -12,10 +12,10 @@
 use slatelock::settings::{self, Keys};
 use slatelock::terms::{self, Terms};
 
-use crate::listing::List;
+use crate::endpoint_list::EndpointList;
 
 /// Names the second address, where the configuration does not.
-const MANAGEMENT: &str = "GW_MANAGEMENT";
+const MANAGEMENT_VARIABLE: &str = "GW_MANAGEMENT";
 
 /// Whom the gateway calls; a new configuration may name others.
 #[derive(Clone, Copy, Debug)]
@@ -36,17 +36,17 @@
     pub seed: u64,
     pub sockets: usize,
     pub memory_mb: usize,
-    pub known: List,
+    pub known: EndpointList,
     pub terms: Terms,
     /// The text of it but for `known`; a later one may lack none of its keys.
     told: Value,
 }
 
 /// Keys that a later configuration may lack.
-const MAY_LACK: [&str; 2] = ["name", "management"];
+const OPTIONAL_KEYS: [&str; 2] = ["name", "management"];
 
-/// The text of a configuration. Danger: a list of thousands of backends as a tree of values, which takes ten
-/// times what the list does, and more than all else at the start.
+/// The text of a configuration. A list of thousands of backends is kept as text: as a tree of values it takes
+/// ten times what the list does, and more than all else at the start.
 #[derive(Deserialize)]
 struct Text<'a> {
     #[serde(borrow)]
@@ -70,10 +70,11 @@
         let text = std::fs::read(path).map_err(|e| ConfigError::File(path.to_path_buf(), e))?;
         let mut config = Config::parse(&text)?;
         if config.management.is_none() {
-            config.management = match std::env::var(MANAGEMENT).ok().filter(|told| !told.is_empty()) {
+            config.management = match std::env::var(MANAGEMENT_VARIABLE).ok().filter(|told| !told.is_empty())
+            {
                 Some(told) => Some(told.parse().map_err(|_| {
                     let problem = "an address with a port is wanted";
-                    SettingsError { field: MANAGEMENT.to_string(), problem }
+                    SettingsError { field: MANAGEMENT_VARIABLE.to_string(), problem }
                 })?),
                 None => None,
             };
@@ -92,7 +93,7 @@
     /// # Errors
     /// The first that it lacks.
     pub fn has_all_of(&self, before: &Config) -> Result<(), SettingsError> {
-        match terms::lacks(&before.told, &self.told, "configuration", &MAY_LACK) {
+        match terms::lacks(&before.told, &self.told, "configuration", &OPTIONAL_KEYS) {
             Some(field) => Err(SettingsError { field, problem: "missing; the file before has it" }),
             None => Ok(()),
         }
@@ -112,9 +113,9 @@
             all.extend(last);
         }
         // A gateway starts without these lines; whoever checks wants to know.
-        let listed = known.and_then(|text| List::read(text.get().as_bytes()).ok());
-        all.extend(listed.into_iter().flat_map(|list| list.wrong).map(|wrong| SettingsError {
-            field: format!("configuration.known.endpoints[{}]", wrong.place),
+        let listed = known.and_then(|text| EndpointList::read(text.get().as_bytes()).ok());
+        all.extend(listed.into_iter().flat_map(|list| list.rejected).map(|wrong| SettingsError {
+            field: format!("configuration.known.endpoints[{}]", wrong.index),
             problem: "a backend is wanted, each name once; the gateway leaves this line out",
         }));
         all
@@ -140,7 +141,8 @@
             seed.ok_or_else(|| top.wrong("seed", "a hex number is wanted"))
         });
         let known = known.ok_or_else(|| top.wrong("known", "missing")).and_then(|text| {
-            List::read(text.get().as_bytes()).map_err(|_| top.wrong("known", "a list of backends is wanted"))
+            EndpointList::read(text.get().as_bytes())
+                .map_err(|_| top.wrong("known", "a list of backends is wanted"))
         });
         Ok(Config {
             name: top.get("name").ok().and_then(|name| name.as_str()).unwrap_or_default().to_string(),
@@ -153,7 +155,7 @@
             seed: top.or(seed, 0)?,
             sockets: top.section("limits")?.whole("sockets")? as usize,
             memory_mb: top.section("limits")?.whole("memory_mb")? as usize,
-            known: top.or(known, List::empty())?,
+            known: top.or(known, EndpointList::empty())?,
             terms: Terms { names: settings::names(&told)?, settings },
             told: Value::Null,
         })
@@ -181,3 +183,12 @@
         }
     }
 }
+
+impl std::error::Error for ConfigError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ConfigError::File(_, e) => Some(e),
+            ConfigError::Settings(e) => Some(e),
+        }
+    }
+}
--- a/crates/gateway/src/driver/overseen.rs
+++ b/crates/gateway/src/event_loop/oversight.rs
@@ -1,4 +1,4 @@
-//! The driver's side that operators see: their orders are taken in here, and the state is told.
+//! What operators and the agent see of the event loop: their orders are applied here, and its state is told.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,23 +15,23 @@
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
-use super::Driver;
-use crate::listing::Status;
-use crate::order::Order;
-use crate::roster::Wanted;
+use super::EventLoop;
+use crate::backend_table::Overrides;
+use crate::endpoint_list::Status;
+use crate::maintenance::ControlRequest;
 
-/// How long a request may be on its way from its reading to the decisions, ms.
-const READ_MS: f64 = 1_000.0;
+/// How long a request may be on its way from its reading to the policy, ms.
+const READING_MAX_MS: f64 = 1_000.0;
 
 /// What operators want of this gateway, and what only the rest of the program knows of it.
 #[derive(Debug)]
-pub struct Overseen {
+pub struct Oversight {
     pub desired: Desired,
-    /// What calls at the second address left in force.
+    /// What commands at the second address left in force.
     pub book: Book,
     name: String,
     /// New with each start, below 2^53.
-    boot: u64,
+    incarnation: u64,
     last_order: Option<OrderId>,
     /// One task for each connection of a client.
     clients: TaskTracker,
@@ -39,17 +39,17 @@
     drained: watch::Sender<bool>,
 }
 
-impl Overseen {
-    pub fn new(name: String, boot: u64, clients: TaskTracker, drained: watch::Sender<bool>) -> Self {
+impl Oversight {
+    pub fn new(name: String, incarnation: u64, clients: TaskTracker, drained: watch::Sender<bool>) -> Self {
         let (desired, book, last_order) = (Desired::default(), Book::default(), None);
-        Overseen { desired, book, name, boot, last_order, clients, drained }
+        Oversight { desired, book, name, incarnation, last_order, clients, drained }
     }
 }
 
-impl Driver {
-    /// Does what is asked, and says what became of it.
-    pub(super) fn asked(&mut self, ask: GatewayAsk) -> GatewaySay {
-        match ask {
+impl EventLoop {
+    /// Answers a request of the admin listener.
+    pub(super) fn admin_request(&mut self, request: GatewayAsk) -> GatewaySay {
+        match request {
             GatewayAsk::State { backends } => GatewaySay::State(self.state(backends)),
             GatewayAsk::Inflight { subject } => GatewaySay::Inflight(self.in_flight(&subject)),
             GatewayAsk::Apply { orders } if orders.len() > ORDERS_MOST => {
@@ -59,105 +59,105 @@
             GatewayAsk::Apply { orders } => {
                 let mut verdicts = Vec::with_capacity(orders.len());
                 for order in &orders {
-                    let outcome = self.overseen.desired.apply(order);
-                    self.overseen.last_order = Some(order.id.clone());
+                    let outcome = self.oversight.desired.apply(order);
+                    self.oversight.last_order = Some(order.id.clone());
                     let matched = self.matched(&order.subject);
                     verdicts.push(Verdict { id: order.id.clone(), outcome, matched });
                 }
                 self.ordered(verdicts)
             }
             GatewayAsk::Adopt { snapshot } => {
-                self.overseen.desired.adopt(&snapshot);
+                self.oversight.desired.adopt(&snapshot);
                 self.ordered(Vec::new())
             }
         }
     }
 
-    /// Does what the keeper of the book wants, before it is told that it is done.
-    pub(super) fn order(&mut self, order: Order) {
-        match order {
-            // Each answer fails only when whoever asked is gone.
-            Order::Lists { id, say } => drop(say.send(self.roster.lists(&id))),
-            Order::Others { others, say } => {
-                self.others(others);
-                let _ = say.send(());
+    /// Carries out a request of the maintenance controller or of a reload, before it is answered.
+    pub(super) fn control(&mut self, request: ControlRequest) {
+        // A reply fails only when whoever requested is gone.
+        match request {
+            ControlRequest::IsListed { id, reply } => drop(reply.send(self.table.contains(&id))),
+            ControlRequest::ShareWith { other_processes, reply } => {
+                self.share_with(other_processes);
+                let _ = reply.send(());
             }
-            Order::Untold { say } => drop(say.send(self.gateway.untold())),
-            Order::TakeOver { untold, say } => {
-                self.gateway.take_over(self.clock.now_ms(), &untold);
-                let _ = say.send(());
+            ControlRequest::TakeUnreported { reply } => drop(reply.send(self.policy.untold())),
+            ControlRequest::AddUnreported { unreported, reply } => {
+                self.policy.take_over(self.clock.now_ms(), &unreported);
+                let _ = reply.send(());
             }
-            Order::Change { terms, say } => drop(say.send(self.change(&terms))),
-            Order::Adopt { book, say } => {
-                self.adopt(book);
-                let _ = say.send(());
+            ControlRequest::ChangeSettings { terms, reply } => drop(reply.send(self.change(&terms))),
+            ControlRequest::Adopt { state, reply } => {
+                self.adopt(state);
+                let _ = reply.send(());
             }
         }
     }
 
     /// Leaves other processes of this gateway their shares.
-    pub fn others(&mut self, others: usize) {
-        let processes = u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1);
-        self.gateway.share_with(self.clock.now_ms(), processes);
-        self.parts.iter_mut().for_each(|part| part.share(processes as usize));
+    pub fn share_with(&mut self, other_processes: usize) {
+        let processes = u32::try_from(other_processes).unwrap_or(u32::MAX).saturating_add(1);
+        self.policy.share_with(self.clock.now_ms(), processes);
+        self.partitions.iter_mut().for_each(|partition| partition.share(processes as usize));
     }
 
     /// Goes by new settings, as far as they may change in service.
     fn change(&mut self, new: &Terms) -> Result<(), SettingsError> {
         let (now, held) = (self.clock.now_ms(), Arc::clone(&self.terms.borrow()));
         let longest = held.settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        // Danger: a request that was read, and did not come here yet, with a class that has its place by
-        // then.
+        // A request that was read, and did not come here yet, may hold a class that was dropped: its index is
+        // not free before that.
         let free = |place: usize| {
-            let since = self.dropped.get(&place).copied().unwrap_or(now);
-            now - since > longest + READ_MS && !self.gateway.holds_class(place)
+            let since = self.dropped_classes.get(&place).copied().unwrap_or(now);
+            now - since > longest + READING_MAX_MS && !self.policy.holds_class(place)
         };
         let terms = held.changed(new, free)?;
         let name = |place: usize| terms.names.classes.get(place)?.as_ref();
         let before = |place| held.names.classes.iter().position(|n| n.is_some() && n.as_ref() == name(place));
-        self.gateway.change(terms.settings.clone(), before);
-        self.dropped.retain(|place, _| terms.settings.classes[*place].dropped);
+        self.policy.change(terms.settings.clone(), before);
+        self.dropped_classes.retain(|place, _| terms.settings.classes[*place].dropped);
         for (place, _) in terms.settings.classes.iter().enumerate().filter(|(_, c)| c.dropped) {
-            self.dropped.entry(place).or_insert(now);
+            self.dropped_classes.entry(place).or_insert(now);
         }
         let connect = Duration::from_secs_f64(terms.settings.limits.connect_timeout_ms / 1000.0);
-        self.backends.limit(terms.names.idle_close_ms, connect);
+        self.pool.set_limits(terms.names.idle_close_ms, connect);
         self.terms.send_replace(Arc::new(terms));
         Ok(())
     }
 
     /// Puts a book in force if it is newer than the one that is.
     pub fn adopt(&mut self, book: Book) {
-        if book.newer_than(self.overseen.book.revision()) {
-            self.overseen.book = book;
+        if book.newer_than(self.oversight.book.revision()) {
+            self.oversight.book = book;
             self.want();
         }
     }
 
     /// Carries out what operators want by now: of backends, and of the gateway itself.
     fn want(&mut self) {
-        let wanted = Wanted { desired: &self.overseen.desired, book: &self.overseen.book };
-        let lines = self.roster.reorder(wanted, &self.names.zones);
+        let overrides = Overrides { desired: &self.oversight.desired, book: &self.oversight.book };
+        let lines = self.table.apply_overrides(overrides, &self.names.zones);
         if !lines.is_empty() {
-            self.lines(slatelock::interface::ListScope::Delta, lines);
+            self.apply_lines(slatelock::interface::ListScope::Delta, lines);
         }
-        let overseen = &self.overseen;
-        let drained = overseen.desired.gateway_drained(&overseen.name).is_some()
-            || overseen.book.drained_ms().is_some();
-        self.overseen.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
+        let oversight = &self.oversight;
+        let drained = oversight.desired.gateway_drained(&oversight.name).is_some()
+            || oversight.book.drained_ms().is_some();
+        self.oversight.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
     }
 
     /// Carries out what the orders have changed, before anybody is told that they were taken in.
     fn ordered(&mut self, verdicts: Vec<Verdict>) -> GatewaySay {
         self.want();
-        let (boot, holds) = (self.overseen.boot, self.overseen.desired.revision());
+        let (boot, holds) = (self.oversight.incarnation, self.oversight.desired.revision());
         GatewaySay::Applied(Applied { boot, holds, verdicts })
     }
 
     fn matched(&self, subject: &Subject) -> u32 {
         match subject {
-            Subject::Gateway(name) => u32::from(name.as_str() == self.overseen.name),
-            _ => self.roster.covered(subject).count() as u32,
+            Subject::Gateway(name) => u32::from(name.as_str() == self.oversight.name),
+            _ => self.table.covered(subject).count() as u32,
         }
     }
 
@@ -165,34 +165,33 @@
     /// is this gateway.
     fn in_flight(&self, subject: &Subject) -> u64 {
         match subject {
-            Subject::Gateway(name) if name.as_str() == self.overseen.name => self.open.len() as u64,
+            Subject::Gateway(name) if name.as_str() == self.oversight.name => self.requests.open() as u64,
             Subject::Gateway(_) => 0,
             _ => {
-                let numbers: Vec<u32> = self.roster.covered(subject).map(|row| row.number).collect();
-                self.attempts.values().filter(|a| numbers.contains(&a.backend)).count() as u64
+                let numbers: Vec<u32> = self.table.covered(subject).map(|row| row.number).collect();
+                self.attempts.at_any_of(&numbers) as u64
             }
         }
     }
 
     fn state(&self, backends: bool) -> GatewayState {
         let seen: HashMap<u32, BackendView> =
-            self.gateway.backends(self.clock.now_ms()).map(|b| (b.id, b)).collect();
-        let mut out: HashMap<u32, u64> = HashMap::new();
-        self.attempts.values().for_each(|a| *out.entry(a.backend).or_default() += 1);
+            self.policy.backends(self.clock.now_ms()).map(|b| (b.id, b)).collect();
+        let in_flight = self.attempts.by_backend();
         let mut rows: Vec<BackendState> = Vec::new();
-        let (forgotten, forgotten_units) = self.gateway.forgotten();
+        let (forgotten, forgotten_units) = self.policy.forgotten();
         let mut figures = Figures {
-            waiting: self.opening.as_ref().map_or(0, |o| o.waiting() as u32),
-            requests: self.open.len() as u64,
+            waiting: self.ramp.as_ref().map_or(0, |ramp| ramp.waiting() as u32),
+            requests: self.requests.open() as u64,
             in_flight: self.attempts.len() as u64,
-            idle_connections: self.backends.idle() as u32,
-            client_connections: self.overseen.clients.len() as u32,
-            customers: self.gateway.customers() as u64,
+            idle_connections: self.pool.idle_connections() as u32,
+            client_connections: self.oversight.clients.len() as u32,
+            customers: self.policy.customers() as u64,
             forgotten,
             forgotten_units: forgotten_units.ceil() as u64,
             ..Figures::default()
         };
-        for row in self.roster.rows() {
+        for row in self.table.rows() {
             let (e, view) = (&row.endpoint, seen.get(&row.number));
             let (serving, drained_by) = (matches!(e.status, Status::Serving), row.effect.drained_by.clone());
             let (ejected, warmth) = view.map_or((false, 1.0), |b| (b.ejected, b.warmth));
@@ -214,21 +213,21 @@
                     weight: row.effect.weight,
                     ejected,
                     warmth,
-                    in_flight: out.get(&row.number).copied().unwrap_or(0),
+                    in_flight: in_flight.get(&row.number).copied().unwrap_or(0),
                 });
             }
         }
         rows.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        let overseen = &self.overseen;
+        let oversight = &self.oversight;
         GatewayState {
-            name: overseen.name.clone(),
+            name: oversight.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_string(),
-            boot: overseen.boot,
-            holds: overseen.desired.revision(),
-            last_order: overseen.last_order.clone(),
-            drained_by: overseen.desired.gateway_drained(&overseen.name).cloned(),
-            drained_ms: overseen.book.drained_ms(),
-            list: self.roster.changes(),
+            boot: oversight.incarnation,
+            holds: oversight.desired.revision(),
+            last_order: oversight.last_order.clone(),
+            drained_by: oversight.desired.gateway_drained(&oversight.name).cloned(),
+            drained_ms: oversight.book.drained_ms(),
+            list: self.table.changes(),
             figures,
             backends: backends.then_some(rows),
         }
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -1,100 +1,76 @@
-//! What happens to a gateway, as tasks on sockets tell it to the driver.
+//! What happens to a gateway, as tasks on sockets send it to the event loop.
 
 use std::sync::Arc;
 
 use beechrudder_fleet::wire::{GatewayAsk, GatewaySay};
 use tokio::sync::oneshot;
 
-use crate::backends::{Connection, Reply};
 use crate::counter::{Counted, Counter};
-use crate::discovery::News;
-use crate::long::Long;
+use crate::discovery::EndpointUpdate;
 use crate::resp::{Answer, Call};
+use crate::streaming::StreamedValue;
+use crate::upstream::{Connection, Reply};
 
-/// An attempt: the request's number and the attempt's, from 0.
-pub type Key = (u64, u32);
+/// Names an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptKey {
+    /// The request's number.
+    pub request: u64,
+    /// The attempt's number among those of the request, from 0.
+    pub number: u32,
+}
 
 /// What happens to a gateway.
 pub enum Input {
-    Request {
-        id: u64,
-        call: Arc<Call>,
-        answer: oneshot::Sender<Answer>,
-    },
-    /// The client of a request is gone.
-    Gone {
-        id: u64,
-    },
-    Connected {
-        key: Key,
-        backend: u32,
-        connection: Option<Connection>,
-    },
-    /// The connection that an attempt is to use has rested.
-    Rested {
-        key: Key,
-        backend: u32,
-        connection: Connection,
-    },
+    /// A client's request.
+    Request { id: u64, call: Arc<Call>, reply: oneshot::Sender<Answer> },
+    /// The client of a request has disconnected.
+    ClientDisconnected { id: u64 },
+    /// The connection that an attempt waited for is up, or not in time.
+    Connected { key: AttemptKey, backend: u32, connection: Option<Connection> },
+    /// The connection that an attempt is to use has cooled down.
+    CooledDown { key: AttemptKey, backend: u32, connection: Connection },
     /// The answer of an attempt has begun to come; a value that is too long to be held whole comes with it.
-    Began {
-        key: Key,
-        backend: u32,
-        long: Option<Long>,
-    },
-    Ended {
-        key: Key,
-        backend: u32,
-        reply: Reply,
-        connection: Option<Connection>,
-    },
+    ResponseStarted { key: AttemptKey, backend: u32, streamed: Option<StreamedValue> },
+    /// An attempt has ended; its connection comes with it if it can be used again.
+    AttemptEnded { key: AttemptKey, backend: u32, reply: Reply, connection: Option<Connection> },
     /// The connection that a probe waited for is up, or not in time.
-    Opened {
-        backend: u32,
-        connection: Option<Connection>,
-        purpose: Purpose,
-    },
-    Probed {
-        backend: u32,
-        reply: Reply,
-        connection: Option<Connection>,
-        purpose: Purpose,
-    },
+    ProbeConnected { backend: u32, connection: Option<Connection>, purpose: Purpose },
+    /// A probe has ended; its connection comes with it if it can be used again.
+    Probed { backend: u32, reply: Reply, connection: Option<Connection>, purpose: Purpose },
+    /// A call to the counter has ended.
     Counted(Counted),
     /// The counter is at another address now.
-    Counter(Counter),
-    List(News),
-    Due(Due),
-    /// An operator, or the agent, asks.
-    Asked {
-        ask: GatewayAsk,
-        say: oneshot::Sender<GatewaySay>,
-    },
-    /// The gateway is told to end: what comes from now on has to be answered by a moment, Unix time in ms.
-    Ending {
-        by_ms: f64,
-    },
-    /// The gateway is about to end: what is still open fails now, and what comes is refused.
+    CounterMoved(Counter),
+    /// Discovery has an update of the endpoint list.
+    EndpointUpdate(EndpointUpdate),
+    /// A timer has expired.
+    TimerExpired(Due),
+    /// A request of an operator or the agent at the admin listener.
+    AdminRequest { request: GatewayAsk, reply: oneshot::Sender<GatewaySay> },
+    /// The gateway is told to end: what comes from now on has to be answered by then, Unix time in ms.
+    ShuttingDown { answer_by_ms: f64 },
+    /// The gateway is about to end: what is still open fails now, and what comes is rejected.
     FailAll,
 }
 
 /// What a probe is for.
 #[derive(Clone, Copy, Debug)]
 pub enum Purpose {
-    /// The decisions want to know whether an ejected backend answers again.
+    /// The policy wants to know whether an ejected backend answers again.
     Health,
-    /// It is the first connection to a backend, of the life that began then, Unix time in ms.
-    FirstConnection { life_ms: f64 },
+    /// It is the first connection to a backend, of the incarnation that started then, Unix time in ms.
+    FirstConnection { started_ms: f64 },
 }
 
 /// What a timer is for.
 pub enum Due {
-    /// A token of the decisions.
-    Timer(u64),
+    /// A timer of the policy, by its token.
+    Policy(u64),
     /// A call to the counter, by its number, is out of time.
     Call(u64),
-    /// A backend's turn for a first connection.
-    Opening,
+    /// A backend's slot for a first connection.
+    Ramp,
 }
 
 impl From<Counted> for Input {
@@ -103,8 +79,8 @@
     }
 }
 
-impl From<News> for Input {
-    fn from(news: News) -> Self {
-        Input::List(news)
+impl From<EndpointUpdate> for Input {
+    fn from(update: EndpointUpdate) -> Self {
+        Input::EndpointUpdate(update)
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,30 +13,29 @@
 //! actions.
 
 mod admin;
-mod backends;
-mod clients;
+mod backend_table;
+mod client;
 mod clock;
 mod config;
 mod counter;
 mod discovery;
-mod driver;
-mod folder;
+mod endpoint_list;
+mod error;
+mod event_loop;
 mod input;
-mod keep;
-mod keeper;
-mod listing;
-mod long;
-mod management;
-mod order;
-mod part;
+mod maintenance;
 mod resp;
-mod roster;
-mod serve;
+mod server;
+mod streaming;
+mod upstream;
 
 use std::path::{Path, PathBuf};
 
 use beechrudder_operator::Operator;
 
+use config::Config;
+use error::StartError;
+
 /// Serves by the configuration that `GW_CONFIG` names until SIGTERM has been carried out. Where `operator`
 /// names an operator's file with an `[admin]` section, operators can order and look from there; its
 /// `[routing]` section says how many backends are looked at.
@@ -44,22 +43,23 @@
 /// # Errors
 /// One line that names what is wrong: the variable, the file, a key, or a socket.
 pub fn run(operator: Option<&Path>) -> Result<(), String> {
+    start(operator).map_err(|e| e.to_string())
+}
+
+fn start(operator: Option<&Path>) -> Result<(), StartError> {
     // Fails only where a log is set up already.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-    let operator = operator.map(Operator::read).transpose().map_err(|e| e.to_string())?;
-    let path = PathBuf::from(std::env::var_os("GW_CONFIG").ok_or("GW_CONFIG: missing")?);
-    let config = config::Config::read(&path).map_err(|e| e.to_string())?;
+    let operator = operator.map(Operator::read).transpose().map_err(StartError::Operator)?;
+    let path = PathBuf::from(std::env::var_os("GW_CONFIG").ok_or(StartError::ConfigUnset)?);
+    let config = Config::read(&path).map_err(StartError::Config)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| format!("runtime: {e}"))?.block_on(serve::serve(
-        config,
-        path,
-        operator.unwrap_or_default(),
-    ))
+    let runtime = runtime.map_err(StartError::Runtime)?;
+    runtime.block_on(server::serve(config, path, operator.unwrap_or_default()))
 }
 
 /// All that is wrong with a configuration's text, each with the key at fault, as in
 /// `configuration.settings.profiles[1].aim-ms`. Nothing is wrong with an empty answer.
 #[must_use]
 pub fn check(text: &[u8]) -> Vec<slatelock::interface::SettingsError> {
-    config::Config::wrong(text)
+    Config::wrong(text)
 }
--- /dev/null
+++ b/crates/gateway/src/maintenance.rs
@@ -0,0 +1,23 @@
+//! Commands of operators at the second address, and what they leave in force in all processes of this gateway.
+//!
+//! ```text
+//! listener ── PendingCommand ──▶ controller ── ControlRequest ──▶ event loop
+//!                                    │
+//!                             state directory ◀── other processes of this gateway
+//! ```
+
+mod command;
+mod control;
+mod controller;
+mod listener;
+mod partition;
+mod process;
+mod state_directory;
+
+pub use command::PendingCommand;
+pub use control::ControlRequest;
+pub use controller::{Controller, PROPAGATION_MAX};
+pub use listener::{serve, CONNECTIONS_MAX};
+pub use partition::Partition;
+pub use process::ProcessStatus;
+pub use state_directory::StateDirectory;
--- /dev/null
+++ b/crates/gateway/src/server/builder.rs
@@ -0,0 +1,411 @@
+//! Builds the parts of a gateway from its configuration and the operator's file.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+use std::time::Duration;
+
+use beechrudder_channel::Dialer;
+use beechrudder_coldstart::{Allowance, Calendar, Calls, Openings};
+use beechrudder_operator::{Admin, Operator, Start};
+use beechrudder_routing::Subset;
+use slatelock::interface::{ListScope, Routing};
+use slatelock::terms::Terms;
+use slatelock::Gateway;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch, Semaphore};
+use tokio::time::Instant;
+use tokio_util::sync::CancellationToken;
+use tokio_util::task::TaskTracker;
+
+use super::clients_socket;
+use super::readiness::{FirstBackend, Readiness};
+use super::reload::Reload;
+use super::shutdown::Shutdown;
+use crate::client::Clients;
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::counter::Counter;
+use crate::discovery::{self, EndpointUpdate, FollowOptions, StartOrder};
+use crate::endpoint_list::EndpointList;
+use crate::error::StartError;
+use crate::event_loop::{ConnectionRamp, EventLoop, Oversight, Resources};
+use crate::input::Input;
+use crate::maintenance::{
+    self, ControlRequest, Controller, Partition, PendingCommand, ProcessStatus, StateDirectory,
+};
+use crate::upstream::ConnectionPool;
+
+/// Descriptors for all but clients and backends: the runtime, the log, and the counter and discovery twice,
+/// as the old connections may still stand when a new configuration names others.
+const RESERVED_SOCKETS: usize = 32;
+/// Of the memory, one in so many bytes may be taken by requests and answers, and as many by streamed values:
+/// buffers that are being read and written take about another part.
+const BUFFERS_DIVISOR: usize = 4;
+/// Of the memory, one in so many bytes may be taken by records of customers.
+const CUSTOMERS_DIVISOR: usize = 8;
+/// Inputs that may wait for the event loop; whoever brings more waits.
+const INBOX_CAPACITY: usize = 1024;
+/// Requests of the maintenance controller, and commands, that may wait; there are few, one after another.
+const COMMANDS_CAPACITY: usize = 32;
+/// How long the start waits for the list of backends where none is known.
+const FIRST_LIST_MAX: Duration = Duration::from_millis(500);
+/// How long the start waits for an update of a list that is known.
+const FIRST_UPDATE_MAX: Duration = Duration::from_millis(50);
+/// The longest time that a gateway may go on sending to a backend that was told to stop, s.
+const STOP_SENDING_MAX_S: f64 = 60.0;
+
+/// The parts of a gateway, built but not running. The second address is served already, and says that the
+/// gateway starts.
+pub(super) struct Parts {
+    pub event_loop: EventLoop,
+    pub inputs: mpsc::Receiver<Input>,
+    pub control: mpsc::Receiver<ControlRequest>,
+    pub readiness: Readiness,
+    pub reload: Reload,
+    pub client_side: ClientSide,
+    pub shutdown: Shutdown,
+}
+
+/// What is opened when the gateway is ready.
+pub(super) struct ClientSide {
+    /// The gateway's name.
+    pub name: String,
+    pub admin: Option<Admin>,
+    pub clients: Arc<Clients>,
+    pub listener: TcpListener,
+    /// Permits for connections of clients.
+    pub permits: Arc<Semaphore>,
+    /// How many of those there are.
+    pub connections: usize,
+    /// Other processes of this gateway that lived when it started.
+    pub other_processes: usize,
+}
+
+/// What the limits of a configuration come to.
+#[derive(Clone, Copy)]
+struct Capacity {
+    /// Connections of clients, and as many to backends.
+    connections: usize,
+    /// Bytes of requests and answers, and as many of streamed values.
+    buffer_bytes: usize,
+    /// Bytes of customers' records.
+    customer_bytes: usize,
+}
+
+impl Capacity {
+    fn of(config: &Config) -> Capacity {
+        let commands = if config.management.is_some() { maintenance::CONNECTIONS_MAX } else { 0 };
+        let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).saturating_sub(commands);
+        let memory_bytes = config.memory_mb << 20;
+        Capacity {
+            connections: sockets / 2,
+            buffer_bytes: memory_bytes / BUFFERS_DIVISOR,
+            customer_bytes: memory_bytes / CUSTOMERS_DIVISOR,
+        }
+    }
+}
+
+/// How a fleet shares out what its gateways do when they start; each part is off where operators left it out.
+#[derive(Default)]
+struct FleetStart {
+    /// This gateway's slots for calls for the list.
+    slots: Option<Calendar>,
+    /// First connections to backends.
+    ramp: Option<Openings>,
+    /// Calls to the counter.
+    counter_calls: Option<Allowance>,
+}
+
+impl FleetStart {
+    fn new(start: Option<Start>, terms: &Terms, now_ms: f64) -> FleetStart {
+        let Some(start) = start else { return FleetStart::default() };
+        let settings = &terms.settings;
+        let (me, gateways) = (settings.me, settings.gateways);
+        let Routing { subset, coverage, .. } = settings.routing;
+        let ramp = |per_s| {
+            let subset = Subset::new(me, gateways, subset, coverage);
+            Openings::new(me, gateways, subset, per_s, now_ms)
+        };
+        let counter_calls = |per_s| Allowance::new(me, gateways, per_s, now_ms);
+        FleetStart {
+            slots: Some(Calendar::new(me, gateways, start.list_calls_per_s)),
+            ramp: start.backend_connections_per_s.map(ramp),
+            counter_calls: start.counter_calls_per_s.map(counter_calls),
+        }
+    }
+}
+
+/// Builds all parts. The second address and the clients' socket are opened, the endpoint list of the
+/// configuration and the maintenance state are in force.
+pub(super) async fn build(config: Config, operator: Operator) -> Result<Parts, StartError> {
+    let mut builder = Builder::new(config, operator);
+    let (control_sender, control) = mpsc::channel(COMMANDS_CAPACITY);
+    let (command_sender, commands) = mpsc::channel(COMMANDS_CAPACITY);
+    let listener = builder.open_sockets(&command_sender).await?;
+    let policy = builder.policy()?;
+    let (inbox, inputs) = mpsc::channel(INBOX_CAPACITY);
+    let counter = builder.counter(&inbox);
+
+    let fleet_start = FleetStart::new(builder.start, &builder.terms, builder.clock.now_ms());
+    let pool = builder.connection_pool(fleet_start.ramp.as_ref());
+    let budgets = Budgets::new(builder.capacity);
+    let (connections, (drain, drained)) = (TaskTracker::new(), watch::channel(false));
+    let (terms_sender, terms) = watch::channel(Arc::new(builder.terms.clone()));
+    let (ramp, first_backend) = fleet_start.ramp.map(with_first_backend).unzip();
+    let resources = Resources {
+        partitions: budgets.partitions(builder.capacity, &pool),
+        pool,
+        counter,
+        inbox: inbox.clone(),
+        memory: Arc::clone(&budgets.memory),
+        streaming_memory: budgets.streaming_memory,
+        oversight: Oversight::new(
+            builder.config.name.clone(),
+            builder.incarnation,
+            connections.clone(),
+            drain,
+        ),
+        terms: terms_sender,
+        ramp,
+        counter_budget: fleet_start.counter_calls,
+    };
+    let mut event_loop = EventLoop::new(policy, builder.clock, resources);
+    let controller = builder.controller(control_sender.clone());
+    let other_processes = adopt_maintenance_state(&controller, &mut event_loop);
+    let (leaving, leave_requests) = mpsc::channel(1);
+    tokio::spawn(controller.run(commands, leave_requests));
+    let known = builder.adopt_known_list(&mut event_loop, fleet_start.slots);
+    let start_order = builder.start_order()?;
+
+    let (closing, not_accepting) = (CancellationToken::new(), CancellationToken::new());
+    let clients = Arc::new(Clients {
+        terms: terms.clone(),
+        inbox: inbox.clone(),
+        memory: budgets.memory,
+        last_request: AtomicU64::new(0),
+        closing: closing.clone(),
+        not_accepting: not_accepting.clone(),
+        drained,
+        connections: connections.clone(),
+    });
+    let readiness = Readiness {
+        started: builder.started,
+        first_list: first_list_max(known.index, fleet_start.slots),
+        in_slots: fleet_start.slots.is_some(),
+        first_backend,
+    };
+    let client_side = ClientSide {
+        name: builder.config.name.clone(),
+        admin: builder.admin,
+        clients,
+        listener,
+        permits: budgets.client_permits,
+        connections: builder.capacity.connections,
+        other_processes,
+    };
+    let shutdown = Shutdown {
+        clock: builder.clock,
+        status: builder.status,
+        inbox: inbox.clone(),
+        terms,
+        closing,
+        not_accepting,
+        connections,
+        leaving,
+        _commands: command_sender,
+    };
+    let counter_timeout = millis(builder.terms.settings.counter_timeout_ms);
+    let reload = Reload {
+        config: builder.config,
+        counter_timeout,
+        known,
+        start_order,
+        inbox,
+        control: control_sender,
+    };
+    Ok(Parts { event_loop, inputs, control, readiness, reload, client_side, shutdown })
+}
+
+/// What the parts are built from.
+struct Builder {
+    config: Config,
+    /// The terms of the configuration, with what the operator's file and the memory add to them.
+    terms: Terms,
+    admin: Option<Admin>,
+    start: Option<Start>,
+    capacity: Capacity,
+    clock: Clock,
+    started: Instant,
+    incarnation: u64,
+    status: ProcessStatus,
+}
+
+impl Builder {
+    fn new(config: Config, operator: Operator) -> Builder {
+        let Operator { admin, routing, start, .. } = operator;
+        let (clock, capacity) = (Clock::start(), Capacity::of(&config));
+        let mut terms = config.terms.clone();
+        let beechrudder_operator::Routing { whole, choices, subset, coverage } = routing;
+        terms.settings.routing = Routing { whole, choices, subset, coverage };
+        terms.settings.customers = Gateway::customers_in(capacity.customer_bytes);
+        Builder {
+            config,
+            terms,
+            admin,
+            start,
+            capacity,
+            clock,
+            started: Instant::now(),
+            incarnation: incarnation(clock),
+            status: ProcessStatus::default(),
+        }
+    }
+
+    /// Serves the second address, and opens the clients' socket.
+    async fn open_sockets(&self, commands: &mpsc::Sender<PendingCommand>) -> Result<TcpListener, StartError> {
+        if let Some(address) = self.config.management {
+            // Before all that may take long: asked before the gateway is ready, it says so.
+            let listener = TcpListener::bind(address).await;
+            let listener = listener.map_err(|source| StartError::Management { address, source })?;
+            tokio::spawn(maintenance::serve(listener, commands.clone()));
+        }
+        clients_socket::open(self.config.listen).await
+    }
+
+    fn policy(&self) -> Result<Gateway, StartError> {
+        let settings = self.terms.settings.clone();
+        Gateway::new(settings, self.config.seed, self.clock.now_ms()).map_err(StartError::Settings)
+    }
+
+    fn counter(&self, inbox: &mpsc::Sender<Input>) -> Option<Counter> {
+        let timeout = millis(self.terms.settings.counter_timeout_ms);
+        self.config.peers.counter.map(|address| Counter::start(address, timeout, inbox))
+    }
+
+    fn connection_pool(&self, ramp: Option<&Openings>) -> ConnectionPool {
+        let connect_timeout = millis(self.terms.settings.limits.connect_timeout_ms);
+        let idle_close_ms = self.terms.names.idle_close_ms;
+        let mut pool = ConnectionPool::new(self.capacity.connections, idle_close_ms, connect_timeout);
+        if let Some(ramp) = ramp {
+            pool.grow_after(ramp.round());
+        }
+        pool
+    }
+
+    fn controller(&self, control: mpsc::Sender<ControlRequest>) -> Controller {
+        let directory =
+            self.config.management.and_then(|_| state_directory(self.config.listen, self.incarnation));
+        let warm_up_ms = self.terms.settings.slow_start.warm_up_ms;
+        Controller::new(directory, self.clock, warm_up_ms, self.status.clone(), control)
+    }
+
+    /// Puts the endpoint list of the configuration in force, and gives what discovery is to be asked for then.
+    fn adopt_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<Calendar>) -> FollowOptions {
+        let known = std::mem::replace(&mut self.config.known, EndpointList::empty());
+        discovery::log_rejected("known", &known);
+        // With the list's version the start asks for what has changed since, not for the whole list.
+        let index = Some(known.index).filter(|_| !known.endpoints.is_empty());
+        event_loop.take(Input::EndpointUpdate(EndpointUpdate {
+            scope: ListScope::Cached,
+            endpoints: known.endpoints,
+            unread: Vec::new(),
+        }));
+        let settings = &self.terms.settings;
+        let stop_sending_s = (settings.stop_sending_ms / 1000.0).min(STOP_SENDING_MAX_S);
+        FollowOptions {
+            index,
+            gateways: settings.gateways,
+            stop_within: Duration::from_secs_f64(stop_sending_s),
+            seed: self.config.seed,
+            slots: slots.map(|slots| (slots, self.clock)),
+        }
+    }
+
+    /// How the agent orders this start, if it is to, and one is named.
+    fn start_order(&self) -> Result<Option<StartOrder>, StartError> {
+        let ordered = self.start.is_some_and(|start| start.ordered_by_agent);
+        let Some(admin) = self.admin.as_ref().filter(|_| ordered) else { return Ok(None) };
+        let Some(agent) = admin.agent.clone() else { return Ok(None) };
+        let dialer = Dialer::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
+        let name = self.config.name.parse();
+        let name = name.map_err(|source| StartError::Name { purpose: "to ask for a turn", source })?;
+        let gateways = self.terms.settings.gateways;
+        Ok(Some(StartOrder { agent, dialer, name, incarnation: self.incarnation, gateways }))
+    }
+}
+
+/// What clients and values may take together.
+struct Budgets {
+    /// Bytes of requests and answers.
+    memory: Arc<Semaphore>,
+    /// Bytes of streamed values.
+    streaming_memory: Arc<Semaphore>,
+    /// Connections of clients.
+    client_permits: Arc<Semaphore>,
+}
+
+impl Budgets {
+    fn new(capacity: Capacity) -> Budgets {
+        Budgets {
+            memory: Arc::new(Semaphore::new(capacity.buffer_bytes)),
+            streaming_memory: Arc::new(Semaphore::new(capacity.buffer_bytes)),
+            client_permits: Arc::new(Semaphore::new(capacity.connections)),
+        }
+    }
+
+    /// What other processes of this gateway may have a part of.
+    fn partitions(&self, capacity: Capacity, pool: &ConnectionPool) -> Vec<Partition> {
+        vec![
+            Partition::new(Arc::clone(&self.client_permits), capacity.connections),
+            Partition::new(pool.permits(), capacity.connections),
+            Partition::new(Arc::clone(&self.memory), capacity.buffer_bytes),
+            Partition::new(Arc::clone(&self.streaming_memory), capacity.buffer_bytes),
+        ]
+    }
+}
+
+/// The ramp of first connections, with what the start waits for.
+fn with_first_backend(ramp: Openings) -> (ConnectionRamp, FirstBackend) {
+    let within = ramp.first_within();
+    let (ramp, reached) = ConnectionRamp::new(ramp);
+    (ramp, FirstBackend { reached, within })
+}
+
+/// Puts the state of the processes before in force, before the first request: bans hold from the start, and
+/// other processes are left their shares. Gives how many of those live.
+fn adopt_maintenance_state(controller: &Controller, event_loop: &mut EventLoop) -> usize {
+    event_loop.adopt(controller.state());
+    let other_processes = controller.other_processes();
+    event_loop.share_with(other_processes);
+    other_processes
+}
+
+fn millis(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms / 1000.0)
+}
+
+/// A number that no other start of a gateway has: its millisecond and its process, below 2^53.
+fn incarnation(clock: Clock) -> u64 {
+    (((clock.now_ms() as u64) << 12) | u64::from(std::process::id() & 0xfff)) & ((1 << 53) - 1)
+}
+
+/// The directory that the processes of this gateway share. None without `$TMPDIR`; and what else can't be had
+/// is no reason not to serve.
+fn state_directory(listen: SocketAddr, incarnation: u64) -> Option<StateDirectory> {
+    let parent = std::env::var_os("TMPDIR")?;
+    StateDirectory::open(Path::new(&parent), listen, incarnation)
+        .inspect_err(|e| tracing::warn!("no folder under TMPDIR: {e}; bans end with this process"))
+        .ok()
+}
+
+/// How long to wait for the list as it is now: shortly for an update of one that is known, longer for the
+/// first.
+fn first_list_max(known: Option<u64>, slots: Option<Calendar>) -> Duration {
+    match (known, slots) {
+        (Some(_), _) => FIRST_UPDATE_MAX,
+        (None, None) => FIRST_LIST_MAX,
+        (None, Some(slots)) => Calls::new(slots).first_within(),
+    }
+}
--- a/crates/gateway/tests/as_run.rs
+++ b/crates/gateway/tests/as_run.rs
@@ -36,7 +36,7 @@
     text.lines().skip(1).filter(of).count()
 }
 
-/// Danger: a pause of seconds in which a discovery that is back can tell it nothing.
+/// Guards against a pause of seconds in which a discovery that is back can tell it nothing.
 #[test]
 fn a_call_that_discovery_left_unanswered_is_followed_by_the_next_at_once_in_any_fleet() {
     let rig = Rig::with(1, |config| config["settings"]["group-size"] = json!(300));
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -125,7 +125,8 @@
     rig.serve_one(&mut client, 1);
 }
 
-/// Danger: quiet connections kept until places here run short, when clients may hold no more long before.
+/// Guards against quiet connections kept until places here run short, when clients may hold no more long
+/// before.
 #[test]
 fn quiet_connections_are_closed_while_half_of_the_places_are_free_yet() {
     let rig = Rig::with(1, |config| config["limits"]["sockets"] = json!(48));
@@ -140,8 +141,8 @@
     assert!(since.elapsed() < Duration::from_secs(12));
 }
 
-/// Danger: a place kept by a client that has asked once, while others wait for one; and one taken from a
-/// client that comes back again and again.
+/// Guards against a place kept by a client that has asked once, while others wait for one; and one taken from
+/// a client that comes back again and again.
 #[test]
 fn a_place_kept_by_a_client_that_asked_once_goes_to_others_before_that_of_one_in_use() {
     let rig = Rig::with(1, |config| config["limits"]["sockets"] = json!(48));
--- a/crates/gateway/tests/counter.rs
+++ b/crates/gateway/tests/counter.rs
@@ -139,8 +139,8 @@
     words
 }
 
-/// Danger: a burst that one line of the counter turns away, taken for as many reasons to call less; those
-/// who are near their quota are then refused or let through unasked.
+/// Guards against a burst that one line of the counter turns away, taken for as many reasons to call less;
+/// those who are near their quota are then refused or let through unasked.
 #[test]
 fn a_burst_that_is_turned_away_counts_once_and_customers_near_their_quota_are_still_asked_for() {
     const BURST: u64 = 8;
@@ -168,7 +168,7 @@
     (100..103).for_each(asked_for);
 }
 
-/// Danger: refused charges that stay in the totals and empty the stores of all gateways.
+/// Guards against refused charges that stay in the totals and empty the stores of all gateways.
 #[test]
 fn the_charge_of_a_request_that_the_total_refused_is_taken_back_at_once() {
     within_a_window(|| {
--- a/crates/gateway/tests/counter_lines.rs
+++ b/crates/gateway/tests/counter_lines.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Danger: calls behind a connection that fell silent, which fail one by one until hardly any is made, though
-/// the counter answers on all others.
+/// Guards against calls behind a connection that fell silent, which fail one by one until hardly any is made,
+/// though the counter answers on all others.
 #[test]
 fn one_silent_connection_is_replaced_and_no_call_is_left_out_for_it() {
     // Long enough that what is answered is answered in time, however slow the machine.
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -10,7 +10,7 @@
 use net::*;
 use serde_json::Value;
 
-/// Danger: versions that go back again and again, each asked about at once, by a whole fleet.
+/// Guards against versions that go back again and again, each asked about at once, by a whole fleet.
 #[test]
 fn versions_that_go_back_in_turn_are_asked_about_with_pauses() {
     let rig = Rig::with(1, |_| {});
@@ -80,7 +80,7 @@
     assert!(rig.gateway.runs());
 }
 
-/// Danger: a start that fails for one line of its own list.
+/// Guards against a start that fails for one line of its own list.
 #[test]
 fn a_known_list_with_a_line_that_is_wrong_starts_without_that_line() {
     let mut rig = Rig::with(2, |config| {
@@ -127,7 +127,7 @@
         && watch.starts_with("GET /discovery/hosts?after=7&")
 }
 
-/// Danger: a call that went into the silence is waited for while discovery is back and tells of drains.
+/// A call that went into the silence must not be waited for while discovery is back and tells of drains.
 #[test]
 fn a_discovery_that_fell_silent_is_asked_anew_while_calls_stay_open_and_any_answer_is_taken() {
     for answers in 0..2 {
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -89,8 +89,8 @@
     (rig, client)
 }
 
-/// Danger: a repeat that was chosen within the window, and begins after it as its connection came up late.
-/// The backends of its group have forgotten by then that it ran.
+/// Guards against a repeat that was chosen within the window, and begins after it as its connection came up
+/// late. The backends of its group have forgotten by then that it ran.
 #[test]
 fn a_keyed_repeat_whose_connection_comes_up_after_the_window_is_not_written() {
     let stuck = Stuck::new();
@@ -115,8 +115,8 @@
     assert!(rig.idle());
 }
 
-/// Danger: a request of a client that has gone, written when its connection comes up, where the settings do
-/// not let attempts be cancelled.
+/// Guards against a request of a client that has gone, written when its connection comes up, where the
+/// settings do not let attempts be cancelled.
 #[test]
 fn a_request_whose_client_left_is_not_written_when_its_connection_comes_up() {
     for cancel in [true, false] {
@@ -131,8 +131,8 @@
     }
 }
 
-/// Danger: a client that writes more commands than may wait, and goes; its end stands behind what is not
-/// read.
+/// Guards against a client that writes more commands than may wait, and goes; its end stands behind what is
+/// not read.
 #[test]
 fn the_end_of_a_client_shows_behind_commands_that_nobody_reads_yet() {
     // A few more than may wait, and more than is read ahead.
@@ -149,7 +149,7 @@
     }
 }
 
-/// Danger: a client that goes while one of its commands waits for room in the memory.
+/// Guards against a client that goes while one of its commands waits for room in the memory.
 #[test]
 fn the_end_of_a_client_shows_while_a_command_waits_for_room() {
     // Room for 256 KiB, and most of it taken.
@@ -177,7 +177,8 @@
     assert!(gone.elapsed() < Duration::from_millis(1_500), "{:?}", gone.elapsed());
 }
 
-/// Danger: a request that waits for a total, and is sent on when that comes though its client has gone.
+/// Guards against a request that waits for a total, and is sent on when that comes though its client has
+/// gone.
 #[test]
 fn a_request_whose_client_left_is_not_sent_on_when_its_total_comes() {
     let rig = Rig::with(1, |config| {
@@ -209,7 +210,8 @@
     arrived.closed();
 }
 
-/// Danger: a client that goes while it takes none of an answer, and its other requests that wait behind that.
+/// Guards against a client that goes while it takes none of an answer, and its other requests that wait
+/// behind that.
 #[test]
 fn the_end_of_a_client_shows_while_an_answer_is_written() {
     let rig = Rig::with(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
@@ -234,7 +236,8 @@
     assert!(gone.elapsed() < Duration::from_secs(5), "{:?}", gone.elapsed());
 }
 
-/// Danger: a second answer that comes some milliseconds after the first, taken for that to the next request.
+/// Guards against a second answer that comes some milliseconds after the first, taken for that to the next
+/// request.
 #[test]
 fn a_connection_that_has_just_answered_rests_before_the_next_request() {
     let rig = Rig::with(1, |_| {});
@@ -255,7 +258,7 @@
     assert_eq!(used_at_once, 0, "of 50 were written behind an answer at once");
 }
 
-/// Danger: the same while the next request waits for the rest to end.
+/// Guards against the same while the next request waits for the rest to end.
 #[test]
 fn a_second_answer_that_comes_while_a_connection_rests_is_not_the_next_requests() {
     let rig = Rig::with(1, |_| {});
@@ -280,7 +283,7 @@
     assert!(in_time > 0, "no second answer came while its connection rested");
 }
 
-/// Danger: commands that are read in the last moment, sent on, and lost as the process ends.
+/// Guards against commands that are read in the last moment, sent on, and lost as the process ends.
 #[test]
 fn what_comes_when_the_drain_ends_is_answered_or_not_sent_on() {
     let mut rig = Rig::with(1, |_| {});
@@ -300,7 +303,7 @@
     assert_eq!(sent_on, 32);
 }
 
-/// Danger: a backend that works on a request until long after its gateway has ended.
+/// Guards against a backend that works on a request until long after its gateway has ended.
 #[test]
 fn a_request_of_a_gateway_that_ends_is_told_no_more_time_than_that_has() {
     let mut rig = Rig::with(1, |_| {});
@@ -340,8 +343,8 @@
     (rig, kept, arrived)
 }
 
-/// Danger: connections that the machine has accepted and the gateway has not, reset with the requests that
-/// were written to them.
+/// Guards against connections that the machine has accepted and the gateway has not, reset with the requests
+/// that were written to them.
 #[test]
 fn connections_in_the_line_when_the_drain_ends_are_answered() {
     let (mut rig, _kept, _arrived) = taken();
@@ -359,8 +362,8 @@
     assert!(rig.gateway.wait().success());
 }
 
-/// Danger: a connection that is turned away with its first request unread, and is reset: the answer goes with
-/// that.
+/// Guards against a connection that is turned away with its first request unread, and is reset: the answer
+/// goes with that.
 #[test]
 fn a_connection_that_is_turned_away_ends_behind_its_answer_and_is_not_reset() {
     let (rig, _kept, _arrived) = taken();
@@ -372,8 +375,8 @@
     assert_eq!(said, "-BUSY\r\n");
 }
 
-/// Danger: an answer with no length whose connection is reset, taken for a whole one: a backend that it does
-/// not name would be gone.
+/// Guards against an answer with no length whose connection is reset, taken for a whole one: a backend that
+/// it does not name would be gone.
 #[test]
 fn an_answer_of_discovery_with_no_length_that_is_reset_is_none() {
     let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -402,7 +405,7 @@
     assert!(met[1] > 0, "{met:?}");
 }
 
-/// Danger: a probe whose connection comes up late, written to a backend that drains by then.
+/// Guards against a probe whose connection comes up late, written to a backend that drains by then.
 #[test]
 fn a_probe_whose_connection_comes_up_after_the_drain_is_not_written() {
     let (stuck, other) = (Stuck::new(), StandIn::backend());
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -80,7 +80,7 @@
     assert!(calls[2].contains("after=42&wait_ms="), "{calls:?}");
 }
 
-/// Danger: a fleet that is turned away asks for the whole list, over and over.
+/// A fleet that is turned away must not ask for the whole list, over and over.
 #[test]
 fn a_discovery_that_turns_calls_away_is_asked_again_from_the_version_held() {
     let rig = Rig::with(2, |_| {});
@@ -100,7 +100,7 @@
     }
 }
 
-/// Danger: a discovery that began anew, whose changes are read as those of the list held.
+/// Guards against a discovery that began anew, whose changes are read as those of the list held.
 #[test]
 fn a_version_that_goes_back_has_the_whole_list_asked_for() {
     let rig = Rig::with(2, |_| {});
@@ -193,7 +193,7 @@
     }
 }
 
-/// Danger: the key of a timer that rang, which another timer has by now, taken out with its request.
+/// Guards against the key of a timer that rang, which another timer has by now, taken out with its request.
 #[test]
 fn a_request_that_ends_silences_no_timer_of_another() {
     let rig = Rig::with(2, |config| {
--- a/crates/gateway/tests/long.rs
+++ b/crates/gateway/tests/long.rs
@@ -97,7 +97,7 @@
     assert_eq!(client.read(), "fine");
 }
 
-/// Danger: values that nobody reads yet, held whole. Under 32 MB come twenty of 4 MiB.
+/// Guards against values that nobody reads yet, held whole. Under 32 MB come twenty of 4 MiB.
 #[test]
 fn more_long_values_than_memory_holds_pass_to_slow_readers() {
     let rig = Rig::with(1, |config| config["limits"]["memory_mb"] = serde_json::json!(32));
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -45,7 +45,7 @@
     assert!(rig.gateway.wait().success());
 }
 
-/// Danger: a command that crosses the end of a connection.
+/// Guards against a command that crosses the end of a connection.
 #[test]
 fn after_sigterm_a_quiet_connection_closes_behind_its_next_answer() {
     let mut rig = Rig::with(1, |_| {});
