--- a/crates/agent/src/book.rs
+++ b/crates/agent/src/book.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use beechrudder_fleet::wire::{Code, Fault, Logged};
-use beechrudder_fleet::{guard, Backend, Change, Counts, Desired, Order, OrderId, Revision, Subject};
+use fleet::wire::{Code, Fault, Logged};
+use fleet::{guard, Backend, Change, Counts, Desired, Order, OrderId, Revision, Subject};
 
 use crate::log::ORDERS_KEPT;
 
@@ -92,7 +92,7 @@
         if let Some(fault) = self.unknown(&order, counts, seen.told, seen.named).filter(|_| !forced) {
             return Verdict::Refused(fault);
         }
-        if let beechrudder_fleet::Outcome::Refused(why) = self.desired.apply(&order) {
+        if let fleet::Outcome::Refused(why) = self.desired.apply(&order) {
             return Verdict::Refused(Fault::new(Code::Unavailable, why));
         }
         self.newest = order.revision;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -27,11 +27,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use beechrudder_channel::{BindError, Dialer, Listener, TlsError};
-use beechrudder_fleet::wire::{LINE_MOST, TOOL_LINE_MOST};
-use beechrudder_fleet::{BadName, Name};
-use beechrudder_operator::{Agent, Gateway, Sources, Start};
+use fleet::wire::{LINE_MOST, TOOL_LINE_MOST};
+use fleet::{BadName, Name};
+use operator_config::{Agent, Gateway, Sources, Start};
 use tokio::sync::{broadcast, mpsc, watch, Semaphore};
+use transport::{BindError, Dialer, Listener, TlsError};
 
 use tools::Scope;
 
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -7,14 +7,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_channel::{Dialer, LineError, Lines};
-use beechrudder_fleet::wire::{
-    Applied, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, LINE_MOST, ORDERS_MOST,
-};
-use beechrudder_fleet::{Order, Revision, Sighting, Snapshot};
-use beechrudder_operator::Address;
+use fleet::wire::{Applied, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, LINE_MOST, ORDERS_MOST};
+use fleet::{Order, Revision, Sighting, Snapshot};
+use operator_config::Address;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
+use transport::{Dialer, LineError, Lines};
 
 /// Pause after a connection that failed: the first, and the longest. Each is lengthened by a part of it that
 /// differs from gateway to gateway, so that a thousand don't come back at one moment.
--- a/crates/agent/src/listing.rs
+++ b/crates/agent/src/listing.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use beechrudder_dnssd::{Bounds, Name};
-use beechrudder_fleet::wire::ListState;
-use beechrudder_operator::Sources;
-use beechrudder_sources::{follow, serve, Ask, Resolver, Settings, Table};
+use dns_sd::{Bounds, Name};
+use endpoint_sources::{follow, serve, Ask, Resolver, Settings, Table};
+use fleet::wire::ListState;
+use operator_config::Sources;
 use tokio::net::TcpListener;
 use tokio::sync::{broadcast, mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
@@ -53,7 +53,7 @@
         let events = events.clone();
         let say = move |line: String| {
             let line = format!("list: {line}");
-            eprintln!("beechrudder-agent: {line}");
+            eprintln!("agent: {line}");
             // Fails only where nobody watches.
             let _ = events.send(line);
         };
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use beechrudder_fleet::wire::Logged;
-use beechrudder_fleet::{Desired, Revision, Snapshot};
+use fleet::wire::Logged;
+use fleet::{Desired, Revision, Snapshot};
 use redb::{Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// Orders that are kept once they are settled. The id of an older one is forgotten.
--- a/crates/agent/src/owner.rs
+++ b/crates/agent/src/owner.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use beechrudder_fleet::wire::{
+use fleet::wire::{
     Accepted, Ask, Code, Did, Done, Fault, GatewayAsk, GatewaySay, GatewayState, Instance, Logged,
     MemberState, Say, Seen, Status,
 };
-use beechrudder_fleet::{Health, Member, Name, Order, Outcome, Sighting};
-use beechrudder_operator::{Address, GATEWAYS_MOST};
+use fleet::{Health, Member, Name, Order, Outcome, Sighting};
+use operator_config::{Address, GATEWAYS_MOST};
 use tokio::sync::{broadcast, mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -342,7 +342,7 @@
     }
 
     fn event(&self, line: String) {
-        eprintln!("beechrudder-agent: {line}");
+        eprintln!("agent: {line}");
         // Fails only where nobody watches.
         let _ = self.events.send(line);
     }
--- a/crates/agent/src/starts.rs
+++ b/crates/agent/src/starts.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use beechrudder_coldstart::{Came, Turn, Waves};
-use beechrudder_fleet::wire::{FirstCall, FirstCame, Say, Starting, START_LIST_MOST};
-use beechrudder_fleet::Name;
+use cold_start::{Came, Turn, Waves};
+use fleet::wire::{FirstCall, FirstCame, Say, Starting, START_LIST_MOST};
+use fleet::Name;
 
 /// One that knows no list asks again so soon, ms, while there is none to hand out.
 const EMPTY_ASK_MS: f64 = 500.0;
--- a/crates/agent/src/tools.rs
+++ b/crates/agent/src/tools.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_channel::{LineError, Lines, Listener};
-use beechrudder_fleet::wire::{Ask, Code, Fault, Numbered, Say};
+use fleet::wire::{Ask, Code, Fault, Numbered, Say};
 use tokio::sync::{broadcast, mpsc, Semaphore};
 use tokio::time::{sleep, timeout};
+use transport::{LineError, Lines, Listener};
 
 use crate::owner::Asked;
 
@@ -19,7 +19,7 @@
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Things that may be on their way to one tool: what all gateways did, and more.
-const SAY_MOST: usize = beechrudder_operator::GATEWAYS_MOST + 16;
+const SAY_MOST: usize = operator_config::GATEWAYS_MOST + 16;
 
 /// What may be asked on a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
                     // Whatever ends the connection, there is nobody left to tell.
                     let _ = talk(&mut lines, scope, &inputs, &events).await;
                 }
-                Err(e) => eprintln!("beechrudder-agent: turned away: {e}"),
+                Err(e) => eprintln!("agent: turned away: {e}"),
             }
             drop(place);
         });
--- a/crates/agent/src/views.rs
+++ b/crates/agent/src/views.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use beechrudder_fleet::wire::BackendState;
-use beechrudder_fleet::Backend;
+use fleet::wire::BackendState;
+use fleet::Backend;
 
 #[derive(Debug)]
 struct Row {
--- a/crates/pacing/tests/pauses.rs
+++ b/crates/backoff/tests/pauses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechrudder_pacing::Pauses;
+use backoff::Pauses;
 use proptest::prelude::*;
 
 const FIRST: Duration = Duration::from_millis(50);
--- a/crates/records/tests/records.rs
+++ b/crates/bounded-cache/tests/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use beechrudder_records::{Full, Kept, Records};
+use bounded_cache::{Full, Kept, Records};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
--- a/crates/coldstart/src/openings.rs
+++ b/crates/cold-start/src/openings.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use beechrudder_routing::{Subset, HOME_LEAST};
+use routing::{Subset, HOME_LEAST};
 
 use crate::Calendar;
 
--- a/crates/coldstart/tests/allowance.rs
+++ b/crates/cold-start/tests/allowance.rs
@@ -1,6 +1,6 @@
 //! Calls to a counter by fleets of 1 to 1,000 gateways that start together, in simulated time.
 
-use beechrudder_coldstart::Allowance;
+use cold_start::Allowance;
 use proptest::prelude::*;
 
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
--- a/crates/coldstart/tests/calls.rs
+++ b/crates/cold-start/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechrudder_coldstart::{Calendar, Calls, Came, Share, LEAST};
+use cold_start::{Calendar, Calls, Came, Share, LEAST};
 
 /// In the middle of a round of 300 gateways at 50 calls a second, 6.67 s.
 const NOW_MS: f64 = 1_764_000_123_457.0;
--- a/crates/coldstart/tests/openings.rs
+++ b/crates/cold-start/tests/openings.rs
@@ -1,9 +1,9 @@
 //! First connections of fleets of 1 to 1,000 gateways to backends that are well, dead or start anew, in
 //! simulated time.
 
-use beechrudder_coldstart::{Openings, Stage};
-use beechrudder_routing::Subset;
+use cold_start::{Openings, Stage};
 use proptest::prelude::*;
+use routing::Subset;
 
 /// Starts at an hour that no round begins with.
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
--- a/crates/coldstart/tests/service.rs
+++ b/crates/cold-start/tests/service.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use beechrudder_coldstart::{Calendar, Call, Calls, Came};
+use cold_start::{Calendar, Call, Calls, Came};
 use proptest::prelude::*;
 
 /// What operators say that the service bears, calls a second.
--- a/crates/coldstart/tests/waves.rs
+++ b/crates/cold-start/tests/waves.rs
@@ -1,6 +1,6 @@
 //! Turns for those that start, beside the slots of all, in simulated time.
 
-use beechrudder_coldstart::{Calendar, Call, Calls, Came, Turn, Waves};
+use cold_start::{Calendar, Call, Calls, Came, Turn, Waves};
 use proptest::prelude::*;
 
 /// What operators say that the service bears, calls a second.
--- a/crates/dnssd/tests/answers.rs
+++ b/crates/dns-sd/tests/answers.rs
@@ -1,6 +1,6 @@
 //! Answers written out by hand, byte for byte from RFC 1035, so that a mistake shared with the library shows.
 
-use beechrudder_dnssd::{ask, read, Absence, Answer, BadAnswer, Data, Kind, Name, Question};
+use dns_sd::{ask, read, Absence, Answer, BadAnswer, Data, Kind, Name, Question};
 
 const ID: u16 = 0x1234;
 /// `_till._tcp.example.org`, as a name on the wire.
--- a/crates/dnssd/tests/fuzz.rs
+++ b/crates/dns-sd/tests/fuzz.rs
@@ -1,6 +1,6 @@
 //! Bytes of chance, and answers that chance has changed: read or refused, never a panic.
 
-use beechrudder_dnssd::{ask, read, Answer, Kind, Name, Question, Traits};
+use dns_sd::{ask, read, Answer, Kind, Name, Question, Traits};
 use proptest::prelude::*;
 
 fn question() -> Question {
@@ -64,7 +64,7 @@
         read(&["ZONE=room", "type=m", "group=3", "status=Draining", "since=5", "zone=hall", "x=1", "=y"]);
     let good = good.expect("good");
     assert_eq!((good.zone.as_str(), good.kind.as_str(), good.group, good.since_ms), ("room", "m", 3, 5.0));
-    assert_eq!(good.status, beechrudder_dnssd::Status::Draining);
+    assert_eq!(good.status, dns_sd::Status::Draining);
     assert_eq!(read(&[""]), Ok(Traits::default()));
     for (bad, key) in [
         ("group=-1", "group"),
--- a/crates/dnssd/tests/lifetimes.rs
+++ b/crates/dns-sd/tests/lifetimes.rs
@@ -4,11 +4,11 @@
 
 use std::collections::BTreeSet;
 
-use beechrudder_dnssd::{Absence, Answer, Bounds, Cache, Data, Kind, Known, State};
+use dns_sd::{Absence, Answer, Bounds, Cache, Data, Kind, Known, State};
 use proptest::prelude::*;
 use support::{name, of, World};
 
-fn questions() -> Vec<beechrudder_dnssd::Question> {
+fn questions() -> Vec<dns_sd::Question> {
     (0..12).map(|i| of(name(&format!("h{i}.example.org.")), Kind::A)).collect()
 }
 
--- a/crates/dnssd/tests/lists.rs
+++ b/crates/dns-sd/tests/lists.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use beechrudder_dnssd::{Bounds, Change, Data, Kind, Service, Status};
+use dns_sd::{Bounds, Change, Data, Kind, Service, Status};
 use support::{instance, name, of, World, SERVICE};
 
 const HOUR: f64 = 3_600_000.0;
@@ -96,7 +96,7 @@
     let due = world.cache.due(world.now);
     assert!(due.iter().any(|d| d.question == ptr));
     for due in due {
-        let none = beechrudder_dnssd::Answer::None { why: beechrudder_dnssd::Absence::Name, ttl_s: 60 };
+        let none = dns_sd::Answer::None { why: dns_sd::Absence::Name, ttl_s: 60 };
         world.cache.answered(world.now, &due.question, none);
     }
     let reading = world.catalogue.read(world.now, &world.cache);
@@ -156,7 +156,7 @@
 fn one_in_two_services_by_the_same_name_is_told() {
     let mut world = world(&["t1", "t2", "t3"]);
     let service = name("_shop._tcp.example.org.");
-    world.catalogue = beechrudder_dnssd::Catalogue::new(vec![name(SERVICE), service.clone()], 0.5);
+    world.catalogue = dns_sd::Catalogue::new(vec![name(SERVICE), service.clone()], 0.5);
     world.zone.insert(of(service, Kind::Ptr), vec![Data::Ptr(name("t1._shop._tcp.example.org."))]);
     let (_, reading) = world.settle();
     assert_eq!(world.names(), ["t1", "t2", "t3"]);
--- a/crates/dnssd/tests/support/mod.rs
+++ b/crates/dns-sd/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use beechrudder_dnssd::{
+use dns_sd::{
     Absence, Answer, Bounds, Cache, Catalogue, Change, Data, Kind, Name, Question, Reading, Service,
 };
 
--- a/crates/sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_dnssd::{Bounds, Cache, Catalogue, Dropped, Endpoint, Known, Name, Question, State, Status};
-use beechrudder_fleet::wire::{Because, ListState, ListedState, RecordState, Unanswered};
+use dns_sd::{Bounds, Cache, Catalogue, Dropped, Endpoint, Known, Name, Question, State, Status};
+use fleet::wire::{Because, ListState, ListedState, RecordState, Unanswered};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
--- a/crates/sources/src/lib.rs
+++ b/crates/endpoint-sources/src/lib.rs
@@ -3,7 +3,7 @@
 //! ```text
 //!  resolvers ◀─ UDP, TCP ─ resolver.rs ◀─ due ─ follow.rs ─ list ─▶ table.rs ─▶ serve.rs ◀─ gateways
 //!                                │ answer, or why    │             versions    GET /discovery/hosts
-//!                                └─────────────────▶ │ cache and catalogue of beechrudder-dnssd
+//!                                └─────────────────▶ │ cache and catalogue of dns-sd
 //! ```
 //!
 //! A gateway needs no change to take its list from here: its configuration names [`serve`]'s address as its
--- a/crates/sources/src/resolver.rs
+++ b/crates/endpoint-sources/src/resolver.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use beechrudder_dnssd::{ask, read, Answer, BadAnswer, Question};
+use dns_sd::{ask, read, Answer, BadAnswer, Question};
 use hickory_proto::op::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
--- a/crates/sources/tests/resolver.rs
+++ b/crates/endpoint-sources/tests/resolver.rs
@@ -3,10 +3,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use beechrudder_dnssd::{Absence, Answer, Kind, Name, Question};
-use beechrudder_sources::Resolver;
-use beechrudder_testbed::dns::{Dns, Instance, Lie};
-use beechrudder_testbed::switch::Fault;
+use dns_sd::{Absence, Answer, Kind, Name, Question};
+use endpoint_sources::Resolver;
+use testbed::dns::{Dns, Instance, Lie};
+use testbed::switch::Fault;
 
 const SERVICE: &str = "_till._tcp.ub-room.test";
 /// Long, as nothing here waits for it but what is to fail.
--- a/crates/sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -4,11 +4,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use beechrudder_dnssd::{Bounds, Name};
-use beechrudder_sources::{follow, serve, Ask, Resolver, Settings, Table};
-use beechrudder_testbed::dns::{Dns, Instance, Lie};
-use beechrudder_testbed::switch::Fault;
+use dns_sd::{Bounds, Name};
+use endpoint_sources::{follow, serve, Ask, Resolver, Settings, Table};
 use serde_json::Value;
+use testbed::dns::{Dns, Instance, Lie};
+use testbed::switch::Fault;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beechrudder_fleet::*;
+use fleet::*;
 use proptest::prelude::*;
 
 fn order(seq: u64, subject: u8, change: u8) -> Order {
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Single orders, the guard, and what is known of gateways.
 
-use beechrudder_fleet::*;
+use fleet::*;
 
 fn order(id: &str, seq: u64, subject: &str, change: Change) -> Order {
     let revision = Revision { term: 1, seq };
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use beechrudder_channel::{BindError, Dialer, LineError, Lines, Listener};
-use beechrudder_fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, LINE_MOST};
-use beechrudder_fleet::Name;
-use beechrudder_operator::{Address, Admin};
+use fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, LINE_MOST};
+use fleet::Name;
+use operator_config::{Address, Admin};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, Semaphore};
 use tokio::time::{sleep, timeout};
+use transport::{BindError, Dialer, LineError, Lines, Listener};
 
 use crate::input::Input;
 
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
+use gateway_policy::interface::{BackendEntry, Outcome, Readiness};
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::{BackendEntry, Outcome, Readiness};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use gateway_policy::interface::SettingsError;
+use gateway_policy::settings::{self, Keys};
+use gateway_policy::terms::{self, Terms};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
-use slatelock::interface::SettingsError;
-use slatelock::settings::{self, Keys};
-use slatelock::terms::{self, Terms};
 
 use crate::listing::List;
 
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use slatelock::interface::Outcome;
+use gateway_policy::interface::Outcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechrudder_coldstart::Calendar;
-use beechrudder_pacing::Pauses;
-use slatelock::interface::ListScope;
+use backoff::Pauses;
+use cold_start::Calendar;
+use gateway_policy::interface::ListScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
--- a/crates/gateway/src/discovery/ordered.rs
+++ b/crates/gateway/src/discovery/ordered.rs
@@ -3,16 +3,14 @@
 
 use std::time::Duration;
 
-use beechrudder_channel::Dialer;
-use beechrudder_coldstart::Came;
-use beechrudder_fleet::wire::{
-    Ask, FirstCall, FirstCame, Numbered, Say, Starting, LINE_MOST, START_LIST_MOST,
-};
-use beechrudder_fleet::Name;
-use beechrudder_operator::Address;
+use cold_start::Came;
+use fleet::wire::{Ask, FirstCall, FirstCame, Numbered, Say, Starting, LINE_MOST, START_LIST_MOST};
+use fleet::Name;
+use operator_config::Address;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
+use transport::Dialer;
 
 use crate::listing::List;
 
--- a/crates/gateway/src/discovery/paced.rs
+++ b/crates/gateway/src/discovery/paced.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechrudder_coldstart::{Calendar, Call, Calls, Came};
-use slatelock::interface::ListScope;
+use cold_start::{Calendar, Call, Calls, Came};
+use gateway_policy::interface::ListScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_coldstart::Allowance;
 use bytes::Bytes;
-use slatelock::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
-use slatelock::settings::Names;
-use slatelock::terms::Terms;
-use slatelock::Gateway;
+use cold_start::Allowance;
+use gateway_policy::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
+use gateway_policy::settings::Names;
+use gateway_policy::terms::Terms;
+use gateway_policy::Gateway;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::AbortHandle;
 use tokio::time::{interval, Instant};
--- a/crates/gateway/src/driver/opening.rs
+++ b/crates/gateway/src/driver/opening.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use beechrudder_coldstart::{Openings, Stage};
-use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
+use cold_start::{Openings, Stage};
+use gateway_policy::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::time::delay_queue;
--- a/crates/gateway/src/driver/overseen.rs
+++ b/crates/gateway/src/driver/overseen.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_fleet::wire::{
+use fleet::wire::{
     Applied, BackendState, Code, Fault, Figures, GatewayAsk, GatewaySay, GatewayState, Verdict, ORDERS_MOST,
 };
-use beechrudder_fleet::{Desired, OrderId, Subject};
-use beechrudder_maintenance::Book;
-use slatelock::interface::SettingsError;
-use slatelock::terms::Terms;
-use slatelock::BackendView;
+use fleet::{Desired, OrderId, Subject};
+use gateway_policy::interface::SettingsError;
+use gateway_policy::terms::Terms;
+use gateway_policy::BackendView;
+use maintenance::Book;
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
@@ -139,7 +139,7 @@
         let wanted = Wanted { desired: &self.overseen.desired, book: &self.overseen.book };
         let lines = self.roster.reorder(wanted, &self.names.zones);
         if !lines.is_empty() {
-            self.lines(slatelock::interface::ListScope::Delta, lines);
+            self.lines(gateway_policy::interface::ListScope::Delta, lines);
         }
         let overseen = &self.overseen;
         let drained = overseen.desired.gateway_drained(&overseen.name).is_some()
--- a/crates/gateway/src/driver/probing.rs
+++ b/crates/gateway/src/driver/probing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use slatelock::interface::{Event, Outcome};
+use gateway_policy::interface::{Event, Outcome};
 use tokio::time::Instant;
 
 use crate::backends::{self, Connection, Facts, Reply, Way};
--- a/crates/gateway/src/folder.rs
+++ b/crates/gateway/src/folder.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use beechrudder_maintenance::sealed;
+use maintenance::sealed;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechrudder_fleet::wire::{GatewayAsk, GatewaySay};
+use fleet::wire::{GatewayAsk, GatewaySay};
 use tokio::sync::oneshot;
 
 use crate::backends::{Connection, Reply};
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_maintenance::{Book, Call, Done};
-use slatelock::interface::Untold;
+use gateway_policy::interface::Untold;
+use maintenance::{Book, Call, Done};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway: serves clients on a socket by the decisions of `slatelock`.
+//! The gateway: serves clients on a socket by the decisions of `gateway-policy`.
 //!
 //! ```text
 //!  management ─ keeper ─ Order ┐ (looked at first)
@@ -6,7 +6,7 @@
 //!  clients ──┤                         ┌── backends   pools, exchanges
 //!  discovery ┼─ Input ─▶ driver ─ Action ┼── counter    calls
 //!  counter ──┘            │            └── clients    the one final answer
-//!                 slatelock::Gateway
+//!                 gateway_policy::Gateway
 //! ```
 //!
 //! One thread. Tasks on sockets send an `Input` each; the driver owns the decisions and carries out their
@@ -35,7 +35,7 @@
 
 use std::path::{Path, PathBuf};
 
-use beechrudder_operator::Operator;
+use operator_config::Operator;
 
 /// Serves by the configuration that `GW_CONFIG` names until SIGTERM has been carried out. Where `operator`
 /// names an operator's file with an `[admin]` section, operators can order and look from there; its
@@ -60,6 +60,6 @@
 /// All that is wrong with a configuration's text, each with the key at fault, as in
 /// `configuration.settings.profiles[1].aim-ms`. Nothing is wrong with an empty answer.
 #[must_use]
-pub fn check(text: &[u8]) -> Vec<slatelock::interface::SettingsError> {
+pub fn check(text: &[u8]) -> Vec<gateway_policy::interface::SettingsError> {
     config::Config::wrong(text)
 }
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -7,9 +7,9 @@
 use std::fmt;
 use std::net::SocketAddr;
 
+use gateway_policy::interface::Readiness;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use slatelock::interface::Readiness;
 
 /// The list of backends or a part of it.
 #[derive(Clone, Debug)]
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -9,15 +9,15 @@
     match (words.next(), words.next(), words.next()) {
         (None, ..) => Ok(None),
         (Some(word), Some(path), None) if word == "--operator" => Ok(Some(path.into())),
-        _ => Err("usage: slatelock-gateway [--operator FILE]; GW_CONFIG names the configuration".to_string()),
+        _ => Err("usage: admission-gateway [--operator FILE]; GW_CONFIG names the configuration".to_string()),
     }
 }
 
 fn main() -> ExitCode {
-    match operator().and_then(|operator| slatelock_gateway::run(operator.as_deref())) {
+    match operator().and_then(|operator| admission_gateway::run(operator.as_deref())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("slatelock-gateway: {message}");
+            eprintln!("admission-gateway: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_maintenance::{Call, LINE_MOST};
+use maintenance::{Call, LINE_MOST};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit, Semaphore};
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/order.rs
@@ -1,8 +1,8 @@
 //! What the keeper of operators' book asks of the driver, on a way of its own that is looked at first.
 
-use beechrudder_maintenance::Book;
-use slatelock::interface::{SettingsError, Untold};
-use slatelock::terms::Terms;
+use gateway_policy::interface::{SettingsError, Untold};
+use gateway_policy::terms::Terms;
+use maintenance::Book;
 use tokio::sync::oneshot;
 
 /// An order.
--- a/crates/gateway/src/resp.rs
+++ b/crates/gateway/src/resp.rs
@@ -3,11 +3,11 @@
 use std::ops::RangeInclusive;
 
 use bytes::{Bytes, BytesMut};
+use gateway_policy::interface::{Effect, Settings};
+use gateway_policy::settings::Names;
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::encode::extend_encode;
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::{Effect, Settings};
-use slatelock::settings::Names;
 use tokio::sync::OwnedSemaphorePermit;
 
 use crate::long::Long;
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use beechrudder_fleet::{Desired, Effect, Subject};
-use beechrudder_maintenance::Book;
-use slatelock::interface::{BackendEntry, Readiness};
+use fleet::{Desired, Effect, Subject};
+use gateway_policy::interface::{BackendEntry, Readiness};
+use maintenance::Book;
 
 use crate::listing::{Endpoint, Status};
 
@@ -203,7 +203,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beechrudder_fleet::{Change, Order, Revision};
+    use fleet::{Change, Order, Revision};
 
     fn endpoint(name: &str, status: Status) -> Endpoint {
         let address = "127.0.0.1:1".parse().expect("an address");
@@ -275,7 +275,7 @@
     #[test]
     fn a_ban_holds_through_another_life_and_a_return_is_cold() {
         let (mut roster, desired, mut book) = (Roster::new(), Desired::default(), Book::default());
-        let call = |line: &str| beechrudder_maintenance::Call::read(line.as_bytes()).expect("a call");
+        let call = |line: &str| maintenance::Call::read(line.as_bytes()).expect("a call");
         roster.take(endpoint("a", Status::Serving), only(&desired), &[]);
         book.carry_out(&call("DISABLE a"), true, 5.0).expect("it is listed");
         assert_eq!(roster.reorder(Wanted { desired: &desired, book: &book }, &[]).len(), 1);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -6,18 +6,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_channel::Dialer;
-use beechrudder_coldstart::{Allowance, Calendar, Calls, Openings};
-use beechrudder_operator::{Admin, Operator};
-use beechrudder_routing::Subset;
-use slatelock::interface::{ListScope, Routing};
-use slatelock::Gateway;
+use cold_start::{Allowance, Calendar, Calls, Openings};
+use gateway_policy::interface::{ListScope, Routing};
+use gateway_policy::Gateway;
+use operator_config::{Admin, Operator};
+use routing::Subset;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::{AbortOnDropHandle, TaskTracker};
+use transport::Dialer;
 
 use crate::admin;
 use crate::backends::Backends;
@@ -165,7 +165,7 @@
     let known = std::mem::replace(&mut config.known, List::empty());
     let settings = &mut terms.settings;
     let Operator { admin, routing, start, .. } = operator;
-    let beechrudder_operator::Routing { whole, choices, subset, coverage } = routing;
+    let operator_config::Routing { whole, choices, subset, coverage } = routing;
     settings.routing = Routing { whole, choices, subset, coverage };
     settings.customers = Gateway::customers_in((memory_mb << 20) / RECORDS_PART);
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
--- a/crates/gateway/tests/as_run.rs
+++ b/crates/gateway/tests/as_run.rs
@@ -17,7 +17,7 @@
     let line = text.lines().find_map(|line| line.strip_prefix("run = \"exec ")).expect("run execs");
     let command = line.split('"').next().expect("a text");
     let mut words = command.split(' ').map(str::to_string);
-    assert_eq!(words.next().as_deref(), Some("target/release/slatelock-gateway"));
+    assert_eq!(words.next().as_deref(), Some("target/release/admission-gateway"));
     words.collect()
 }
 
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn without_a_section_the_decisions_defaults_hold() {
-    let told = beechrudder_operator::Operator::default().routing;
-    let own = slatelock::interface::Routing::default();
+    let told = operator_config::Operator::default().routing;
+    let own = gateway_policy::interface::Routing::default();
     assert_eq!(
         (told.whole, told.choices, told.subset, told.coverage),
         (own.whole, own.choices, own.subset, own.coverage)
--- a/crates/gateway/tests/support/net.rs
+++ b/crates/gateway/tests/support/net.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub use beechrudder_testbed::scripted::*;
 use serde_json::Value;
+pub use testbed::scripted::*;
 
 /// A running gateway.
 pub struct Gateway {
@@ -22,7 +22,7 @@
 pub fn process(config: &str) -> (Child, tempfile::NamedTempFile) {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(config.as_bytes()).expect("room");
-    let child = Command::new(env!("CARGO_BIN_EXE_slatelock-gateway"))
+    let child = Command::new(env!("CARGO_BIN_EXE_admission-gateway"))
         .env("GW_CONFIG", file.path())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -35,7 +35,7 @@
         file.write_all(config.to_string().as_bytes()).expect("room");
         let held = OwnedFd::from(socket.try_clone().expect("a handle"));
         // The socket comes as descriptor 0 here: any number may be named.
-        let child = Command::new(env!("CARGO_BIN_EXE_slatelock-gateway"))
+        let child = Command::new(env!("CARGO_BIN_EXE_admission-gateway"))
             .env("GW_CONFIG", file.path())
             .env("GW_SOCKET_FD", "0")
             .env("TMPDIR", under)
--- a/crates/beechrudder/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -8,14 +8,14 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::backend::Backend;
-use beechrudder_testbed::client::Plan;
-use beechrudder_testbed::harness::fleet::{built_program, column, served_part, Fleet};
-use beechrudder_testbed::harness::Node;
-use beechrudder_testbed::journal::Event;
-use beechrudder_testbed::switch::Fault;
 use clap::Parser;
 use serde::Serialize;
+use testbed::backend::Backend;
+use testbed::client::Plan;
+use testbed::harness::fleet::{built_program, column, served_part, Fleet};
+use testbed::harness::Node;
+use testbed::journal::Event;
+use testbed::switch::Fault;
 use tokio::time::sleep;
 
 type Any = Box<dyn std::error::Error + Send + Sync>;
--- a/crates/beechrudder/examples/measure_cold_counter.rs
+++ b/crates/gatewayctl/examples/measure_cold_counter.rs
@@ -7,11 +7,11 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::client::Plan;
-use beechrudder_testbed::harness::fleet::{built_program, column, served_part, Fleet};
-use beechrudder_testbed::harness::Node;
 use clap::Parser;
 use serde::Serialize;
+use testbed::client::Plan;
+use testbed::harness::fleet::{built_program, column, served_part, Fleet};
+use testbed::harness::Node;
 use tokio::time::sleep;
 
 type Any = Box<dyn std::error::Error + Send + Sync>;
--- a/crates/beechrudder/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -8,15 +8,15 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::{Bears, Called, Discovery};
-use beechrudder_testbed::harness::{Node, Program};
-use beechrudder_testbed::journal::Journal;
-use beechrudder_testbed::platform;
-use beechrudder_testbed::switch::Fault;
 use clap::Parser;
 use serde::Serialize;
+use testbed::backend::{Backend, Spec};
+use testbed::counter::Counter;
+use testbed::discovery::{Bears, Called, Discovery};
+use testbed::harness::{Node, Program};
+use testbed::journal::Journal;
+use testbed::platform;
+use testbed::switch::Fault;
 use tokio::time::sleep;
 
 type Any = Box<dyn Error + Send + Sync>;
@@ -184,7 +184,7 @@
 /// The built program, beside the folder that this example is in.
 fn program() -> Result<PathBuf, Any> {
     let here = std::env::current_exe()?;
-    Ok(here.parent().and_then(Path::parent).ok_or("no folder")?.join("beechrudder"))
+    Ok(here.parent().and_then(Path::parent).ok_or("no folder")?.join("gatewayctl"))
 }
 
 #[tokio::main]
--- a/crates/beechrudder/examples/measure_dns_sd.rs
+++ b/crates/gatewayctl/examples/measure_dns_sd.rs
@@ -12,9 +12,9 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use beechrudder_testbed::dns::{Dns, Instance};
 use process::{cpu_us, memory_mb, program, start, Any};
 use serde_json::Value;
+use testbed::dns::{Dns, Instance};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
--- a/crates/beechrudder/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -10,19 +10,19 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use beechrudder_channel::{Dialer, Lines};
-use beechrudder_fleet::wire::{Ask, Numbered, Say, LINE_MOST};
-use beechrudder_fleet::{Change, Health};
-use beechrudder_operator::Address;
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::client::{Load, Plan};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::Discovery;
-use beechrudder_testbed::journal::Journal;
-use beechrudder_testbed::overseen::Overseen;
-use beechrudder_testbed::platform;
+use fleet::wire::{Ask, Numbered, Say, LINE_MOST};
+use fleet::{Change, Health};
+use operator_config::Address;
+use testbed::backend::{Backend, Spec};
+use testbed::client::{Load, Plan};
+use testbed::counter::Counter;
+use testbed::discovery::Discovery;
+use testbed::journal::Journal;
+use testbed::overseen::Overseen;
+use testbed::platform;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::time::sleep;
+use transport::{Dialer, Lines};
 
 type Any = Box<dyn Error + Send + Sync>;
 
@@ -30,7 +30,7 @@
 fn program() -> Result<PathBuf, Any> {
     let here = std::env::current_exe()?;
     let folder = here.parent().and_then(Path::parent).ok_or("no folder")?;
-    Ok(folder.join("beechrudder"))
+    Ok(folder.join("gatewayctl"))
 }
 
 /// A process of the program that ends with the value.
@@ -104,7 +104,7 @@
     loop {
         lines.send(&Numbered { n: 1, body: Ask::Status { backends: false } }).await?;
         if let Say::Status(s) = lines.next::<Numbered<Say>>().await?.ok_or("the agent left")?.body {
-            let listed = |g: &&beechrudder_fleet::wire::MemberState| {
+            let listed = |g: &&fleet::wire::MemberState| {
                 g.health == Health::Ok && g.state.as_ref().is_some_and(|s| s.figures.listed > 0)
             };
             if s.gateways.iter().filter(listed).count() == gateways {
--- a/crates/beechrudder/examples/measure_gateway.rs
+++ b/crates/gatewayctl/examples/measure_gateway.rs
@@ -17,13 +17,13 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::client::Load;
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::Discovery;
-use beechrudder_testbed::journal::{Answer, Journal};
-use beechrudder_testbed::platform;
 use process::{cpu_us, memory_mb, program, start, Any, Process};
+use testbed::backend::{Backend, Spec};
+use testbed::client::Load;
+use testbed::counter::Counter;
+use testbed::discovery::Discovery;
+use testbed::journal::{Answer, Journal};
+use testbed::platform;
 use tokio::net::{TcpListener, TcpStream};
 
 const CLIENTS: usize = 32;
--- a/crates/beechrudder/examples/measure_operation.rs
+++ b/crates/gatewayctl/examples/measure_operation.rs
@@ -17,9 +17,9 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-use beechrudder_testbed::scripted::{call, command, config, endpoint, words, Agent, StandIn};
 use process::{cpu_us, program, Any, Process};
 use serde_json::{json, Value};
+use testbed::scripted::{call, command, config, endpoint, words, Agent, StandIn};
 
 const CLIENTS: usize = 8;
 const DEADLINE_MS: f64 = 700.0;
--- a/crates/beechrudder/examples/measure_ordered_start.rs
+++ b/crates/gatewayctl/examples/measure_ordered_start.rs
@@ -8,10 +8,10 @@
 use std::error::Error;
 use std::time::Duration;
 
-use beechrudder_testbed::discovery::Called;
-use beechrudder_testbed::harness::fleet::{built_program, Fleet};
 use clap::Parser;
 use serde::Serialize;
+use testbed::discovery::Called;
+use testbed::harness::fleet::{built_program, Fleet};
 use tokio::time::sleep;
 
 type Any = Box<dyn Error + Send + Sync>;
--- a/crates/beechrudder/examples/process/mod.rs
+++ b/crates/gatewayctl/examples/process/mod.rs
@@ -55,5 +55,5 @@
 /// The built program, beside the folder that this example is in.
 pub fn program() -> Result<PathBuf, Any> {
     let here = std::env::current_exe()?;
-    Ok(here.parent().and_then(Path::parent).ok_or("no folder")?.join("beechrudder"))
+    Ok(here.parent().and_then(Path::parent).ok_or("no folder")?.join("gatewayctl"))
 }
--- a/crates/beechrudder/src/agent.rs
+++ b/crates/gatewayctl/src/agent.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use beechrudder_channel::{connect, Lines};
-use beechrudder_fleet::wire::{Ask, Numbered, Say, LINE_MOST};
-use beechrudder_operator::Address;
+use fleet::wire::{Ask, Numbered, Say, LINE_MOST};
+use operator_config::Address;
 use tokio::time::timeout;
+use transport::{connect, Lines};
 
 use crate::exit::Failure;
 use crate::table::out;
--- a/crates/beechrudder/src/call.rs
+++ b/crates/gatewayctl/src/call.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechrudder_maintenance::Call;
+use maintenance::Call;
 use serde::Serialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/beechrudder/src/check.rs
+++ b/crates/gatewayctl/src/check.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 
-use beechrudder_operator::{BadFile, Operator};
+use operator_config::{BadFile, Operator};
 use serde_json::json;
 
 use crate::agent::print;
@@ -67,7 +67,7 @@
     if let Err(e) = serde_json::from_str::<serde_json::Value>(text) {
         return vec![Wrong { line: Some(e.line()), key: "not JSON".to_string(), problem: e.to_string() }];
     }
-    let wrong = slatelock_gateway::check(text.as_bytes()).into_iter().map(|e| {
+    let wrong = admission_gateway::check(text.as_bytes()).into_iter().map(|e| {
         let key = e.field.strip_prefix("configuration.").unwrap_or(&e.field).to_string();
         Wrong { line: lines::of_json(text, &key), key, problem: e.problem.to_string() }
     });
@@ -107,7 +107,7 @@
     fn every_wrong_key_of_a_gateways_configuration_is_named_with_its_line() {
         let some = "127.0.0.1:9".parse().expect("an address");
         let known = json!({"index": 0, "snapshot": true, "endpoints": []});
-        let mut config = beechrudder_testbed::platform::config(0, 2, some, some, &known, None);
+        let mut config = testbed::platform::config(0, 2, some, some, &known, None);
         let pretty = |config: &serde_json::Value| serde_json::to_string_pretty(config).expect("JSON");
         assert_eq!(named(&gateway(&pretty(&config))), []);
         config["listen"] = json!("here");
--- a/crates/beechrudder/src/cli.rs
+++ b/crates/gatewayctl/src/cli.rs
@@ -4,16 +4,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use beechrudder_dnssd::Name as DnsName;
-use beechrudder_fleet::{Name, OrderId, Subject};
-use beechrudder_operator::Address;
 use clap::{Args, Parser, Subcommand, ValueEnum};
+use dns_sd::Name as DnsName;
+use fleet::{Name, OrderId, Subject};
+use operator_config::Address;
 
 use crate::exit::CODES;
 
 /// Oversees a fleet of admission gateways.
 #[derive(Debug, Parser)]
-#[command(name = "beechrudder", version, after_help = CODES, propagate_version = true)]
+#[command(name = "gatewayctl", version, after_help = CODES, propagate_version = true)]
 pub struct Cli {
     /// Where the agent listens
     #[arg(long, global = true, env = "BEECHRUDDER_AGENT", value_name = "unix:PATH")]
--- a/crates/beechrudder/src/exit.rs
+++ b/crates/gatewayctl/src/exit.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use beechrudder_fleet::wire::{Code, Fault};
+use fleet::wire::{Code, Fault};
 
 /// What the codes mean, for the help and the man page.
 pub const CODES: &str = "Exit codes:
--- a/crates/beechrudder/src/look.rs
+++ b/crates/gatewayctl/src/look.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use beechrudder_fleet::wire::{Ask, Logged, MemberState, Say, Status as Seen};
-use beechrudder_fleet::{Health, Register, Value};
-use beechrudder_operator::Address;
+use fleet::wire::{Ask, Logged, MemberState, Say, Status as Seen};
+use fleet::{Health, Register, Value};
+use operator_config::Address;
 use serde_json::json;
 
 use crate::agent::{odd, print, Agent};
--- a/crates/beechrudder/src/main.rs
+++ b/crates/gatewayctl/src/main.rs
@@ -6,7 +6,7 @@
 //!  look.rs     status, orders, watch         ├─ agent.rs ── the agent's socket
 //!  members.rs  gateways                      │
 //!  resolve.rs  sources                       ┘
-//!              resolve ──────────────────────── resolvers, by beechrudder-sources
+//!              resolve ──────────────────────── resolvers, by endpoint-sources
 //!  call.rs     gateway ready, disable ... ────── second addresses of gateways
 //!  check/      check FILE
 //!  plans.rs    plans check, show, change FILE
@@ -57,10 +57,10 @@
         Command::Gateway { call: Some(call), .. } => wait(call::run(call, output)),
         Command::Gateway { call: None, operator, until_closed } => {
             up::gateway::until_closed(until_closed);
-            slatelock_gateway::run(operator.as_deref()).map_err(Failure::Broken)
+            admission_gateway::run(operator.as_deref()).map_err(Failure::Broken)
         }
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Cli::command(), "beechrudder", &mut std::io::stdout());
+            clap_complete::generate(shell, &mut Cli::command(), "gatewayctl", &mut std::io::stdout());
             Ok(())
         }
         Command::Man => clap_mangen::Man::new(Cli::command())
@@ -74,7 +74,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             if let Some(text) = failure.text() {
-                eprintln!("beechrudder: {text}");
+                eprintln!("gatewayctl: {text}");
             }
             failure.code()
         }
--- a/crates/beechrudder/src/members.rs
+++ b/crates/gatewayctl/src/members.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use beechrudder_fleet::wire::{Ask, Say};
-use beechrudder_operator::Address;
+use fleet::wire::{Ask, Say};
+use operator_config::Address;
 use serde_json::json;
 
 use crate::agent::{odd, print, Agent};
--- a/crates/beechrudder/src/orders.rs
+++ b/crates/gatewayctl/src/orders.rs
@@ -3,9 +3,9 @@
 use std::io::IsTerminal;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use beechrudder_fleet::wire::{Accepted, Ask, Did, Done, Instance, Say};
-use beechrudder_fleet::{Change, OrderId, Outcome, Subject};
-use beechrudder_operator::Address;
+use fleet::wire::{Accepted, Ask, Did, Done, Instance, Say};
+use fleet::{Change, OrderId, Outcome, Subject};
+use operator_config::Address;
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -48,7 +48,7 @@
     how: &How,
     output: Output,
 ) -> Result<(), Failure> {
-    beechrudder_fleet::BadOrder::of(subject, change).map_err(|e| Failure::Usage(e.to_string()))?;
+    fleet::BadOrder::of(subject, change).map_err(|e| Failure::Usage(e.to_string()))?;
     let id = match &how.id {
         Some(id) => id.clone(),
         None => new_id()?,
@@ -77,7 +77,7 @@
     }
     if done.failed > 0 || unsettled {
         if output == Output::Table {
-            eprintln!("beechrudder: {} of {} gateways did it", done.done, done.done + done.failed);
+            eprintln!("gatewayctl: {} of {} gateways did it", done.done, done.done + done.failed);
         }
         return Err(Failure::Partly);
     }
--- a/crates/beechrudder/src/plans.rs
+++ b/crates/gatewayctl/src/plans.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use beechrudder_plans::{read, BadCatalogue, Catalogue, Terms, Timeline};
+use plans::{read, BadCatalogue, Catalogue, Terms, Timeline};
 use serde_json::json;
 
 use crate::agent::print;
@@ -37,7 +37,7 @@
 }
 
 fn lines(file: &Path, BadCatalogue(faults): &BadCatalogue) -> String {
-    let line = |f: &beechrudder_plans::Fault| {
+    let line = |f: &plans::Fault| {
         let key = if f.key.is_empty() { String::new() } else { format!("{}: ", f.key) };
         format!("{}:{}: {key}{}", file.display(), f.line, f.wanted)
     };
@@ -62,8 +62,7 @@
         (Err(bad), Output::Table) => out(&format!("{}\n", lines(file, bad))),
         (_, Output::Json) => {
             let faults = found.as_ref().err().map_or(&[][..], |bad| &bad.0);
-            let wrong =
-                |f: &beechrudder_plans::Fault| json!({"line": f.line, "key": f.key, "problem": f.wanted});
+            let wrong = |f: &plans::Fault| json!({"line": f.line, "key": f.key, "problem": f.wanted});
             let wrong: Vec<_> = faults.iter().map(wrong).collect();
             let revision = found.as_ref().ok().map(Catalogue::revision);
             print(&json!({"file": name, "good": found.is_ok(), "revision": revision, "wrong": wrong}))?;
--- a/crates/beechrudder/src/resolve.rs
+++ b/crates/gatewayctl/src/resolve.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use beechrudder_dnssd::Bounds;
-use beechrudder_fleet::wire::{Ask, ListState, ListedState, RecordState, Say};
-use beechrudder_operator::Address;
-use beechrudder_sources::{Following, Resolver, Settings};
+use dns_sd::Bounds;
+use endpoint_sources::{Following, Resolver, Settings};
+use fleet::wire::{Ask, ListState, ListedState, RecordState, Say};
+use operator_config::Address;
 use tokio::time::{timeout_at, Instant};
 
 use crate::agent::{odd, print, Agent};
--- a/crates/beechrudder/src/up.rs
+++ b/crates/gatewayctl/src/up.rs
@@ -13,9 +13,9 @@
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
 
-use beechrudder_testbed::audit::{audit, Terms};
-use beechrudder_testbed::client::{Load, Plan};
 use serde_json::json;
+use testbed::audit::{audit, Terms};
+use testbed::client::{Load, Plan};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, sleep};
 
--- a/crates/beechrudder/src/up/agent.rs
+++ b/crates/gatewayctl/src/up/agent.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use beechrudder_operator::Operator;
+use operator_config::Operator;
 use tokio::signal::unix::{signal, SignalKind};
 
 use super::gateway::until_closed as end_with_input;
@@ -28,6 +28,6 @@
         list.into_iter().for_each(|address| println!("serving the list on {address}"));
     };
     let (sources, start) = (operator.sources.as_ref(), operator.start.as_ref());
-    let result = beechrudder_agent::run(&agent, &operator.gateways, sources, start, ready, end).await;
+    let result = agent::run(&agent, &operator.gateways, sources, start, ready, end).await;
     result.map_err(|e| Failure::Broken(e.to_string()))
 }
--- a/crates/beechrudder/src/up/show.rs
+++ b/crates/gatewayctl/src/up/show.rs
@@ -1,8 +1,8 @@
 //! What `up` shows.
 
-use beechrudder_testbed::client::{Load, Tally};
-use beechrudder_testbed::platform;
 use serde_json::{json, Value};
+use testbed::client::{Load, Tally};
+use testbed::platform;
 
 use super::world::World;
 use crate::table::table;
@@ -26,7 +26,7 @@
     let (host, port, all) = (first.address.ip(), first.address.port(), world.gateways.len());
     let terms = format!("c=safe,t=free,d={},units=1,spread={all},first=0", platform::DEADLINE_MS);
     let (customer, request) = ("0000000000000001", "00000000000000aa");
-    let program = std::env::current_exe().map_or("beechrudder".into(), |p| p.display().to_string());
+    let program = std::env::current_exe().map_or("gatewayctl".into(), |p| p.display().to_string());
     let (addresses, agent) = (table(&["NAME", "WHAT", "ADDRESS"], &rows), &world.agent);
     let till = world.backends.first().map_or("till-0", |b| &b.spec.name);
     let lines = [
--- a/crates/beechrudder/src/up/world.rs
+++ b/crates/gatewayctl/src/up/world.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use beechrudder_operator::Address;
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::Discovery;
-use beechrudder_testbed::journal::Journal;
-use beechrudder_testbed::platform;
+use operator_config::Address;
 use tempfile::TempDir;
+use testbed::backend::{Backend, Spec};
+use testbed::counter::Counter;
+use testbed::discovery::Discovery;
+use testbed::journal::Journal;
+use testbed::platform;
 
 use super::process::Process;
 use crate::cli::Up;
@@ -149,7 +149,7 @@
 
 /// A folder whose path is short. Danger: the path of a Unix socket holds some hundred bytes at most.
 fn folder() -> Result<TempDir, Failure> {
-    let made = tempfile::Builder::new().prefix("beechrudder-").tempdir();
+    let made = tempfile::Builder::new().prefix("gatewayctl-").tempdir();
     made.map_err(|e| Failure::Broken(format!("no folder for temporary files: {e}")))
 }
 
--- a/crates/beechrudder/tests/bad_input.rs
+++ b/crates/gatewayctl/tests/bad_input.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use beechrudder_operator::Address;
+use operator_config::Address;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, KeyUsagePurpose};
 use serde_json::json;
 use support::{until, Fleet, Process, PROGRAM};
--- a/crates/beechrudder/tests/calls.rs
+++ b/crates/gatewayctl/tests/calls.rs
@@ -6,10 +6,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use beechrudder_testbed::scripted::{config, endpoint, Agent, StandIn, PATIENCE};
 use serde_json::{json, Value};
+use testbed::scripted::{config, endpoint, Agent, StandIn, PATIENCE};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_beechrudder");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_gatewayctl");
 
 struct Gateway(Child);
 
--- a/crates/beechrudder/tests/cli.rs
+++ b/crates/gatewayctl/tests/cli.rs
@@ -46,7 +46,7 @@
     for shell in ["bash", "zsh", "fish"] {
         assert!(said(&["completions", shell]).contains("undrain"), "{shell}");
     }
-    assert!(said(&["man"]).contains(".TH beechrudder"));
+    assert!(said(&["man"]).contains(".TH gatewayctl"));
     let help = said(&["--help"]);
     for part in ["drain", "status", "up", "Exit codes", "BEECHRUDDER_AGENT"] {
         assert!(help.contains(part), "{part}: {help}");
--- a/crates/beechrudder/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::journal::Event;
-use beechrudder_testbed::switch::Fault;
 use many::{Many, Shape, PATIENCE};
+use testbed::backend::{Backend, Spec};
+use testbed::journal::Event;
+use testbed::switch::Fault;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// A round of thirty gateways at nine tenths of ten first connections a second.
--- a/crates/beechrudder/tests/cold_counter.rs
+++ b/crates/gatewayctl/tests/cold_counter.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::client::Plan;
-use beechrudder_testbed::switch::Fault;
 use many::{Many, Shape};
+use testbed::client::Plan;
+use testbed::switch::Fault;
 
 /// Customers with quotas ask so often, requests a second: six times what the counter bears.
 const RATE: f64 = 300.0;
--- a/crates/beechrudder/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::discovery::Called;
-use beechrudder_testbed::harness::{Condition, Direction};
-use beechrudder_testbed::switch::Fault;
 use many::{most_in, Many, Shape, EACH};
+use testbed::backend::{Backend, Spec};
+use testbed::discovery::Called;
+use testbed::harness::{Condition, Direction};
+use testbed::switch::Fault;
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/beechrudder/tests/crashes.rs
+++ b/crates/gatewayctl/tests/crashes.rs
@@ -7,15 +7,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use beechrudder_agent::{Contents, Log, LogError};
-use beechrudder_channel::Dialer;
-use beechrudder_fleet::wire::{Ask, Logged, Numbered, Say, LINE_MOST};
-use beechrudder_fleet::{Change, Subject};
-use beechrudder_operator::Address;
-use beechrudder_testbed::overseen::Overseen;
-use beechrudder_testbed::switch::Fault;
-use beechrudder_testbed::Dice;
+use agent::{Contents, Log, LogError};
+use fleet::wire::{Ask, Logged, Numbered, Say, LINE_MOST};
+use fleet::{Change, Subject};
+use operator_config::Address;
 use support::{until, Fleet, PATIENCE};
+use testbed::overseen::Overseen;
+use testbed::switch::Fault;
+use testbed::Dice;
+use transport::Dialer;
 
 /// Kills of one run.
 const KILLS: u64 = 24;
--- a/crates/beechrudder/tests/dns_sd.rs
+++ b/crates/gatewayctl/tests/dns_sd.rs
@@ -7,11 +7,11 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use beechrudder_testbed::backend::Backend;
-use beechrudder_testbed::dns::{Dns, Instance};
-use beechrudder_testbed::journal::Event;
-use beechrudder_testbed::switch::Fault;
 use support::{until, Fleet, Ran, PROGRAM};
+use testbed::backend::Backend;
+use testbed::dns::{Dns, Instance};
+use testbed::journal::Event;
+use testbed::switch::Fault;
 use tokio::runtime::Runtime;
 
 const SERVICE: &str = "_till._tcp.ub-room.test";
--- a/crates/beechrudder/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -5,10 +5,10 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use beechrudder_fleet::wire::{Applied, GatewayAsk, GatewaySay};
-use beechrudder_fleet::{Change, Order, Outcome, Revision};
-use beechrudder_testbed::journal::Event;
+use fleet::wire::{Applied, GatewayAsk, GatewaySay};
+use fleet::{Change, Order, Outcome, Revision};
 use support::{until, Fleet};
+use testbed::journal::Event;
 
 #[test]
 fn no_gateway_sends_to_a_backend_later_than_its_drain_allows_and_all_do_after_its_undrain() {
@@ -155,7 +155,7 @@
     let again = apply(vec![order("old", 3, Change::Drain)]);
     assert_eq!(again[0].outcome, Outcome::Superseded(undrain.revision));
     assert!(!fleet.drained(0, "till-0"));
-    let many = vec![undrain; beechrudder_fleet::wire::ORDERS_MOST + 1];
+    let many = vec![undrain; fleet::wire::ORDERS_MOST + 1];
     let said = fleet.ask(&fleet.gateways[0].admin, GatewayAsk::Apply { orders: many });
     assert!(matches!(said, GatewaySay::Fault(_)), "{said:?}");
 }
--- a/crates/beechrudder/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -5,10 +5,10 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::journal::Event;
-use beechrudder_testbed::script::Script;
-use beechrudder_testbed::switch::{Fault, Switch};
 use support::{until, Fleet};
+use testbed::journal::Event;
+use testbed::script::Script;
+use testbed::switch::{Fault, Switch};
 
 /// Faults of backends in one run: some six seconds.
 const FAULTS: usize = 9;
--- a/crates/beechrudder/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -5,12 +5,12 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::discovery::line;
-use beechrudder_testbed::journal::Event;
-use beechrudder_testbed::platform::WARM_UP_MS;
-use beechrudder_testbed::switch::Fault;
 use support::{until, Fleet};
+use testbed::backend::{Backend, Spec};
+use testbed::discovery::line;
+use testbed::journal::Event;
+use testbed::platform::WARM_UP_MS;
+use testbed::switch::Fault;
 
 const GATEWAYS: usize = 10;
 
--- a/crates/beechrudder/tests/large_list.rs
+++ b/crates/gatewayctl/tests/large_list.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::switch::Fault;
 use support::{until, Fleet};
+use testbed::switch::Fault;
 
 const BACKENDS: usize = 500;
 
--- a/crates/beechrudder/tests/many/mod.rs
+++ b/crates/gatewayctl/tests/many/mod.rs
@@ -6,15 +6,15 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use beechrudder_testbed::audit::{audit, Rule, Terms};
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::client::{Load, Plan, Tally};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::{Bears, Called, Discovery};
-use beechrudder_testbed::harness::{Link, Node, Program, Timeline};
-use beechrudder_testbed::journal::{Event, Journal};
-use beechrudder_testbed::platform;
 use tempfile::TempDir;
+use testbed::audit::{audit, Rule, Terms};
+use testbed::backend::{Backend, Spec};
+use testbed::client::{Load, Plan, Tally};
+use testbed::counter::Counter;
+use testbed::discovery::{Bears, Called, Discovery};
+use testbed::harness::{Link, Node, Program, Timeline};
+use testbed::journal::{Event, Journal};
+use testbed::platform;
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -122,7 +122,7 @@
         std::fs::write(&file, operator).expect("room");
         let program = |what: &str| {
             let words = [what, "--until-closed", "--operator", &file.display().to_string()];
-            let path = PathBuf::from(env!("CARGO_BIN_EXE_beechrudder"));
+            let path = PathBuf::from(env!("CARGO_BIN_EXE_gatewayctl"));
             Program { path, words: words.map(str::to_string).to_vec() }
         };
         let (program, agents) = (program("gateway"), program("agent"));
--- a/crates/beechrudder/tests/ordered_start.rs
+++ b/crates/gatewayctl/tests/ordered_start.rs
@@ -5,9 +5,9 @@
 
 use std::time::Duration;
 
-use beechrudder_testbed::discovery::Called;
-use beechrudder_testbed::switch::Fault;
 use many::{most_in, Many, Shape};
+use testbed::discovery::Called;
+use testbed::switch::Fault;
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/beechrudder/tests/plans.rs
+++ b/crates/gatewayctl/tests/plans.rs
@@ -37,7 +37,7 @@
 
 fn run(words: &[&str], file: &Path) -> (i32, String, String) {
     let Output { status, stdout, stderr } =
-        Command::new(env!("CARGO_BIN_EXE_beechrudder")).args(words).arg(file).output().expect("it runs");
+        Command::new(env!("CARGO_BIN_EXE_gatewayctl")).args(words).arg(file).output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (status.code().expect("a code"), text(stdout), text(stderr))
 }
--- a/crates/beechrudder/tests/support/mod.rs
+++ b/crates/gatewayctl/tests/support/mod.rs
@@ -8,25 +8,25 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use beechrudder_channel::{Dialer, Lines};
-use beechrudder_fleet::wire::{GatewayAsk, GatewaySay, GatewayState, Numbered, LINE_MOST};
-use beechrudder_operator::Address;
-use beechrudder_testbed::audit::{audit, Terms};
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::client::{Load, Plan, Tally};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::Discovery;
-use beechrudder_testbed::journal::Journal;
-use beechrudder_testbed::platform;
+use fleet::wire::{GatewayAsk, GatewaySay, GatewayState, Numbered, LINE_MOST};
+use operator_config::Address;
 use serde_json::Value;
 use tempfile::TempDir;
+use testbed::audit::{audit, Terms};
+use testbed::backend::{Backend, Spec};
+use testbed::client::{Load, Plan, Tally};
+use testbed::counter::Counter;
+use testbed::discovery::Discovery;
+use testbed::journal::Journal;
+use testbed::platform;
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
+use transport::{Dialer, Lines};
 
 /// How long anything that must come may take; long, so that a slow machine gives the same verdict.
 pub const PATIENCE: Duration = Duration::from_secs(20);
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_beechrudder");
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_gatewayctl");
 
 /// Waits until something holds; a test fails without it.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
--- a/crates/beechrudder/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -6,10 +6,10 @@
 use std::os::unix::net::UnixListener;
 use std::time::Instant;
 
-use beechrudder_channel::Dialer;
-use beechrudder_fleet::wire::{Ask, Numbered, Say, LINE_MOST};
-use beechrudder_fleet::Change;
+use fleet::wire::{Ask, Numbered, Say, LINE_MOST};
+use fleet::Change;
 use support::{until, Fleet, PATIENCE};
+use transport::Dialer;
 
 #[test]
 fn gateways_that_cannot_be_reached_are_named_and_converge_by_themselves() {
--- a/crates/beechrudder/tests/up.rs
+++ b/crates/gatewayctl/tests/up.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-use beechrudder_testbed::scripted::{call, words, Client};
 use serde_json::Value;
 use support::{until, PROGRAM};
+use testbed::scripted::{call, words, Client};
 
 /// Whether a process is there and no zombie.
 fn runs(pid: &Value) -> bool {
--- a/crates/maintenance/tests/book.rs
+++ b/crates/maintenance/tests/book.rs
@@ -1,6 +1,6 @@
 //! Calls, what they leave in force, and the form in which it is handed on.
 
-use beechrudder_maintenance::{sealed, BadCall, Book, Call, Done, Refused, BANS_MOST, ID_MOST};
+use maintenance::{sealed, BadCall, Book, Call, Done, Refused, BANS_MOST, ID_MOST};
 use proptest::prelude::*;
 
 fn call(line: &str) -> Call {
--- a/crates/membership/tests/detect.rs
+++ b/crates/membership/tests/detect.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use beechrudder_membership::detect::{Change, Detector, Node, Packet};
-use beechrudder_membership::wire::{read, write, Body, Fleet};
+use membership::detect::{Change, Detector, Node, Packet};
+use membership::wire::{read, write, Body, Fleet};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use beechrudder_membership::lease::{Given, Holder, Keeper, Member, Message, Terms, SLOT_UNITS};
+use membership::lease::{Given, Holder, Keeper, Member, Message, Terms, SLOT_UNITS};
 use stateright::{Checker, Model, Property};
 
 /// The slot that it is about, and whose it is.
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Rules of keepers and holders one by one, where the model has no room for them.
 
-use beechrudder_membership::lease::{
+use membership::lease::{
     Believed, Desk, Given, Holder, Keeper, Member, Message, Out, Terms, KEPT_UNITS, LENT_UNITS,
     QUESTIONS_MOST, SLOT_UNITS,
 };
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use beechrudder_membership::lease::{Believed, Desk, Member, Message, Out, Terms, SLOT_UNITS};
+use membership::lease::{Believed, Desk, Member, Message, Out, Terms, SLOT_UNITS};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Datagrams: what is read, and what is dropped and why.
 
-use beechrudder_membership::lease::{Given, Member, Message};
-use beechrudder_membership::wire::{read, write, Body, Dropped, Fleet, DATAGRAM_MOST, VERSION};
+use membership::lease::{Given, Member, Message};
+use membership::wire::{read, write, Body, Dropped, Fleet, DATAGRAM_MOST, VERSION};
 use proptest::prelude::*;
 
 fn fleet() -> Fleet {
--- a/crates/plans/tests/book.rs
+++ b/crates/plans/tests/book.rs
@@ -1,6 +1,6 @@
 //! Reservations: holders that die, orders that repeat, ceilings that are lowered.
 
-use beechrudder_plans::{Ask, Book, End, Refused, State, Terms, Timeline, Token, EACH_MOST};
+use plans::{Ask, Book, End, Refused, State, Terms, Timeline, Token, EACH_MOST};
 use proptest::prelude::*;
 
 fn ceiling(rate: f64, burst: f64) -> Timeline {
--- a/crates/plans/tests/catalogue.rs
+++ b/crates/plans/tests/catalogue.rs
@@ -1,6 +1,6 @@
 //! The catalogue's file, and the fence.
 
-use beechrudder_plans::{read, Catalogue, Fence, Taken, Terms};
+use plans::{read, Catalogue, Fence, Taken, Terms};
 
 const GOOD: &str = r#"
 revision = 7
--- a/crates/plans/tests/timeline.rs
+++ b/crates/plans/tests/timeline.rs
@@ -1,6 +1,6 @@
 //! Changes of terms in the middle of a window.
 
-use beechrudder_plans::{Terms, Timeline};
+use plans::{Terms, Timeline};
 use proptest::prelude::*;
 
 fn terms(rate: f64, burst: f64) -> Terms {
--- a/crates/slatelock/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! The cost of one decision, a request with its answer, as the list grows: `cargo bench -p slatelock`.
+//! The cost of one decision, a request with its answer, as the list grows: `cargo bench -p gateway-policy`.
 //!
 //! `subset` is a gateway of sixty with the routing of the defaults; `whole` looks at every backend.
 
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::{backends, request, sent_to, settings, Rig};
 
 /// Requests that are out at any time.
--- a/crates/slatelock/src/policy/choice.rs
+++ b/crates/policy/src/policy/choice.rs
@@ -3,7 +3,7 @@
 use super::{Gateway, EJECT, HEADROOM, HEDGE, PRIOR};
 use crate::interface::{Action, Class, Effect, Group, Request};
 use crate::state::{roll, Attempt, Backend, Choice, Held};
-use beechrudder_routing::From;
+use routing::From;
 
 /// Part of the fleet that may be ejected; beyond it the estimate is wrong or the trouble is shared.
 const EJECT_PART: f64 = 0.5;
--- a/crates/slatelock/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of slatelock, by concern. Its settings, events and actions are the plain types of
+//! Every decision of the gateway, by concern. Its settings, events and actions are the plain types of
 //! `src/interface.rs`, its records those of `src/state.rs`. `docs/design.md` says what comes from
 //! the design and what was added.
 //!
@@ -16,8 +16,8 @@
 use crate::interface::{Action, Class, Event, Outcome, Request, Settings, SettingsError, Untold};
 use crate::state::{Backend, Call, End, Fleet, Held, Ratio};
 use crate::store::{Customer, MEMORY_FILLS};
-use beechrudder_records::Records;
-use beechrudder_routing::{Index, Reach, Subset};
+use bounded_cache::Records;
+use routing::{Index, Reach, Subset};
 use std::collections::{HashMap, VecDeque};
 
 /// Least chance of a call, so that a counter that is back shows.
--- a/crates/slatelock/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,6 +1,6 @@
 //! Records and arithmetic that the decisions of `src/policy` use; nothing is decided here.
 
-use beechrudder_routing::{Facts, Filed, Listing};
+use routing::{Facts, Filed, Listing};
 
 use crate::interface::{BackendEntry, Outcome, Readiness, Request};
 
--- a/crates/slatelock/src/store.rs
+++ b/crates/policy/src/store.rs
@@ -11,7 +11,7 @@
 //! A level above the burst is refill that was lost and that no total holds yet. Who sees it adds it, with a
 //! call of its own; until then its own estimate bounds what it reads.
 
-use beechrudder_records::Kept;
+use bounded_cache::Kept;
 
 use crate::interface::{Outcome, Plan};
 use crate::state::{mix, part, Call, Ratio};
--- a/crates/slatelock/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,6 +1,6 @@
 //! What a gateway knows, to be looked at. Nothing is decided here, and nothing changed.
 
-use beechrudder_records::Records;
+use bounded_cache::Records;
 
 use crate::interface::Readiness;
 use crate::policy::Gateway;
--- a/crates/slatelock/tests/ceiling.rs
+++ b/crates/policy/tests/ceiling.rs
@@ -5,10 +5,10 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
+use gateway_policy::interface::*;
+use gateway_policy::Gateway;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use slatelock::interface::*;
-use slatelock::Gateway;
 use support::{backends, settings, Counter, T0};
 
 const CHAIN: u64 = 7;
--- a/crates/slatelock/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::*;
 
 fn fresh(rig: &Rig, id: u64) -> Request {
@@ -258,7 +258,7 @@
     for (field, spoil) in cases {
         let mut s = settings();
         spoil(&mut s);
-        let error = slatelock::Gateway::new(s, 1, 0.0).expect_err(field);
+        let error = gateway_policy::Gateway::new(s, 1, 0.0).expect_err(field);
         assert_eq!(error.field, field);
         assert!(error.to_string().contains(field));
     }
--- a/crates/slatelock/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -30,7 +30,7 @@
     let named = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
     for file in files {
         let name = file.file_name().and_then(|name| name.to_str()).expect("a name");
-        assert!(named.contains(&format!("crates/slatelock/src/policy/{name}")), "{name} is not named there");
+        assert!(named.contains(&format!("crates/policy/src/policy/{name}")), "{name} is not named there");
         let text = fs::read_to_string(&file).expect("a policy file");
         lines += text.lines().filter(|l| !l.trim().is_empty()).count();
     }
--- a/crates/slatelock/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::*;
 
 const MOST: usize = 500;
--- a/crates/slatelock/tests/room.rs
+++ b/crates/policy/tests/room.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::*;
 
 /// Seeded chance, in (0, 1].
--- a/crates/slatelock/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::*;
 
 const LISTED: u32 = 600;
--- a/crates/slatelock/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::*;
 
 const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled];
@@ -186,7 +186,8 @@
         total += flood(&mut first, 20.0, 0);
         // Killed and started again: what its earlier life spent is not there again.
         let now = first.now;
-        let mut second = Rig { gateway: slatelock::Gateway::new(settings(), 2, now).expect("settings"), now };
+        let mut second =
+            Rig { gateway: gateway_policy::Gateway::new(settings(), 2, now).expect("settings"), now };
         second.on(Event::Backends { scope: ListScope::Cached, entries: &backends(4) });
         total += flood(&mut second, 20.0, 1_000);
     }
--- a/crates/slatelock/tests/shared_store.rs
+++ b/crates/policy/tests/shared_store.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::{settings, Counter, T0};
 
 const GATEWAYS: u32 = 3;
@@ -77,7 +77,7 @@
     number: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     what: BTreeMap<u64, Due>,
-    gateways: Vec<slatelock::Gateway>,
+    gateways: Vec<gateway_policy::Gateway>,
     counter: Counter,
     trouble: Trouble,
     plan: Plan,
@@ -99,7 +99,8 @@
         let plan = told.plans[0].clone();
         let gateway = |me: u32| {
             let told = Settings { me, ..told.clone() };
-            let mut gateway = slatelock::Gateway::new(told, seed * 10 + u64::from(me), T0).expect("settings");
+            let mut gateway =
+                gateway_policy::Gateway::new(told, seed * 10 + u64::from(me), T0).expect("settings");
             let entries = support::backends(8);
             let list = Event::Backends { scope: ListScope::Full, entries: &entries };
             gateway.handle(T0, list, &mut Vec::new());
--- a/crates/slatelock/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -3,7 +3,7 @@
 #[path = "support/mod.rs"]
 mod support;
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::*;
 
 /// Requests that each of ten backends gets while so many are out on each at any time, where the first one
--- a/crates/slatelock/tests/sizes.rs
+++ b/crates/policy/tests/sizes.rs
@@ -4,9 +4,9 @@
 
 use std::collections::BTreeMap;
 
+use gateway_policy::interface::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use slatelock::interface::*;
 use support::*;
 
 fn rig(gateways: u32, backends: u32, seed: u64) -> Rig {
--- a/crates/slatelock/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! Settings and helpers shared by the tests.
 #![allow(dead_code)]
 
-use slatelock::interface::*;
-use slatelock::Gateway;
+use gateway_policy::interface::*;
+use gateway_policy::Gateway;
 
 pub const T0: f64 = 1_000_000.0;
 
--- a/crates/slatelock/tests/terms.rs
+++ b/crates/policy/tests/terms.rs
@@ -1,9 +1,9 @@
 //! Settings that change in service: classes at their places, keys that are missing.
 
+use gateway_policy::settings;
+use gateway_policy::terms::{lacks, Terms, CLASSES_MOST};
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use slatelock::settings;
-use slatelock::terms::{lacks, Terms, CLASSES_MOST};
 
 /// Settings of some classes, each a name, a deadline and an effect.
 fn told(classes: &[(usize, u32, bool)], attempts: u32) -> Value {
@@ -39,7 +39,7 @@
 /// The classes that requests can name, and their rules.
 fn named(terms: &Terms) -> Vec<(String, f64, bool)> {
     let all = terms.names.classes.iter().zip(&terms.settings.classes);
-    let safe = |c: &slatelock::interface::Class| c.effect == slatelock::interface::Effect::Safe;
+    let safe = |c: &gateway_policy::interface::Class| c.effect == gateway_policy::interface::Effect::Safe;
     let mut named: Vec<_> = all.filter_map(|(n, c)| Some((n.clone()?, c.deadline_ms, safe(c)))).collect();
     named.sort_by(|a, b| a.0.cmp(&b.0));
     named
--- a/crates/routing/tests/index.rs
+++ b/crates/routing/tests/index.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechrudder_routing::{Counts, Facts, Filed, From, Index, Listing, Reach, Subset, HOME_LEAST};
 use proptest::collection::vec;
 use proptest::prelude::*;
+use routing::{Counts, Facts, Filed, From, Index, Listing, Reach, Subset, HOME_LEAST};
 
 const WINDOW: f64 = 1_000.0;
 
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -1,7 +1,7 @@
 //! Balance and movement of the subsets.
 
-use beechrudder_routing::Subset;
 use proptest::prelude::*;
+use routing::Subset;
 
 /// Thresholds of backends at a gateway; they don't change with the backends' number.
 fn thresholds(me: u32, gateways: u32, backends: u32) -> Vec<f64> {
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,8 +7,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use slatelock::interface::{Action, BackendEntry};
-use slatelock::{settings, Gateway};
+use gateway_policy::interface::{Action, BackendEntry};
+use gateway_policy::{settings, Gateway};
 use wire::{Frame, Malformed, Record, Reply};
 
 const LISTS: usize = 16;
@@ -82,7 +82,7 @@
     match run(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("slatelock-benchlink: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io::{self, Read};
 
-use slatelock::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
+use gateway_policy::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
 
 const HEADER: usize = 20;
 const ENTRY: usize = 21;
--- a/crates/benchlink/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -62,7 +62,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_slatelock-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/spool/src/store.rs
+++ b/crates/spool/src/store.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use beechrudder_usage::{begin, scan, Chain, End, Header, Record, Source, Writer, FORMAT};
+use usage::{begin, scan, Chain, End, Header, Record, Source, Writer, FORMAT};
 
 /// How a segment's file is named: its number, so that names sort as numbers do.
 const SUFFIX: &str = ".use";
--- a/crates/spool/tests/spool.rs
+++ b/crates/spool/tests/spool.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use beechrudder_spool::{Appended, Fault, Fsync, Policy, Spool};
-use beechrudder_usage::{Ledger, Record, Settings, Source, Taken, Units};
+use spool::{Appended, Fault, Fsync, Policy, Spool};
+use usage::{Ledger, Record, Settings, Source, Taken, Units};
 
 const POLICY: Policy = Policy { segment_bytes: 200, total_bytes: 1 << 20, fsync: Fsync::Every(8) };
 
@@ -130,12 +130,12 @@
     let folder = tempfile::tempdir().expect("a folder");
     drop(fill(folder.path(), 1, 15));
     let second = segments(folder.path())[1].clone();
-    let one = beechrudder_usage::scan(&older);
+    let one = usage::scan(&older);
     let mut cut = older.len();
-    while beechrudder_usage::scan(&older[..cut]).records.len() == one.records.len() {
+    while usage::scan(&older[..cut]).records.len() == one.records.len() {
         cut -= 1;
     }
-    let good = beechrudder_usage::scan(&older[..cut]).good;
+    let good = usage::scan(&older[..cut]).good;
     fs::write(&second, &older[..good]).expect("written");
     let (_, faults) = open(folder.path(), 2);
     assert!(faults.iter().any(|f| matches!(f, Fault::Chain(_))), "{faults:?}");
--- a/crates/testbed/examples/routing_rig.rs
+++ b/crates/testbed/examples/routing_rig.rs
@@ -1,13 +1,13 @@
 //! Compares full scan, subset and the best possible in simulated time:
-//! `cargo run --release -p beechrudder-testbed --example routing_rig [PLOT.svg]`.
+//! `cargo run --release -p testbed --example routing_rig [PLOT.svg]`.
 
 use std::error::Error;
 use std::time::Instant;
 
-use beechrudder_testbed::rig::{
+use plotters::prelude::*;
+use testbed::rig::{
     run, Chooser, Connections, Discovery, Replace, Report, Restart, Shape, Trouble, What, Who,
 };
-use plotters::prelude::*;
 
 type Any = Box<dyn Error>;
 
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -42,7 +42,7 @@
 }
 
 impl Fleet {
-    /// Starts all of it by the built `beechrudder` at a path, and waits until all gateways are ready. They
+    /// Starts all of it by the built `gatewayctl` at a path, and waits until all gateways are ready. They
     /// know the list, which comes from a service of 50 calls a second; the counter works on one call after
     /// another, so long on each, or on all at once (zero). `{folder}` in the operators' file is the fleet's.
     ///
@@ -166,9 +166,9 @@
     parts.iter().map(|part| format!("{part:.2}")).collect::<Vec<_>>().join(" ")
 }
 
-/// The built `beechrudder` beside the folder of an example that runs; none where that has no folder.
+/// The built `gatewayctl` beside the folder of an example that runs; none where that has no folder.
 #[must_use]
 pub fn built_program() -> Option<PathBuf> {
     let here = std::env::current_exe().ok()?;
-    Some(here.parent()?.parent()?.join("beechrudder"))
+    Some(here.parent()?.parent()?.join("gatewayctl"))
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The project's own stand-ins on loopback sockets, for its tests and for `beechrudder up`.
+//! The project's own stand-ins on loopback sockets, for its tests and for `gatewayctl up`.
 //!
 //! ```text
 //!  client::Load ──▶ gateways ──▶ backend::Backend      each with a Switch: well, slow, silent, refusing, ...
--- a/crates/testbed/src/overseen.rs
+++ b/crates/testbed/src/overseen.rs
@@ -3,13 +3,13 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use beechrudder_channel::{BindError, Lines, Listener};
-use beechrudder_fleet::wire::{
+use fleet::wire::{
     Applied, BackendState, Figures, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, LINE_MOST,
 };
-use beechrudder_fleet::Desired;
-use beechrudder_operator::Address;
+use fleet::Desired;
+use operator_config::Address;
 use tokio::task::JoinHandle;
+use transport::{BindError, Lines, Listener};
 
 use crate::switch::Switch;
 
@@ -104,7 +104,7 @@
                 self.applied(Vec::new())
             }
             GatewayAsk::Apply { orders } => {
-                let verdict = |order: &beechrudder_fleet::Order| Verdict {
+                let verdict = |order: &fleet::Order| Verdict {
                     id: order.id.clone(),
                     outcome: self.desired.apply(order),
                     matched: 1,
--- a/crates/testbed/src/rig.rs
+++ b/crates/testbed/src/rig.rs
@@ -14,8 +14,8 @@
 
 pub use world::run;
 
+use gateway_policy::interface::SlowStart;
 use hdrhistogram::Histogram;
-use slatelock::interface::SlowStart;
 
 use crate::platform::{OVERLOAD_FOR_MS, START_CAPACITY, TIP_MULTIPLE, WARM_UP_MS};
 
--- a/crates/testbed/src/rig/backend.rs
+++ b/crates/testbed/src/rig/backend.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use slatelock::interface::SlowStart;
+use gateway_policy::interface::SlowStart;
 
 use super::{Shape, What};
 
--- a/crates/testbed/src/rig/days.rs
+++ b/crates/testbed/src/rig/days.rs
@@ -1,8 +1,8 @@
 //! What happens to a fleet in a run: gateways are killed and start, backends are replaced, and the list
 //! comes late or not at all.
 
-use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
-use slatelock::Gateway;
+use gateway_policy::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
+use gateway_policy::Gateway;
 
 use super::backend::Backend;
 use super::world::{settings, Happens, World, BEGIN_MS, WAY_MS};
--- a/crates/testbed/src/rig/node.rs
+++ b/crates/testbed/src/rig/node.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beechrudder_pacing::Pauses;
-use slatelock::Gateway;
+use backoff::Pauses;
+use gateway_policy::Gateway;
 
 use super::Shape;
 
--- a/crates/testbed/src/rig/world.rs
+++ b/crates/testbed/src/rig/world.rs
@@ -3,11 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use hdrhistogram::Histogram;
-use slatelock::interface::{
+use gateway_policy::interface::{
     Action, Class, Effect, Event, Group, Limits, Outcome, Plan, Request, Routing, Settings,
 };
-use slatelock::Gateway;
+use gateway_policy::Gateway;
+use hdrhistogram::Histogram;
 
 use super::backend::{Backend, Job};
 use super::days::Day;
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -3,9 +3,9 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use beechrudder_testbed::audit::{audit, Breach, Rule, Terms};
-use beechrudder_testbed::journal::{Answer, Class, Ended, Event, Journal};
-use beechrudder_testbed::platform;
+use testbed::audit::{audit, Breach, Rule, Terms};
+use testbed::journal::{Answer, Class, Ended, Event, Journal};
+use testbed::platform;
 
 fn asked(id: u64, class: Class, customer: u64) -> Event {
     Event::Asked { id, customer, class, units: 1.0, gateway: 0 }
--- a/crates/testbed/tests/figures.rs
+++ b/crates/testbed/tests/figures.rs
@@ -1,8 +1,8 @@
 //! The figures of the rules come from the settings: those of two deployments and of a third that is
 //! neither, in simulated time through the same code. And the troubles of a small fleet on its weakest days.
 
-use beechrudder_testbed::rig::{run, Report, Shape, Trouble, What, Who};
-use slatelock::interface::SlowStart;
+use gateway_policy::interface::SlowStart;
+use testbed::rig::{run, Report, Shape, Trouble, What, Who};
 
 /// What a deployment states of its rules and requests.
 struct Figures {
--- a/crates/testbed/tests/large_fleet.rs
+++ b/crates/testbed/tests/large_fleet.rs
@@ -1,6 +1,6 @@
 //! A hundred gateways before sixty backends, in simulated time: what such a fleet does to itself.
 
-use beechrudder_testbed::rig::{
+use testbed::rig::{
     run, Chooser, Connections, Discovery, Replace, Report, Restart, Shape, Trouble, What, Who,
 };
 
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use beechrudder_testbed::harness::{Condition, Direction, Link};
+use testbed::harness::{Condition, Direction, Link};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
--- a/crates/testbed/tests/rig.rs
+++ b/crates/testbed/tests/rig.rs
@@ -1,6 +1,6 @@
 //! Routing before large fleets, in simulated time: the failures that it exists for.
 
-use beechrudder_testbed::rig::{run, Chooser, Report, Shape, Trouble, What, Who};
+use testbed::rig::{run, Chooser, Report, Shape, Trouble, What, Who};
 
 /// Small enough for a test: 300 backends, 12 gateways, some 60,000 requests.
 fn shape(seed: u64) -> Shape {
--- a/crates/testbed/tests/sizes.rs
+++ b/crates/testbed/tests/sizes.rs
@@ -1,8 +1,8 @@
 //! Laws of a fleet from 1 to 500 gateways and from 1 to 1,000 backends, in simulated time.
 
-use beechrudder_testbed::rig::{run, Connections, Discovery, Replace, Restart, Shape, Trouble, What, Who};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use testbed::rig::{run, Connections, Discovery, Replace, Restart, Shape, Trouble, What, Who};
 
 proptest! {
     #![proptest_config(ProptestConfig {
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -4,13 +4,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::Discovery;
-use beechrudder_testbed::journal::{Ended, Event, Journal};
-use beechrudder_testbed::script::Script;
-use beechrudder_testbed::scripted::{call, command, words};
-use beechrudder_testbed::switch::{Fault, Switch};
+use testbed::backend::{Backend, Spec};
+use testbed::counter::Counter;
+use testbed::discovery::Discovery;
+use testbed::journal::{Ended, Event, Journal};
+use testbed::script::Script;
+use testbed::scripted::{call, command, words};
+use testbed::switch::{Fault, Switch};
 
 const SHORT: Duration = Duration::from_millis(200);
 const PATIENCE: Duration = Duration::from_secs(20);
--- a/crates/channel/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_operator::{Address, Tls};
+use operator_config::{Address, Tls};
 use rustls::pki_types::ServerName;
 use rustls::ClientConfig;
 use tokio::net::{TcpStream, UnixStream};
--- a/crates/channel/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use beechrudder_operator::{Address, Tls};
+use operator_config::{Address, Tls};
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
--- a/crates/channel/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use beechrudder_operator::Tls;
+use operator_config::Tls;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::WebPkiClientVerifier;
--- a/crates/channel/tests/who.rs
+++ b/crates/transport/tests/who.rs
@@ -5,12 +5,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use beechrudder_channel::{BindError, ConnectError, Dialer, LineError, Lines, Listener};
-use beechrudder_operator::{Address, Tls};
+use operator_config::{Address, Tls};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, KeyUsagePurpose};
 use tempfile::TempDir;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UnixStream};
+use transport::{BindError, ConnectError, Dialer, LineError, Lines, Listener};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const MOST: usize = 4096;
@@ -194,7 +194,7 @@
         assert!(refusals.recv().await.expect("a refusal").contains("invalid peer certificate"));
 
         // None at all: the caller does not even try; and plain bytes get nowhere.
-        let bare = beechrudder_channel::connect(&address, PATIENCE, MOST).await.expect_err("none to show");
+        let bare = transport::connect(&address, PATIENCE, MOST).await.expect_err("none to show");
         assert!(matches!(bare, ConnectError::NoCertificate(_)), "{bare}");
         let Address::Tcp(at) = address else { panic!("TCP") };
         let mut plain = TcpStream::connect(at).await.expect("it listens");
--- a/crates/usage/tests/ledger.rs
+++ b/crates/usage/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! A ledger that counts each record once, whatever comes late, again or out of order.
 
-use beechrudder_usage::{Batch, Ledger, Record, Settings, Source, Taken, Units};
 use proptest::prelude::*;
+use usage::{Batch, Ledger, Record, Settings, Source, Taken, Units};
 
 const SETTINGS: Settings = Settings { period_ms: 1_000, silent_most_ms: 10_000 };
 
--- a/crates/usage/tests/segment.rs
+++ b/crates/usage/tests/segment.rs
@@ -1,6 +1,6 @@
 //! Segments that were cut, spoilt or replaced.
 
-use beechrudder_usage::{begin, scan, Chain, End, Header, Record, Source, Units, Writer, FORMAT};
+use usage::{begin, scan, Chain, End, Header, Record, Source, Units, Writer, FORMAT};
 
 fn record(sequence: u64) -> Record {
     Record {
