--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -27,7 +27,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fleet::wire::{LINE_MOST, TOOL_LINE_MOST};
+use fleet::wire::{MAX_LINE_BYTES, MAX_TOOL_LINE_BYTES};
 use fleet::{BadName, Name};
 use operator_config::{Agent, Gateway, Sources, Start};
 use tokio::sync::{broadcast, mpsc, watch, Semaphore};
@@ -91,11 +91,12 @@
     let fixed = gateways.iter().map(named).collect::<Result<Vec<_>, BadName>>().map_err(AgentError::Name)?;
     // The log first: two agents on one log end here, before either speaks.
     let (log, contents) = Log::open(&config.log).map_err(AgentError::Log)?;
-    let listener = Listener::bind(&config.listen, None, TOOL_LINE_MOST).await.map_err(AgentError::Bind)?;
+    let listener =
+        Listener::bind(&config.listen, None, MAX_TOOL_LINE_BYTES).await.map_err(AgentError::Bind)?;
     let registers = match &config.register {
         Some(at) => {
             // A list that a gateway has fetched fits.
-            let listener = Listener::bind(at, config.tls.as_ref(), LINE_MOST).await;
+            let listener = Listener::bind(at, config.tls.as_ref(), MAX_LINE_BYTES).await;
             Some(listener.map_err(AgentError::Bind)?)
         }
         None => None,
@@ -109,7 +110,7 @@
         heartbeat: config.heartbeat(),
         answer: config.answer(),
         fan_out: Arc::new(Semaphore::new(config.fan_out)),
-        calls: Arc::new(Semaphore::new(link::CALLS_MOST)),
+        calls: Arc::new(Semaphore::new(link::MAX_CONNECTING)),
         published: receiver,
         reports,
     };
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -7,7 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fleet::wire::{Applied, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, LINE_MOST, ORDERS_MOST};
+use fleet::wire::{
+    Applied, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, MAX_LINE_BYTES, MAX_ORDERS_PER_REQUEST,
+};
 use fleet::{Order, Revision, Sighting, Snapshot};
 use operator_config::Address;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
@@ -22,7 +24,7 @@
 /// A gateway's state is asked for so soon after orders, at the latest.
 const LOOK_SOON: Duration = Duration::from_millis(100);
 /// Lost gateways that are called at the same moment.
-pub const CALLS_MOST: usize = 64;
+pub const MAX_CONNECTING: usize = 64;
 
 /// What the owner publishes to all links.
 #[derive(Clone, Debug, Default)]
@@ -114,7 +116,7 @@
 
 async fn call(address: &Address, shared: &Shared) -> Result<Lines, String> {
     let Ok(_place) = shared.calls.acquire().await else { return Err("the agent is ending".to_string()) };
-    shared.dialer.connect(address, shared.answer, LINE_MOST).await.map_err(|e| e.to_string())
+    shared.dialer.connect(address, shared.answer, MAX_LINE_BYTES).await.map_err(|e| e.to_string())
 }
 
 struct Link<'a> {
@@ -165,7 +167,7 @@
                     // All since the last are there, or the whole state is sent. Also when more is settled, so
                     // that the gateway can forget.
                     let whole = after.first().is_none_or(|o| o.revision != sent.next());
-                    if whole || now.snapshot.floor != floor || after.len() > ORDERS_MOST {
+                    if whole || now.snapshot.floor != floor || after.len() > MAX_ORDERS_PER_REQUEST {
                         self.adopt(&now).await?;
                         floor = now.snapshot.floor;
                     } else {
--- a/crates/agent/src/listing.rs
+++ b/crates/agent/src/listing.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 /// Questions of tools that may wait.
-const ASKS_MOST: usize = 16;
+const MAX_QUEUED_REQUESTS: usize = 16;
 
 /// A list that is followed and served. It ends with the value.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
         let address = listener.local_addr().map_err(failed)?;
         // Versions go on where an earlier life of the agent can't have come to.
         let (table, tables) = watch::channel(Arc::new(Table::new(started.as_millis() as u64)));
-        let (asks, asked) = mpsc::channel(ASKS_MOST);
+        let (asks, asked) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let events = events.clone();
         let say = move |line: String| {
             let line = format!("list: {line}");
--- a/crates/agent/src/owner.rs
+++ b/crates/agent/src/owner.rs
@@ -10,7 +10,7 @@
     MemberState, Say, Seen, Status,
 };
 use fleet::{Health, Member, Name, Order, Outcome, Sighting};
-use operator_config::{Address, GATEWAYS_MOST};
+use operator_config::{Address, MAX_GATEWAYS};
 use tokio::sync::{broadcast, mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -27,9 +27,9 @@
 /// Orders that are sent one by one to gateways that have all before them.
 const RECENT: usize = 256;
 /// Callers that may wait for the gateways at once; the order of one more is refused.
-const WAITERS_MOST: usize = 4_096;
+const MAX_WAITERS: usize = 4_096;
 /// Questions of tools that a link may have before it.
-const QUERIES_MOST: usize = 16;
+const MAX_QUEUED_QUERIES: usize = 16;
 /// A gateway that was not heard for so many heartbeats and one answer's time is unreachable.
 const SILENT_BEATS: u32 = 2;
 
@@ -137,7 +137,7 @@
 
     fn oversee(&mut self, name: &str, address: Address, fixed: bool) {
         let name: Arc<str> = name.into();
-        let (queries, queue) = mpsc::channel(QUERIES_MOST);
+        let (queries, queue) = mpsc::channel(MAX_QUEUED_QUERIES);
         let link = link::run(Arc::clone(&name), address.clone(), self.shared.clone(), queue);
         let task = tokio::spawn(link).abort_handle();
         let (member, told) = (Member::default(), Health::Unknown);
@@ -242,7 +242,7 @@
     fn judge(&mut self, wish: Wish) -> Verdict {
         let at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let (gateways, views) = (&self.gateways, &self.views);
-        if self.waiters.len() >= WAITERS_MOST {
+        if self.waiters.len() >= MAX_WAITERS {
             let message = "too many orders wait for gateways; try again";
             return Verdict::Refused(Fault::new(Code::Unavailable, message));
         }
@@ -432,8 +432,8 @@
                 refuse(format!("{name} answers at {}; end it or remove it first", known.address));
                 return Ok(());
             }
-            None if self.gateways.len() >= GATEWAYS_MOST => {
-                refuse(format!("{GATEWAYS_MOST} gateways are overseen already"));
+            None if self.gateways.len() >= MAX_GATEWAYS => {
+                refuse(format!("{MAX_GATEWAYS} gateways are overseen already"));
                 return Ok(());
             }
             _ => {
--- a/crates/agent/src/starts.rs
+++ b/crates/agent/src/starts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cold_start::{Came, Turn, Waves};
-use fleet::wire::{FirstCall, FirstCame, Say, Starting, START_LIST_MOST};
+use fleet::wire::{FirstCall, FirstCame, Say, Starting, MAX_START_LIST_BYTES};
 use fleet::Name;
 
 /// One that knows no list asks again so soon, ms, while there is none to hand out.
@@ -48,7 +48,7 @@
             FirstCame::Silent => Came::Silent,
             FirstCame::Failed => Came::Broken,
         };
-        let list = call.list.filter(|(_, text)| text.len() <= START_LIST_MOST);
+        let list = call.list.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
         self.waves.came(now_ms, name.as_str(), boot, came, call.took_ms, list.is_some());
         let (index, text) = list?;
         self.list = Some((index, text.into()));
--- a/crates/agent/src/tools.rs
+++ b/crates/agent/src/tools.rs
@@ -11,15 +11,15 @@
 use crate::owner::Asked;
 
 /// Connections at once; further ones wait in the listener's line.
-const CONNECTIONS_MOST: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 /// How long a connection may say nothing between its questions.
-const QUIET_MOST: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long a line may take to be written. Danger: a tool that reads nothing.
-const WRITE_MOST: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Things that may be on their way to one tool: what all gateways did, and more.
-const SAY_MOST: usize = operator_config::GATEWAYS_MOST + 16;
+const MAX_QUEUED_RESPONSES: usize = operator_config::MAX_GATEWAYS + 16;
 
 /// What may be asked on a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     inputs: mpsc::Sender<Asked>,
     events: broadcast::Sender<String>,
 ) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
         let arrival = match listener.accept().await {
@@ -72,7 +72,7 @@
     events: &broadcast::Sender<String>,
 ) -> Result<(), Over> {
     loop {
-        let Numbered { n, body } = match timeout(QUIET_MOST, lines.next::<Numbered<Ask>>()).await {
+        let Numbered { n, body } = match timeout(IDLE_TIMEOUT, lines.next::<Numbered<Ask>>()).await {
             Ok(Ok(Some(asked))) => asked,
             Ok(Err(LineError::Unreadable(why))) => {
                 say(lines, 0, Say::Fault(Fault::new(Code::BadRequest, why))).await?;
@@ -95,7 +95,7 @@
         }
         // What is last said of an order, or of all backends, is Done; of all else there is one thing to say.
         let many = matches!(body, Ask::Order { .. } | Ask::Status { backends: true });
-        let (sender, mut said) = mpsc::channel(if many { SAY_MOST } else { 1 });
+        let (sender, mut said) = mpsc::channel(if many { MAX_QUEUED_RESPONSES } else { 1 });
         if inputs.send(Asked { ask: body, say: sender }).await.is_err() {
             return say(lines, n, Say::Fault(Fault::new(Code::Unavailable, "the agent is ending"))).await;
         }
@@ -131,7 +131,7 @@
 }
 
 async fn say(lines: &mut Lines, n: u64, what: Say) -> Result<(), Over> {
-    match timeout(WRITE_MOST, lines.send(&Numbered { n, body: what })).await {
+    match timeout(WRITE_TIMEOUT, lines.send(&Numbered { n, body: what })).await {
         Ok(Ok(())) => Ok(()),
         _ => Err(Over),
     }
--- a/crates/cold-start/src/calls.rs
+++ b/crates/cold-start/src/calls.rs
@@ -19,10 +19,10 @@
 /// shorter than that.
 const PAUSE_MS: (f64, f64) = (50.0, 1_000.0);
 /// The longest time that a service may ask a gateway to stay away, ms.
-const AWAY_MOST_MS: f64 = 60_000.0;
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 /// How long a gateway that knows no list waits for one beside two rounds, and at most.
 const FIRST: Duration = Duration::from_millis(500);
-const FIRST_MOST: Duration = Duration::from_secs(20);
+const MAX_FIRST_WAIT: Duration = Duration::from_secs(20);
 /// Weight of the last answer time in the usual one.
 const GAIN: f64 = 0.25;
 /// A gateway that wakes so late for its slot, ms, still takes it. Danger: some hundred that were stopped
@@ -128,7 +128,7 @@
     /// Never longer than 20 s. Danger: a platform that gives a start 30 s.
     #[must_use]
     pub fn first_within(&self) -> Duration {
-        (self.calendar.round() * 2 + FIRST).min(FIRST_MOST)
+        (self.calendar.round() * 2 + FIRST).min(MAX_FIRST_WAIT)
     }
 
     /// The next call, made in a slot of this gateway's own, one in each round at most.
@@ -223,7 +223,7 @@
         match came {
             Came::TurnedAway(told) => {
                 self.share.refused(self.confirmed);
-                let told = told.map_or(0.0, |t| (t.as_secs_f64() * 1_000.0).min(AWAY_MOST_MS));
+                let told = told.map_or(0.0, |t| (t.as_secs_f64() * 1_000.0).min(MAX_RETRY_AFTER_MS));
                 let away = call.at_ms + self.round_ms().max(pause) / self.again() - self.slot_ms();
                 self.not_before_ms = self.not_before_ms.max(now_ms + told).max(away);
             }
--- a/crates/cold-start/src/lib.rs
+++ b/crates/cold-start/src/lib.rs
@@ -23,5 +23,5 @@
 pub use calendar::Calendar;
 pub use calls::{Call, Calls, Came};
 pub use openings::{Openings, Stage};
-pub use share::{Share, LEAST};
+pub use share::{Share, MIN_SHARE};
 pub use waves::{Turn, Waves};
--- a/crates/cold-start/src/openings.rs
+++ b/crates/cold-start/src/openings.rs
@@ -4,16 +4,16 @@
 use std::fmt;
 use std::time::Duration;
 
-use routing::{Subset, HOME_LEAST};
+use routing::{Subset, MIN_SUBSET_SIZE};
 
 use crate::Calendar;
 
 /// So many backends are opened while the list is unconfirmed, in the first round; twice as many in the next.
-const FEW: usize = HOME_LEAST;
+const FEW: usize = MIN_SUBSET_SIZE;
 /// Attempts that are out at once for each further backend that is opened.
 const BUSY: usize = 2;
 /// The rounds after which `FEW` is doubled no more.
-const DOUBLED_MOST: u64 = 20;
+const MAX_DOUBLINGS: u64 = 20;
 /// After so many rounds with a list that was confirmed all of it is told, whatever is not open by then.
 const RELEASED_ROUNDS: f64 = 2.0;
 /// Pause after a first try that failed, ms: the least, and the most where a round is shorter.
@@ -226,7 +226,7 @@
     fn wanted(&self, now_ms: f64, out: usize) -> usize {
         let until = self.confirmed_ms.unwrap_or(now_ms);
         let rounds = ((until - self.begun_ms).max(0.0) / self.round_ms) as u64;
-        let few = FEW.saturating_mul(1 << rounds.min(DOUBLED_MOST));
+        let few = FEW.saturating_mul(1 << rounds.min(MAX_DOUBLINGS));
         few.saturating_add(out / BUSY).saturating_add(self.faults)
     }
 
--- a/crates/cold-start/src/share.rs
+++ b/crates/cold-start/src/share.rs
@@ -2,7 +2,7 @@
 
 /// The least part. Danger: a service that was away for long, and a fleet that asks no more. Harm: a service
 /// that bears less than this part of what operators say is called more than it bears.
-pub const LEAST: f64 = 1.0 / 16.0;
+pub const MIN_SHARE: f64 = 1.0 / 16.0;
 /// What an answer adds, of the whole.
 const RISE: f64 = 1.0 / 128.0;
 /// What one that came at once leaves, of the part: the service has room.
@@ -12,7 +12,7 @@
 /// An answer that took so long, ms, came at once, and one that took longer than this stood in a queue.
 const QUEUE_MS: (f64, f64) = (100.0, 1_000.0);
 
-/// The part of its rounds that a gateway takes, from [`LEAST`] to 1. Additive rise and multiplicative fall
+/// The part of its rounds that a gateway takes, from [`MIN_SHARE`] to 1. Additive rise and multiplicative fall
 /// come to rest at what is borne, evenly, without anybody's being told (Chiu and Jain, 1989); where an
 /// answer's time tells more, the part follows sooner.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,10 +31,10 @@
 }
 
 impl Share {
-    /// One that begins with a part, [`LEAST`] to 1.
+    /// One that begins with a part, [`MIN_SHARE`] to 1.
     #[must_use]
     pub fn of(part: f64) -> Share {
-        Share { part: part.clamp(LEAST, 1.0), ..Share::default() }
+        Share { part: part.clamp(MIN_SHARE, 1.0), ..Share::default() }
     }
 
     /// The part now.
@@ -70,6 +70,6 @@
     }
 
     fn fall(&mut self) {
-        self.part = (self.part * FALL).max(LEAST);
+        self.part = (self.part * FALL).max(MIN_SHARE);
     }
 }
--- a/crates/cold-start/src/waves.rs
+++ b/crates/cold-start/src/waves.rs
@@ -20,7 +20,7 @@
 /// How long one that fetches the list may take, ms, before another does.
 const FETCH_MS: f64 = 5_000.0;
 /// Gateways that are held at most; further ones keep to their slots.
-const STARTERS_MOST: usize = 10_000;
+const MAX_STARTING_GATEWAYS: usize = 10_000;
 
 /// What one that starts is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -118,7 +118,7 @@
             Some(State::Had) => return Turn::Slots,
             // One that crashed while it waited keeps its place.
             Some(State::Waits(place)) => place,
-            None if self.starters.len() >= STARTERS_MOST => return Turn::Slots,
+            None if self.starters.len() >= MAX_STARTING_GATEWAYS => return Turn::Slots,
             None => {
                 self.next += 1;
                 self.line.insert(self.next, name.to_string());
--- a/crates/cold-start/tests/calls.rs
+++ b/crates/cold-start/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cold_start::{Calendar, Calls, Came, Share, LEAST};
+use cold_start::{Calendar, Calls, Came, Share, MIN_SHARE};
 
 /// In the middle of a round of 300 gateways at 50 calls a second, 6.67 s.
 const NOW_MS: f64 = 1_764_000_123_457.0;
@@ -121,7 +121,7 @@
     share.answered(Some(1_500.0));
     assert_eq!(share.part(), 0.5);
     (0..20).for_each(|_| share.refused(true));
-    assert_eq!(share.part(), LEAST);
+    assert_eq!(share.part(), MIN_SHARE);
     (0..4).for_each(|_| share.answered(Some(5.0)));
     assert_eq!(share.part(), 1.0);
 }
--- a/crates/dns-sd/src/answer.rs
+++ b/crates/dns-sd/src/answer.rs
@@ -9,9 +9,9 @@
 /// The largest answer that is asked for by UDP, bytes (RFC 6891; what passes most paths in one piece).
 pub const PAYLOAD: u16 = 1_232;
 /// The longest chain of aliases that is followed. Danger: chains that lead back to themselves.
-pub const CHAIN_MOST: usize = 8;
+pub const MAX_ALIAS_CHAIN: usize = 8;
 /// The longest TTL that is one; what is above counts as 0 (RFC 2181, section 8).
-const TTL_MOST: u32 = i32::MAX as u32;
+const MAX_TTL_SECONDS: u32 = i32::MAX as u32;
 
 /// Types of records that are asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -169,7 +169,7 @@
             BadAnswer::NoAnswer => write!(f, "no answer to a query"),
             BadAnswer::Code(code) => write!(f, "the resolver says {code}"),
             BadAnswer::Referral => write!(f, "a referral, and no answer"),
-            BadAnswer::Chain => write!(f, "more than {CHAIN_MOST} aliases, or a loop of them"),
+            BadAnswer::Chain => write!(f, "more than {MAX_ALIAS_CHAIN} aliases, or a loop of them"),
         }
     }
 }
@@ -234,7 +234,7 @@
 }
 
 fn ttl(told: u32) -> u32 {
-    if told > TTL_MOST {
+    if told > MAX_TTL_SECONDS {
         0
     } else {
         told
@@ -243,8 +243,8 @@
 
 /// Follows aliases; gives the last name and the least of their lifetimes.
 fn aliased<'a>(answers: &'a [Record], from: &'a Name) -> Result<(&'a Name, u32), BadAnswer> {
-    let (mut name, mut least) = (from, TTL_MOST);
-    for _ in 0..=CHAIN_MOST {
+    let (mut name, mut least) = (from, MAX_TTL_SECONDS);
+    for _ in 0..=MAX_ALIAS_CHAIN {
         let next = answers.iter().find_map(|r| match &r.data {
             RData::CNAME(to) if r.name == *name && r.dns_class == DNSClass::IN => Some((&to.0, r.ttl)),
             _ => None,
--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -11,9 +11,9 @@
 use crate::traits::Traits;
 
 /// The most instances of a list. Danger: an answer that fills the memory; what is above is dropped.
-pub const INSTANCES_MOST: usize = 20_000;
+pub const MAX_INSTANCES: usize = 20_000;
 /// The longest name of an instance, bytes: a label of DNS.
-const LABEL_MOST: usize = 63;
+const MAX_LABEL_BYTES: usize = 63;
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
@@ -177,8 +177,8 @@
                     aside(instance, "another instance has that name".to_string());
                     continue;
                 }
-                if named.len() >= INSTANCES_MOST && !self.listed.contains_key(&name) {
-                    aside(instance, format!("there are {INSTANCES_MOST} already"));
+                if named.len() >= MAX_INSTANCES && !self.listed.contains_key(&name) {
+                    aside(instance, format!("there are {MAX_INSTANCES} already"));
                     continue;
                 }
                 follow(instance, now, cache, &mut reading.wanted);
@@ -267,7 +267,7 @@
 
 /// The first label of an instance's name, which is text (RFC 6763, section 4.1.1).
 fn label(instance: &Name) -> Result<String, &'static str> {
-    let first = instance.iter().next().filter(|l| l.len() <= LABEL_MOST).ok_or("it has no name")?;
+    let first = instance.iter().next().filter(|l| l.len() <= MAX_LABEL_BYTES).ok_or("it has no name")?;
     let text = std::str::from_utf8(first).map_err(|_| "its name is no UTF-8")?;
     if text.chars().any(char::is_control) {
         return Err("its name has control characters");
--- a/crates/dns-sd/src/lib.rs
+++ b/crates/dns-sd/src/lib.rs
@@ -20,8 +20,10 @@
 mod catalogue;
 mod traits;
 
-pub use answer::{ask, read, Absence, Answer, BadAnswer, Data, Kind, Question, Service, CHAIN_MOST, PAYLOAD};
+pub use answer::{
+    ask, read, Absence, Answer, BadAnswer, Data, Kind, Question, Service, MAX_ALIAS_CHAIN, PAYLOAD,
+};
 pub use cache::{Bounds, Cache, Due, Known, State};
-pub use catalogue::{Catalogue, Change, Dropped, Endpoint, Reading, INSTANCES_MOST};
+pub use catalogue::{Catalogue, Change, Dropped, Endpoint, Reading, MAX_INSTANCES};
 pub use hickory_proto::rr::Name;
 pub use traits::{BadText, Status, Traits};
--- a/crates/dns-sd/src/traits.rs
+++ b/crates/dns-sd/src/traits.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// The longest value, characters.
-const VALUE_MOST: usize = 64;
+const MAX_VALUE_BYTES: usize = 64;
 
 /// Whether an instance takes work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,7 +57,7 @@
         let bad = |key, wanted| move || BadText { key, wanted };
         let word = |key, value: &[u8]| {
             let text = std::str::from_utf8(value).ok();
-            let fits = |t: &&str| t.chars().count() <= VALUE_MOST && !t.chars().any(char::is_control);
+            let fits = |t: &&str| t.chars().count() <= MAX_VALUE_BYTES && !t.chars().any(char::is_control);
             text.filter(fits).map(str::to_string).ok_or_else(bad(key, "a word of 64 characters at most"))
         };
         let digits = |value: &[u8]| -> Option<u64> {
--- a/crates/endpoint-sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -17,13 +17,13 @@
 /// thousands of answers, each followed by a walk over all of them.
 const READ_AGAIN: (Duration, u32) = (Duration::from_millis(20), 10);
 /// The list is read so often even if nothing was answered: ages are told by it.
-const READ_MOST: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Of these, so many at most are told: a tool's line has an end.
-const RECORDS_MOST: usize = 10_000;
-const FAILING_MOST: usize = 100;
-const DROPPED_MOST: usize = 1_000;
+const MAX_REPORTED_RECORDS: usize = 10_000;
+const MAX_REPORTED_FAILURES: usize = 100;
+const MAX_REPORTED_DROPPED: usize = 1_000;
 /// How long an instance whose records are not all known may hold up the first list.
-const FIRST_MOST: Duration = Duration::from_secs(10);
+const MAX_FIRST_WAIT: Duration = Duration::from_secs(10);
 
 /// What is followed, and how.
 #[derive(Clone, Debug)]
@@ -145,13 +145,13 @@
         self.alarms(now, reading.held, say);
         (self.dropped, self.pending) = (reading.dropped, (reading.pending, reading.unknown));
         let (pending, unknown) = self.pending;
-        let whole = unknown == 0 && (pending == 0 || now > FIRST_MOST.as_secs_f64() * 1_000.0);
+        let whole = unknown == 0 && (pending == 0 || now > MAX_FIRST_WAIT.as_secs_f64() * 1_000.0);
         if whole && !self.ready {
             self.ready = true;
             say(format!("the list is known: {} instances", self.catalogue.list().count()));
         }
         self.cost = begun.elapsed();
-        self.read_at = Instant::now() + READ_MOST.max(self.cost * READ_AGAIN.1);
+        self.read_at = Instant::now() + READ_TIMEOUT.max(self.cost * READ_AGAIN.1);
         self.ready.then(|| self.catalogue.list().map(line).collect())
     }
 
@@ -179,7 +179,7 @@
         (self.failing, self.held) = (failing, held);
     }
 
-    /// How the list stands, with the records that are followed, [`RECORDS_MOST`] at most, if they are wanted.
+    /// How the list stands, with the records that are followed, [`MAX_REPORTED_RECORDS`] at most, if they are wanted.
     #[must_use]
     pub fn report(&self, records: bool) -> ListState {
         let now = self.now();
@@ -198,8 +198,8 @@
         };
         let mut failing: Vec<Unanswered> = self.cache.failing().map(unanswered).collect();
         failing.sort_by(|a, b| b.for_ms.total_cmp(&a.for_ms));
-        failing.truncate(FAILING_MOST);
-        let dropped = self.dropped.iter().take(DROPPED_MOST);
+        failing.truncate(MAX_REPORTED_FAILURES);
+        let dropped = self.dropped.iter().take(MAX_REPORTED_DROPPED);
         let (pending, unknown) = self.pending;
         ListState {
             list: self.catalogue.list().map(|(name, e)| listed(now, name, e)).collect(),
@@ -210,7 +210,12 @@
             unknown,
             asked: self.asked,
             known: self.ready,
-            records: self.cache.lives(now).map(record).take(if records { RECORDS_MOST } else { 0 }).collect(),
+            records: self
+                .cache
+                .lives(now)
+                .map(record)
+                .take(if records { MAX_REPORTED_RECORDS } else { 0 })
+                .collect(),
         }
     }
 
--- a/crates/endpoint-sources/src/lib.rs
+++ b/crates/endpoint-sources/src/lib.rs
@@ -18,4 +18,4 @@
 pub use follow::{follow, Ask, Following, Settings};
 pub use resolver::{Answered, Resolver, Unanswered};
 pub use serve::serve;
-pub use table::{Line, Table, TOMBSTONES_MOST};
+pub use table::{Line, Table, MAX_TOMBSTONES};
--- a/crates/endpoint-sources/src/resolver.rs
+++ b/crates/endpoint-sources/src/resolver.rs
@@ -13,7 +13,7 @@
 
 /// Datagrams that may be passed over as not meant for us, for one question. Danger: a flood of forged ones
 /// that keeps us reading for good.
-const STRANGE_MOST: usize = 64;
+const MAX_UNEXPECTED_DATAGRAMS: usize = 64;
 
 /// An answer, and how it was had.
 #[derive(Clone, Debug)]
@@ -124,7 +124,7 @@
     socket.send(bytes).await.map_err(failed)?;
     let mut buffer = vec![0; usize::from(u16::MAX)];
     let mut last = None;
-    for _ in 0..STRANGE_MOST {
+    for _ in 0..MAX_UNEXPECTED_DATAGRAMS {
         let length = socket.recv(&mut buffer).await.map_err(failed)?;
         match read(&buffer[..length], id, question) {
             Ok(answer) => return Ok(answer),
@@ -132,7 +132,7 @@
             Err(bad) => return Err(bad.to_string()),
         }
     }
-    Err(format!("{STRANGE_MOST} datagrams that were not meant for it; {}", said(last)))
+    Err(format!("{MAX_UNEXPECTED_DATAGRAMS} datagrams that were not meant for it; {}", said(last)))
 }
 
 fn said(last: Option<BadAnswer>) -> String {
--- a/crates/endpoint-sources/src/serve.rs
+++ b/crates/endpoint-sources/src/serve.rs
@@ -19,17 +19,17 @@
 use crate::table::Table;
 
 /// Connections at once, each gateway's one and some more; further ones wait in the listener's line.
-const CONNECTIONS_MOST: usize = 12_000;
+const MAX_CONNECTIONS: usize = 12_000;
 /// The longest that a watch waits, ms.
-const WAIT_MOST: u64 = 60_000;
+const MAX_WATCH_WAIT_MS: u64 = 60_000;
 /// How long a connection may take for the head of a request, and say nothing between two.
-const HEAD_MOST: Duration = Duration::from_secs(75);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(75);
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves the list until the task ends. Cancelling closes the listener; answers under way go on.
 pub async fn serve(listener: TcpListener, table: watch::Receiver<Arc<Table>>) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
         let stream = match listener.accept().await {
@@ -45,7 +45,7 @@
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| answer(request, table.clone()));
             let mut http = http1::Builder::new();
-            http.timer(TokioTimer::new()).header_read_timeout(HEAD_MOST);
+            http.timer(TokioTimer::new()).header_read_timeout(REQUEST_HEAD_TIMEOUT);
             // Whatever ends the connection, there is nobody left to tell.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
             drop(place);
@@ -72,7 +72,7 @@
         return Ok(plain(StatusCode::BAD_REQUEST, "after and wait_ms are whole numbers"));
     };
     if let Some(after) = after {
-        let wait = Duration::from_millis(wait.unwrap_or(0).min(WAIT_MOST));
+        let wait = Duration::from_millis(wait.unwrap_or(0).min(MAX_WATCH_WAIT_MS));
         let newer = table.wait_for(|t| t.known() && !t.current(after));
         // Nothing new in time is told as just that.
         let _ = timeout(wait, newer).await;
--- a/crates/endpoint-sources/src/table.rs
+++ b/crates/endpoint-sources/src/table.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Names that left and are remembered. A reader from before the oldest of them gets the whole list.
-pub const TOMBSTONES_MOST: usize = 10_000;
+pub const MAX_TOMBSTONES: usize = 10_000;
 
 /// A line of the list, as the discovery protocol has it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -106,11 +106,11 @@
     fn forget(&mut self) {
         let gone = self.lines.iter().filter(|(_, (_, line))| line.status == "DELETED");
         let mut gone: Vec<(u64, String)> = gone.map(|(name, (at, _))| (*at, name.clone())).collect();
-        if gone.len() <= TOMBSTONES_MOST {
+        if gone.len() <= MAX_TOMBSTONES {
             return;
         }
         gone.sort_unstable();
-        gone.truncate(gone.len() - TOMBSTONES_MOST);
+        gone.truncate(gone.len() - MAX_TOMBSTONES);
         for (at, name) in gone {
             self.horizon = self.horizon.max(at);
             self.lines.remove(&name);
@@ -192,10 +192,10 @@
     #[test]
     fn names_that_came_and_went_are_bounded_and_a_reader_from_before_gets_all() {
         let mut table = Table::new(0);
-        for i in 0..(TOMBSTONES_MOST / 50 + 3) as u64 {
+        for i in 0..(MAX_TOMBSTONES / 50 + 3) as u64 {
             table.replace((0..50).map(|n| line(&format!("x{i}-{n}"), 1)).collect());
         }
-        assert!(table.lines.len() <= TOMBSTONES_MOST + 50, "{}", table.lines.len());
+        assert!(table.lines.len() <= MAX_TOMBSTONES + 50, "{}", table.lines.len());
         assert!(table.news(Some(1)).snapshot);
         assert!(!table.news(Some(table.index() - 1)).snapshot);
     }
--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -9,9 +9,9 @@
 use crate::order::{Change, Order, Outcome, Revision, Subject};
 
 /// The most registers that a state holds. An order for one more is refused.
-pub const REGISTERS_MOST: usize = 5_000;
+pub const MAX_REGISTERS: usize = 5_000;
 /// Orders whose first result is remembered. Older ones are still told by their revision.
-const RESULTS_MOST: usize = 4_096;
+const MAX_REMEMBERED_RESULTS: usize = 4_096;
 
 /// What of a subject a register holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -129,7 +129,7 @@
             return first.clone();
         }
         let outcome = self.settle(order);
-        if self.recent.len() >= RESULTS_MOST {
+        if self.recent.len() >= MAX_REMEMBERED_RESULTS {
             self.recent.pop_front().into_iter().for_each(|id| drop(self.results.remove(&id)));
         }
         self.recent.push_back(order.id.clone());
@@ -143,7 +143,7 @@
         }
         let (subject, revision, id) = (order.subject.clone(), order.revision, order.id.clone());
         let register = Register { subject: subject.clone(), revision, id, value: order.change.into() };
-        let room = self.registers.len() < REGISTERS_MOST;
+        let room = self.registers.len() < MAX_REGISTERS;
         match self.registers.entry((subject, register.value.aspect())) {
             Entry::Occupied(held) if *held.get() == register => Outcome::Applied,
             Entry::Occupied(held) if !register.newer(held.get()) => Outcome::Superseded(held.get().revision),
@@ -155,7 +155,7 @@
             }
             // Danger: orders for ever new names that fill the memory.
             Entry::Vacant(_) if !room => {
-                Outcome::Refused(format!("{REGISTERS_MOST} subjects are ordered already"))
+                Outcome::Refused(format!("{MAX_REGISTERS} subjects are ordered already"))
             }
             Entry::Vacant(free) => {
                 free.insert(register);
@@ -167,7 +167,7 @@
     /// Takes a whole state in: of both, what is newer holds. Tells whether anything changed.
     ///
     /// What one side holds and the other settled below its floor without naming it is over. More than
-    /// [`REGISTERS_MOST`] are cut off from the oldest revision, which no honest writer makes.
+    /// [`MAX_REGISTERS`] are cut off from the oldest revision, which no honest writer makes.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
         let (before, floor) = (self.snapshot(), self.floor);
         let theirs: BTreeMap<(Subject, Aspect), &Register> =
@@ -188,10 +188,10 @@
             }
         }
         (self.since, self.floor) = (self.since.max(snapshot.since), floor.max(snapshot.floor));
-        if self.registers.len() > REGISTERS_MOST {
+        if self.registers.len() > MAX_REGISTERS {
             let mut revisions: Vec<Revision> = self.registers.values().map(|r| r.revision).collect();
             revisions.sort_unstable();
-            let least = revisions[revisions.len() - REGISTERS_MOST];
+            let least = revisions[revisions.len() - MAX_REGISTERS];
             self.registers.retain(|_, r| r.revision >= least);
         }
         self.snapshot() != before
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -18,8 +18,8 @@
 mod order;
 pub mod wire;
 
-pub use desired::{Aspect, Desired, Effect, Register, Snapshot, Value, REGISTERS_MOST};
+pub use desired::{Aspect, Desired, Effect, Register, Snapshot, Value, MAX_REGISTERS};
 pub use guard::{guard, Backend, Counts, TooFew};
 pub use member::{Health, Member, Sighting};
-pub use name::{BadName, Name, OrderId, NAME_MOST, ORDER_ID_MOST};
-pub use order::{BadOrder, Change, Order, Outcome, Revision, Subject, WEIGHT_LEAST, WEIGHT_MOST};
+pub use name::{BadName, Name, OrderId, MAX_NAME_BYTES, MAX_ORDER_ID_BYTES};
+pub use order::{BadOrder, Change, Order, Outcome, Revision, Subject, MAX_WEIGHT, MIN_WEIGHT};
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest name of a backend, type or gateway, bytes: that of a domain name (RFC 1035, section 2.3.4).
-pub const NAME_MOST: usize = 253;
+pub const MAX_NAME_BYTES: usize = 253;
 /// The longest id of an order, bytes.
-pub const ORDER_ID_MOST: usize = 64;
+pub const MAX_ORDER_ID_BYTES: usize = 64;
 
 /// A name that can't be one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -82,11 +82,11 @@
 }
 
 text!(
-    /// Name of a backend, a type of backends or a gateway: 1 to [`NAME_MOST`] bytes, no white space and no
+    /// Name of a backend, a type of backends or a gateway: 1 to [`MAX_NAME_BYTES`] bytes, no white space and no
     /// control characters.
-    Name, "name", NAME_MOST, |c| !c.is_whitespace() && !c.is_control()
+    Name, "name", MAX_NAME_BYTES, |c| !c.is_whitespace() && !c.is_control()
 );
 text!(
-    /// Id of an order, given by whoever made it: 1 to [`ORDER_ID_MOST`] letters, digits, `.`, `_`, `-`, `:`.
-    OrderId, "order id", ORDER_ID_MOST, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
+    /// Id of an order, given by whoever made it: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
+    OrderId, "order id", MAX_ORDER_ID_BYTES, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
 );
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -8,9 +8,9 @@
 use crate::name::{BadName, Name, OrderId};
 
 /// The least weight. Less is a drain, and is to be ordered as one.
-pub const WEIGHT_LEAST: f64 = 0.01;
+pub const MIN_WEIGHT: f64 = 0.01;
 /// The most weight.
-pub const WEIGHT_MOST: f64 = 100.0;
+pub const MAX_WEIGHT: f64 = 100.0;
 
 /// Place of an order among all orders: by term, then by sequence. A term has one writer, so no two orders
 /// share a revision; a replicated log gives both as Raft does (Ongaro and Ousterhout 2014, section 5).
@@ -98,7 +98,7 @@
     Drain,
     /// Takes the subject's own drain back.
     Undrain,
-    /// Share of new work against other backends of weight 1: [`WEIGHT_LEAST`] to [`WEIGHT_MOST`].
+    /// Share of new work against other backends of weight 1: [`MIN_WEIGHT`] to [`MAX_WEIGHT`].
     Weight(f64),
 }
 
@@ -172,7 +172,7 @@
         if !matches!(subject, Subject::Backend(_)) {
             return Err(BadOrder::WeightOf(subject.clone()));
         }
-        if (WEIGHT_LEAST..=WEIGHT_MOST).contains(&weight) {
+        if (MIN_WEIGHT..=MAX_WEIGHT).contains(&weight) {
             Ok(())
         } else {
             Err(BadOrder::Weight(weight))
@@ -195,7 +195,7 @@
                 write!(f, "a subject is NAME, backend/NAME, group/NUMBER, type/NAME or gateway/NAME")
             }
             BadOrder::Weight(w) => {
-                write!(f, "weight {w}: {WEIGHT_LEAST} to {WEIGHT_MOST} is wanted; for none, drain")
+                write!(f, "weight {w}: {MIN_WEIGHT} to {MAX_WEIGHT} is wanted; for none, drain")
             }
             BadOrder::WeightOf(subject) => write!(f, "{subject} has no weight; a backend has"),
         }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -13,13 +13,13 @@
 use crate::order::{Change, Order, Outcome, Revision, Subject};
 
 /// The longest line that a gateway or an agent takes, bytes: a snapshot of all the registers fits.
-pub const LINE_MOST: usize = 4 << 20;
+pub const MAX_LINE_BYTES: usize = 4 << 20;
 /// The longest line that a person's tool may send to an agent, bytes.
-pub const TOOL_LINE_MOST: usize = 64 << 10;
+pub const MAX_TOOL_LINE_BYTES: usize = 64 << 10;
 /// The longest list that is handed to gateways that start, bytes.
-pub const START_LIST_MOST: usize = 2 << 20;
+pub const MAX_START_LIST_BYTES: usize = 2 << 20;
 /// The most orders of one [`GatewayAsk::Apply`].
-pub const ORDERS_MOST: usize = 512;
+pub const MAX_ORDERS_PER_REQUEST: usize = 512;
 
 /// A question with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
         #[serde(default)]
         backends: bool,
     },
-    /// To take orders in, at most [`ORDERS_MOST`].
+    /// To take orders in, at most [`MAX_ORDERS_PER_REQUEST`].
     Apply {
         /// The orders.
         orders: Vec<Order>,
@@ -390,7 +390,7 @@
     pub came: FirstCame,
     /// After so long, ms.
     pub took_ms: f64,
-    /// The whole list with its version, where it was to be fetched; [`START_LIST_MOST`] bytes at most.
+    /// The whole list with its version, where it was to be fetched; [`MAX_START_LIST_BYTES`] bytes at most.
     pub list: Option<(u64, String)>,
 }
 
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -91,7 +91,7 @@
 #[test]
 fn a_state_holds_so_many_registers_and_no_more() {
     let mut state = Desired::default();
-    for i in 1..=REGISTERS_MOST as u64 {
+    for i in 1..=MAX_REGISTERS as u64 {
         let o = order(&format!("o{i}"), i, &format!("s-{i}"), Change::Drain);
         assert_eq!(state.apply(&o), Outcome::Applied);
     }
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, LINE_MOST};
+use fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, MAX_LINE_BYTES};
 use fleet::Name;
 use operator_config::{Address, Admin};
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use crate::input::Input;
 
 /// Connections at once: they take their descriptors from those that are kept for the runtime.
-const CONNECTIONS_MOST: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 /// How long a connection may say nothing.
-const QUIET_MOST: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long an answer may take to be written.
-const WRITE_MOST: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a registration may take.
-const REGISTER_MOST: Duration = Duration::from_secs(2);
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between registrations: after one that failed, and after one that did not.
 const REGISTER_EVERY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
 /// Pause after a connection could not be accepted.
@@ -27,12 +27,12 @@
 
 /// Opens the listener for a gateway of this name.
 pub async fn listen(admin: &Admin, name: &str) -> Result<Listener, BindError> {
-    Listener::bind(&admin.listen.of(name), admin.tls.as_ref(), LINE_MOST).await
+    Listener::bind(&admin.listen.of(name), admin.tls.as_ref(), MAX_LINE_BYTES).await
 }
 
 /// Takes connections until the task ends. Each asks one thing after the other.
 pub async fn serve(listener: Listener, inbox: mpsc::Sender<Input>) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         // Danger: connections that nobody closes. Those beyond the places wait in the listener's line.
         let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
@@ -60,7 +60,7 @@
 pub async fn register(agent: Address, name: Name, admin: Address, dialer: Dialer) {
     let mut told = String::new();
     loop {
-        let said = match timeout(REGISTER_MOST, tell(&agent, &name, &admin, &dialer)).await {
+        let said = match timeout(REGISTER_TIMEOUT, tell(&agent, &name, &admin, &dialer)).await {
             Ok(Ok(())) => String::new(),
             Ok(Err(why)) => why,
             Err(_) => "no answer in time".to_string(),
@@ -75,7 +75,7 @@
 }
 
 async fn tell(agent: &Address, name: &Name, admin: &Address, dialer: &Dialer) -> Result<(), String> {
-    let lines = dialer.connect(agent, REGISTER_MOST, LINE_MOST).await;
+    let lines = dialer.connect(agent, REGISTER_TIMEOUT, MAX_LINE_BYTES).await;
     let mut lines = lines.map_err(|e| e.to_string())?;
     let body = Ask::Register { name: name.clone(), address: admin.to_string() };
     lines.send(&Numbered { n: 1, body }).await.map_err(|e| e.to_string())?;
@@ -89,7 +89,7 @@
 
 async fn talk(mut lines: Lines, inbox: mpsc::Sender<Input>) {
     loop {
-        let (n, said, last) = match timeout(QUIET_MOST, lines.next::<Numbered<GatewayAsk>>()).await {
+        let (n, said, last) = match timeout(IDLE_TIMEOUT, lines.next::<Numbered<GatewayAsk>>()).await {
             Ok(Ok(Some(Numbered { n, body }))) => {
                 let (say, said) = oneshot::channel();
                 if inbox.send(Input::Asked { ask: body, say }).await.is_err() {
@@ -106,7 +106,7 @@
             }
             Ok(Ok(None) | Err(LineError::Broken(_))) | Err(_) => return,
         };
-        let written = timeout(WRITE_MOST, lines.send(&Numbered { n, body: said })).await;
+        let written = timeout(WRITE_TIMEOUT, lines.send(&Numbered { n, body: said })).await;
         if last || !matches!(written, Ok(Ok(()))) {
             return;
         }
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -14,16 +14,16 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-use crate::long::{Passing, PIECE_MOST, SILENT_MOST};
+use crate::long::{Passing, MAX_CHUNK_BYTES, STREAM_IDLE_TIMEOUT};
 use crate::resp::{self, Lead};
 
 /// Part of the idle time that a backend allows after which a connection is not used again: the
 /// backend's clock began earlier than the gateway's.
 const IDLE_PART: f64 = 0.8;
 /// How long an answer that has begun may pause. Peers write in pieces, and may take seconds for all of them.
-const PAUSE_MOST: Duration = Duration::from_millis(250);
+const REPLY_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long what stands behind a value that was passed on may take.
-const WHOLE_MOST: Duration = Duration::from_millis(250);
+const COMPLETE_FRAME_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a connection that has answered rests before the next request.
 ///
 /// Danger: a second answer to the last request, some milliseconds late, taken for that to the next. One that
@@ -31,7 +31,7 @@
 /// where no other connection is idle.
 const REST: Duration = Duration::from_millis(20);
 /// The most connections to one backend. More requests than that would only wait there.
-const CONNECTIONS_MOST: usize = 160;
+const MAX_CONNECTIONS: usize = 160;
 /// The most at first, where connections follow answers.
 const CONNECTIONS_FIRST: usize = 1;
 
@@ -157,7 +157,7 @@
             last_turn: 0,
             places: Arc::new(Semaphore::new(connections)),
             idle_most,
-            first: (CONNECTIONS_MOST, Duration::ZERO),
+            first: (MAX_CONNECTIONS, Duration::ZERO),
             connect_limit,
         }
     }
@@ -177,7 +177,7 @@
 
     /// A backend has answered.
     pub fn answered(&mut self, backend: u32, now: Instant) {
-        let grows = |p: &&mut Pool| p.most < CONNECTIONS_MOST && p.grows_from <= now;
+        let grows = |p: &&mut Pool| p.most < MAX_CONNECTIONS && p.grows_from <= now;
         if let Some(pool) = self.pools.get_mut(&backend).filter(grows) {
             pool.most += 1;
             pool.places.add_permits(1);
@@ -218,7 +218,7 @@
         self.generations += 1;
         // One that started anew has answered nothing.
         let (first, time) = self.first;
-        let same = old.filter(|p| p.started == started || first == CONNECTIONS_MOST);
+        let same = old.filter(|p| p.started == started || first == MAX_CONNECTIONS);
         let (places, most, grows_from) = same.map_or_else(
             || (Arc::new(Semaphore::new(first)), first, Instant::now() + time),
             |p| (Arc::clone(&p.places), p.most, p.grows_from),
@@ -387,7 +387,7 @@
         };
         let answer = match passed {
             Ok(put_before) => {
-                timeout_at(until.max(Instant::now() + WHOLE_MOST), self.whole(put_before)).await
+                timeout_at(until.max(Instant::now() + COMPLETE_FRAME_TIMEOUT), self.whole(put_before)).await
             }
             Err(outcome) => return (Reply::failed(outcome), None),
         };
@@ -418,7 +418,7 @@
 
     /// More of an answer that has begun.
     async fn more_soon(&mut self) -> Result<(), Outcome> {
-        timeout(PAUSE_MOST, self.more()).await.unwrap_or(Err(Outcome::Error))
+        timeout(REPLY_PAUSE_TIMEOUT, self.more()).await.unwrap_or(Err(Outcome::Error))
     }
 
     /// Passes a value on as it comes.
@@ -433,8 +433,8 @@
                 return Ok(());
             }
             // Danger: a buffer that grows by what nobody takes yet.
-            self.buffer = BytesMut::with_capacity(PIECE_MOST);
-            match timeout(SILENT_MOST, self.stream.read_buf(&mut self.buffer)).await {
+            self.buffer = BytesMut::with_capacity(MAX_CHUNK_BYTES);
+            match timeout(STREAM_IDLE_TIMEOUT, self.stream.read_buf(&mut self.buffer)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 _ => return Err(Outcome::Reset),
             }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -22,20 +22,20 @@
 use crate::resp::{self, Answer, Command};
 
 /// Commands of one connection that may wait for their answers; more are not read.
-const PIPELINE_MOST: usize = 32;
+const MAX_PIPELINED_COMMANDS: usize = 32;
 /// A client that takes no bytes for so long is gone.
-const WRITE_MOST: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a client that was told an error may take to close after the gateway has, and what it may
 /// still send.
 const LINGER: (Duration, usize) = (Duration::from_millis(200), 256 * 1024);
 /// Connections that were turned away and linger, at most: they have no place.
-const LINGER_MOST: usize = 4;
+const MAX_LINGERING: usize = 4;
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// How long connections go on as before when the gateway is drained: new ones still come meanwhile.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// How long a connection that is opened later has for its first command.
-const FRESH_MOST: Duration = Duration::from_millis(500);
+const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection that is to close waits for one more command, to close right behind its answer.
 ///
 /// Danger: a command that crosses the end of a quiet connection, and is neither answered nor sent elsewhere.
@@ -46,17 +46,17 @@
 /// that is read so late that the process ends before its answer.
 const READ_ON: Duration = Duration::from_millis(700);
 /// How long a command that has begun may take to come whole; clients may take 2 s for a head.
-const WHOLE_MOST: Duration = Duration::from_millis(2_500);
+const COMPLETE_FRAME_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Bytes behind the commands that wait which are read all the same, so that the client's end shows.
-const AHEAD_MOST: usize = 8 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
 /// How long a request may wait for room in the memory.
-const ROOM_MOST: Duration = Duration::from_millis(250);
+const MEMORY_WAIT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How often a client that sends urgent bytes is looked at.
 const ENDED_LOOK: Duration = Duration::from_millis(50);
 /// Buffers larger than this are not kept.
-const BUFFER_MOST: usize = 16 * 1024;
+const MAX_KEPT_BUFFER_BYTES: usize = 16 * 1024;
 /// How long a new connection may wait for a place, and how often one is looked for.
-const PLACE_MOST: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(20));
+const PERMIT_WAIT: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(20));
 
 /// Whether operators have drained the gateway.
 pub type Drained = watch::Receiver<bool>;
@@ -85,7 +85,7 @@
     /// they fall quiet. The listener stays: the platform may hold it as well, and what is in its line would
     /// wait there.
     pub async fn accept(self: Arc<Self>, listener: TcpListener, free: Arc<Semaphore>, most: usize) {
-        let lingering = Arc::new(Semaphore::new(LINGER_MOST));
+        let lingering = Arc::new(Semaphore::new(MAX_LINGERING));
         let mut places = Places { free, seats: Vec::new(), most, lingering };
         let (mut drained, mut closing) = (self.drained.clone(), self.closing.child_token());
         let mut close_at = None;
@@ -178,13 +178,13 @@
     /// A place for a new connection; `None` if none is free, or falls free in time where that is `waited`
     /// for.
     async fn take(&mut self, waited: bool) -> Option<(OwnedSemaphorePermit, Arc<Seat>)> {
-        let until = Instant::now() + PLACE_MOST.0;
+        let until = Instant::now() + PERMIT_WAIT.0;
         let place = loop {
             if !waited {
                 break Arc::clone(&self.free).try_acquire_owned().ok()?;
             }
             self.make_room();
-            match timeout(PLACE_MOST.1, Arc::clone(&self.free).acquire_owned()).await {
+            match timeout(PERMIT_WAIT.1, Arc::clone(&self.free).acquire_owned()).await {
                 Ok(place) => break place.ok()?,
                 Err(_) if Instant::now() < until => {}
                 Err(_) => return None,
@@ -283,11 +283,11 @@
             // Danger: a client that never lets the connection fall quiet. What is not read it sends
             // elsewhere.
             let read_on = self.close_from.is_none_or(|since| since.elapsed() < READ_ON);
-            let reading = !self.last && self.owed.len() < PIPELINE_MOST && read_on;
+            let reading = !self.last && self.owed.len() < MAX_PIPELINED_COMMANDS && read_on;
             // Danger: a client that sends many commands and goes, unseen behind those that wait.
-            let ahead = !self.last && read_on && input.len() < AHEAD_MOST;
+            let ahead = !self.last && read_on && input.len() < MAX_READ_AHEAD_BYTES;
             if self.note(&input, reading) {
-                timer.as_mut().reset(Instant::now() + WHOLE_MOST);
+                timer.as_mut().reset(Instant::now() + COMPLETE_FRAME_TIMEOUT);
             }
             if self.may_close() && !(read_on && self.more(&mut input)) {
                 let _ = timeout(LINGER.0, linger(&mut self.stream)).await;
@@ -330,7 +330,7 @@
                         self.last = true;
                         self.owed.push_back(Owed::Now(Answer::Unknown("command not ended in time")));
                     }
-                    None => timer.as_mut().reset(Instant::now() + WHOLE_MOST),
+                    None => timer.as_mut().reset(Instant::now() + COMPLETE_FRAME_TIMEOUT),
                 }
             }
         }
@@ -356,7 +356,7 @@
     /// just had an answer or time for one more.
     fn may_close(&self) -> bool {
         let asked = self.seat.commands.load(Ordering::Relaxed) > 0;
-        let fresh = !asked && self.seat.opened.elapsed() < FRESH_MOST;
+        let fresh = !asked && self.seat.opened.elapsed() < FIRST_COMMAND_TIMEOUT;
         let waited = self.close_from.is_some_and(|since| since.elapsed() >= QUIET_ON);
         self.close_from.is_some() && self.quiet.is_some() && !fresh && (self.answered || waited)
     }
@@ -364,14 +364,15 @@
     /// When the present state has lasted too long, if it is one that may.
     fn due(&self) -> Option<Instant> {
         let kind = Use::of(self.seat.commands.load(Ordering::Relaxed));
-        let most = if self.close_from.is_some() { kind.most().min(FRESH_MOST) } else { kind.most() };
+        let most =
+            if self.close_from.is_some() { kind.most().min(FIRST_COMMAND_TIMEOUT) } else { kind.most() };
         let quiet = self.quiet.map(|since| since + most);
-        quiet.or(self.begun.map(|since| since + WHOLE_MOST))
+        quiet.or(self.begun.map(|since| since + COMPLETE_FRAME_TIMEOUT))
     }
 
     /// Takes the whole commands off the input; tells whether the client is still there.
     async fn commands(&mut self, input: &mut BytesMut) -> bool {
-        while !self.last && self.owed.len() < PIPELINE_MOST {
+        while !self.last && self.owed.len() < MAX_PIPELINED_COMMANDS {
             let frame = match resp::next(input) {
                 Ok(Some(frame)) => {
                     self.begun = None;
@@ -396,7 +397,7 @@
                     let room = Arc::clone(&self.clients.room).acquire_many_owned(call.size() as u32);
                     let room = tokio::select! {
                         biased;
-                        room = timeout(ROOM_MOST, room) => room,
+                        room = timeout(MEMORY_WAIT_TIMEOUT, room) => room,
                         () = ended(&self.stream) => return false,
                     };
                     let Ok(Ok(room)) = room else {
@@ -419,7 +420,7 @@
     /// Appends the answers that are there and have none before them. Of a value that comes in pieces, the
     /// last that is appended, the head alone.
     fn ready(&mut self, output: &mut BytesMut) -> Option<Long> {
-        while output.len() < BUFFER_MOST {
+        while output.len() < MAX_KEPT_BUFFER_BYTES {
             let answer = match self.owed.pop_front()? {
                 Owed::Now(answer) => answer,
                 Owed::Later(id, mut later) => match later.try_recv() {
@@ -467,7 +468,7 @@
             let (read, mut write) = self.stream.split();
             let written = tokio::select! {
                 biased;
-                written = timeout(WRITE_MOST, write.write(bytes)) => written,
+                written = timeout(WRITE_TIMEOUT, write.write(bytes)) => written,
                 () = ended(read.as_ref()) => return false,
             };
             match written {
@@ -496,7 +497,7 @@
 
 /// Empties a buffer, and gives back what it grew by.
 fn empty(buffer: &mut BytesMut) {
-    if buffer.capacity() > BUFFER_MOST {
+    if buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
         *buffer = BytesMut::new();
     }
     buffer.clear();
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -18,13 +18,13 @@
 /// Connections; the counter holds 32 of a gateway. A slow call holds up those behind it on its own only.
 const CONNECTIONS: usize = 4;
 /// Calls that may wait on one connection; the counter is long lost when there are more.
-const CALLS_MOST: usize = 64;
+const MAX_CALLS_PER_CONNECTION: usize = 64;
 /// Pause after a connection on which the counter was never heard: the first, and the longest.
 const PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 /// The longest line of an answer.
-const LINE_MOST: usize = 128;
+const MAX_LINE_BYTES: usize = 128;
 /// The counter keeps no name longer.
-const LIFE_MOST_MS: f64 = 60_000.0;
+const MAX_KEY_TTL_MS: f64 = 60_000.0;
 
 /// A call.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
     {
         let seen = Seen::new();
         let line = |place| {
-            let (calls, queue) = mpsc::channel(CALLS_MOST);
+            let (calls, queue) = mpsc::channel(MAX_CALLS_PER_CONNECTION);
             let (inbox, seen, out) = (inbox.clone(), seen.clone(), VecDeque::new());
             tokio::spawn(Line { address, wait, queue, inbox, out, place, seen }.run());
             calls
@@ -224,7 +224,7 @@
                         return (heard || waits.alone(self.wait), Some(call));
                     }
                     // Danger: so many that none is taken in any more, and nobody looks at the line again.
-                    if self.out.len() >= CALLS_MOST {
+                    if self.out.len() >= MAX_CALLS_PER_CONNECTION {
                         self.report(call.number, Outcome::Full, 0.0).await;
                         continue;
                     }
@@ -243,7 +243,7 @@
             self.report(number, Outcome::ConnectFailed, 0.0).await;
             return Ok(());
         }
-        let life = life_ms.ceil().clamp(1.0, LIFE_MOST_MS);
+        let life = life_ms.ceil().clamp(1.0, MAX_KEY_TTL_MS);
         let text = format!("bump {name:016x} {amount} {life}\r\n");
         // What could not be written whole, or came too late for that, was not added.
         match timeout_at(at + self.wait, stream.write_all(text.as_bytes())).await {
@@ -266,7 +266,7 @@
             let (number, _) = self.out.pop_front().ok_or(Lost)?;
             self.report(number, answer.0, answer.1).await;
         }
-        if buffer.len() > LINE_MOST {
+        if buffer.len() > MAX_LINE_BYTES {
             return self.spoilt().await;
         }
         Ok(())
@@ -314,7 +314,7 @@
         let call = |number| Call { number, name: 0, amount: 1.0, life_ms: 100.0, at: Instant::now() };
         // More than may be out on it and wait for it; what is taken in is let go on before the next.
         let taken = async {
-            for number in 1..=2 * CALLS_MOST as u64 {
+            for number in 1..=2 * MAX_CALLS_PER_CONNECTION as u64 {
                 if !counter.call(call(number)) {
                     sleep(Duration::from_millis(1)).await;
                 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -36,7 +36,7 @@
 /// Least time between watches that tell nothing; a watch goes on if the next comes within 200 ms.
 const SPACING: Duration = Duration::from_millis(100);
 /// So many lines that are left out are named at most, of one answer.
-const NAMED_MOST: usize = 10;
+const MAX_NAMED_ENDPOINTS: usize = 10;
 
 /// News of the list.
 #[derive(Debug)]
@@ -188,10 +188,10 @@
 
 /// Names the lines of a list that are left out; of many the first.
 pub fn name_wrong(whose: &str, list: &List) {
-    for wrong in list.wrong.iter().take(NAMED_MOST) {
+    for wrong in list.wrong.iter().take(MAX_NAMED_ENDPOINTS) {
         tracing::warn!("{whose}: {wrong}; this line is left out");
     }
-    let more = list.wrong.len().saturating_sub(NAMED_MOST);
+    let more = list.wrong.len().saturating_sub(MAX_NAMED_ENDPOINTS);
     if more > 0 {
         tracing::warn!("{whose}: {more} more lines are left out");
     }
--- a/crates/gateway/src/discovery/line.rs
+++ b/crates/gateway/src/discovery/line.rs
@@ -17,9 +17,9 @@
 use crate::listing::List;
 
 /// The longest answer.
-const BODY_MOST: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 /// Calls into a silent discovery that are out at once, at most.
-const OUT_MOST: u32 = 4;
+const MAX_CALLS_IN_FLIGHT: u32 = 4;
 
 /// A connection to discovery.
 pub struct Line {
@@ -65,7 +65,7 @@
             let told = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.trim().parse().ok());
             return Got::TurnedAway(told.map(Duration::from_secs));
         }
-        let Ok(body) = Limited::new(response.into_body(), BODY_MOST).collect().await else {
+        let Ok(body) = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await else {
             return Got::Lost;
         };
         match List::read(&body.to_bytes()) {
@@ -84,7 +84,7 @@
 /// of one.
 pub async fn reach(agent: SocketAddr, apart: Duration, within: Duration) -> Option<(Line, Got)> {
     let mut out = JoinSet::new();
-    let mut next = interval(apart.max(within / OUT_MOST));
+    let mut next = interval(apart.max(within / MAX_CALLS_IN_FLIGHT));
     // Danger: a gateway that was stopped, and makes all the calls of that time when it goes on.
     next.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/crates/gateway/src/discovery/ordered.rs
+++ b/crates/gateway/src/discovery/ordered.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cold_start::Came;
-use fleet::wire::{Ask, FirstCall, FirstCame, Numbered, Say, Starting, LINE_MOST, START_LIST_MOST};
+use fleet::wire::{Ask, FirstCall, FirstCame, Numbered, Say, Starting, MAX_LINE_BYTES, MAX_START_LIST_BYTES};
 use fleet::Name;
 use operator_config::Address;
 use tokio::sync::{mpsc, oneshot};
@@ -18,7 +18,7 @@
 /// gateway's slots go on meanwhile.
 const ANSWER: Duration = Duration::from_secs(1);
 /// The longest that a turn or the next question may lie ahead.
-const AHEAD_MOST_MS: f64 = 10_000.0;
+const MAX_CALL_DELAY_MS: f64 = 10_000.0;
 
 /// Who orders the start, and of whom.
 #[derive(Clone)]
@@ -97,7 +97,7 @@
         Came::Silent => FirstCame::Silent,
         Came::Older | Came::Broken => FirstCame::Failed,
     };
-    let list = fetched.filter(|(_, text)| text.len() <= START_LIST_MOST);
+    let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
     let call = FirstCall { came, took_ms: took.as_secs_f64() * 1_000.0, list };
     let Ordering { name, boot, .. } = ordering.clone();
     // Without it the agent goes by what others tell it.
@@ -118,7 +118,7 @@
             // Fails only when the gateway ends, as below.
             let _ = say.send(Told::List(list)).await;
         }
-        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, AHEAD_MOST_MS) / 1_000.0);
+        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, MAX_CALL_DELAY_MS) / 1_000.0);
         match (call_in_ms, ask_in_ms) {
             (Some(ms), _) => {
                 sleep(time(ms)).await;
@@ -133,7 +133,7 @@
 
 async fn ask(ordering: &Ordering, body: Ask) -> Result<Say, String> {
     let asked = async {
-        let lines = ordering.dialer.connect(&ordering.agent, ANSWER, LINE_MOST).await;
+        let lines = ordering.dialer.connect(&ordering.agent, ANSWER, MAX_LINE_BYTES).await;
         let mut lines = lines.map_err(|e| e.to_string())?;
         lines.send(&Numbered { n: 1, body }).await.map_err(|e| e.to_string())?;
         match lines.next::<Numbered<Say>>().await.map_err(|e| e.to_string())? {
--- a/crates/gateway/src/driver/overseen.rs
+++ b/crates/gateway/src/driver/overseen.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use fleet::wire::{
-    Applied, BackendState, Code, Fault, Figures, GatewayAsk, GatewaySay, GatewayState, Verdict, ORDERS_MOST,
+    Applied, BackendState, Code, Fault, Figures, GatewayAsk, GatewaySay, GatewayState, Verdict,
+    MAX_ORDERS_PER_REQUEST,
 };
 use fleet::{Desired, OrderId, Subject};
 use gateway_policy::interface::SettingsError;
@@ -52,8 +53,8 @@
         match ask {
             GatewayAsk::State { backends } => GatewaySay::State(self.state(backends)),
             GatewayAsk::Inflight { subject } => GatewaySay::Inflight(self.in_flight(&subject)),
-            GatewayAsk::Apply { orders } if orders.len() > ORDERS_MOST => {
-                let message = format!("{} orders at once; {ORDERS_MOST} at most", orders.len());
+            GatewayAsk::Apply { orders } if orders.len() > MAX_ORDERS_PER_REQUEST => {
+                let message = format!("{} orders at once; {MAX_ORDERS_PER_REQUEST} at most", orders.len());
                 GatewaySay::Fault(Fault::new(Code::BadRequest, message))
             }
             GatewayAsk::Apply { orders } => {
--- a/crates/gateway/src/folder.rs
+++ b/crates/gateway/src/folder.rs
@@ -17,7 +17,7 @@
 /// The file on whose lock those wait that change the book.
 const LOCK: &str = "book.lock";
 /// The largest state that is read, bytes.
-const STATE_MOST: u64 = 16 << 20;
+const MAX_STATE_BYTES: u64 = 16 << 20;
 
 /// The folder, as one process sees it.
 #[derive(Debug)]
@@ -74,7 +74,7 @@
         let path = self.path.join(kind);
         let bytes = match fs::metadata(&path).and_then(|m| {
             // Danger: a file of another program's, larger than the memory.
-            let fits = m.len() <= STATE_MOST;
+            let fits = m.len() <= MAX_STATE_BYTES;
             if fits {
                 fs::read(&path)
             } else {
@@ -113,7 +113,7 @@
             if fs::rename(file.path(), &mine).is_err() {
                 continue;
             }
-            let fits = fs::metadata(&mine).is_ok_and(|m| m.len() <= STATE_MOST);
+            let fits = fs::metadata(&mine).is_ok_and(|m| m.len() <= MAX_STATE_BYTES);
             let bytes = if fits { fs::read(&mine).unwrap_or_default() } else { Vec::new() };
             let _ = fs::remove_file(&mine);
             match sealed::open(kind, &bytes) {
--- a/crates/gateway/src/long.rs
+++ b/crates/gateway/src/long.rs
@@ -9,9 +9,9 @@
 /// What a value in passing takes of the memory at most: a piece that is read, one on its way, one written.
 pub const PASSING: usize = 32 * 1024;
 /// The longest piece.
-pub const PIECE_MOST: usize = 8 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 8 * 1024;
 /// How long a backend in the middle of a value may say nothing.
-pub const SILENT_MOST: Duration = Duration::from_secs(10);
+pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A value that has begun to come.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
 
     /// Passes on what is there of the value; tells whether somebody still takes it.
     pub async fn pass(&mut self, buffer: &mut BytesMut) -> bool {
-        let n = buffer.len().min(self.left).min(PIECE_MOST);
+        let n = buffer.len().min(self.left).min(MAX_CHUNK_BYTES);
         self.left -= n;
         // The piece alone, not the buffer that it came in.
         let piece = Bytes::copy_from_slice(&buffer.split_to(n));
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use maintenance::{Call, LINE_MOST};
+use maintenance::{Call, MAX_LINE_BYTES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit, Semaphore};
@@ -65,7 +65,7 @@
     line.cancel();
     let answer = match read {
         Some(Ok(text)) => answer(&text, caller, &keeper).await,
-        Some(Err(Unread::Long)) => Err(format!("a line of more than {LINE_MOST} bytes")),
+        Some(Err(Unread::Long)) => Err(format!("a line of more than {MAX_LINE_BYTES} bytes")),
         Some(Err(Unread::Cut)) => Err("the line has no end".to_string()),
         Some(Err(Unread::Nothing)) => return,
         // Danger: places that are kept by the long end of connections whose callers say nothing.
@@ -129,10 +129,10 @@
         let read = &piece[..n];
         if let Some(end) = read.iter().position(|b| *b == b'\n') {
             line.extend_from_slice(&read[..end]);
-            return if line.len() > LINE_MOST { Err(Unread::Long) } else { Ok(line) };
+            return if line.len() > MAX_LINE_BYTES { Err(Unread::Long) } else { Ok(line) };
         }
         line.extend_from_slice(read);
-        if line.len() > LINE_MOST {
+        if line.len() > MAX_LINE_BYTES {
             return Err(Unread::Long);
         }
     }
--- a/crates/gateway/src/resp.rs
+++ b/crates/gateway/src/resp.rs
@@ -13,19 +13,19 @@
 use crate::long::Long;
 
 /// The longest value or body.
-const VALUE_MOST: usize = 64 * 1024;
+const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// The longest value that is passed on as it comes: the longest that RESP has (Redis, "Protocol").
-const LONG_MOST: usize = 512 << 20;
+const MAX_STREAMED_VALUE_BYTES: usize = 512 << 20;
 /// The longest line that is no value.
-const LINE_MOST: usize = 4 * 1024;
+const MAX_LINE_BYTES: usize = 4 * 1024;
 /// The most elements of an array.
-const ELEMENTS_MOST: usize = 16;
+const MAX_ARRAY_ELEMENTS: usize = 16;
 /// The most bytes of one message; more than this and one further reading is never buffered.
-const MESSAGE_MOST: usize = VALUE_MOST + 2 * LINE_MOST;
+const MAX_MESSAGE_BYTES: usize = MAX_VALUE_BYTES + 2 * MAX_LINE_BYTES;
 /// What a request takes beside its words: its records here and in the decisions.
 const CALL_BYTES: usize = 1024;
 /// The longest time that a client can sensibly say it waits: a day.
-const WAIT_MOST_MS: u32 = 86_400_000;
+const MAX_WAIT_MS: u32 = 86_400_000;
 /// Room for one reading: most messages come in one, and so small a buffer costs little to take and to let go.
 const READING: usize = 1024 - 32;
 /// Room for each further reading of a message.
@@ -58,10 +58,10 @@
     }
     let line = |from: usize| {
         let rest = buffer.get(from..).unwrap_or_default();
-        rest.windows(2).take(LINE_MOST).position(|w| w == b"\r\n").map(|n| (&rest[..n], from + n + 2))
+        rest.windows(2).take(MAX_LINE_BYTES).position(|w| w == b"\r\n").map(|n| (&rest[..n], from + n + 2))
     };
     let (Some((array, at)), tail) = (line(0), buffer.len()) else {
-        return if buffer.len() > LINE_MOST { Lead::Whole } else { Lead::Unknown };
+        return if buffer.len() > MAX_LINE_BYTES { Lead::Whole } else { Lead::Unknown };
     };
     match buffer.get(at) {
         None => return Lead::Unknown,
@@ -69,11 +69,11 @@
         Some(_) => return Lead::Whole,
     }
     let Some((value, head)) = line(at) else {
-        return if tail > at + LINE_MOST { Lead::Whole } else { Lead::Unknown };
+        return if tail > at + MAX_LINE_BYTES { Lead::Whole } else { Lead::Unknown };
     };
-    let parts = number(&array[1..], ELEMENTS_MOST).ok().flatten();
-    match (parts, number(&value[1..], LONG_MOST)) {
-        (Some(parts), Ok(Some(length))) if length > VALUE_MOST => Lead::Long { parts, length, head },
+    let parts = number(&array[1..], MAX_ARRAY_ELEMENTS).ok().flatten();
+    match (parts, number(&value[1..], MAX_STREAMED_VALUE_BYTES)) {
+        (Some(parts), Ok(Some(length))) if length > MAX_VALUE_BYTES => Lead::Long { parts, length, head },
         _ => Lead::Whole,
     }
 }
@@ -111,21 +111,21 @@
         if rest.first().is_some_and(|kind| !b"*$+-:".contains(kind)) {
             return Err(Malformed("unexpected type"));
         }
-        let Some(length) = rest.windows(2).take(LINE_MOST).position(|w| w == b"\r\n") else {
-            return if rest.len() > LINE_MOST { Err(Malformed("line too long")) } else { Ok(None) };
+        let Some(length) = rest.windows(2).take(MAX_LINE_BYTES).position(|w| w == b"\r\n") else {
+            return if rest.len() > MAX_LINE_BYTES { Err(Malformed("line too long")) } else { Ok(None) };
         };
         let (kind, line) = rest[..length].split_first().ok_or(Malformed("empty line"))?;
         let first = at == 0;
         (at, left) = (at + length + 2, left - 1);
-        if at > MESSAGE_MOST {
+        if at > MAX_MESSAGE_BYTES {
             return Err(Malformed("too long"));
         }
         match kind {
-            b'*' if first => left = number(line, ELEMENTS_MOST)?.unwrap_or(0),
+            b'*' if first => left = number(line, MAX_ARRAY_ELEMENTS)?.unwrap_or(0),
             b'$' => {
-                let Some(value) = number(line, VALUE_MOST)? else { continue };
+                let Some(value) = number(line, MAX_VALUE_BYTES)? else { continue };
                 match buffer.get(at + value..at + value + 2) {
-                    None if at + value > MESSAGE_MOST => return Err(Malformed("too long")),
+                    None if at + value > MAX_MESSAGE_BYTES => return Err(Malformed("too long")),
                     None => return Ok(None),
                     Some(b"\r\n") => at += value + 2,
                     Some(_) => return Err(Malformed("value longer than announced")),
@@ -248,7 +248,7 @@
             match name {
                 "c" => class = names.classes.iter().position(|n| n.as_deref() == Some(value)),
                 "t" => plan = names.plans.iter().position(|n| n == value),
-                "d" => wait = whole(value, 1..=WAIT_MOST_MS).map(|ms| (ms, value)),
+                "d" => wait = whole(value, 1..=MAX_WAIT_MS).map(|ms| (ms, value)),
                 "k" => key = !value.is_empty(),
                 "r" => retry = value == "1",
                 "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_units),
@@ -356,12 +356,12 @@
 
     #[test]
     fn a_lead_is_told_from_any_cut_and_never_wrongly() {
-        let long = format!("*3\r\n${}\r\nabc", VALUE_MOST + 1);
+        let long = format!("*3\r\n${}\r\nabc", MAX_VALUE_BYTES + 1);
         let head = long.len() - 3;
         for cut in 0..=long.len() {
             let wanted = match cut {
                 _ if cut < head => Lead::Unknown,
-                _ => Lead::Long { parts: 3, length: VALUE_MOST + 1, head },
+                _ => Lead::Long { parts: 3, length: MAX_VALUE_BYTES + 1, head },
             };
             assert_eq!(lead(&long.as_bytes()[..cut]), wanted, "{cut}");
         }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -46,7 +46,7 @@
 /// Inputs that may wait for the driver; who brings more waits.
 const INBOX: usize = 1024;
 /// A gateway is ready after this, whatever it waits for. Danger: a platform that gives a start 30 s.
-const READY_MOST: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long the start waits for the list of backends where none is known, and for news of one that is.
 const FIRST_LIST: Duration = Duration::from_millis(500);
 const FIRST_NEWS: Duration = Duration::from_millis(50);
@@ -56,7 +56,7 @@
 /// they are quiet. Until then clients that use one go on being served: elsewhere others may be down as well.
 const CLOSING: Duration = Duration::from_millis(700).saturating_add(QUIET_ON);
 /// A request that is still open so long after SIGTERM fails, or earlier if the deadlines are shorter.
-const DRAIN_MOST_MS: f64 = 3_000.0;
+const MAX_DRAIN_MS: f64 = 3_000.0;
 /// Part of the 0.7 s between that and the kill that the drain may use.
 const DRAIN_MORE: Duration = Duration::from_millis(300);
 /// The last part of the drain, in which no answer is waited for.
@@ -279,7 +279,7 @@
     tokio::spawn(driver.run(queue, ordered));
     if let (Some(mut reached), Some(within)) = (reached, first_backend) {
         // Ready once a backend is. What the list took of the time is not given twice.
-        let by = (begun + within.max(first)).min(begun + READY_MOST);
+        let by = (begun + within.max(first)).min(begun + READY_TIMEOUT);
         tokio::select! {
             _ = timeout_at(by, reached.wait_for(|reached| *reached)) => {}
             // Danger: one that is told to end while it waits, and is killed in the end.
@@ -318,7 +318,7 @@
     terminate.recv().await;
     stage.ends();
     let deadline_ms = terms.borrow().settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let drain = Duration::from_secs_f64(deadline_ms.min(DRAIN_MOST_MS) / 1000.0) + DRAIN_MORE;
+    let drain = Duration::from_secs_f64(deadline_ms.min(MAX_DRAIN_MS) / 1000.0) + DRAIN_MORE;
     let end = Instant::now() + drain;
     // Danger: a request that is begun when it can't end in time.
     let by_ms = clock.now_ms() + (drain - LAST_WORD).as_secs_f64() * 1000.0;
--- a/crates/gatewayctl/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use fleet::wire::{Ask, Numbered, Say, LINE_MOST};
+use fleet::wire::{Ask, Numbered, Say, MAX_LINE_BYTES};
 use fleet::{Change, Health};
 use operator_config::Address;
 use testbed::backend::{Backend, Spec};
@@ -77,7 +77,7 @@
 }
 
 async fn connect(at: &Address) -> Result<Lines, Any> {
-    Ok(Dialer::default().connect(at, Duration::from_secs(5), LINE_MOST).await?)
+    Ok(Dialer::default().connect(at, Duration::from_secs(5), MAX_LINE_BYTES).await?)
 }
 
 /// Orders once; gives how long it took until it was written down, and until all gateways had it, ms.
--- a/crates/gatewayctl/src/agent.rs
+++ b/crates/gatewayctl/src/agent.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fleet::wire::{Ask, Numbered, Say, LINE_MOST};
+use fleet::wire::{Ask, Numbered, Say, MAX_LINE_BYTES};
 use operator_config::Address;
 use tokio::time::timeout;
 use transport::{connect, Lines};
@@ -11,7 +11,7 @@
 use crate::table::out;
 
 /// How long a connection to the agent may take.
-const CONNECT_MOST: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A line to the agent, on which one thing is asked after the other.
 pub struct Agent {
@@ -22,7 +22,7 @@
 impl Agent {
     /// Connects.
     pub async fn connect(address: &Address) -> Result<Agent, Failure> {
-        let lines = connect(address, CONNECT_MOST, LINE_MOST).await;
+        let lines = connect(address, CONNECT_TIMEOUT, MAX_LINE_BYTES).await;
         let lines = lines.map_err(|e| Failure::Agent(format!("no agent: {e}")))?;
         Ok(Agent { lines, last: 0 })
     }
--- a/crates/gatewayctl/src/call.rs
+++ b/crates/gatewayctl/src/call.rs
@@ -16,7 +16,7 @@
 use crate::table::{out, table};
 
 /// The longest answer, bytes.
-const ANSWER_MOST: u64 = 4 * 1024;
+const MAX_ANSWER_BYTES: u64 = 4 * 1024;
 
 /// What became of a call at one address.
 #[derive(Debug, Serialize)]
@@ -91,7 +91,7 @@
     let mut stream = TcpStream::connect(at).await?;
     stream.write_all(format!("{call}\n").as_bytes()).await?;
     let mut answer = Vec::new();
-    stream.take(ANSWER_MOST).read_to_end(&mut answer).await?;
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut answer).await?;
     // Danger: bytes that write to a terminal.
     let text = String::from_utf8_lossy(&answer);
     Ok(text.trim_end().chars().filter(|c| !c.is_control()).collect())
--- a/crates/gatewayctl/src/look.rs
+++ b/crates/gatewayctl/src/look.rs
@@ -13,15 +13,15 @@
 use crate::table::{ago, out, table};
 
 /// How long the agent may take to answer.
-const ANSWER_MOST: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A watch may be quiet for as long as nothing happens.
-const QUIET_MOST: Duration = Duration::from_secs(365 * 86_400);
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(365 * 86_400);
 
 /// Shows all gateways. Ends well only if each of them is well.
 pub async fn status(address: &Address, args: &Status, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
     agent.ask(Ask::Status { backends: args.backends }).await?;
-    let mut seen = match agent.hear(ANSWER_MOST).await? {
+    let mut seen = match agent.hear(RESPONSE_TIMEOUT).await? {
         Say::Status(seen) => seen,
         other => return Err(odd(&other)),
     };
@@ -43,7 +43,7 @@
 /// Takes in what each gateway says of its backends.
 async fn backends(agent: &mut Agent, seen: &mut Seen) -> Result<(), Failure> {
     loop {
-        match agent.hear(ANSWER_MOST).await? {
+        match agent.hear(RESPONSE_TIMEOUT).await? {
             Say::Backends(one) => {
                 let gateway = seen.gateways.iter_mut().find(|g| g.name == one.gateway);
                 if let (Some(gateway), Ok(state)) = (gateway, one.state) {
@@ -145,7 +145,7 @@
 pub async fn orders(address: &Address, most: usize, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
     agent.ask(Ask::Orders { most }).await?;
-    let all = match agent.hear(ANSWER_MOST).await? {
+    let all = match agent.hear(RESPONSE_TIMEOUT).await? {
         Say::Orders(all) => all,
         other => return Err(odd(&other)),
     };
@@ -175,7 +175,7 @@
     let mut agent = Agent::connect(address).await?;
     agent.ask(Ask::Watch).await?;
     loop {
-        match agent.hear(QUIET_MOST).await? {
+        match agent.hear(WATCH_IDLE_TIMEOUT).await? {
             Say::Event(line) if output == Output::Json => print(&json!({"event": line}))?,
             Say::Event(line) => out(&format!("{line}\n")),
             other => return Err(odd(&other)),
--- a/crates/gatewayctl/src/members.rs
+++ b/crates/gatewayctl/src/members.rs
@@ -12,7 +12,7 @@
 use crate::table::out;
 
 /// How long the agent may take to answer.
-const ANSWER_MOST: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub async fn run(address: &Address, command: &Gateways, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
@@ -23,7 +23,7 @@
         Gateways::Remove { name } => (Ask::Deregister { name: name.clone() }, name, "overseen no more"),
     };
     agent.ask(ask).await?;
-    match agent.hear(ANSWER_MOST).await? {
+    match agent.hear(RESPONSE_TIMEOUT).await? {
         Say::Done(_) if output == Output::Json => print(&json!({"gateway": name, "is": what})),
         Say::Done(_) => {
             out(&format!("gateway {name} is {what}\n"));
--- a/crates/gatewayctl/src/resolve.rs
+++ b/crates/gatewayctl/src/resolve.rs
@@ -14,13 +14,13 @@
 use crate::table::{ago, out, table};
 
 /// How long the agent may take to answer.
-const ANSWER_MOST: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Shows the agent's list. Ends well only if it is known and nothing is stale, held or unanswered.
 pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
     agent.ask(Ask::Sources { records }).await?;
-    let state = match agent.hear(ANSWER_MOST).await? {
+    let state = match agent.hear(RESPONSE_TIMEOUT).await? {
         Say::Sources(state) => state,
         other => return Err(odd(&other)),
     };
--- a/crates/gatewayctl/src/up/process.rs
+++ b/crates/gatewayctl/src/up/process.rs
@@ -12,9 +12,9 @@
 use crate::exit::Failure;
 
 /// How long a process may take to say that it is ready.
-const READY_MOST: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long it may take to end once it was told to.
-const END_MOST: Duration = Duration::from_secs(5);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A process of this program.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
             None
         };
         let failed = |why: &str| Failure::Broken(format!("{}: {why}", self.name));
-        match timeout(READY_MOST, line).await {
+        match timeout(READY_TIMEOUT, line).await {
             Ok(Some(rest)) => Ok(rest),
             Ok(None) => Err(failed("ended before it was ready")),
             Err(_) => Err(failed("was not ready in time")),
@@ -85,7 +85,7 @@
     /// Waits for its end, and ends it if that takes too long.
     pub async fn reap(&mut self) {
         self.stdin = None;
-        if timeout(END_MOST, self.child.wait()).await.is_err() {
+        if timeout(EXIT_TIMEOUT, self.child.wait()).await.is_err() {
             let _ = self.child.kill().await;
         }
     }
--- a/crates/gatewayctl/src/up/world.rs
+++ b/crates/gatewayctl/src/up/world.rs
@@ -17,7 +17,7 @@
 use crate::exit::Failure;
 
 /// Events that are kept for the auditor: some minutes of the usual load. Beyond that it can't judge.
-const EVENTS_MOST: usize = 400_000;
+const MAX_EVENTS: usize = 400_000;
 
 /// A gateway's process.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     /// Starts all of it, and waits until each part is ready.
     pub async fn start(args: &Up, progress: bool) -> Result<World, Failure> {
         let failed = |e: std::io::Error| Failure::Broken(format!("cannot start: {e}"));
-        let (folder, journal) = (folder()?, Journal::new(EVENTS_MOST));
+        let (folder, journal) = (folder()?, Journal::new(MAX_EVENTS));
         let (discovery, counter) =
             (Discovery::start().await.map_err(failed)?, Counter::start().await.map_err(failed)?);
         let mut backends = Vec::with_capacity(args.backends.into());
--- a/crates/gatewayctl/tests/crashes.rs
+++ b/crates/gatewayctl/tests/crashes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use agent::{Contents, Log, LogError};
-use fleet::wire::{Ask, Logged, Numbered, Say, LINE_MOST};
+use fleet::wire::{Ask, Logged, Numbered, Say, MAX_LINE_BYTES};
 use fleet::{Change, Subject};
 use operator_config::Address;
 use support::{until, Fleet, PATIENCE};
@@ -23,7 +23,7 @@
 /// Orders on the connections of one tool until it ends: notes what was tried and what was acknowledged.
 async fn order_on(address: Address, tool: u64, round: u64, seen: Arc<Mutex<Seen>>) {
     let mut dice = Dice::new(tool << 32 | round);
-    let Ok(mut lines) = Dialer::default().connect(&address, PATIENCE, LINE_MOST).await else { return };
+    let Ok(mut lines) = Dialer::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await else { return };
     for n in 0.. {
         let id = format!("r{round}-t{tool}-{n}");
         let subject: Subject = format!("till-{}", dice.below(4)).parse().expect("one");
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -155,7 +155,7 @@
     let again = apply(vec![order("old", 3, Change::Drain)]);
     assert_eq!(again[0].outcome, Outcome::Superseded(undrain.revision));
     assert!(!fleet.drained(0, "till-0"));
-    let many = vec![undrain; fleet::wire::ORDERS_MOST + 1];
+    let many = vec![undrain; fleet::wire::MAX_ORDERS_PER_REQUEST + 1];
     let said = fleet.ask(&fleet.gateways[0].admin, GatewayAsk::Apply { orders: many });
     assert!(matches!(said, GatewaySay::Fault(_)), "{said:?}");
 }
--- a/crates/gatewayctl/tests/support/mod.rs
+++ b/crates/gatewayctl/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use fleet::wire::{GatewayAsk, GatewaySay, GatewayState, Numbered, LINE_MOST};
+use fleet::wire::{GatewayAsk, GatewaySay, GatewayState, Numbered, MAX_LINE_BYTES};
 use operator_config::Address;
 use serde_json::Value;
 use tempfile::TempDir;
@@ -327,7 +327,8 @@
     /// Asks a gateway itself.
     pub fn ask(&self, admin: &Address, ask: GatewayAsk) -> GatewaySay {
         self.runtime.block_on(async {
-            let mut lines = Dialer::default().connect(admin, PATIENCE, LINE_MOST).await.expect("it listens");
+            let mut lines =
+                Dialer::default().connect(admin, PATIENCE, MAX_LINE_BYTES).await.expect("it listens");
             ask_on(&mut lines, ask).await
         })
     }
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixListener;
 use std::time::Instant;
 
-use fleet::wire::{Ask, Numbered, Say, LINE_MOST};
+use fleet::wire::{Ask, Numbered, Say, MAX_LINE_BYTES};
 use fleet::Change;
 use support::{until, Fleet, PATIENCE};
 use transport::Dialer;
@@ -163,7 +163,7 @@
         for _ in 0..40 {
             let address = address.clone();
             tools.spawn(async move {
-                let connected = Dialer::default().connect(&address, PATIENCE, LINE_MOST).await;
+                let connected = Dialer::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await;
                 let (mut lines, mut answers) = (connected.expect("it listens"), Vec::new());
                 for n in 0..25 {
                     let (id, subject) = ("one".parse().expect("an id"), "till-0".parse().expect("one"));
--- a/crates/maintenance/src/book.rs
+++ b/crates/maintenance/src/book.rs
@@ -8,9 +8,9 @@
 use crate::call::Call;
 
 /// The most backends that are banned at once.
-pub const BANS_MOST: usize = 4_096;
+pub const MAX_BANS: usize = 4_096;
 /// The most returns that are remembered. Of more the oldest is forgotten.
-pub const RETURNS_MOST: usize = 4_096;
+pub const MAX_REENABLED: usize = 4_096;
 
 /// Bans of backends, their returns, and whether the gateway is drained.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 pub enum Refused {
     /// No backend has this id.
     Unknown,
-    /// [`BANS_MOST`] backends are banned already.
+    /// [`MAX_BANS`] backends are banned already.
     TooMany,
 }
 
@@ -47,7 +47,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refused::Unknown => f.write_str("no backend has this id"),
-            Refused::TooMany => write!(f, "{BANS_MOST} backends are banned already"),
+            Refused::TooMany => write!(f, "{MAX_BANS} backends are banned already"),
         }
     }
 }
@@ -74,7 +74,7 @@
             Call::Disable(id) if self.bans.contains_key(id) => false,
             Call::Disable(_) if !listed => return Err(Refused::Unknown),
             // Danger: bans for ever new names that fill the memory.
-            Call::Disable(_) if self.bans.len() >= BANS_MOST => return Err(Refused::TooMany),
+            Call::Disable(_) if self.bans.len() >= MAX_BANS => return Err(Refused::TooMany),
             Call::Disable(id) => {
                 self.bans.insert(id.clone(), now_ms);
                 true
@@ -92,7 +92,7 @@
     }
 
     fn bound(&mut self) {
-        while self.returns.len() > RETURNS_MOST {
+        while self.returns.len() > MAX_REENABLED {
             let oldest = self.returns.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(id, _)| id.clone());
             let Some(oldest) = oldest else { return };
             self.returns.remove(&oldest);
--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 /// The longest line, bytes, its end left out.
-pub const LINE_MOST: usize = 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 /// The longest id of a backend, bytes: that of a domain name (RFC 1035, section 2.3.4).
-pub const ID_MOST: usize = 253;
+pub const MAX_BACKEND_ID_BYTES: usize = 253;
 
 /// What a caller wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     NoId,
     /// There are more words than the call takes.
     Surplus,
-    /// The id has so many bytes, more than [`ID_MOST`].
+    /// The id has so many bytes, more than [`MAX_BACKEND_ID_BYTES`].
     LongId(usize),
 }
 
@@ -47,7 +47,7 @@
             BadCall::Unknown => f.write_str("unknown call; READY, DISABLE, ENABLE, DRAIN, UNDRAIN are known"),
             BadCall::NoId => f.write_str("the id of a backend is missing"),
             BadCall::Surplus => f.write_str("more words than the call takes"),
-            BadCall::LongId(n) => write!(f, "an id of {n} bytes; {ID_MOST} at most"),
+            BadCall::LongId(n) => write!(f, "an id of {n} bytes; {MAX_BACKEND_ID_BYTES} at most"),
         }
     }
 }
@@ -69,7 +69,7 @@
         let verb = words.next().ok_or(BadCall::Empty)?.to_ascii_uppercase();
         let mut id = || match words.next() {
             None => Err(BadCall::NoId),
-            Some(id) if id.len() > ID_MOST => Err(BadCall::LongId(id.len())),
+            Some(id) if id.len() > MAX_BACKEND_ID_BYTES => Err(BadCall::LongId(id.len())),
             Some(id) => Ok(id.to_string()),
         };
         let call = match verb.as_str() {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -7,5 +7,5 @@
 mod call;
 pub mod sealed;
 
-pub use book::{Book, Done, Refused, BANS_MOST, RETURNS_MOST};
-pub use call::{BadCall, Call, ID_MOST, LINE_MOST};
+pub use book::{Book, Done, Refused, MAX_BANS, MAX_REENABLED};
+pub use call::{BadCall, Call, MAX_BACKEND_ID_BYTES, MAX_LINE_BYTES};
--- a/crates/maintenance/tests/book.rs
+++ b/crates/maintenance/tests/book.rs
@@ -1,6 +1,6 @@
 //! Calls, what they leave in force, and the form in which it is handed on.
 
-use maintenance::{sealed, BadCall, Book, Call, Done, Refused, BANS_MOST, ID_MOST};
+use maintenance::{sealed, BadCall, Book, Call, Done, Refused, MAX_BACKEND_ID_BYTES, MAX_BANS};
 use proptest::prelude::*;
 
 fn call(line: &str) -> Call {
@@ -25,7 +25,7 @@
         assert_eq!(Call::read(line), Err(why), "{:?}", String::from_utf8_lossy(line));
     }
     assert_eq!(call(" disable  s-1\r"), Call::Disable("s-1".to_string()));
-    assert!(Call::read(format!("ENABLE {}", "x".repeat(ID_MOST)).as_bytes()).is_ok());
+    assert!(Call::read(format!("ENABLE {}", "x".repeat(MAX_BACKEND_ID_BYTES)).as_bytes()).is_ok());
 }
 
 #[test]
@@ -58,7 +58,7 @@
 #[test]
 fn bans_have_a_bound() {
     let mut book = Book::default();
-    for i in 0..BANS_MOST {
+    for i in 0..MAX_BANS {
         book.carry_out(&call(&format!("DISABLE s-{i}")), true, 1.0).expect("room");
     }
     assert_eq!(book.carry_out(&call("DISABLE more"), true, 1.0), Err(Refused::TooMany));
--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::lease::Believed;
-use crate::wire::{Body, DATAGRAM_MOST};
+use crate::wire::{Body, MAX_DATAGRAM_BYTES};
 
 /// How often a member is probed, and how long it may take before others are asked to.
 const PROBE_PERIOD: Duration = Duration::from_millis(500);
@@ -31,7 +31,7 @@
 const COMPARED: (u64, u64) = (1_000, 200);
 const ASKED: u64 = 100;
 /// What an own message may take of a datagram: version, fleet and checksum need the rest.
-const PACKET_MOST: usize = DATAGRAM_MOST - 32;
+const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - 32;
 /// Numbers that are asked at once by one that joins.
 const JOIN: usize = 3;
 /// A number that was never heard counts as gone this long after the own start, ms.
@@ -40,7 +40,7 @@
 const HEALTH_WORST: u32 = 8;
 const LATE_MS: u64 = 500;
 /// Changes that are kept until they are asked for.
-const CHANGES_MOST: usize = 1_024;
+const MAX_PENDING_CHANGES: usize = 1_024;
 
 /// A member as the others know it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -138,7 +138,7 @@
             probe_rtt: PROBE_RTT,
             num_indirect_probes: most(INDIRECT),
             suspect_to_down_after: SUSPICION,
-            max_packet_size: most(PACKET_MOST),
+            max_packet_size: most(MAX_PACKET_BYTES),
             periodic_announce: params((Duration::from_secs(30), 1)),
             periodic_announce_to_down_members: params((BACK, 1)),
             periodic_gossip: params(GOSSIP),
@@ -318,7 +318,7 @@
     }
 
     fn change(&mut self, change: Change) {
-        if self.changes.len() < CHANGES_MOST {
+        if self.changes.len() < MAX_PENDING_CHANGES {
             self.changes.push(change);
         }
     }
--- a/crates/membership/src/lease/holder.rs
+++ b/crates/membership/src/lease/holder.rs
@@ -5,11 +5,11 @@
 use super::{Given, Member, Terms, KEPT_UNITS, LENT_UNITS, SLOT_UNITS};
 
 /// Questions of one kind whose answers still count; the oldest gives way.
-pub const QUESTIONS_MOST: usize = 4;
+pub const MAX_PENDING_REQUESTS: usize = 4;
 /// Slots of others that a member claims at most.
-const CLAIMS_MOST: usize = 64;
+const MAX_CLAIMS: usize = 64;
 /// Members that one borrows from, and lends to, at most; and loans of one of them that are not over.
-const LOANS_MOST: usize = 64;
+const MAX_LOANS: usize = 64;
 const LOANS_EACH: usize = 8;
 
 /// What may be used now, and for how long that is sure without another look.
@@ -44,7 +44,7 @@
 
 impl Asked {
     fn ask(&mut self, n: u64, asked_ms: u64) {
-        if self.out.len() >= QUESTIONS_MOST {
+        if self.out.len() >= MAX_PENDING_REQUESTS {
             self.out.pop_front();
         }
         self.out.push_back(Question { n, asked_ms, whole: BTreeSet::new(), lent: BTreeSet::new() });
@@ -135,13 +135,13 @@
     /// A question to all keepers of another's slot, by its number; none for its own, or one too many.
     pub fn claim(&mut self, now_ms: u64, slot: u32) -> Option<u64> {
         // Those that came to nothing make room.
-        if self.claims.len() >= CLAIMS_MOST && !self.claims.contains_key(&slot) {
+        if self.claims.len() >= MAX_CLAIMS && !self.claims.contains_key(&slot) {
             let late = |asked: &Asked| {
                 asked.out.back().is_none_or(|q| now_ms.saturating_sub(q.asked_ms) > self.terms.lease_ms)
             };
             self.claims.retain(|_, asked| asked.sure(now_ms) > 0 || !late(asked));
         }
-        let room = self.claims.len() < CLAIMS_MOST || self.claims.contains_key(&slot);
+        let room = self.claims.len() < MAX_CLAIMS || self.claims.contains_key(&slot);
         if slot == self.me.number || slot >= self.terms.members || !room {
             return None;
         }
@@ -220,7 +220,7 @@
         });
         let nothing = (0, 0);
         let known = self.lent.get(&to).map_or(0, Vec::len);
-        if to.number == self.me.number || known >= LOANS_EACH || (known == 0 && self.lent.len() >= LOANS_MOST)
+        if to.number == self.me.number || known >= LOANS_EACH || (known == 0 && self.lent.len() >= MAX_LOANS)
         {
             return nothing;
         }
@@ -244,19 +244,19 @@
         if from == self.me.number {
             return None;
         }
-        if self.asked.len() >= LOANS_MOST && !self.asked.contains_key(&from) {
+        if self.asked.len() >= MAX_LOANS && !self.asked.contains_key(&from) {
             let late = |asked: &VecDeque<(u64, u64)>| {
                 asked.back().is_none_or(|(_, at)| now_ms.saturating_sub(*at) > self.terms.lease_ms)
             };
             self.asked.retain(|_, asked| !late(asked));
             self.borrowed.retain(|_, (_, until_ms)| *until_ms > now_ms);
-            if self.asked.len() >= LOANS_MOST {
+            if self.asked.len() >= MAX_LOANS {
                 return None;
             }
         }
         self.last += 1;
         let asked = self.asked.entry(from).or_default();
-        if asked.len() >= QUESTIONS_MOST {
+        if asked.len() >= MAX_PENDING_REQUESTS {
             asked.pop_front();
         }
         asked.push_back((self.last, now_ms));
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 
 pub use desk::{Believed, Desk, Out};
-pub use holder::{Holder, Part, QUESTIONS_MOST};
+pub use holder::{Holder, Part, MAX_PENDING_REQUESTS};
 pub use keeper::Keeper;
-pub use terms::{Terms, KEEPERS_MOST, KEPT_UNITS, LENT_UNITS, SLOT_UNITS};
+pub use terms::{Terms, KEPT_UNITS, LENT_UNITS, MAX_GRANTORS, SLOT_UNITS};
 
 /// A member in one life of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/membership/src/lease/terms.rs
+++ b/crates/membership/src/lease/terms.rs
@@ -11,7 +11,7 @@
 /// Those that it has as long as a majority of the keepers hears it.
 pub const LENT_UNITS: u64 = SLOT_UNITS - KEPT_UNITS;
 /// Keepers of a slot, where there are more members than that; else all are.
-pub const KEEPERS_MOST: usize = 7;
+pub const MAX_GRANTORS: usize = 7;
 
 /// The terms of a fleet's leases. All members are to have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -40,17 +40,17 @@
     }
 
     /// The keepers of a slot, the same at all members: all of them where they are few, its owner among
-    /// them; of more [`KEEPERS_MOST`] others than the owner. Danger: an owner that crashes and takes a word
+    /// them; of more [`MAX_GRANTORS`] others than the owner. Danger: an owner that crashes and takes a word
     /// with it.
     #[must_use]
     pub fn keepers(&self, slot: u32) -> Vec<u32> {
         let members = self.members.max(1);
-        if members as usize <= KEEPERS_MOST {
+        if members as usize <= MAX_GRANTORS {
             return (0..members).collect();
         }
         let others = members as usize - 1;
         let mut dice = ChaCha8Rng::seed_from_u64(u64::from(slot) << 32 | u64::from(self.members));
-        let drawn = sample(&mut dice, others, KEEPERS_MOST).into_iter();
+        let drawn = sample(&mut dice, others, MAX_GRANTORS).into_iter();
         let mut keepers: Vec<u32> =
             drawn.map(|i| if (i as u32) < slot { i as u32 } else { i as u32 + 1 }).collect();
         keepers.sort_unstable();
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -7,7 +7,7 @@
 use crate::lease::{Member, Message};
 
 /// The longest datagram, bytes.
-pub const DATAGRAM_MOST: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The version that is spoken.
 pub const VERSION: u8 = 1;
 /// Bytes of the checksum at a datagram's end.
@@ -51,7 +51,7 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Dropped {
-    /// Longer than [`DATAGRAM_MOST`], or shorter than any can be.
+    /// Longer than [`MAX_DATAGRAM_BYTES`], or shorter than any can be.
     Length,
     /// Its checksum is wrong, or it can't be read though it is right.
     Garbled,
@@ -87,7 +87,7 @@
     // The version stands first and alone, so that it can be told whatever follows.
     let mut bytes = postcard::to_extend(&(fleet, body), vec![VERSION]).ok()?;
     bytes.extend(digest(&bytes));
-    (bytes.len() <= DATAGRAM_MOST).then_some(bytes)
+    (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
 /// The body of a datagram.
@@ -95,7 +95,7 @@
 /// # Errors
 /// Why it is dropped. Nothing of it is used then.
 pub fn read(fleet: Fleet, datagram: &[u8]) -> Result<Body, Dropped> {
-    if datagram.len() > DATAGRAM_MOST {
+    if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(Dropped::Length);
     }
     let (bytes, checksum) = datagram.split_last_chunk::<CHECKSUM>().ok_or(Dropped::Length)?;
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use membership::lease::{
     Believed, Desk, Given, Holder, Keeper, Member, Message, Out, Terms, KEPT_UNITS, LENT_UNITS,
-    QUESTIONS_MOST, SLOT_UNITS,
+    MAX_PENDING_REQUESTS, SLOT_UNITS,
 };
 
 const TERMS: Terms = Terms { members: 3, lease_ms: 1_000, drift: 10, trust_refusals: true };
@@ -92,7 +92,7 @@
 fn answers_count_from_their_question_and_questions_long_past_count_no_more() {
     let mut holder = Holder::new(TERMS, OTHER, 0);
     let first = holder.claim(NOW, 0).expect("there is room");
-    for later in 1..=QUESTIONS_MOST as u64 {
+    for later in 1..=MAX_PENDING_REQUESTS as u64 {
         holder.claim(NOW + later, 0).expect("there is room");
     }
     (0..3).for_each(|keeper| holder.claimed(keeper, first, 0, Given::Lent));
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Datagrams: what is read, and what is dropped and why.
 
 use membership::lease::{Given, Member, Message};
-use membership::wire::{read, write, Body, Dropped, Fleet, DATAGRAM_MOST, VERSION};
+use membership::wire::{read, write, Body, Dropped, Fleet, MAX_DATAGRAM_BYTES, VERSION};
 use proptest::prelude::*;
 
 fn fleet() -> Fleet {
@@ -36,7 +36,7 @@
         body in body(), bit in any::<prop::sample::Index>()
     ) {
         let mut bytes = write(fleet(), &body).expect("short");
-        prop_assert!(bytes.len() <= DATAGRAM_MOST);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(read(fleet(), &bytes), Ok(body));
         let bit = bit.index(bytes.len() * 8);
         bytes[bit / 8] ^= 1 << (bit % 8);
@@ -66,9 +66,9 @@
     assert_eq!(read(fleet(), &of_version(VERSION + 1)), Err(Dropped::Future));
     let other = write(Fleet::named("ub-hall"), &Body::Gossip(vec![1])).expect("short");
     assert_eq!(read(fleet(), &other), Err(Dropped::Foreign));
-    assert_eq!(read(fleet(), &[0; DATAGRAM_MOST + 1]), Err(Dropped::Length));
+    assert_eq!(read(fleet(), &[0; MAX_DATAGRAM_BYTES + 1]), Err(Dropped::Length));
     assert_eq!(read(fleet(), &[0; 7]), Err(Dropped::Length));
-    assert_eq!(write(fleet(), &Body::Gossip(vec![0; DATAGRAM_MOST])), None);
+    assert_eq!(write(fleet(), &Body::Gossip(vec![0; MAX_DATAGRAM_BYTES])), None);
     // What follows a body is not read over.
     let mut long = of_version(VERSION);
     long.truncate(long.len() - 8);
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -16,7 +16,7 @@
 pub use address::{Address, BadAddress, NAME_MARK};
 
 /// The most gateways that an agent oversees.
-pub const GATEWAYS_MOST: usize = 10_000;
+pub const MAX_GATEWAYS: usize = 10_000;
 
 /// The file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -377,7 +377,7 @@
         if let Some(sources) = &self.sources {
             sources.wrong(&mut say);
         }
-        if self.gateways.len() > GATEWAYS_MOST {
+        if self.gateways.len() > MAX_GATEWAYS {
             say("gateway", "too many; 10000 at most");
         }
         let mut names = BTreeSet::new();
--- a/crates/plans/src/book.rs
+++ b/crates/plans/src/book.rs
@@ -12,15 +12,15 @@
 use crate::timeline::Timeline;
 
 /// Reservations that are open at once, of all customers.
-pub const LIVE_MOST: usize = 100_000;
+pub const MAX_RESERVATIONS: usize = 100_000;
 /// Of one customer.
-pub const EACH_MOST: usize = 32;
+pub const MAX_RESERVATIONS_PER_CUSTOMER: usize = 32;
 /// Ended ones that are remembered, so that a repeat hears how it ended.
-pub const ENDED_MOST: usize = 10_000;
+pub const MAX_ENDED_RESERVATIONS: usize = 10_000;
 /// The longest lease, ms: a holder that died holds nothing for longer.
-const LEASE_MOST_MS: u64 = 3_600_000;
+const MAX_LEASE_MS: u64 = 3_600_000;
 /// The longest name of an order or a holder, bytes.
-const NAME_MOST: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// A fencing token: it grows with each grant and each takeover. Whoever shows an older one is told so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -171,12 +171,12 @@
         if ask.to_ms <= now_ms {
             return Err(Refused::Bad("a time that is not over is wanted"));
         }
-        if self.live.len() >= LIVE_MOST {
-            return Err(Refused::TooMany(LIVE_MOST));
+        if self.live.len() >= MAX_RESERVATIONS {
+            return Err(Refused::TooMany(MAX_RESERVATIONS));
         }
         let of: Vec<&Reservation> = self.of(ask.customer).collect();
-        if of.len() >= EACH_MOST {
-            return Err(Refused::TooMany(EACH_MOST));
+        if of.len() >= MAX_RESERVATIONS_PER_CUSTOMER {
+            return Err(Refused::TooMany(MAX_RESERVATIONS_PER_CUSTOMER));
         }
         let left = left_for(&of, &ask, terms);
         if ask.units > left {
@@ -233,7 +233,7 @@
     /// # Errors
     /// Why not.
     pub fn extend(&mut self, now_ms: u64, token: Token, lease_ms: u64) -> Result<&Reservation, Refused> {
-        if !(1..=LEASE_MOST_MS).contains(&lease_ms) {
+        if !(1..=MAX_LEASE_MS).contains(&lease_ms) {
             return Err(Refused::Bad("a lease of 1 to 3600000 ms is wanted"));
         }
         self.known(token)?;
@@ -322,7 +322,7 @@
         let reservation = self.take_out(token)?;
         self.forget_fenced(token);
         let ended = Ended { reservation, end, at_ms };
-        if self.ended.len() >= ENDED_MOST {
+        if self.ended.len() >= MAX_ENDED_RESERVATIONS {
             self.ended.pop_front();
         }
         self.ended.push_back(ended.clone());
@@ -331,16 +331,17 @@
 }
 
 fn check(now_ms: u64, ask: &Ask) -> Result<(), Refused> {
-    let named = |name: &str| (1..=NAME_MOST).contains(&name.len()) && !name.chars().any(char::is_control);
+    let named =
+        |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
     match () {
         () if !named(&ask.order) => Err(Refused::Bad("an order of 1 to 64 bytes is wanted")),
         () if !named(&ask.holder) => Err(Refused::Bad("a holder of 1 to 64 bytes is wanted")),
         () if !(ask.units.is_finite() && ask.units > 0.0) => Err(Refused::Bad("units above 0 are wanted")),
         () if ask.to_ms <= ask.from_ms => Err(Refused::Bad("an end after the begin is wanted")),
-        () if !(1..=LEASE_MOST_MS).contains(&ask.lease_ms) => {
+        () if !(1..=MAX_LEASE_MS).contains(&ask.lease_ms) => {
             Err(Refused::Bad("a lease of 1 to 3600000 ms is wanted"))
         }
-        () if now_ms.checked_add(LEASE_MOST_MS).is_none() => Err(Refused::Bad("a time on record is wanted")),
+        () if now_ms.checked_add(MAX_LEASE_MS).is_none() => Err(Refused::Bad("a time on record is wanted")),
         () => Ok(()),
     }
 }
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -6,9 +6,9 @@
 use crate::timeline::{Terms, Timeline};
 
 /// Versions of plans that a catalogue may hold.
-pub const PLANS_MOST: usize = 10_000;
+pub const MAX_PLANS: usize = 10_000;
 /// Customers that a catalogue may name, each with any number of assignments up to as many in all.
-pub const CUSTOMERS_MOST: usize = 1_000_000;
+pub const MAX_CUSTOMERS: usize = 1_000_000;
 
 /// A plan by name and version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -95,16 +95,16 @@
             if plan.version == 0 || all.plans.contains_key(&plan) {
                 return Err(Wrong::Version(plan));
             }
-            if all.plans.len() >= PLANS_MOST {
-                return Err(Wrong::TooMany("versions of plans", PLANS_MOST));
+            if all.plans.len() >= MAX_PLANS {
+                return Err(Wrong::TooMany("versions of plans", MAX_PLANS));
             }
             all.plans.insert(plan, terms);
         }
         let mut assignments = 0;
         for (customer, assignment) in customers {
             assignments += 1;
-            if assignments > CUSTOMERS_MOST {
-                return Err(Wrong::TooMany("customers' plans", CUSTOMERS_MOST));
+            if assignments > MAX_CUSTOMERS {
+                return Err(Wrong::TooMany("customers' plans", MAX_CUSTOMERS));
             }
             if !all.plans.contains_key(&assignment.plan) {
                 return Err(Wrong::NoPlan(customer, assignment.plan));
--- a/crates/plans/src/file.rs
+++ b/crates/plans/src/file.rs
@@ -11,7 +11,7 @@
 use crate::timeline::Terms;
 
 /// The longest name of a plan, bytes.
-const NAME_MOST: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Customers are numbers below 2^33.
 const CUSTOMERS: u64 = 1 << 33;
 
@@ -159,8 +159,8 @@
 
 fn read_plan(line: &PlanLine, faults: &mut Faults<'_>) -> (Plan, Terms) {
     let name = line.name.get_ref();
-    if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
-        faults.say(&line.name.span(), "plan.name", format!("1 to {NAME_MOST} bytes are wanted"));
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
+        faults.say(&line.name.span(), "plan.name", format!("1 to {MAX_NAME_BYTES} bytes are wanted"));
     }
     let mut optional = |value: &Option<Spanned<f64>>, key| value.as_ref().map(|v| faults.number(v, key));
     let ceiling_rate = optional(&line.ceiling_rate, "plan.ceiling_rate");
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -17,8 +17,11 @@
 mod file;
 mod timeline;
 
-pub use book::{Ask, Book, End, Ended, Refused, Reservation, State, Token, EACH_MOST, ENDED_MOST, LIVE_MOST};
-pub use catalogue::{Assignment, Catalogue, Plan, Wrong, CUSTOMERS_MOST, PLANS_MOST};
+pub use book::{
+    Ask, Book, End, Ended, Refused, Reservation, State, Token, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
+    MAX_RESERVATIONS_PER_CUSTOMER,
+};
+pub use catalogue::{Assignment, Catalogue, Plan, Wrong, MAX_CUSTOMERS, MAX_PLANS};
 pub use fence::{Fence, Taken};
 pub use file::{read, BadCatalogue, Fault};
 pub use timeline::{Terms, Timeline};
--- a/crates/plans/tests/book.rs
+++ b/crates/plans/tests/book.rs
@@ -1,6 +1,6 @@
 //! Reservations: holders that die, orders that repeat, ceilings that are lowered.
 
-use plans::{Ask, Book, End, Refused, State, Terms, Timeline, Token, EACH_MOST};
+use plans::{Ask, Book, End, Refused, State, Terms, Timeline, Token, MAX_RESERVATIONS_PER_CUSTOMER};
 use proptest::prelude::*;
 
 fn ceiling(rate: f64, burst: f64) -> Timeline {
@@ -116,10 +116,13 @@
         assert!(matches!(book.reserve(0, odd.clone(), &terms), Err(Refused::Bad(_))), "{odd:?}");
     }
     assert!(matches!(book.reserve(20_000, ask("late", 1.0, 10, 20), &terms), Err(Refused::Bad(_))));
-    for i in 0..EACH_MOST as u64 {
+    for i in 0..MAX_RESERVATIONS_PER_CUSTOMER as u64 {
         book.reserve(0, ask(&format!("n{i}"), 0.1, 10 + i, 12 + i), &terms).expect("room");
     }
-    assert_eq!(book.reserve(0, ask("one more", 0.1, 10, 12), &terms), Err(Refused::TooMany(EACH_MOST)));
+    assert_eq!(
+        book.reserve(0, ask("one more", 0.1, 10, 12), &terms),
+        Err(Refused::TooMany(MAX_RESERVATIONS_PER_CUSTOMER))
+    );
 }
 
 #[derive(Clone, Debug)]
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,6 +1,8 @@
 //! Who is let in: quota, ceiling, room, and how pressed the fleet is.
 
-use super::{Gateway, CALL_LEAST, COUNT_WAIT, FEW, KEEP, LEAST_BEARABLE, PRIOR, UNSEEN_WEIGHT};
+use super::{
+    Gateway, COUNT_WAIT, FEW, KEEP, MIN_BEARABLE_SLOWNESS, MIN_CALL_PROBABILITY, PRIOR, UNSEEN_WEIGHT,
+};
 use crate::interface::{Action, Request};
 use crate::state::{roll, Ratio};
 use crate::store::Customer;
@@ -10,15 +12,15 @@
 /// Demand, as a part of the rate, up to which a customer needs no call while the counter is crowded.
 const CALM_DEMAND: f64 = 0.5;
 /// How cheap a request beyond the quota is at the most: 1 and this much less than its worth.
-const CHEAP_MOST: f64 = 1.15;
+const MAX_CHEAPNESS: f64 = 1.15;
 /// Least chance of a call for a calm customer while the counter is well, so that totals tell of it.
-const CALM_LEAST: f64 = 0.2;
+const MIN_CALM_CALL_PROBABILITY: f64 = 0.2;
 /// Times its own charge that a call tells for requests without one, at most.
-const BESIDE_MOST: f64 = 2.0;
+const MAX_EXTRA_REPORT_MULTIPLE: f64 = 2.0;
 /// Part of a class's aim that waiting for the counter may take.
 const COUNT_WAIT_PART: f64 = 0.125;
 /// Part of the requests that is refused for want of room when refusing is no cure.
-const MOSTLY: f64 = 0.75;
+const MOSTLY_REJECTED: f64 = 0.75;
 /// Answers in which the least slowness rises to the present one.
 const CALM_RISE: f64 = 4000.0;
 
@@ -75,10 +77,14 @@
         // Of these the first are of plans whose requests cost least beyond the quota. Danger: an order that
         // leaves all calls where all cost the same, so that a lower chance lessens none. It is relative to
         // the requests that come: on the whole calls fall as fast as if there was no order.
-        let cheap = CHEAP_MOST - c.plan.over_cost.min(1.0);
+        let cheap = MAX_CHEAPNESS - c.plan.over_cost.min(1.0);
         self.cheap.add(cheap, 1.0, KEEP.1);
         let first = cheap / self.cheap.with_prior(cheap, f64::MIN_POSITIVE);
-        let (room, less, least) = if calm { (1.0, 2.0 * first, CALM_LEAST) } else { (2.0, 2.0, CALL_LEAST) };
+        let (room, less, least) = if calm {
+            (1.0, 2.0 * first, MIN_CALM_CALL_PROBABILITY)
+        } else {
+            (2.0, 2.0, MIN_CALL_PROBABILITY)
+        };
         let chance = (room - (1.0 - self.call_chance) * less).clamp(least.min(self.call_chance), 1.0);
         let kept = c.kept_part(self.mean_units.with_prior(1.0, f64::MIN_POSITIVE));
         if !self.settings.counter || roll(&mut self.rng) >= chance {
@@ -99,7 +105,7 @@
         c.roll(now);
         c.spend(units);
         (held.charge, held.counting) = (units, true);
-        held.beside = units * (1.0 - kept) * (1.0 / chance - 1.0).min(BESIDE_MOST);
+        held.beside = units * (1.0 - kept) * (1.0 / chance - 1.0).min(MAX_EXTRA_REPORT_MULTIPLE);
         let beside = held.beside;
         self.call(now, id, customer, (0.0, beside), actions);
         let longest = self.settings.counter_timeout_ms;
@@ -176,7 +182,8 @@
         let fleet = self.fleet.slowness();
         // Danger: an idle fleet slower than was assumed. Where most is refused and it is still slow, it is.
         let f = &self.fleet;
-        let rise = if f.refused > MOSTLY && f.calm < LEAST_BEARABLE { 10.0 } else { 1.0 } / CALM_RISE;
+        let rise = if f.refused > MOSTLY_REJECTED && f.calm < MIN_BEARABLE_SLOWNESS { 10.0 } else { 1.0 }
+            / CALM_RISE;
         let pace = if fleet < f.calm { 1.0 - KEEP.0 } else { rise };
         self.fleet.calm += pace * (fleet - self.fleet.calm);
     }
--- a/crates/policy/src/policy/counting.rs
+++ b/crates/policy/src/policy/counting.rs
@@ -1,6 +1,6 @@
 //! Calls to the counter: what a total decides, what is done without one, and how many calls are made.
 
-use super::{Gateway, CALL_LEAST};
+use super::{Gateway, MIN_CALL_PROBABILITY};
 use crate::interface::{Action, Outcome};
 use crate::state::{mix, roll, Call};
 use crate::store::WINDOW_MS;
@@ -142,7 +142,7 @@
             _ => CALL_CHANCE.0,
         };
         if factor < 1.0 && made >= self.call_eased {
-            self.call_chance = (self.call_chance * factor).max(CALL_LEAST);
+            self.call_chance = (self.call_chance * factor).max(MIN_CALL_PROBABILITY);
             // Danger: seconds without totals after an outage. Failures with no answer between them are one
             // trouble, and say nothing of how many calls are too many: the first alone lowers the goal.
             if self.call_heard {
--- a/crates/policy/src/policy/health.rs
+++ b/crates/policy/src/policy/health.rs
@@ -1,6 +1,6 @@
 //! What is known of backends: the list, reports, outcomes, silence and ejection.
 
-use super::{Gateway, EJECT, HEADROOM, KEEP, LEAST_BEARABLE, WATCH};
+use super::{Gateway, EJECT, HEADROOM, KEEP, MIN_BEARABLE_SLOWNESS, WATCH};
 use crate::interface::{Action, BackendEntry, ListScope, LoadField, Outcome, Readiness, Settings};
 use crate::state::{Backend, End};
 use crate::store::{LOCAL_PART, MEMORY_FILLS};
@@ -240,7 +240,7 @@
                 self.class_work[class] += (1.0 - KEEP.1) * (work - self.class_work[class]);
                 let classes = self.settings.classes.iter().zip(&self.class_work).filter(|(c, _)| !c.dropped);
                 let tightest = classes.map(|(c, w)| c.aim_ms / w).fold(f64::MAX, f64::min) / self.fleet.calm;
-                self.fleet.bearable = (tightest * HEADROOM).max(LEAST_BEARABLE);
+                self.fleet.bearable = (tightest * HEADROOM).max(MIN_BEARABLE_SLOWNESS);
                 self.fleet.mean_work += (1.0 - KEEP.1) * (work - self.fleet.mean_work);
             }
         }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -21,7 +21,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Least chance of a call, so that a counter that is back shows.
-const CALL_LEAST: f64 = 0.05;
+const MIN_CALL_PROBABILITY: f64 = 0.05;
 /// Latency of a mean request before any was seen, as a part of the aim.
 const UNSEEN_LATENCY: f64 = 0.125;
 /// Weight of the past in a backend's, the fleet's and a class's latency, for each answer.
@@ -39,7 +39,7 @@
 /// Up to so many gateways, what one of them has out shows the load of all.
 const FEW: f64 = 2.0;
 /// Slowness against the calm that is always borne, lest a misjudged class shut the gateway.
-const LEAST_BEARABLE: f64 = 1.5;
+const MIN_BEARABLE_SLOWNESS: f64 = 1.5;
 /// Further attempts earned by each request, and the most that can be saved up.
 const RETRY_BUDGET: (f64, f64) = (0.1, 10.0);
 /// What a timer is for, in the low bits of its token.
--- a/crates/policy/src/store.rs
+++ b/crates/policy/src/store.rs
@@ -26,7 +26,7 @@
 /// A total below this part of the last one is that of a counter that began anew.
 const RESTARTED: f64 = 0.5;
 /// Lost refill that is worth a call, units. Harm: up to so much may pass beyond the quota in a spike.
-const LOST_LEAST: f64 = 1.0;
+const MIN_LOST_REFILL_UNITS: f64 = 1.0;
 /// Times the quota that a ceiling leaves to requests that a total let pass, for guesses that are off.
 const COUNTED_MARGIN: f64 = 1.25;
 /// Part of an even share of the ceiling that is used by chance, where the share is under a request.
@@ -314,8 +314,8 @@
         // Danger: a counter that is crowded, and a store that reads as full until its gateways have passed
         // all of the loss once more. Up to a burst is borne; a greater loss is worth a call however few there
         // are.
-        let due = (spare || over > burst) && seen && !self.filling && over >= LOST_LEAST;
-        self.lacking = over >= LOST_LEAST && !due;
+        let due = (spare || over > burst) && seen && !self.filling && over >= MIN_LOST_REFILL_UNITS;
+        self.lacking = over >= MIN_LOST_REFILL_UNITS && !due;
         match () {
             () if again => -twice,
             () if due => over,
--- a/crates/policy/src/terms.rs
+++ b/crates/policy/src/terms.rs
@@ -9,7 +9,7 @@
 use crate::settings::Names;
 
 /// The most places of the table: classes, and those that open requests still hold.
-pub const CLASSES_MOST: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 
 /// Settings and the names in them.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
         }
         for (name, class) in fresh {
             let place = spare.pop().unwrap_or(named.len());
-            if place >= CLASSES_MOST {
+            if place >= MAX_CLASSES {
                 let field = format!("settings.profiles: {}", name.as_deref().unwrap_or_default());
                 return Err(SettingsError {
                     field,
--- a/crates/policy/tests/terms.rs
+++ b/crates/policy/tests/terms.rs
@@ -1,7 +1,7 @@
 //! Settings that change in service: classes at their places, keys that are missing.
 
 use gateway_policy::settings;
-use gateway_policy::terms::{lacks, Terms, CLASSES_MOST};
+use gateway_policy::terms::{lacks, Terms, MAX_CLASSES};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -74,9 +74,9 @@
                 break;
             }
         }
-        assert!(now.settings.classes.len() <= CLASSES_MOST);
+        assert!(now.settings.classes.len() <= MAX_CLASSES);
     }
-    assert_eq!(now.settings.classes.len(), CLASSES_MOST);
+    assert_eq!(now.settings.classes.len(), MAX_CLASSES);
 }
 
 #[test]
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -95,7 +95,7 @@
 }
 
 /// Backends that a home has at least, where there are as many.
-pub const HOME_LEAST: usize = 4;
+pub const MIN_SUBSET_SIZE: usize = 4;
 
 /// A key of [`Index::members`]: thresholds are never negative, so their bits sort as they do.
 type Rank = (u64, u32);
@@ -348,7 +348,7 @@
         // Danger: homes differ in size by chance, and one of a backend or two has nothing left when they
         // fail. Those next in line are taken in, which gives them a gateway more.
         let own = |rank: &Rank| f64::from_bits(rank.0).next_up();
-        let least = self.members.iter().nth(HOME_LEAST - 1).or(self.members.last()).map_or(0.0, own);
+        let least = self.members.iter().nth(MIN_SUBSET_SIZE - 1).or(self.members.last()).map_or(0.0, own);
         let degree = degree.max(least);
         let old = std::mem::replace(&mut self.home_below, degree);
         let (low, high) = (old.min(degree).to_bits(), old.max(degree).to_bits());
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -19,5 +19,5 @@
 mod subset;
 
 pub use group::Counts;
-pub use index::{Facts, Filed, From, Index, Listing, Reach, HOME_LEAST};
+pub use index::{Facts, Filed, From, Index, Listing, Reach, MIN_SUBSET_SIZE};
 pub use subset::Subset;
--- a/crates/routing/tests/index.rs
+++ b/crates/routing/tests/index.rs
@@ -4,7 +4,7 @@
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use routing::{Counts, Facts, Filed, From, Index, Listing, Reach, Subset, HOME_LEAST};
+use routing::{Counts, Facts, Filed, From, Index, Listing, Reach, Subset, MIN_SUBSET_SIZE};
 
 const WINDOW: f64 = 1_000.0;
 
@@ -69,7 +69,7 @@
     fn home(&self, facts: &Facts) -> bool {
         let mut own: Vec<f64> = self.ready().map(|b| self.subset.threshold(b.0.key)).collect();
         own.sort_by(f64::total_cmp);
-        let least = own.iter().take(HOME_LEAST).next_back().map_or(0.0, |t| t.next_up());
+        let least = own.iter().take(MIN_SUBSET_SIZE).next_back().map_or(0.0, |t| t.next_up());
         let degree = self.subset.degree(self.ready().count()).max(least);
         facts.listing == Listing::Ready && self.subset.threshold(facts.key) < degree
     }
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -76,12 +76,12 @@
     open: AtomicUsize,
     connections: AtomicUsize,
     over: AtomicU64,
-    /// When connections came, by the journal's clock; the first [`ACCEPTED_MOST`] of them.
+    /// When connections came, by the journal's clock; the first [`MAX_ACCEPTED`] of them.
     accepted: Mutex<Vec<Duration>>,
 }
 
 /// Moments of connections that are kept.
-const ACCEPTED_MOST: usize = 100_000;
+const MAX_ACCEPTED: usize = 100_000;
 
 impl Backend {
     /// Starts one on a port of the system's choice.
@@ -191,7 +191,7 @@
         self.counts.over.fetch_add(u64::from(over), Ordering::Relaxed);
         {
             let mut accepted = self.counts.accepted.lock().unwrap_or_else(PoisonError::into_inner);
-            if accepted.len() < ACCEPTED_MOST {
+            if accepted.len() < MAX_ACCEPTED {
                 accepted.push(self.journal.now());
             }
         }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -23,9 +23,9 @@
 /// How long a client that leaves stays.
 const LEAVE_AFTER: Duration = Duration::from_millis(5);
 /// Requests of one load that may be open; more are not begun, and counted as held back.
-const OPEN_MOST: usize = 512;
+const MAX_OPEN: usize = 512;
 /// Connections to one gateway that are kept while nothing is open on them.
-const IDLE_MOST: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// What a load asks.
 #[derive(Clone, Debug)]
@@ -147,7 +147,7 @@
                 _ = tick.tick() => {}
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => continue,
             }
-            if self.counts.open.load(Ordering::Relaxed) >= OPEN_MOST {
+            if self.counts.open.load(Ordering::Relaxed) >= MAX_OPEN {
                 self.counts.held_back.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
@@ -269,7 +269,7 @@
             _ => Answer::Odd,
         };
         let mut idle = self.idle[gateway].lock().unwrap_or_else(PoisonError::into_inner);
-        if buffer.is_empty() && idle.len() < IDLE_MOST {
+        if buffer.is_empty() && idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(stream);
         }
         Some(answer)
--- a/crates/testbed/src/counter.rs
+++ b/crates/testbed/src/counter.rs
@@ -12,9 +12,9 @@
 use crate::switch::{Fault, Switch};
 
 /// Names that it holds at most; a call for one more is turned away.
-const NAMES_MOST: usize = 100_000;
+const MAX_KEYS: usize = 100_000;
 /// The longest that it keeps a name.
-const LIFE_MOST: Duration = Duration::from_secs(60);
+const MAX_KEY_TTL: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Default)]
 struct Store {
@@ -22,14 +22,14 @@
     calls: u64,
     /// All that was ever added, whatever was told or forgotten.
     added: f64,
-    /// When calls came, and how long each stood before it was answered; the first [`WAITS_MOST`].
+    /// When calls came, and how long each stood before it was answered; the first [`MAX_RECORDED_WAITS`].
     waits: Vec<(Duration, Duration)>,
 }
 
 /// Calls whose waits are kept.
-const WAITS_MOST: usize = 1_000_000;
+const MAX_RECORDED_WAITS: usize = 1_000_000;
 /// Calls that may stand on one connection.
-const STAND_MOST: usize = 4_096;
+const MAX_QUEUED: usize = 4_096;
 
 /// So much time lost by sleeps is made up for.
 const SLEEPS_LONGER: Duration = Duration::from_millis(20);
@@ -143,7 +143,7 @@
 
 async fn serve(stream: TcpStream, switch: Switch, store: Arc<Mutex<Store>>, (work, begun): (Work, Instant)) {
     let (reader, mut writer) = stream.into_split();
-    let (stand, mut standing) = tokio::sync::mpsc::channel::<(String, Instant)>(STAND_MOST);
+    let (stand, mut standing) = tokio::sync::mpsc::channel::<(String, Instant)>(MAX_QUEUED);
     // Calls are read as they come, so that their waits are those of their senders.
     let read = async move {
         let mut lines = BufReader::new(reader).lines();
@@ -174,7 +174,7 @@
             };
             {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                if store.waits.len() < WAITS_MOST {
+                if store.waits.len() < MAX_RECORDED_WAITS {
                     store.waits.push((came.duration_since(begun), came.elapsed()));
                 }
             }
@@ -201,14 +201,14 @@
     let now = Instant::now();
     let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
     store.calls += 1;
-    if store.totals.len() >= NAMES_MOST {
+    if store.totals.len() >= MAX_KEYS {
         store.totals.retain(|_, (_, until)| *until > now);
-        if store.totals.len() >= NAMES_MOST {
+        if store.totals.len() >= MAX_KEYS {
             return "busy\r\n".to_string();
         }
     }
     store.added += amount;
-    let until = now + Duration::from_millis(life).min(LIFE_MOST);
+    let until = now + Duration::from_millis(life).min(MAX_KEY_TTL);
     let total = store.totals.entry(name.to_string()).or_insert((0.0, until));
     if total.1 <= now {
         *total = (0.0, until);
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -17,7 +17,7 @@
 use crate::switch::{Fault, Switch};
 
 /// The longest line of a request.
-const LINE_MOST: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
 
 #[derive(Clone, Debug, Default)]
 struct List {
@@ -53,7 +53,7 @@
 }
 
 /// Calls that are kept at most.
-const CALLS_MOST: usize = 400_000;
+const MAX_RECORDED_CALLS: usize = 400_000;
 
 struct Shared {
     started: Instant,
@@ -82,7 +82,7 @@
     fn note(&self, door: usize, after: Option<u64>, wait: Duration) -> usize {
         let at = self.started.elapsed();
         let mut calls = self.calls();
-        if calls.len() >= CALLS_MOST {
+        if calls.len() >= MAX_RECORDED_CALLS {
             return usize::MAX;
         }
         calls.push(Called { at, door, after, wait, answered: None, turned_away: false });
@@ -297,7 +297,7 @@
         let mut path = String::new();
         loop {
             let mut line = String::new();
-            if stream.read_line(&mut line).await.ok()? == 0 || line.len() > LINE_MOST {
+            if stream.read_line(&mut line).await.ok()? == 0 || line.len() > MAX_LINE_BYTES {
                 return None;
             }
             if path.is_empty() {
--- a/crates/testbed/src/dns.rs
+++ b/crates/testbed/src/dns.rs
@@ -22,11 +22,11 @@
 const SRV: u16 = 33;
 const OPT: u16 = 41;
 /// What fits a datagram where the question does not say (RFC 1035, section 4.2.1).
-const PLAIN_MOST: usize = 512;
+const MAX_PLAIN_ANSWER_BYTES: usize = 512;
 /// Questions that are worked on at once.
-const TASKS_MOST: usize = 1_024;
+const MAX_TASKS: usize = 1_024;
 /// How long a TCP connection may say nothing.
-const QUIET_MOST: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How answers of an otherwise sound resolver are wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -196,7 +196,7 @@
     let (socket, mut tasks, mut buffer) = (Arc::new(socket), JoinSet::new(), vec![0; 4_096]);
     loop {
         tokio::select! {
-            received = socket.recv_from(&mut buffer), if tasks.len() < TASKS_MOST => {
+            received = socket.recv_from(&mut buffer), if tasks.len() < MAX_TASKS => {
                 let Ok((length, from)) = received else { continue };
                 let (question, socket) = (buffer[..length].to_vec(), Arc::clone(&socket));
                 let shared = shared.clone();
@@ -217,7 +217,7 @@
     let mut tasks = JoinSet::new();
     loop {
         tokio::select! {
-            accepted = listener.accept(), if tasks.len() < TASKS_MOST => match accepted {
+            accepted = listener.accept(), if tasks.len() < MAX_TASKS => match accepted {
                 Ok((stream, _)) => {
                     tasks.spawn(talk(stream, shared.clone()));
                 }
@@ -230,9 +230,9 @@
 
 async fn talk(mut stream: TcpStream, shared: Shared) -> Option<()> {
     loop {
-        let length = timeout(QUIET_MOST, stream.read_u16()).await.ok()?.ok()?;
+        let length = timeout(IDLE_TIMEOUT, stream.read_u16()).await.ok()?.ok()?;
         let mut question = vec![0; usize::from(length)];
-        timeout(QUIET_MOST, stream.read_exact(&mut question)).await.ok()?.ok()?;
+        timeout(IDLE_TIMEOUT, stream.read_exact(&mut question)).await.ok()?.ok()?;
         shared.asked.1.fetch_add(1, Ordering::Relaxed);
         let answer = shared.answers(&question, false).await.pop()?;
         let length = u16::try_from(answer.len()).ok()?;
@@ -310,7 +310,8 @@
         }
         let (wire, kind) = (bytes[12..at].to_vec(), word(at)?);
         let opt = additional > 0 && bytes.get(at + 4) == Some(&0) && word(at + 5) == Some(OPT);
-        let most = if opt { usize::from(word(at + 7)?).max(PLAIN_MOST) } else { PLAIN_MOST };
+        let most =
+            if opt { usize::from(word(at + 7)?).max(MAX_PLAIN_ANSWER_BYTES) } else { MAX_PLAIN_ANSWER_BYTES };
         Some(Question { id, wire, name, kind, most })
     }
 
--- a/crates/testbed/src/harness/node.rs
+++ b/crates/testbed/src/harness/node.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 /// How long a process may take until it says that it is ready.
-const READY_MOST: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a process could not be had.
 #[derive(Debug)]
@@ -110,7 +110,7 @@
         let said = self.running.as_mut().and_then(|(_, said)| said.as_mut());
         let rest = match said {
             None => None,
-            Some(said) => timeout(READY_MOST, async {
+            Some(said) => timeout(READY_TIMEOUT, async {
                 while let Ok(Some(line)) = said.next_line().await {
                     if let Some(rest) = line.strip_prefix(begin) {
                         return Some(rest.to_string());
--- a/crates/testbed/src/overseen.rs
+++ b/crates/testbed/src/overseen.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use fleet::wire::{
-    Applied, BackendState, Figures, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, LINE_MOST,
+    Applied, BackendState, Figures, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, MAX_LINE_BYTES,
 };
 use fleet::Desired;
 use operator_config::Address;
@@ -36,7 +36,7 @@
     /// # Errors
     /// A [`BindError`], if its socket can't be had.
     pub async fn start(name: &str, boot: u64, at: &Address, backends: usize) -> Result<Overseen, BindError> {
-        let listener = Listener::bind(at, None, LINE_MOST).await?;
+        let listener = Listener::bind(at, None, MAX_LINE_BYTES).await?;
         let row = |i: usize| BackendState {
             name: format!("till-{i}"),
             address: format!("127.0.0.1:{}", 1 + i % 60_000),
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// The longest message that a stand-in takes.
-const MESSAGE_MOST: usize = 256 * 1024;
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 /// A message, and how long before its end its first byte came.
 pub(crate) struct Message {
@@ -23,7 +23,7 @@
         if let Some((frame, _, _)) = decode_bytes_mut(buffer).ok()? {
             return Some(Message { frame, took: began.map_or(Duration::ZERO, |b| b.elapsed()) });
         }
-        if buffer.len() > MESSAGE_MOST || from.read_buf(buffer).await.ok()? == 0 {
+        if buffer.len() > MAX_MESSAGE_BYTES || from.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
         began = began.or_else(|| Some(Instant::now()));
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -17,7 +17,7 @@
 
 /// How long a handshake may take. Danger: one that connects and says nothing holds up no one but itself, but
 /// it holds a place.
-const HANDSHAKE_MOST: Duration = Duration::from_secs(2);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A listener that can't be had.
 #[derive(Debug)]
@@ -140,7 +140,7 @@
             }
             ArrivalKind::Tls(stream, acceptor) => {
                 stream.set_nodelay(true)?;
-                let stream = timeout(HANDSHAKE_MOST, acceptor.accept(stream)).await??;
+                let stream = timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await??;
                 Ok(Lines::new(Box::new(stream), self.most))
             }
         }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -11,11 +11,11 @@
 use crate::record::{Record, Source, Units};
 
 /// Sources that may be known at once.
-pub const SOURCES_MOST: usize = 100_000;
+pub const MAX_SOURCES: usize = 100_000;
 /// Runs of sequence numbers beyond a gap that are remembered of a source.
-pub const GAPS_MOST: usize = 10_000;
+pub const MAX_GAPS: usize = 10_000;
 /// Sequence numbers are below this. Danger: arithmetic on numbers from outside that ends the program.
-const SEQUENCE_MOST: u64 = 1 << 53;
+const MAX_SEQUENCE: u64 = 1 << 53;
 
 /// How periods are cut and closed.
 #[derive(Clone, Copy, Debug)]
@@ -115,7 +115,7 @@
         let next = last.saturating_add(1);
         let after = self.beyond.get(&next).copied();
         let touches = before.is_some() || after.is_some() || first == self.upto + 1;
-        if !touches && self.beyond.len() >= GAPS_MOST {
+        if !touches && self.beyond.len() >= MAX_GAPS {
             return false;
         }
         if after.is_some() {
@@ -178,7 +178,7 @@
 
     fn source(&mut self, source: &Source) -> Option<&mut Seen> {
         if !self.sources.contains_key(source) {
-            if self.sources.len() >= SOURCES_MOST {
+            if self.sources.len() >= MAX_SOURCES {
                 return None;
             }
             self.sources.insert(source.clone(), Seen::default());
@@ -190,7 +190,7 @@
     pub fn take(&mut self, source: &Source, record: &Record) -> Taken {
         let (period, closed) = (self.settings.period_ms, self.closed_ms);
         let Some(seen) = self.source(source) else { return Taken::NoRoom };
-        if !(1..SEQUENCE_MOST).contains(&record.sequence) {
+        if !(1..MAX_SEQUENCE).contains(&record.sequence) {
             return Taken::Odd;
         }
         if seen.has(record.sequence) {
@@ -219,7 +219,7 @@
     pub fn lose(&mut self, source: &Source, first: u64, last: u64) -> bool {
         let Some(seen) = self.source(source) else { return false };
         let (mut lost, mut noted) = (0, true);
-        for (first, last) in seen.missing(first.max(1), last.min(SEQUENCE_MOST - 1)) {
+        for (first, last) in seen.missing(first.max(1), last.min(MAX_SEQUENCE - 1)) {
             noted = noted && seen.note(first, last);
             lost += if noted { last - first + 1 } else { 0 };
         }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -11,6 +11,6 @@
 mod record;
 mod segment;
 
-pub use ledger::{Batch, Key, Ledger, Line, Settings, Taken, Totals, GAPS_MOST, SOURCES_MOST};
+pub use ledger::{Batch, Key, Ledger, Line, Settings, Taken, Totals, MAX_GAPS, MAX_SOURCES};
 pub use record::{Record, Source, Units};
-pub use segment::{begin, scan, Chain, End, Header, Scan, Writer, FORMAT, FRAME_MOST};
+pub use segment::{begin, scan, Chain, End, Header, Scan, Writer, FORMAT, MAX_FRAME_BYTES};
--- a/crates/usage/src/segment.rs
+++ b/crates/usage/src/segment.rs
@@ -17,7 +17,7 @@
 /// The format that is written, and the only one that is read.
 pub const FORMAT: u16 = 1;
 /// The longest body of a frame, bytes.
-pub const FRAME_MOST: usize = 1024;
+pub const MAX_FRAME_BYTES: usize = 1024;
 const LENGTH: usize = 4;
 const CHECK: usize = 8;
 
@@ -78,7 +78,7 @@
     }
 
     fn frame(&mut self, body: &[u8]) -> Option<Vec<u8>> {
-        if body.len() > FRAME_MOST {
+        if body.len() > MAX_FRAME_BYTES {
             return None;
         }
         self.chain = self.chain.then(body);
@@ -161,7 +161,7 @@
     let (length, rest) = bytes.split_first_chunk::<LENGTH>().ok_or(End::Cut)?;
     let length = u32::from_le_bytes(*length) as usize;
     // Danger: a length with a flipped bit, taken for a frame that goes on past the end.
-    if length > FRAME_MOST {
+    if length > MAX_FRAME_BYTES {
         return Err(End::Spoilt);
     }
     let body = rest.get(..length).ok_or(End::Cut)?;
