--- a/crates/cold-start/src/lib.rs
+++ b/crates/cold-start/src/lib.rs
@@ -12,16 +12,16 @@
 //! All times are Unix time in ms, from one clock that does not step while a gateway runs.
 //! `docs/design/cold-start.md` has the promises and the options.
 
-mod allowance;
-mod calendar;
-mod calls;
-mod openings;
-mod share;
-mod waves;
+mod adaptive_share;
+mod call_budget;
+mod connection_ramp;
+mod poll_schedule;
+mod slot_schedule;
+mod start_batches;
 
-pub use allowance::Allowance;
-pub use calendar::Calendar;
-pub use calls::{Call, Calls, Came};
-pub use openings::{Openings, Stage};
-pub use share::{Share, MIN_SHARE};
-pub use waves::{Turn, Waves};
+pub use adaptive_share::{Share, MIN_SHARE};
+pub use call_budget::Allowance;
+pub use connection_ramp::{Openings, Stage};
+pub use poll_schedule::{Call, Calls, Came};
+pub use slot_schedule::Calendar;
+pub use start_batches::{Turn, Waves};
--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -8,7 +8,7 @@
 
 use crate::answer::{Data, Kind, Question, Service};
 use crate::cache::{Cache, Known, State};
-use crate::traits::Traits;
+use crate::metadata::Traits;
 
 /// The most instances of a list. Danger: an answer that fills the memory; what is above is dropped.
 pub const MAX_INSTANCES: usize = 20_000;
--- a/crates/dns-sd/src/lib.rs
+++ b/crates/dns-sd/src/lib.rs
@@ -18,7 +18,7 @@
 mod answer;
 mod cache;
 mod catalogue;
-mod traits;
+mod metadata;
 
 pub use answer::{
     ask, read, Absence, Answer, BadAnswer, Data, Kind, Question, Service, MAX_ALIAS_CHAIN, PAYLOAD,
@@ -26,4 +26,4 @@
 pub use cache::{Bounds, Cache, Due, Known, State};
 pub use catalogue::{Catalogue, Change, Dropped, Endpoint, Reading, MAX_INSTANCES};
 pub use hickory_proto::rr::Name;
-pub use traits::{BadText, Status, Traits};
+pub use metadata::{BadText, Status, Traits};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -12,14 +12,14 @@
 //! and any number of times; whoever has seen the same ones holds the same state.
 
 mod desired;
+mod gateway_record;
 mod guard;
-mod member;
 mod name;
 mod order;
 pub mod wire;
 
 pub use desired::{Aspect, Desired, Effect, Register, Snapshot, Value, MAX_REGISTERS};
+pub use gateway_record::{Health, Member, Sighting};
 pub use guard::{guard, Backend, Counts, TooFew};
-pub use member::{Health, Member, Sighting};
 pub use name::{BadName, Name, OrderId, MAX_NAME_BYTES, MAX_ORDER_ID_BYTES};
 pub use order::{BadOrder, Change, Order, Outcome, Revision, Subject, MAX_WEIGHT, MIN_WEIGHT};
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::desired::Snapshot;
+use crate::gateway_record::Health;
 use crate::guard::Counts;
-use crate::member::Health;
 use crate::name::{Name, OrderId};
 use crate::order::{Change, Order, Outcome, Revision, Subject};
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use gateway_policy::terms::Terms;
+use gateway_policy::reload::Terms;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch, Notify, OwnedSemaphorePermit, Semaphore};
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 
 use gateway_policy::interface::SettingsError;
+use gateway_policy::reload::{self, Terms};
 use gateway_policy::settings::{self, Keys};
-use gateway_policy::terms::{self, Terms};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
@@ -92,7 +92,7 @@
     /// # Errors
     /// The first that it lacks.
     pub fn has_all_of(&self, before: &Config) -> Result<(), SettingsError> {
-        match terms::lacks(&before.told, &self.told, "configuration", &MAY_LACK) {
+        match reload::lacks(&before.told, &self.told, "configuration", &MAY_LACK) {
             Some(field) => Err(SettingsError { field, problem: "missing; the file before has it" }),
             None => Ok(()),
         }
--- a/crates/gateway/src/driver/overseen.rs
+++ b/crates/gateway/src/driver/overseen.rs
@@ -10,7 +10,7 @@
 };
 use fleet::{Desired, OrderId, Subject};
 use gateway_policy::interface::SettingsError;
-use gateway_policy::terms::Terms;
+use gateway_policy::reload::Terms;
 use gateway_policy::BackendView;
 use maintenance::Book;
 use tokio::sync::watch;
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/order.rs
@@ -1,7 +1,7 @@
 //! What the keeper of operators' book asks of the driver, on a way of its own that is looked at first.
 
 use gateway_policy::interface::{SettingsError, Untold};
-use gateway_policy::terms::Terms;
+use gateway_policy::reload::Terms;
 use maintenance::Book;
 use tokio::sync::oneshot;
 
--- a/crates/maintenance/src/book.rs
+++ b/crates/maintenance/src/state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::call::Call;
+use crate::command::Call;
 
 /// The most backends that are banned at once.
 pub const MAX_BANS: usize = 4_096;
--- a/crates/maintenance/tests/book.rs
+++ b/crates/maintenance/tests/state.rs
@@ -1,6 +1,6 @@
 //! Calls, what they leave in force, and the form in which it is handed on.
 
-use maintenance::{sealed, BadCall, Book, Call, Done, Refused, MAX_BACKEND_ID_BYTES, MAX_BANS};
+use maintenance::{checksummed, BadCall, Book, Call, Done, Refused, MAX_BACKEND_ID_BYTES, MAX_BANS};
 use proptest::prelude::*;
 
 fn call(line: &str) -> Call {
@@ -70,15 +70,15 @@
     let mut book = Book::default();
     book.carry_out(&call("DISABLE s-5be2a07c"), true, 1.0).expect("listed");
     book.carry_out(&call("DRAIN"), true, 2.0).expect("always");
-    let bytes = sealed::seal("book", &book).expect("it can be written");
-    assert_eq!(sealed::open::<Book>("book", &bytes), Ok(book));
-    assert!(sealed::open::<Book>("other", &bytes).is_err(), "another kind");
+    let bytes = checksummed::seal("book", &book).expect("it can be written");
+    assert_eq!(checksummed::open::<Book>("book", &bytes), Ok(book));
+    assert!(checksummed::open::<Book>("other", &bytes).is_err(), "another kind");
     for at in 0..bytes.len() {
-        assert!(sealed::open::<Book>("book", &bytes[..at]).is_err(), "cut at {at}");
+        assert!(checksummed::open::<Book>("book", &bytes[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
             let mut flipped = bytes.clone();
             flipped[at] ^= 1 << bit;
-            assert!(sealed::open::<Book>("book", &flipped).is_err(), "bit {bit} at {at}");
+            assert!(checksummed::open::<Book>("book", &flipped).is_err(), "bit {bit} at {at}");
         }
     }
 }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -11,17 +11,17 @@
 //!  reserve, confirm, extend, release ─▶ Book: leases with fencing tokens, within what the ceiling leaves
 //! ```
 
-mod book;
 mod catalogue;
+mod catalogue_file;
 mod fence;
-mod file;
+mod reservations;
 mod timeline;
 
-pub use book::{
+pub use catalogue::{Assignment, Catalogue, Plan, Wrong, MAX_CUSTOMERS, MAX_PLANS};
+pub use catalogue_file::{read, BadCatalogue, Fault};
+pub use fence::{Fence, Taken};
+pub use reservations::{
     Ask, Book, End, Ended, Refused, Reservation, State, Token, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
     MAX_RESERVATIONS_PER_CUSTOMER,
 };
-pub use catalogue::{Assignment, Catalogue, Plan, Wrong, MAX_CUSTOMERS, MAX_PLANS};
-pub use fence::{Fence, Taken};
-pub use file::{read, BadCatalogue, Fault};
 pub use timeline::{Terms, Timeline};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,11 +7,11 @@
 pub mod interface;
 mod policy;
 #[cfg(feature = "settings")]
+pub mod reload;
+#[cfg(feature = "settings")]
 pub mod settings;
 mod state;
 mod store;
-#[cfg(feature = "settings")]
-pub mod terms;
 mod view;
 
 pub use policy::Gateway;
--- a/crates/policy/tests/terms.rs
+++ b/crates/policy/tests/reload.rs
@@ -1,7 +1,7 @@
 //! Settings that change in service: classes at their places, keys that are missing.
 
+use gateway_policy::reload::{lacks, Terms, MAX_CLASSES};
 use gateway_policy::settings;
-use gateway_policy::terms::{lacks, Terms, MAX_CLASSES};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 use tokio_rustls::TlsConnector;
 
-use crate::lines::Lines;
+use crate::json_lines::Lines;
 use crate::tls::{TlsError, TlsFiles};
 
 /// Why the other side can't be spoken to.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -9,14 +9,14 @@
 //! Whoever can't show that it may speak here is turned away before a byte of it is read as a message.
 
 mod connect;
-mod lines;
+mod json_lines;
 mod listen;
 mod tls;
 
 use tokio::io::{AsyncRead, AsyncWrite};
 
 pub use connect::{connect, ConnectError, Dialer};
-pub use lines::{LineError, Lines};
+pub use json_lines::{LineError, Lines};
 pub use listen::{BindError, Listener};
 pub use tls::{TlsError, TlsFiles};
 
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 
-use crate::lines::Lines;
+use crate::json_lines::Lines;
 use crate::tls::{TlsError, TlsFiles};
 
 /// How long a handshake may take. Danger: one that connects and says nothing holds up no one but itself, but
