--- a/crates/agent/src/book.rs
+++ b/crates/agent/src/book.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fleet::wire::{Code, Fault, Logged};
-use fleet::{guard, Backend, Change, Counts, Desired, Order, OrderId, Revision, Subject};
+use fleet::wire::{ErrorCode, ErrorResponse, LoggedOrder};
+use fleet::{guard, Backend, Change, DesiredState, GuardCounts, Order, OrderId, Revision, Subject};
 
 use crate::log::ORDERS_KEPT;
 
@@ -36,26 +36,26 @@
 #[derive(Debug)]
 pub enum Verdict {
     /// It was written down before.
-    Repeated(Logged),
+    Repeated(LoggedOrder),
     /// It is to be written down.
-    Write(Logged),
+    Write(LoggedOrder),
     /// It is not.
-    Refused(Fault),
+    Refused(ErrorResponse),
 }
 
 /// All orders.
 #[derive(Debug)]
 pub struct Book {
-    desired: Desired,
+    desired: DesiredState,
     newest: Revision,
-    orders: VecDeque<Logged>,
+    orders: VecDeque<LoggedOrder>,
     by_id: BTreeMap<OrderId, Revision>,
     unsettled: u64,
     least_ready: f64,
 }
 
 impl Book {
-    pub fn new(desired: Desired, newest: Revision, orders: Vec<Logged>, least_ready: f64) -> Book {
+    pub fn new(desired: DesiredState, newest: Revision, orders: Vec<LoggedOrder>, least_ready: f64) -> Book {
         let by_id = orders.iter().map(|l| (l.order.id.clone(), l.order.revision)).collect();
         Book { desired, newest, orders: orders.into(), by_id, unsettled: 0, least_ready }
     }
@@ -74,30 +74,30 @@
                 Verdict::Repeated(first.clone())
             } else {
                 let message = format!("id {id} was given to {} {}", first.order.change, first.order.subject);
-                Verdict::Refused(Fault::new(Code::IdReused, message))
+                Verdict::Refused(ErrorResponse::new(ErrorCode::IdReused, message))
             };
         }
         let order = Order { id, revision: self.newest.next(), subject, change };
         if let Err(bad) = order.check() {
-            return Verdict::Refused(Fault::new(Code::BadRequest, bad.to_string()));
+            return Verdict::Refused(ErrorResponse::new(ErrorCode::BadRequest, bad.to_string()));
         }
         let least = if forced { 0.0 } else { self.least_ready };
         let counts = match guard(&self.desired, &order, seen.backends, seen.gateways, least) {
             Ok(counts) => counts,
             Err(few) => {
                 let message = format!("{few}; --force orders it all the same");
-                return Verdict::Refused(Fault::new(Code::TooFew, message));
+                return Verdict::Refused(ErrorResponse::new(ErrorCode::TooFew, message));
             }
         };
         if let Some(fault) = self.unknown(&order, counts, seen.told, seen.named).filter(|_| !forced) {
             return Verdict::Refused(fault);
         }
-        if let fleet::Outcome::Refused(why) = self.desired.apply(&order) {
-            return Verdict::Refused(Fault::new(Code::Unavailable, why));
+        if let fleet::ApplyOutcome::Rejected(why) = self.desired.apply(&order) {
+            return Verdict::Refused(ErrorResponse::new(ErrorCode::Unavailable, why));
         }
         self.newest = order.revision;
         self.unsettled += 1;
-        let logged = Logged { order, forced, at_ms, counts };
+        let logged = LoggedOrder { order, forced, at_ms, counts };
         self.by_id.insert(logged.order.id.clone(), logged.order.revision);
         self.orders.push_back(logged.clone());
         if self.orders.len() > ORDERS_KEPT {
@@ -112,34 +112,34 @@
     fn unknown(
         &self,
         order: &Order,
-        counts: Counts,
+        counts: GuardCounts,
         told: bool,
         named: &dyn Fn(&str) -> bool,
-    ) -> Option<Fault> {
+    ) -> Option<ErrorResponse> {
         let subject = &order.subject;
         // What is ordered already can always be taken back.
         let ordered = self.desired.registers().any(|r| r.subject == *subject);
         match subject {
             _ if ordered => None,
             Subject::Gateway(name) if named(name.as_str()) => None,
-            Subject::Gateway(_) => Some(Fault::new(
-                Code::UnknownSubject,
+            Subject::Gateway(_) => Some(ErrorResponse::new(
+                ErrorCode::UnknownSubject,
                 format!("{subject}: no gateway of that name is overseen"),
             )),
             _ if counts.covered > 0 => None,
             _ if !told => {
                 let message = "no gateway has told its backends yet; --force orders it all the same";
-                Some(Fault::new(Code::Unavailable, message))
+                Some(ErrorResponse::new(ErrorCode::Unavailable, message))
             }
             _ => {
                 let message =
                     format!("{subject}: no gateway lists such a backend; --force orders it all the same");
-                Some(Fault::new(Code::UnknownSubject, message))
+                Some(ErrorResponse::new(ErrorCode::UnknownSubject, message))
             }
         }
     }
 
-    fn logged(&self, id: &OrderId) -> Option<&Logged> {
+    fn logged(&self, id: &OrderId) -> Option<&LoggedOrder> {
         let revision = self.by_id.get(id)?;
         let place = self.orders.binary_search_by_key(revision, |l| l.order.revision).ok()?;
         self.orders.get(place)
@@ -161,12 +161,12 @@
     }
 
     /// What is ordered.
-    pub fn desired(&self) -> &Desired {
+    pub fn desired(&self) -> &DesiredState {
         &self.desired
     }
 
     /// The newest orders, newest first.
-    pub fn latest(&self) -> impl Iterator<Item = &Logged> {
+    pub fn latest(&self) -> impl Iterator<Item = &LoggedOrder> {
         self.orders.iter().rev()
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -28,10 +28,10 @@
 use std::sync::Arc;
 
 use fleet::wire::{MAX_LINE_BYTES, MAX_TOOL_LINE_BYTES};
-use fleet::{BadName, Name};
-use operator_config::{Agent, Gateway, Sources, Start};
+use fleet::{InvalidName, Name};
+use operator_config::{AgentConfig, GatewayConfig, SourcesConfig, StartConfig};
 use tokio::sync::{broadcast, mpsc, watch, Semaphore};
-use transport::{BindError, Dialer, Listener, TlsError};
+use transport::{BindError, Connector, Listener, TlsError};
 
 use tools::Scope;
 
@@ -54,7 +54,7 @@
     /// The list can't be served: the socket, or a service.
     Sources(String),
     /// A gateway in the operator's file has a name that can't be one.
-    Name(BadName),
+    Name(InvalidName),
 }
 
 impl fmt::Display for AgentError {
@@ -79,16 +79,17 @@
 /// # Errors
 /// An [`AgentError`], at the start or once the log can't be written.
 pub async fn run(
-    config: &Agent,
-    gateways: &[Gateway],
-    sources: Option<&Sources>,
-    start: Option<&Start>,
+    config: &AgentConfig,
+    gateways: &[GatewayConfig],
+    sources: Option<&SourcesConfig>,
+    start: Option<&StartConfig>,
     ready: impl FnOnce(Option<SocketAddr>),
     end: impl std::future::Future<Output = ()>,
 ) -> Result<(), AgentError> {
-    let dialer = Dialer::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
-    let named = |g: &Gateway| Ok((g.name.parse::<Name>()?, g.admin.clone()));
-    let fixed = gateways.iter().map(named).collect::<Result<Vec<_>, BadName>>().map_err(AgentError::Name)?;
+    let dialer = Connector::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
+    let named = |g: &GatewayConfig| Ok((g.name.parse::<Name>()?, g.admin.clone()));
+    let fixed =
+        gateways.iter().map(named).collect::<Result<Vec<_>, InvalidName>>().map_err(AgentError::Name)?;
     // The log first: two agents on one log end here, before either speaks.
     let (log, contents) = Log::open(&config.log).map_err(AgentError::Log)?;
     let listener =
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -8,13 +8,14 @@
 use std::time::Duration;
 
 use fleet::wire::{
-    Applied, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, MAX_LINE_BYTES, MAX_ORDERS_PER_REQUEST,
+    Applied, Envelope, GatewayRequest, GatewayResponse, GatewayState, OrderResult, MAX_LINE_BYTES,
+    MAX_ORDERS_PER_REQUEST,
 };
-use fleet::{Order, Revision, Sighting, Snapshot};
+use fleet::{Observation, Order, Revision, Snapshot};
 use operator_config::Address;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
-use transport::{Dialer, LineError, Lines};
+use transport::{Connector, JsonLines, JsonLinesError};
 
 /// Pause after a connection that failed: the first, and the longest. Each is lengthened by a part of it that
 /// differs from gateway to gateway, so that a thousand don't come back at one moment.
@@ -43,27 +44,27 @@
     /// The gateway.
     pub gateway: Arc<str>,
     /// What was learned of it.
-    pub sighting: Sighting,
+    pub sighting: Observation,
     /// What became of orders.
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<OrderResult>,
     /// Its state, if it was asked for.
     pub state: Option<GatewayState>,
 }
 
 /// What a gateway said, or why it could not be asked.
-pub type Said = Result<GatewaySay, String>;
+pub type Said = Result<GatewayResponse, String>;
 
 /// Asks a link to ask its gateway something that changes nothing.
 #[derive(Debug)]
 pub struct Query {
-    pub ask: GatewayAsk,
+    pub ask: GatewayRequest,
     pub answer: oneshot::Sender<Said>,
 }
 
 /// What all links share.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    pub dialer: Dialer,
+    pub dialer: Connector,
     pub heartbeat: Duration,
     /// How long a connection and an answer may take.
     pub answer: Duration,
@@ -91,7 +92,7 @@
             }
             Err(why) => why,
         };
-        let sighting = Sighting::Lost(why.clone());
+        let sighting = Observation::Unreachable(why.clone());
         let report = Report { gateway: Arc::clone(&gateway), sighting, verdicts: Vec::new(), state: None };
         if shared.reports.send(report).await.is_err() {
             return;
@@ -114,14 +115,14 @@
     }
 }
 
-async fn call(address: &Address, shared: &Shared) -> Result<Lines, String> {
+async fn call(address: &Address, shared: &Shared) -> Result<JsonLines, String> {
     let Ok(_place) = shared.calls.acquire().await else { return Err("the agent is ending".to_string()) };
     shared.dialer.connect(address, shared.answer, MAX_LINE_BYTES).await.map_err(|e| e.to_string())
 }
 
 struct Link<'a> {
     gateway: &'a Arc<str>,
-    lines: Lines,
+    lines: JsonLines,
     shared: &'a Shared,
     /// Number of the last question.
     last: u64,
@@ -144,13 +145,13 @@
         // Before anything else. It is told of as heard once its list is known too. Danger: an order refused
         // as no gateway had told its backends, while all are said to be well.
         let snapshot = (*now.snapshot).clone();
-        match self.ask(GatewayAsk::Adopt { snapshot }).await? {
-            GatewaySay::Applied(_) => {}
+        match self.ask(GatewayRequest::Adopt { snapshot }).await? {
+            GatewayResponse::Applied(_) => {}
             other => return Err(unexpected(&other)),
         }
         let first = self.state(true).await?;
         let (mut sent, mut floor) = (now.newest, now.snapshot.floor);
-        let (mut list, mut since) = (Some(first.list), 0);
+        let (mut list, mut since) = (Some(first.list_version), 0);
         self.heard(first).await?;
         let mut beat = interval(self.shared.heartbeat);
         beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -171,7 +172,7 @@
                         self.adopt(&now).await?;
                         floor = now.snapshot.floor;
                     } else {
-                        let said = self.ask(GatewayAsk::Apply { orders: after }).await?;
+                        let said = self.ask(GatewayRequest::Apply { orders: after }).await?;
                         self.applied(said).await?;
                     }
                     sent = now.newest;
@@ -190,9 +191,9 @@
                 _ = beat.tick() => {
                     since += 1;
                     let mut state = self.state(false).await?;
-                    if list != Some(state.list) && since > LIST_EVERY {
+                    if list != Some(state.list_version) && since > LIST_EVERY {
                         state = self.state(true).await?;
-                        (list, since) = (Some(state.list), 0);
+                        (list, since) = (Some(state.list_version), 0);
                     }
                     self.heard(state).await?;
                 }
@@ -201,33 +202,45 @@
     }
 
     async fn state(&mut self, backends: bool) -> Result<GatewayState, String> {
-        match self.ask(GatewayAsk::State { backends }).await? {
+        match self.ask(GatewayRequest::State { backends }).await? {
             // Danger: orders to one gateway carried out by another that has its address now.
-            GatewaySay::State(state) if state.name != **self.gateway => {
+            GatewayResponse::State(state) if state.name != **self.gateway => {
                 Err(format!("gateway {} answers there", state.name))
             }
-            GatewaySay::State(state) => Ok(state),
+            GatewayResponse::State(state) => Ok(state),
             other => Err(unexpected(&other)),
         }
     }
 
     async fn heard(&mut self, state: GatewayState) -> Result<(), String> {
-        self.boot = state.boot;
-        let sighting = Sighting::Heard { boot: state.boot, holds: state.holds };
+        self.boot = state.incarnation;
+        let sighting = Observation::Reachable {
+            incarnation: state.incarnation,
+            applied_revision: state.applied_revision,
+        };
         self.report(sighting, Vec::new(), Some(state)).await
     }
 
     async fn adopt(&mut self, now: &Published) -> Result<(), String> {
         let snapshot = (*now.snapshot).clone();
-        let said = self.ask(GatewayAsk::Adopt { snapshot }).await?;
+        let said = self.ask(GatewayRequest::Adopt { snapshot }).await?;
         self.applied(said).await
     }
 
-    async fn applied(&mut self, said: GatewaySay) -> Result<(), String> {
+    async fn applied(&mut self, said: GatewayResponse) -> Result<(), String> {
         match said {
-            GatewaySay::Applied(Applied { boot, holds, verdicts }) => {
+            GatewayResponse::Applied(Applied {
+                incarnation: boot,
+                applied_revision: holds,
+                results: verdicts,
+            }) => {
                 self.boot = boot;
-                self.report(Sighting::Heard { boot, holds }, verdicts, None).await
+                self.report(
+                    Observation::Reachable { incarnation: boot, applied_revision: holds },
+                    verdicts,
+                    None,
+                )
+                .await
             }
             other => Err(unexpected(&other)),
         }
@@ -235,8 +248,8 @@
 
     async fn report(
         &mut self,
-        sighting: Sighting,
-        verdicts: Vec<Verdict>,
+        sighting: Observation,
+        verdicts: Vec<OrderResult>,
         state: Option<GatewayState>,
     ) -> Result<(), String> {
         let report = Report { gateway: Arc::clone(self.gateway), sighting, verdicts, state };
@@ -244,31 +257,31 @@
     }
 
     /// Asks one thing and gives the answer to it.
-    async fn ask(&mut self, ask: GatewayAsk) -> Result<GatewaySay, String> {
+    async fn ask(&mut self, ask: GatewayRequest) -> Result<GatewayResponse, String> {
         let place = self.shared.fan_out.acquire().await;
         let _place = place.map_err(|_| "the agent is ending".to_string())?;
         self.last += 1;
         let n = self.last;
         let answer = async {
-            self.lines.send(&Numbered { n, body: ask }).await?;
-            self.lines.next::<Numbered<GatewaySay>>().await
+            self.lines.send(&Envelope { request_id: n, body: ask }).await?;
+            self.lines.next::<Envelope<GatewayResponse>>().await
         };
         let limit = self.shared.answer;
         match timeout(limit, answer).await {
             Err(_) => Err(format!("no answer within {} ms", limit.as_millis())),
-            Ok(Ok(Some(said))) if said.n == n => Ok(said.body),
+            Ok(Ok(Some(said))) if said.request_id == n => Ok(said.body),
             Ok(Ok(Some(said))) => Err(unexpected(&said.body)),
             Ok(Ok(None)) => Err("it ended the connection".to_string()),
-            Ok(Err(LineError::Broken(e))) => Err(format!("connection broke: {e}")),
+            Ok(Err(JsonLinesError::Broken(e))) => Err(format!("connection broke: {e}")),
             Ok(Err(e)) => Err(e.to_string()),
         }
     }
 }
 
 /// What it said in place of an answer.
-pub fn unexpected(said: &GatewaySay) -> String {
+pub fn unexpected(said: &GatewayResponse) -> String {
     match said {
-        GatewaySay::Fault(fault) => format!("it says: {}", fault.message),
+        GatewayResponse::Error(fault) => format!("it says: {}", fault.message),
         _ => "it answered something else".to_string(),
     }
 }
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use fleet::wire::Logged;
-use fleet::{Desired, Revision, Snapshot};
+use fleet::wire::LoggedOrder;
+use fleet::{DesiredState, Revision, Snapshot};
 use redb::{Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// Orders that are kept once they are settled. The id of an older one is forgotten.
@@ -58,11 +58,11 @@
 #[derive(Debug, Default)]
 pub struct Contents {
     /// What is ordered.
-    pub desired: Desired,
+    pub desired: DesiredState,
     /// The newest revision given.
     pub newest: Revision,
     /// The orders that are kept, from the oldest.
-    pub orders: Vec<Logged>,
+    pub orders: Vec<LoggedOrder>,
     /// Gateways that were registered: name and admin listener.
     pub members: Vec<(String, String)>,
 }
@@ -152,7 +152,8 @@
             return Err(LogError::Form(self.path.clone(), form));
         }
         let first = Revision { term: number("term")?, seq: 0 };
-        let mut contents = Contents { desired: Desired::since(first), newest: first, ..Contents::default() };
+        let mut contents =
+            Contents { desired: DesiredState::since(first), newest: first, ..Contents::default() };
         if let Ok(table) = read.open_table(SETTLED) {
             if let Some(bytes) = table.get("snapshot").map_err(|e| self.damaged(&e))? {
                 let snapshot: Snapshot =
@@ -164,7 +165,8 @@
         if let Ok(table) = read.open_table(ORDERS) {
             for row in table.iter().map_err(|e| self.damaged(&e))? {
                 let (key, value) = row.map_err(|e| self.damaged(&e))?;
-                let logged: Logged = serde_json::from_slice(value.value()).map_err(|e| self.damaged(&e))?;
+                let logged: LoggedOrder =
+                    serde_json::from_slice(value.value()).map_err(|e| self.damaged(&e))?;
                 let revision = Revision { term: key.value().0, seq: key.value().1 };
                 if logged.order.revision != revision {
                     return Err(self.damaged(&format!("order {revision} stands in another's place")));
@@ -188,7 +190,7 @@
     ///
     /// # Errors
     /// [`LogError::Io`]: none of them is to be taken as written.
-    pub fn append(&self, orders: &[Logged], settled: Option<&Snapshot>) -> Result<(), LogError> {
+    pub fn append(&self, orders: &[LoggedOrder], settled: Option<&Snapshot>) -> Result<(), LogError> {
         self.write(|tables| {
             let mut table = tables.0.open_table(ORDERS)?;
             for logged in orders {
--- a/crates/agent/src/owner.rs
+++ b/crates/agent/src/owner.rs
@@ -6,10 +6,11 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use fleet::wire::{
-    Accepted, Ask, Code, Did, Done, Fault, GatewayAsk, GatewaySay, GatewayState, Instance, Logged,
-    MemberState, Say, Seen, Status,
+    ErrorCode, ErrorResponse, FleetStatus, GatewayBackends, GatewayRequest, GatewayResponse, GatewayState,
+    GatewayStatus, InstanceOutcome, InstanceReport, LoggedOrder, OrderAccepted, OrderSummary, ToolRequest,
+    ToolResponse,
 };
-use fleet::{Health, Member, Name, Order, Outcome, Sighting};
+use fleet::{ApplyOutcome, GatewayRecord, Health, Name, Observation, Order};
 use operator_config::{Address, MAX_GATEWAYS};
 use tokio::sync::{broadcast, mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
@@ -39,25 +40,25 @@
 /// A tool asks. Watching is not for the owner.
 #[derive(Debug)]
 pub struct Asked {
-    pub ask: Ask,
-    pub say: mpsc::Sender<Say>,
+    pub ask: ToolRequest,
+    pub say: mpsc::Sender<ToolResponse>,
 }
 
 /// Somebody who waits for gateways to carry out an order.
 struct Waiter {
-    say: mpsc::Sender<Say>,
+    say: mpsc::Sender<ToolResponse>,
     order: Order,
     begun: Instant,
     deadline: Instant,
     pending: BTreeSet<Arc<str>>,
-    done: Done,
+    done: OrderSummary,
 }
 
 struct Gateway {
     address: Address,
     /// From the operator's file, and so not for a tool to take off.
     fixed: bool,
-    member: Member,
+    member: GatewayRecord,
     state: Option<GatewayState>,
     queries: mpsc::Sender<Query>,
     task: AbortHandle,
@@ -140,7 +141,7 @@
         let (queries, queue) = mpsc::channel(MAX_QUEUED_QUERIES);
         let link = link::run(Arc::clone(&name), address.clone(), self.shared.clone(), queue);
         let task = tokio::spawn(link).abort_handle();
-        let (member, told) = (Member::default(), Health::Unknown);
+        let (member, told) = (GatewayRecord::default(), Health::Unknown);
         let gateway = Gateway { address, fixed, member, state: None, queries, task, told };
         if let Some(old) = self.gateways.insert(name, gateway) {
             old.task.abort();
@@ -185,9 +186,9 @@
     /// Takes inputs in. The orders among them are written down together, and nobody is told of any, and none
     /// is published, before that is done.
     async fn take(&mut self, batch: Vec<Asked>) -> Result<(), LogError> {
-        let mut written: Vec<(Logged, mpsc::Sender<Say>, u64)> = Vec::new();
+        let mut written: Vec<(LoggedOrder, mpsc::Sender<ToolResponse>, u64)> = Vec::new();
         for Asked { ask, say } in batch {
-            let Ask::Order { id, subject, change, forced, deadline_ms } = ask else {
+            let ToolRequest::Order { id, subject, change, forced, deadline_ms } = ask else {
                 // Danger: orders shown that are not written down yet.
                 self.flush(&mut written).await?;
                 self.asked(ask, say).await?;
@@ -195,7 +196,7 @@
             };
             match self.judge(Wish { id, subject, change, forced }) {
                 Verdict::Write(logged) => written.push((logged, say, deadline_ms)),
-                Verdict::Refused(fault) => tell(&say, Say::Fault(fault)),
+                Verdict::Refused(fault) => tell(&say, ToolResponse::Error(fault)),
                 Verdict::Repeated(logged) => {
                     // Its first may be in this batch, and not be written yet.
                     if written.iter().any(|(w, ..)| w.order.id == logged.order.id) {
@@ -208,17 +209,20 @@
         self.flush(&mut written).await
     }
 
-    async fn flush(&mut self, written: &mut Vec<(Logged, mpsc::Sender<Say>, u64)>) -> Result<(), LogError> {
+    async fn flush(
+        &mut self,
+        written: &mut Vec<(LoggedOrder, mpsc::Sender<ToolResponse>, u64)>,
+    ) -> Result<(), LogError> {
         if written.is_empty() {
             return Ok(());
         }
-        let orders: Vec<Logged> = written.iter().map(|(logged, ..)| logged.clone()).collect();
+        let orders: Vec<LoggedOrder> = written.iter().map(|(logged, ..)| logged.clone()).collect();
         let settled = self.book.settle().then(|| self.book.desired().snapshot());
         let log = Arc::clone(&self.log);
         let appended = tokio::task::spawn_blocking(move || log.append(&orders, settled.as_ref())).await;
         if let Err(e) = appended.unwrap_or_else(|e| Err(self.log.broken(&e))) {
             for (_, say, _) in written.drain(..) {
-                tell(&say, Say::Fault(Fault::new(Code::Log, e.to_string())));
+                tell(&say, ToolResponse::Error(ErrorResponse::new(ErrorCode::Log, e.to_string())));
             }
             return Err(e);
         }
@@ -244,27 +248,39 @@
         let (gateways, views) = (&self.gateways, &self.views);
         if self.waiters.len() >= MAX_WAITERS {
             let message = "too many orders wait for gateways; try again";
-            return Verdict::Refused(Fault::new(Code::Unavailable, message));
+            return Verdict::Refused(ErrorResponse::new(ErrorCode::Unavailable, message));
         }
         let answers = gateways.iter().filter(|(_, g)| g.member.heard_ms().is_some());
-        let answers = answers.filter(|(_, g)| g.member.lost_since_ms().is_none()).map(|(name, _)| &**name);
+        let answers =
+            answers.filter(|(_, g)| g.member.unreachable_since_ms().is_none()).map(|(name, _)| &**name);
         let named = |name: &str| gateways.contains_key(name);
         let (backends, told) = (views.backends(), !views.unknown());
         self.book.judge(wish, book::Seen { backends, gateways: answers, told, named: &named }, at_ms)
     }
 
     /// Tells that an order is written down, and from then on what each gateway does.
-    fn accepted(&mut self, logged: Logged, say: mpsc::Sender<Say>, deadline_ms: u64, repeated: bool) {
-        let Logged { order, counts, .. } = logged;
+    fn accepted(
+        &mut self,
+        logged: LoggedOrder,
+        say: mpsc::Sender<ToolResponse>,
+        deadline_ms: u64,
+        repeated: bool,
+    ) {
+        let LoggedOrder { order, counts, .. } = logged;
         let instances = self.gateways.len() as u32;
-        tell(&say, Say::Accepted(Accepted { revision: order.revision, repeated, counts, instances }));
+        tell(
+            &say,
+            ToolResponse::Accepted(OrderAccepted { revision: order.revision, repeated, counts, instances }),
+        );
         let begun = Instant::now();
         let deadline = begun + Duration::from_millis(deadline_ms.min(600_000));
         let pending = self.gateways.keys().cloned().collect();
-        let mut waiter = Waiter { say, order, begun, deadline, pending, done: Done::default() };
+        let mut waiter = Waiter { say, order, begun, deadline, pending, done: OrderSummary::default() };
         for (name, gateway) in &self.gateways {
             match self.health(gateway) {
-                Health::Unreachable { why } => waiter.heard(name, Did::Unreachable { why }),
+                Health::Unreachable { reason: why } => {
+                    waiter.heard(name, InstanceOutcome::Unreachable { reason: why })
+                }
                 _ if gateway.member.holds() >= waiter.order.revision => waiter.heard(name, caught_up(begun)),
                 _ => {}
             }
@@ -283,7 +299,7 @@
         let now = self.now_ms();
         let Report { gateway: name, sighting, verdicts, state } = report;
         let Some(gateway) = self.gateways.get_mut(&name) else { return };
-        let anew = gateway.member.saw(now, sighting.clone());
+        let anew = gateway.member.observe(now, sighting.clone());
         if let Some(state) = state {
             if let Some(list) = &state.backends {
                 self.views.update(&name, list);
@@ -295,11 +311,13 @@
         for waiter in self.waiters.iter_mut().filter(|w| w.pending.contains(&name)) {
             let verdict = verdicts.iter().find(|v| v.id == waiter.order.id);
             match (&sighting, verdict) {
-                (Sighting::Lost(why), _) => waiter.heard(&name, Did::Unreachable { why: why.clone() }),
+                (Observation::Unreachable(why), _) => {
+                    waiter.heard(&name, InstanceOutcome::Unreachable { reason: why.clone() })
+                }
                 (_, Some(verdict)) => {
                     let took_ms = waiter.begun.elapsed().as_secs_f64() * 1000.0;
                     let (outcome, matched) = (verdict.outcome.clone(), Some(verdict.matched));
-                    waiter.heard(&name, Did::Answered { outcome, matched, took_ms });
+                    waiter.heard(&name, InstanceOutcome::Answered { outcome, matched, took_ms });
                 }
                 // It got the whole state, in which the order is.
                 _ if holds >= waiter.order.revision => waiter.heard(&name, caught_up(waiter.begun)),
@@ -318,7 +336,7 @@
                 && health != Health::Behind
             {
                 let why = match &health {
-                    Health::Unreachable { why } => format!(": {why}"),
+                    Health::Unreachable { reason: why } => format!(": {why}"),
                     _ => String::new(),
                 };
                 news.push(format!("gateway {name} is {health}{why}"));
@@ -334,7 +352,7 @@
         for waiter in self.waiters.iter_mut().filter(|w| w.deadline <= now) {
             for name in std::mem::take(&mut waiter.pending) {
                 waiter.pending.insert(Arc::clone(&name));
-                waiter.heard(&name, Did::Late);
+                waiter.heard(&name, InstanceOutcome::TimedOut);
             }
         }
         // One whose caller has gone as well.
@@ -347,63 +365,71 @@
         let _ = self.events.send(line);
     }
 
-    async fn asked(&mut self, ask: Ask, say: mpsc::Sender<Say>) -> Result<(), LogError> {
+    async fn asked(&mut self, ask: ToolRequest, say: mpsc::Sender<ToolResponse>) -> Result<(), LogError> {
         match ask {
-            Ask::Status { backends } => {
-                tell(&say, Say::Status(self.status()));
+            ToolRequest::Status { backends } => {
+                tell(&say, ToolResponse::Status(self.status()));
                 if backends {
-                    let asked = self.query(&GatewayAsk::State { backends: true });
+                    let asked = self.query(&GatewayRequest::State { backends: true });
                     tokio::spawn(seen(asked, self.shared.answer * 2, say));
                 }
             }
-            Ask::Orders { most } => {
+            ToolRequest::Orders { limit: most } => {
                 let orders = self.book.latest().take(most.min(1_000)).cloned().collect();
-                tell(&say, Say::Orders(orders));
+                tell(&say, ToolResponse::Orders(orders));
             }
-            Ask::Inflight { subject, deadline_ms } => {
-                let asked = self.query(&GatewayAsk::Inflight { subject });
+            ToolRequest::Inflight { subject, deadline_ms } => {
+                let asked = self.query(&GatewayRequest::Inflight { subject });
                 tokio::spawn(counted(asked, Duration::from_millis(deadline_ms.min(60_000)), say));
             }
-            Ask::Sources { records } => self.sources(records, &say),
-            Ask::Start { name, boot, gateways, held } => {
+            ToolRequest::Sources { records } => self.sources(records, &say),
+            ToolRequest::Start { name, incarnation: boot, gateways, held_version: held } => {
                 let now = self.now_ms();
-                let no_turns = || Say::Fault(Fault::new(Code::BadRequest, NO_TURNS));
+                let no_turns = || ToolResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, NO_TURNS));
                 let said = self.starts.as_mut().map(|s| s.ask(now, &name, boot, gateways, held));
                 tell(&say, said.unwrap_or_else(no_turns));
             }
-            Ask::Started { name, boot, call } => {
+            ToolRequest::Started { name, incarnation: boot, call } => {
                 let now = self.now_ms();
                 let news = self.starts.as_mut().and_then(|s| s.came(now, &name, boot, call));
                 news.into_iter().for_each(|line| self.event(line));
-                tell(&say, Say::Done(Done { done: 1, failed: 0 }));
+                tell(&say, ToolResponse::Done(OrderSummary { succeeded: 1, failed: 0 }));
             }
-            Ask::Register { name, address } => self.register(name, &address, &say)?,
-            Ask::Deregister { name } => self.deregister(&name, &say)?,
-            Ask::Order { .. } | Ask::Watch => {
-                tell(&say, Say::Fault(Fault::new(Code::BadRequest, "not for here")));
+            ToolRequest::Register { name, address } => self.register(name, &address, &say)?,
+            ToolRequest::Deregister { name } => self.deregister(&name, &say)?,
+            ToolRequest::Order { .. } | ToolRequest::Watch => {
+                tell(&say, ToolResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, "not for here")));
             }
         }
         Ok(())
     }
 
     /// Tells how the list stands, once whoever follows it has said so.
-    fn sources(&self, records: bool, say: &mpsc::Sender<Say>) {
+    fn sources(&self, records: bool, say: &mpsc::Sender<ToolResponse>) {
         let Some(listing) = &self.listing else {
             let message = "the operator's file of the agent has no [sources]";
-            return tell(say, Say::Fault(Fault::new(Code::BadRequest, message)));
+            return tell(say, ToolResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, message)));
         };
         let Some(told) = listing.ask(records) else {
-            return tell(say, Say::Fault(Fault::new(Code::Unavailable, "too many ask; try again")));
+            return tell(
+                say,
+                ToolResponse::Error(ErrorResponse::new(ErrorCode::Unavailable, "too many ask; try again")),
+            );
         };
         let say = say.clone();
         tokio::spawn(async move {
-            let fault = || Say::Fault(Fault::new(Code::Unavailable, "the list is not followed any more"));
-            tell(&say, told.await.map_or_else(|_| fault(), |state| Say::Sources(Box::new(state))));
+            let fault = || {
+                ToolResponse::Error(ErrorResponse::new(
+                    ErrorCode::Unavailable,
+                    "the list is not followed any more",
+                ))
+            };
+            tell(&say, told.await.map_or_else(|_| fault(), |state| ToolResponse::Sources(Box::new(state))));
         });
     }
 
     /// Has every gateway asked something.
-    fn query(&self, ask: &GatewayAsk) -> Vec<Asking> {
+    fn query(&self, ask: &GatewayRequest) -> Vec<Asking> {
         let one = |(name, gateway): (&Arc<str>, &Gateway)| {
             let (answer, answered) = oneshot::channel();
             let sent = gateway.queries.try_send(Query { ask: ask.clone(), answer }).is_ok();
@@ -412,8 +438,14 @@
         self.gateways.iter().map(one).collect()
     }
 
-    fn register(&mut self, name: Name, address: &str, say: &mpsc::Sender<Say>) -> Result<(), LogError> {
-        let refuse = |why: String| tell(say, Say::Fault(Fault::new(Code::BadRequest, why)));
+    fn register(
+        &mut self,
+        name: Name,
+        address: &str,
+        say: &mpsc::Sender<ToolResponse>,
+    ) -> Result<(), LogError> {
+        let refuse =
+            |why: String| tell(say, ToolResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, why)));
         let parsed: Address = match address.parse() {
             Ok(parsed) => parsed,
             Err(e) => {
@@ -442,19 +474,19 @@
                 self.event(format!("gateway {name} is overseen, at {address}"));
             }
         }
-        tell(say, Say::Done(Done { done: 1, failed: 0 }));
+        tell(say, ToolResponse::Done(OrderSummary { succeeded: 1, failed: 0 }));
         Ok(())
     }
 
-    fn deregister(&mut self, name: &Name, say: &mpsc::Sender<Say>) -> Result<(), LogError> {
+    fn deregister(&mut self, name: &Name, say: &mpsc::Sender<ToolResponse>) -> Result<(), LogError> {
         let known = self.gateways.get(name.as_str());
         let why = match known {
-            None => Some((Code::UnknownSubject, format!("no gateway {name} is overseen"))),
-            Some(g) if g.fixed => Some((Code::BadRequest, format!("{name} is in the operator's file"))),
+            None => Some((ErrorCode::UnknownSubject, format!("no gateway {name} is overseen"))),
+            Some(g) if g.fixed => Some((ErrorCode::BadRequest, format!("{name} is in the operator's file"))),
             Some(_) => None,
         };
         if let Some((code, message)) = why {
-            tell(say, Say::Fault(Fault::new(code, message)));
+            tell(say, ToolResponse::Error(ErrorResponse::new(code, message)));
             return Ok(());
         }
         self.log.member(name.as_str(), None)?;
@@ -464,27 +496,30 @@
         self.views.remove(name.as_str());
         // Whoever waits for it does so no more.
         for waiter in &mut self.waiters {
-            waiter.heard(name.as_str(), Did::Unreachable { why: "no longer overseen".to_string() });
+            waiter.heard(
+                name.as_str(),
+                InstanceOutcome::Unreachable { reason: "no longer overseen".to_string() },
+            );
         }
         self.waiters.retain_mut(|w| !w.ended());
         self.event(format!("gateway {name} is overseen no more"));
-        tell(say, Say::Done(Done { done: 1, failed: 0 }));
+        tell(say, ToolResponse::Done(OrderSummary { succeeded: 1, failed: 0 }));
         Ok(())
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> FleetStatus {
         let now = self.now_ms();
-        let state = |(name, g): (&Arc<str>, &Gateway)| MemberState {
+        let state = |(name, g): (&Arc<str>, &Gateway)| GatewayStatus {
             name: name.to_string(),
             address: g.address.to_string(),
             health: self.health(g),
-            holds: g.member.holds(),
-            heard_ms_ago: g.member.heard_ms().map(|at| (now - at).max(0.0) as u64),
+            applied_revision: g.member.holds(),
+            last_seen_ms_ago: g.member.heard_ms().map(|at| (now - at).max(0.0) as u64),
             restarts: g.member.restarts,
             state: g.state.clone(),
         };
         let desired = self.book.desired();
-        Status {
+        FleetStatus {
             revision: self.book.newest(),
             gateways: self.gateways.iter().map(state).collect(),
             ordered: desired.registers().cloned().collect(),
@@ -500,12 +535,15 @@
 
 impl Waiter {
     /// Notes what a gateway did, the first time.
-    fn heard(&mut self, name: &str, did: Did) {
+    fn heard(&mut self, name: &str, did: InstanceOutcome) {
         if self.pending.remove(name) {
-            let done = did.done();
-            self.done.done += u32::from(done);
+            let done = did.succeeded();
+            self.done.succeeded += u32::from(done);
             self.done.failed += u32::from(!done);
-            tell(&self.say, Say::Instance(Instance { gateway: name.to_string(), did }));
+            tell(
+                &self.say,
+                ToolResponse::Instance(InstanceReport { gateway: name.to_string(), outcome: did }),
+            );
         }
     }
 
@@ -513,21 +551,21 @@
     fn ended(&mut self) -> bool {
         let ended = self.pending.is_empty();
         if ended {
-            tell(&self.say, Say::Done(self.done));
+            tell(&self.say, ToolResponse::Done(self.done));
         }
         ended
     }
 }
 
 /// It holds the order by the whole state, so what became of it alone was not said.
-fn caught_up(begun: Instant) -> Did {
+fn caught_up(begun: Instant) -> InstanceOutcome {
     let took_ms = begun.elapsed().as_secs_f64() * 1000.0;
-    Did::Answered { outcome: Outcome::Applied, matched: None, took_ms }
+    InstanceOutcome::Answered { outcome: ApplyOutcome::Applied, matched: None, took_ms }
 }
 
 /// Tells a tool something. Danger: one that reads nothing, and holds up all others. What it has no room for,
 /// it does not get, and its connection ends.
-fn tell(say: &mpsc::Sender<Say>, what: Say) {
+fn tell(say: &mpsc::Sender<ToolResponse>, what: ToolResponse) {
     let _ = say.try_send(what);
 }
 
@@ -544,36 +582,40 @@
     Ok(answer.unwrap_or_else(|_| Err("its connection ended".to_string())))
 }
 
-async fn counted(asked: Vec<Asking>, limit: Duration, say: mpsc::Sender<Say>) {
+async fn counted(asked: Vec<Asking>, limit: Duration, say: mpsc::Sender<ToolResponse>) {
     let until = Instant::now() + limit;
     let mut all = Vec::with_capacity(asked.len());
     for (name, answered) in asked {
         let did = match said(answered, until).await {
-            Err(_) => Did::Late,
-            Ok(Ok(GatewaySay::Inflight(in_flight))) => Did::Counted { in_flight },
-            Ok(Ok(other)) => Did::Unreachable { why: link::unexpected(&other) },
-            Ok(Err(why)) => Did::Unreachable { why },
+            Err(_) => InstanceOutcome::TimedOut,
+            Ok(Ok(GatewayResponse::Inflight(in_flight))) => InstanceOutcome::InFlight { in_flight },
+            Ok(Ok(other)) => InstanceOutcome::Unreachable { reason: link::unexpected(&other) },
+            Ok(Err(why)) => InstanceOutcome::Unreachable { reason: why },
         };
-        all.push(Instance { gateway: name.to_string(), did });
+        all.push(InstanceReport { gateway: name.to_string(), outcome: did });
     }
     // Fails only when the tool is gone.
-    let _ = say.send(Say::Inflight(all)).await;
+    let _ = say.send(ToolResponse::Inflight(all)).await;
 }
 
-async fn seen(asked: Vec<Asking>, limit: Duration, say: mpsc::Sender<Say>) {
-    let (until, mut done) = (Instant::now() + limit, Done::default());
+async fn seen(asked: Vec<Asking>, limit: Duration, say: mpsc::Sender<ToolResponse>) {
+    let (until, mut done) = (Instant::now() + limit, OrderSummary::default());
     for (name, answered) in asked {
         let state = match said(answered, until).await {
             Err(_) => Err("no answer in time".to_string()),
-            Ok(Ok(GatewaySay::State(state))) => Ok(state),
+            Ok(Ok(GatewayResponse::State(state))) => Ok(state),
             Ok(Ok(other)) => Err(link::unexpected(&other)),
             Ok(Err(why)) => Err(why),
         };
-        done.done += u32::from(state.is_ok());
+        done.succeeded += u32::from(state.is_ok());
         done.failed += u32::from(state.is_err());
-        if say.send(Say::Backends(Seen { gateway: name.to_string(), state })).await.is_err() {
+        if say
+            .send(ToolResponse::Backends(GatewayBackends { gateway: name.to_string(), state }))
+            .await
+            .is_err()
+        {
             return;
         }
     }
-    let _ = say.send(Say::Done(done)).await;
+    let _ = say.send(ToolResponse::Done(done)).await;
 }
--- a/crates/agent/src/tools.rs
+++ b/crates/agent/src/tools.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fleet::wire::{Ask, Code, Fault, Numbered, Say};
+use fleet::wire::{Envelope, ErrorCode, ErrorResponse, ToolRequest, ToolResponse};
 use tokio::sync::{broadcast, mpsc, Semaphore};
 use tokio::time::{sleep, timeout};
-use transport::{LineError, Lines, Listener};
+use transport::{JsonLines, JsonLinesError, Listener};
 
 use crate::owner::Asked;
 
@@ -66,45 +66,62 @@
 struct Over;
 
 async fn talk(
-    lines: &mut Lines,
+    lines: &mut JsonLines,
     scope: Scope,
     inputs: &mpsc::Sender<Asked>,
     events: &broadcast::Sender<String>,
 ) -> Result<(), Over> {
     loop {
-        let Numbered { n, body } = match timeout(IDLE_TIMEOUT, lines.next::<Numbered<Ask>>()).await {
-            Ok(Ok(Some(asked))) => asked,
-            Ok(Err(LineError::Unreadable(why))) => {
-                say(lines, 0, Say::Fault(Fault::new(Code::BadRequest, why))).await?;
-                continue;
-            }
-            Ok(Err(e @ LineError::TooLong(_))) => {
-                return say(lines, 0, Say::Fault(Fault::new(Code::TooLong, e.to_string()))).await;
-            }
-            Ok(Ok(None) | Err(LineError::Broken(_))) | Err(_) => return Err(Over),
-        };
-        let of_gateways = matches!(body, Ask::Register { .. } | Ask::Start { .. } | Ask::Started { .. });
+        let Envelope { request_id: n, body } =
+            match timeout(IDLE_TIMEOUT, lines.next::<Envelope<ToolRequest>>()).await {
+                Ok(Ok(Some(asked))) => asked,
+                Ok(Err(JsonLinesError::Malformed(why))) => {
+                    say(lines, 0, ToolResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, why)))
+                        .await?;
+                    continue;
+                }
+                Ok(Err(e @ JsonLinesError::TooLong(_))) => {
+                    return say(
+                        lines,
+                        0,
+                        ToolResponse::Error(ErrorResponse::new(ErrorCode::TooLong, e.to_string())),
+                    )
+                    .await;
+                }
+                Ok(Ok(None) | Err(JsonLinesError::Broken(_))) | Err(_) => return Err(Over),
+            };
+        let of_gateways = matches!(
+            body,
+            ToolRequest::Register { .. } | ToolRequest::Start { .. } | ToolRequest::Started { .. }
+        );
         if scope == Scope::Register && !of_gateways {
-            let fault =
-                Fault::new(Code::Forbidden, "gateways register here, and ask for turns, and nothing else");
-            say(lines, n, Say::Fault(fault)).await?;
+            let fault = ErrorResponse::new(
+                ErrorCode::Forbidden,
+                "gateways register here, and ask for turns, and nothing else",
+            );
+            say(lines, n, ToolResponse::Error(fault)).await?;
             continue;
         }
-        if matches!(body, Ask::Watch) {
+        if matches!(body, ToolRequest::Watch) {
             return watch(lines, n, events.subscribe()).await;
         }
         // What is last said of an order, or of all backends, is Done; of all else there is one thing to say.
-        let many = matches!(body, Ask::Order { .. } | Ask::Status { backends: true });
+        let many = matches!(body, ToolRequest::Order { .. } | ToolRequest::Status { backends: true });
         let (sender, mut said) = mpsc::channel(if many { MAX_QUEUED_RESPONSES } else { 1 });
         if inputs.send(Asked { ask: body, say: sender }).await.is_err() {
-            return say(lines, n, Say::Fault(Fault::new(Code::Unavailable, "the agent is ending"))).await;
+            return say(
+                lines,
+                n,
+                ToolResponse::Error(ErrorResponse::new(ErrorCode::Unavailable, "the agent is ending")),
+            )
+            .await;
         }
         loop {
             let Some(what) = said.recv().await else {
                 // The agent is ending, or could not write its log.
                 return Err(Over);
             };
-            let last = !many || matches!(what, Say::Done(_) | Say::Fault(_));
+            let last = !many || matches!(what, ToolResponse::Done(_) | ToolResponse::Error(_));
             say(lines, n, what).await?;
             if last {
                 break;
@@ -113,25 +130,25 @@
     }
 }
 
-async fn watch(lines: &mut Lines, n: u64, mut events: broadcast::Receiver<String>) -> Result<(), Over> {
-    say(lines, n, Say::Event("watching".to_string())).await?;
+async fn watch(lines: &mut JsonLines, n: u64, mut events: broadcast::Receiver<String>) -> Result<(), Over> {
+    say(lines, n, ToolResponse::Event("watching".to_string())).await?;
     loop {
         tokio::select! {
             event = events.recv() => match event {
-                Ok(line) => say(lines, n, Say::Event(line)).await?,
+                Ok(line) => say(lines, n, ToolResponse::Event(line)).await?,
                 Err(broadcast::error::RecvError::Lagged(missed)) => {
-                    say(lines, n, Say::Event(format!("{missed} events were missed"))).await?;
+                    say(lines, n, ToolResponse::Event(format!("{missed} events were missed"))).await?;
                 }
                 Err(broadcast::error::RecvError::Closed) => return Err(Over),
             },
             // Nothing more is asked on it; its end is told like this.
-            _ = lines.next::<Numbered<Ask>>() => return Err(Over),
+            _ = lines.next::<Envelope<ToolRequest>>() => return Err(Over),
         }
     }
 }
 
-async fn say(lines: &mut Lines, n: u64, what: Say) -> Result<(), Over> {
-    match timeout(WRITE_TIMEOUT, lines.send(&Numbered { n, body: what })).await {
+async fn say(lines: &mut JsonLines, n: u64, what: ToolResponse) -> Result<(), Over> {
+    match timeout(WRITE_TIMEOUT, lines.send(&Envelope { request_id: n, body: what })).await {
         Ok(Ok(())) => Ok(()),
         _ => Err(Over),
     }
--- a/crates/agent/src/views.rs
+++ b/crates/agent/src/views.rs
@@ -112,7 +112,7 @@
             banned_ms: None,
             weight: 1.0,
             ejected: false,
-            warmth: 1.0,
+            capacity_fraction: 1.0,
             in_flight: 0,
         }
     }
--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -10,7 +10,7 @@
 
 /// Pauses of one gateway between calls that fail.
 #[derive(Clone, Debug)]
-pub struct Pauses {
+pub struct Backoff {
     first: Duration,
     most: Duration,
     next: Duration,
@@ -20,7 +20,7 @@
 /// Doublings from the first pause of a large fleet to its longest.
 const DOUBLINGS: u32 = 2;
 
-impl Pauses {
+impl Backoff {
     /// For one of `gateways` gateways (0 counts as 1) that share a service. The first pause after a success
     /// is `first` and the longest `most`, each longer where the fleet is so large that its share of the calls
     /// is less: one in `gateways x each`, where `each` is the time that the service is taken to need for a
@@ -37,30 +37,30 @@
         limit: Duration,
         gateways: u32,
         seed: u64,
-    ) -> Pauses {
+    ) -> Backoff {
         let share = each.saturating_mul(gateways.max(1));
         // A pause is up to one and a half of what it is by the law.
         let limit = limit.mul_f64(1.0 / 1.5);
         let first = first.max(share).min(limit);
         let most = most.max(share.saturating_mul(1 << DOUBLINGS)).min(limit).max(first);
-        Pauses { first, most, next: first, dice: seed }
+        Backoff { first, most, next: first, dice: seed }
     }
 
     /// The pause before a call that none came before: from nothing up to this gateway's share of the calls,
     /// and to `limit`. Danger: gateways that start together call together; and one that waits so long for its
     /// turn that it goes by a list from before its start for longer than it may.
-    pub fn start(&mut self, each: Duration, limit: Duration, gateways: u32) -> Duration {
+    pub fn initial_delay(&mut self, each: Duration, limit: Duration, gateways: u32) -> Duration {
         let chance = self.roll();
         each.saturating_mul(gateways.saturating_sub(1)).min(limit).mul_f64(chance)
     }
 
     /// A call was answered: the next failure is a first one.
-    pub fn answered(&mut self) {
+    pub fn reset(&mut self) {
         self.next = self.first;
     }
 
     /// The pause after a call that failed: by chance from half of the present one to the whole and a half.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.next;
         self.next = (pause * 2).min(self.most);
         let chance = self.roll();
@@ -69,7 +69,7 @@
 
     /// The longest pause there may be.
     #[must_use]
-    pub fn longest(&self) -> Duration {
+    pub fn max_delay(&self) -> Duration {
         self.most.mul_f64(1.5)
     }
 
--- a/crates/backoff/tests/pauses.rs
+++ b/crates/backoff/tests/pauses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use backoff::Pauses;
+use backoff::Backoff;
 use proptest::prelude::*;
 
 const FIRST: Duration = Duration::from_millis(50);
@@ -12,9 +12,9 @@
 /// The longest that the first call may wait.
 const START: Duration = Duration::from_millis(250);
 
-fn fleet(gateways: u32, seed: u64) -> Vec<Pauses> {
+fn fleet(gateways: u32, seed: u64) -> Vec<Backoff> {
     let of = |g: u64| {
-        Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, seed ^ g.wrapping_mul(0x5851_f42d_4c95_7f2d))
+        Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, seed ^ g.wrapping_mul(0x5851_f42d_4c95_7f2d))
     };
     (0..u64::from(gateways)).map(of).collect()
 }
@@ -26,11 +26,11 @@
     fn none_is_late_and_all_together_spread_their_calls(gateways in 1u32..=1_000, seed: u64) {
         let mut calls = Vec::new();
         for pauses in &mut fleet(gateways, seed) {
-            let mut at = pauses.start(EACH, START, gateways);
+            let mut at = pauses.initial_delay(EACH, START, gateways);
             prop_assert!(at <= START, "the first call after {at:?}");
             while at < Duration::from_secs(90) {
                 calls.push(at);
-                let pause = pauses.failed();
+                let pause = pauses.next_delay();
                 prop_assert!(pause <= LIMIT, "a pause of {pause:?}");
                 at += pause;
             }
@@ -54,7 +54,7 @@
     /// The law has no brink: one gateway more makes the pauses longer by its share, or leaves them.
     #[test]
     fn one_gateway_more_changes_little(gateways in 1u32..500, seed: u64) {
-        let longest = |n: u32| Pauses::new(FIRST, MOST, EACH, LIMIT, n, seed).longest();
+        let longest = |n: u32| Backoff::new(FIRST, MOST, EACH, LIMIT, n, seed).max_delay();
         let (with, without) = (longest(gateways + 1), longest(gateways));
         prop_assert!(with >= without && with - without <= EACH * 6);
     }
@@ -62,13 +62,13 @@
     /// Pauses grow, stay within their bounds, and begin anew after an answer.
     #[test]
     fn pauses_double_within_their_bounds(gateways in 1u32..=500, seed: u64, failures in 1usize..20) {
-        let mut pauses = Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, seed);
+        let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, seed);
         for _ in 0..failures {
-            let pause = pauses.failed();
-            prop_assert!(pause >= FIRST / 2 && pause <= pauses.longest());
+            let pause = pauses.next_delay();
+            prop_assert!(pause >= FIRST / 2 && pause <= pauses.max_delay());
         }
-        pauses.answered();
-        let again = pauses.failed();
+        pauses.reset();
+        let again = pauses.next_delay();
         prop_assert!(again <= FIRST.max(EACH * gateways) * 3 / 2);
     }
 }
@@ -76,8 +76,8 @@
 #[test]
 fn a_few_gateways_pause_as_one_does() {
     for gateways in [0, 1, 2] {
-        let mut pauses = Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
-        assert!(pauses.failed() < FIRST * 3 / 2);
-        assert_eq!(pauses.longest(), MOST * 3 / 2);
+        let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
+        assert!(pauses.next_delay() < FIRST * 3 / 2);
+        assert_eq!(pauses.max_delay(), MOST * 3 / 2);
     }
 }
--- a/crates/bounded-cache/src/lib.rs
+++ b/crates/bounded-cache/src/lib.rs
@@ -13,35 +13,35 @@
 const FILL: (usize, usize) = (7, 8);
 
 /// A record that can be forgotten.
-pub trait Kept {
+pub trait Evictable {
     /// What is lost if it is forgotten at `now`, in units that may pass again; `None` if it must not be.
-    fn cost(&mut self, now: f64) -> Option<f64>;
+    fn eviction_cost(&mut self, now: f64) -> Option<f64>;
 }
 
 /// Nobody can be forgotten to make room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct CacheFull;
 
 /// Records by key.
 #[derive(Debug)]
-pub struct Records<T> {
+pub struct BoundedCache<T> {
     all: HashMap<u64, T>,
     /// Keys of all, in the order in which they are looked at next.
     order: VecDeque<u64>,
     most: usize,
-    forgotten: (u64, f64),
+    evictions: (u64, f64),
 }
 
-impl<T: Kept> Records<T> {
+impl<T: Evictable> BoundedCache<T> {
     /// None yet, and never more than `most`, at least 1.
     #[must_use]
-    pub fn new(most: usize) -> Records<T> {
-        Records { all: HashMap::new(), order: VecDeque::new(), most: most.max(1), forgotten: (0, 0.0) }
+    pub fn new(most: usize) -> BoundedCache<T> {
+        BoundedCache { all: HashMap::new(), order: VecDeque::new(), most: most.max(1), evictions: (0, 0.0) }
     }
 
     /// How many records fit some bytes, those included that a table needs while it doubles.
     #[must_use]
-    pub fn fit(bytes: usize) -> usize {
+    pub fn capacity_for_bytes(bytes: usize) -> usize {
         // A key and a byte of its own in the table, and the key once more in the order.
         let slot = size_of::<T>() + 2 * size_of::<u64>() + 1;
         let slots = bytes / slot * 2 / 3;
@@ -65,12 +65,12 @@
     ///
     /// # Errors
     /// [`Full`] if none of those may be forgotten. The next call looks at others.
-    pub fn insert(&mut self, now: f64, key: u64, record: T) -> Result<(), Full> {
+    pub fn insert(&mut self, now: f64, key: u64, record: T) -> Result<(), CacheFull> {
         if self.all.len() >= self.most {
             let mut cheapest: Option<(usize, f64)> = None;
             let sample = SAMPLE.min(self.order.len());
             for place in 0..sample {
-                let cost = self.order.get(place).and_then(|key| self.all.get_mut(key)?.cost(now));
+                let cost = self.order.get(place).and_then(|key| self.all.get_mut(key)?.eviction_cost(now));
                 if let Some(cost) = cost.filter(|cost| cheapest.is_none_or(|(_, least)| *cost < least)) {
                     cheapest = Some((place, cost));
                 }
@@ -78,9 +78,9 @@
             let victim = cheapest.and_then(|(place, cost)| Some((self.order.remove(place)?, cost)));
             // Those that stay come last the next time.
             self.order.rotate_left(sample - usize::from(victim.is_some()));
-            let (victim, cost) = victim.ok_or(Full)?;
+            let (victim, cost) = victim.ok_or(CacheFull)?;
             self.all.remove(&victim);
-            self.forgotten = (self.forgotten.0 + 1, self.forgotten.1 + cost);
+            self.evictions = (self.evictions.0 + 1, self.evictions.1 + cost);
         }
         if self.all.insert(key, record).is_none() {
             self.order.push_back(key);
@@ -101,7 +101,7 @@
     }
 
     /// Changes all of them. Danger: a walk over all, on the path of a request.
-    pub fn change_all(&mut self, change: impl FnMut(&mut T)) {
+    pub fn for_each_mut(&mut self, change: impl FnMut(&mut T)) {
         self.all.values_mut().for_each(change);
     }
 
@@ -119,13 +119,13 @@
 
     /// Part of the room that is taken, from 0 to 1.
     #[must_use]
-    pub fn filled(&self) -> f64 {
+    pub fn fill_ratio(&self) -> f64 {
         self.all.len() as f64 / self.most as f64
     }
 
     /// How many were forgotten to make room, and what that cost in all.
     #[must_use]
     pub fn forgotten(&self) -> (u64, f64) {
-        self.forgotten
+        self.evictions
     }
 }
--- a/crates/bounded-cache/tests/records.rs
+++ b/crates/bounded-cache/tests/records.rs
@@ -2,15 +2,15 @@
 
 use std::collections::HashMap;
 
-use bounded_cache::{Full, Kept, Records};
+use bounded_cache::{BoundedCache, CacheFull, Evictable};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 #[derive(Debug)]
 struct Debt(Option<f64>);
 
-impl Kept for Debt {
-    fn cost(&mut self, _: f64) -> Option<f64> {
+impl Evictable for Debt {
+    fn eviction_cost(&mut self, _: f64) -> Option<f64> {
         self.0
     }
 }
@@ -25,7 +25,7 @@
         most in 1usize..40,
         steps in vec(step(), 1..400),
     ) {
-        let (mut records, mut must, mut cost) = (Records::<Debt>::new(most), HashMap::new(), 0.0);
+        let (mut records, mut must, mut cost) = (BoundedCache::<Debt>::new(most), HashMap::new(), 0.0);
         for (key, debt, settles) in steps {
             if let Some(record) = records.get_mut(key) {
                 if settles {
@@ -42,7 +42,7 @@
                         must.insert(key, ());
                     }
                 }
-                Err(Full) => {
+                Err(CacheFull) => {
                     prop_assert!(full && records.get(key).is_none());
                     prop_assert_eq!(records.len(), before);
                 }
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_cheapest_of_those_looked_at_goes_first() {
-    let mut records = Records::new(8);
+    let mut records = BoundedCache::new(8);
     for key in 0..8u64 {
         records.insert(0.0, key, Debt(Some(10.0 - key as f64))).expect("room");
     }
@@ -72,11 +72,11 @@
 
 #[test]
 fn where_none_may_go_a_newcomer_is_turned_away_until_one_settles() {
-    let mut records = Records::new(100);
+    let mut records = BoundedCache::new(100);
     for key in 0..100 {
         records.insert(0.0, key, Debt(None)).expect("room");
     }
-    assert_eq!(records.insert(0.0, 200, Debt(None)), Err(Full));
+    assert_eq!(records.insert(0.0, 200, Debt(None)), Err(CacheFull));
     records.get_mut(63).expect("kept").0 = Some(1.0);
     // Each call looks at others, so the one that settled is found after a few.
     let tries = (0..10).position(|_| records.insert(0.0, 200, Debt(None)).is_ok());
@@ -89,7 +89,7 @@
     let slot = size_of::<Debt>() + 17;
     let mut last = 0;
     for bytes in [1, 1_000, 100_000, 1 << 20, 8 << 20, 64 << 20] {
-        let fits = Records::<Debt>::fit(bytes);
+        let fits = BoundedCache::<Debt>::capacity_for_bytes(bytes);
         // The table that a doubling makes and the one before it, half as large.
         let slots = (fits * 8).div_ceil(7).next_power_of_two();
         assert!(fits == 1 || slots * slot * 3 / 2 <= bytes, "{fits} in {bytes}");
--- a/crates/cold-start/src/call_budget.rs
+++ b/crates/cold-start/src/call_budget.rs
@@ -1,6 +1,6 @@
 //! How many calls to the counter a gateway makes in the first seconds after its start.
 
-use crate::Calendar;
+use crate::SlotSchedule;
 
 /// The part of what the counter bears with which all begin.
 const FIRST: f64 = 0.5;
@@ -21,7 +21,7 @@
 /// own that ended too late that these are too many. Harm: for a few seconds stores decide by shares more
 /// often.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct CallBudget {
     /// Calls a ms at first.
     rate: f64,
     /// Its first slot, Unix time in ms.
@@ -30,29 +30,29 @@
     at_ms: f64,
 }
 
-impl Allowance {
+impl CallBudget {
     /// That of gateway `place`, from 0, of `gateways` (0 counts as 1), that starts at `now_ms`, Unix time,
     /// where the counter bears `calls_per_s` calls a second from all of them, 0.001 at least.
     #[must_use]
-    pub fn new(place: u32, gateways: u32, calls_per_s: f64, now_ms: f64) -> Allowance {
-        let calendar = Calendar::new(place, gateways, calls_per_s);
+    pub fn new(place: u32, gateways: u32, calls_per_s: f64, now_ms: f64) -> CallBudget {
+        let calendar = SlotSchedule::new(place, gateways, calls_per_s);
         let rate = FIRST / (calendar.round().as_secs_f64() * 1_000.0);
         let (_, begins_ms) = calendar.next(now_ms, None);
-        Allowance { rate, begins_ms, saved: 1.0, at_ms: begins_ms }
+        CallBudget { rate, begins_ms, saved: 1.0, at_ms: begins_ms }
     }
 
     /// Whether it is over: there is no bound any more.
     #[must_use]
-    pub fn over(&self, now_ms: f64) -> bool {
+    pub fn is_over(&self, now_ms: f64) -> bool {
         now_ms - self.begins_ms >= DOUBLES_MS * DOUBLINGS
     }
 
     /// Whether a call may be made at `now_ms`. If so, it is made.
-    pub fn take(&mut self, now_ms: f64) -> bool {
+    pub fn try_take(&mut self, now_ms: f64) -> bool {
         if now_ms < self.begins_ms {
             return false;
         }
-        if self.over(now_ms) {
+        if self.is_over(now_ms) {
             return true;
         }
         // The integral of a rate that doubles from second to second.
--- a/crates/cold-start/src/connection_ramp.rs
+++ b/crates/cold-start/src/connection_ramp.rs
@@ -6,7 +6,7 @@
 
 use routing::{Subset, MIN_SUBSET_SIZE};
 
-use crate::Calendar;
+use crate::SlotSchedule;
 
 /// So many backends are opened while the list is unconfirmed, in the first round; twice as many in the next.
 const FEW: usize = MIN_SUBSET_SIZE;
@@ -26,7 +26,7 @@
 
 /// How far a gateway has come since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum RampStage {
     /// It knows no backend that takes work.
     Empty,
     /// It knows some by a list that nobody confirmed since.
@@ -37,13 +37,13 @@
     Warm,
 }
 
-impl fmt::Display for Stage {
+impl fmt::Display for RampStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Stage::Empty => "empty",
-            Stage::Known => "known, not confirmed",
-            Stage::Confirmed => "confirmed",
-            Stage::Warm => "warm",
+            RampStage::Empty => "empty",
+            RampStage::Known => "known, not confirmed",
+            RampStage::Confirmed => "confirmed",
+            RampStage::Warm => "warm",
         })
     }
 }
@@ -84,7 +84,7 @@
 /// all open connections to one that is back. Harm: a backend gets its first work from a gateway up to a round
 /// after it was listed.
 #[derive(Clone, Debug)]
-pub struct Openings {
+pub struct ConnectionRamp {
     subset: Subset,
     place: u32,
     gateways: u32,
@@ -97,7 +97,7 @@
     by_place: BTreeSet<(u32, u32)>,
     /// Those that wait, by their moments.
     queue: BTreeSet<(u64, u32)>,
-    open: usize,
+    open_count: usize,
     /// Those that had no failure yet and are not open, of those that got a turn.
     pending: usize,
     /// When the list was confirmed, Unix time in ms.
@@ -108,14 +108,14 @@
     faults: usize,
 }
 
-impl Openings {
+impl ConnectionRamp {
     /// Those of gateway `place`, from 0, of `gateways` (0 counts as 1) with homes by `subset`, that starts at
     /// `now_ms`, Unix time, where a backend takes `per_s` first connections a second from all of them, 0.001
     /// at least.
     #[must_use]
-    pub fn new(place: u32, gateways: u32, subset: Subset, per_s: f64, now_ms: f64) -> Openings {
-        let round_ms = Calendar::new(0, gateways, per_s).round().as_secs_f64() * 1_000.0;
-        Openings {
+    pub fn new(place: u32, gateways: u32, subset: Subset, per_s: f64, now_ms: f64) -> ConnectionRamp {
+        let round_ms = SlotSchedule::new(0, gateways, per_s).round().as_secs_f64() * 1_000.0;
+        ConnectionRamp {
             subset,
             place,
             gateways: gateways.max(1),
@@ -126,7 +126,7 @@
             aside: BTreeSet::new(),
             by_place: BTreeSet::new(),
             queue: BTreeSet::new(),
-            open: 0,
+            open_count: 0,
             pending: 0,
             confirmed_ms: None,
             released: false,
@@ -135,9 +135,9 @@
     }
 
     /// This gateway's slots for a backend.
-    fn calendar(&self, key: u64) -> Calendar {
+    fn calendar(&self, key: u64) -> SlotSchedule {
         let n = u64::from(self.gateways);
-        Calendar::new(((u64::from(self.place) + key % n) % n) as u32, self.gateways, self.per_s)
+        SlotSchedule::new(((u64::from(self.place) + key % n) % n) as u32, self.gateways, self.per_s)
     }
 
     /// The list names a backend that takes work: its number here, what it is known by at all gateways, and
@@ -146,12 +146,12 @@
     ///
     /// Danger: one that started anew and is empty, to which all gateways hear at once that they may send. A
     /// later life waits for its turn as a new backend does.
-    pub fn listed(&mut self, id: u32, key: u64, life_ms: f64) -> bool {
+    pub fn add(&mut self, id: u32, key: u64, life_ms: f64) -> bool {
         let held = self.backends.get(&id).filter(|b| b.life_ms >= life_ms);
         if let Some(held) = held {
             return held.door == Door::Open;
         }
-        self.gone(id);
+        self.remove(id);
         let rank = self.subset.threshold(key).to_bits();
         self.aside.insert((rank, id));
         self.by_place.insert((self.calendar(key).place(), id));
@@ -160,22 +160,22 @@
     }
 
     /// A backend drains, or is gone. When it takes work again it waits for its turn.
-    pub fn gone(&mut self, id: u32) {
+    pub fn remove(&mut self, id: u32) {
         let Some(b) = self.backends.remove(&id) else { return };
         match b.door {
             Door::Aside => self.no_longer_aside(id, b.rank, b.key),
             Door::Waits { at_us } => drop(self.queue.remove(&(at_us, id))),
             Door::Tried => {}
-            Door::Open => self.open -= 1,
+            Door::Open => self.open_count -= 1,
         }
         let turn = matches!(b.door, Door::Waits { .. } | Door::Tried);
         self.pending -= usize::from(turn && b.failed == 0);
     }
 
     /// A whole list was told: backends that it does not name are gone.
-    pub fn keep_only(&mut self, named: impl Fn(u32) -> bool) {
+    pub fn retain(&mut self, named: impl Fn(u32) -> bool) {
         let gone: Vec<u32> = self.backends.keys().copied().filter(|id| !named(*id)).collect();
-        gone.into_iter().for_each(|id| self.gone(id));
+        gone.into_iter().for_each(|id| self.remove(id));
     }
 
     /// The list held is the one that there is, at `now_ms`.
@@ -190,7 +190,7 @@
     }
 
     /// An attempt at a backend that was open has failed. Danger: few are open, and they fail one by one.
-    pub fn fault(&mut self) {
+    pub fn record_failure(&mut self) {
         if !self.released {
             self.faults = self.faults.saturating_add(1).min(self.backends.len());
         }
@@ -198,25 +198,25 @@
 
     /// How far it has come.
     #[must_use]
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> RampStage {
         match (self.backends.is_empty(), self.confirmed(), self.released && self.pending == 0) {
-            (true, ..) => Stage::Empty,
-            (_, false, _) => Stage::Known,
-            (_, true, true) => Stage::Warm,
-            _ => Stage::Confirmed,
+            (true, ..) => RampStage::Empty,
+            (_, false, _) => RampStage::Known,
+            (_, true, true) => RampStage::Warm,
+            _ => RampStage::Confirmed,
         }
     }
 
     /// Backends that the decisions know.
     #[must_use]
     pub fn open(&self) -> usize {
-        self.open
+        self.open_count
     }
 
     /// Backends on the list that they do not know yet.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.backends.len() - self.open
+    pub fn waiting_count(&self) -> usize {
+        self.backends.len() - self.open_count
     }
 
     /// How many are to be open or have their turn at `now_ms`, with so many attempts out.
@@ -237,7 +237,7 @@
 
     /// The one aside whose slot comes first.
     fn soonest(&self, now_ms: f64) -> Option<u32> {
-        let place = self.calendar(0).place_at(now_ms);
+        let place = self.calendar(0).slot_index_at(now_ms);
         let soonest = self.by_place.range((place + 1, 0)..).next().or(self.by_place.first());
         soonest.map(|(_, id)| *id)
     }
@@ -251,7 +251,7 @@
             let of_home = self.aside.first().filter(|(rank, _)| f64::from_bits(*rank) < degree);
             let id = match of_home.filter(|_| self.confirmed()) {
                 Some((_, id)) => *id,
-                None if self.open + self.pending >= more => return,
+                None if self.open_count + self.pending >= more => return,
                 None => match self.soonest(now_ms) {
                     Some(id) => id,
                     None => return,
@@ -278,7 +278,7 @@
         for id in &ids {
             self.backends.get_mut(id).into_iter().for_each(|b| b.door = Door::Open);
         }
-        self.open += ids.len();
+        self.open_count += ids.len();
         ids
     }
 
@@ -316,13 +316,13 @@
 
     /// What the first connection came to, and of which life it was. Whether the decisions may have the
     /// backend from now on.
-    pub fn tried(&mut self, now_ms: f64, id: u32, life_ms: f64, answered: bool) -> bool {
+    pub fn first_connection_ended(&mut self, now_ms: f64, id: u32, life_ms: f64, answered: bool) -> bool {
         let of_life = |b: &&mut Backend| b.life_ms == life_ms && b.door == Door::Tried;
         let Some(b) = self.backends.get_mut(&id).filter(of_life) else { return false };
         self.pending -= usize::from(b.failed == 0);
         if answered {
             (b.door, b.failed) = (Door::Open, 0);
-            self.open += 1;
+            self.open_count += 1;
             return true;
         }
         b.failed = b.failed.saturating_add(1);
@@ -352,7 +352,7 @@
     /// is ready: two rounds and an answer. Danger: clients that are refused by one that has nobody to send
     /// to.
     #[must_use]
-    pub fn first_within(&self) -> Duration {
+    pub fn first_timeout(&self) -> Duration {
         Duration::from_secs_f64(2.0 * self.round_ms / 1_000.0) + FIRST
     }
 }
--- a/crates/cold-start/src/lib.rs
+++ b/crates/cold-start/src/lib.rs
@@ -19,9 +19,9 @@
 mod slot_schedule;
 mod start_batches;
 
-pub use adaptive_share::{Share, MIN_SHARE};
-pub use call_budget::Allowance;
-pub use connection_ramp::{Openings, Stage};
-pub use poll_schedule::{Call, Calls, Came};
-pub use slot_schedule::Calendar;
-pub use start_batches::{Turn, Waves};
+pub use adaptive_share::{AdaptiveShare, MIN_SHARE};
+pub use call_budget::CallBudget;
+pub use connection_ramp::{ConnectionRamp, RampStage};
+pub use poll_schedule::{Poll, PollOutcome, PollSchedule};
+pub use slot_schedule::SlotSchedule;
+pub use start_batches::{StartBatches, StartTurn};
--- a/crates/cold-start/src/poll_schedule.rs
+++ b/crates/cold-start/src/poll_schedule.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{Calendar, Share};
+use crate::{AdaptiveShare, SlotSchedule};
 
 /// A watch lasts so long at least, ms, and so long at most: the protocol knows no longer ones.
 const WATCH_MS: (f64, f64) = (4_000.0, 60_000.0);
@@ -31,41 +31,41 @@
 
 /// A call for the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Call {
+pub struct Poll {
     /// When it is made, Unix time in ms.
     pub at_ms: f64,
     /// For how long it waits for news; nothing: it is answered at once. Only where a version is held.
     pub wait: Duration,
     /// When it is given up, Unix time in ms.
-    pub until_ms: f64,
+    pub timeout_at_ms: f64,
 }
 
 /// What a call came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Came {
+pub enum PollOutcome {
     /// The list, or changes of it.
-    News,
+    Updated,
     /// Nothing new.
-    Same,
+    Unchanged,
     /// Changes of versions before the one held: another service is there. The whole list is asked for next.
-    Older,
+    OlderVersion,
     /// The service said that it won't, and perhaps for how long.
-    TurnedAway(Option<Duration>),
+    Rejected(Option<Duration>),
     /// No connection, one that broke, or an answer that can't be read.
-    Broken,
+    Failed,
     /// Nothing came until it was given up.
-    Silent,
+    TimedOut,
 }
 
 /// The calls of one gateway.
 #[derive(Clone, Copy, Debug)]
-pub struct Calls {
-    calendar: Calendar,
-    share: Share,
+pub struct PollSchedule {
+    calendar: SlotSchedule,
+    share: AdaptiveShare,
     /// The round of the last call.
     last: Option<u64>,
     /// The call that is out.
-    out: Option<Call>,
+    out: Option<Poll>,
     /// The round and the moment in which that call ends if it brings nothing: the next one's.
     due: (u64, f64),
     /// The same of the slot in which it is given up.
@@ -83,13 +83,13 @@
     answer_ms: Option<f64>,
 }
 
-impl Calls {
+impl PollSchedule {
     /// For a gateway that has just started.
     #[must_use]
-    pub fn new(calendar: Calendar) -> Calls {
-        Calls {
+    pub fn new(calendar: SlotSchedule) -> PollSchedule {
+        PollSchedule {
             calendar,
-            share: Share::default(),
+            share: AdaptiveShare::default(),
             last: None,
             out: None,
             due: (0, 0.0),
@@ -107,7 +107,7 @@
     ///
     /// Danger: gateways that were stopped between their slot and the call, and go on together.
     #[must_use]
-    pub fn missed(&self, call: Call, now_ms: f64) -> bool {
+    pub fn missed(&self, call: Poll, now_ms: f64) -> bool {
         now_ms - call.at_ms >= LATE_MS
     }
 
@@ -127,7 +127,7 @@
     /// answer, as one call may fail. Danger: clients that are refused by one that has nobody to send to.
     /// Never longer than 20 s. Danger: a platform that gives a start 30 s.
     #[must_use]
-    pub fn first_within(&self) -> Duration {
+    pub fn first_timeout(&self) -> Duration {
         (self.calendar.round() * 2 + FIRST).min(MAX_FIRST_WAIT)
     }
 
@@ -135,13 +135,13 @@
     ///
     /// The first one, and the one after a failure, is to be answered at once: that tells whether the list
     /// held is the one there is. Danger: a watch that says nothing of it until it ends.
-    pub fn next(&mut self, now_ms: f64) -> Call {
+    pub fn next(&mut self, now_ms: f64) -> Poll {
         let from = now_ms.max(self.not_before_ms);
         let (due, due_ms) = self.due;
         let late = self.not_before_ms <= due_ms && (0.0..LATE_MS).contains(&(now_ms - due_ms));
         let (round, at_ms) = if late { (due, now_ms) } else { self.calendar.next(from, self.last) };
         self.last = Some(round);
-        let mut call = Call { at_ms, wait: Duration::ZERO, until_ms: 0.0 };
+        let mut call = Poll { at_ms, wait: Duration::ZERO, timeout_at_ms: 0.0 };
         if self.watching {
             let rest = (ROUNDS * self.round_ms()).max(WATCH_MS.0) / self.share.part();
             self.due = self.calendar.next(at_ms + rest - self.slot_ms(), self.last);
@@ -155,18 +155,18 @@
         let patience = doubled.max(usual).min(PATIENCE_MS.1);
         let ends = at_ms + call.wait.as_secs_f64() * 1_000.0 + patience;
         self.gives_up = self.calendar.next(ends, self.last);
-        call.until_ms = self.gives_up.1;
+        call.timeout_at_ms = self.gives_up.1;
         self.out = Some(call);
         call
     }
 
     /// A first call now, by a turn that the fleet's agent gave; none once one was made.
-    pub fn first_now(&mut self, now_ms: f64) -> Option<Call> {
+    pub fn start_now(&mut self, now_ms: f64) -> Option<Poll> {
         if self.confirmed || self.failed > 0 {
             return None;
         }
         let until_ms = self.calendar.next(now_ms + PATIENCE_MS.0, None).1;
-        let call = Call { at_ms: now_ms, wait: Duration::ZERO, until_ms };
+        let call = Poll { at_ms: now_ms, wait: Duration::ZERO, timeout_at_ms: until_ms };
         self.gives_up = (self.calendar.round_at(until_ms), until_ms);
         // The slot that it does not wait for is still to come.
         (self.last, self.out) = (None, Some(call));
@@ -196,23 +196,23 @@
     }
 
     /// What the call that is out came to.
-    pub fn came(&mut self, now_ms: f64, came: Came) {
+    pub fn poll_ended(&mut self, now_ms: f64, came: PollOutcome) {
         let Some(call) = self.out.take() else { return };
         let wait_ms = call.wait.as_secs_f64() * 1_000.0;
-        if came == Came::Older {
+        if came == PollOutcome::OlderVersion {
             (self.watching, self.not_before_ms) = (false, now_ms);
             return;
         }
-        if matches!(came, Came::News | Came::Same) {
+        if matches!(came, PollOutcome::Updated | PollOutcome::Unchanged) {
             let took = now_ms - call.at_ms - wait_ms;
             // News that ends a watch tells nothing of how long an answer takes.
             if took >= 0.0 {
                 self.answer_ms = Some(self.answer_ms.map_or(took, |usual| usual + GAIN * (took - usual)));
             }
             (self.confirmed, self.watching, self.failed, self.silent) = (true, true, 0, 0);
-            self.share.answered(call.wait.is_zero().then_some(took));
+            self.share.record_response(call.wait.is_zero().then_some(took));
             // Danger: a change, and all who watch ask again at once. Each does in its next slot.
-            let told = came == Came::News || call.wait.is_zero();
+            let told = came == PollOutcome::Updated || call.wait.is_zero();
             let later = call.at_ms + self.round_ms() / self.share.part() - self.slot_ms();
             self.not_before_ms = if told { now_ms.max(later) } else { self.due.1 };
             return;
@@ -221,18 +221,18 @@
         let pause = (PAUSE_MS.0 * f64::from(1u32 << (self.failed - 1).min(8))).min(PAUSE_MS.1);
         self.not_before_ms = now_ms + pause;
         match came {
-            Came::TurnedAway(told) => {
+            PollOutcome::Rejected(told) => {
                 self.share.refused(self.confirmed);
                 let told = told.map_or(0.0, |t| (t.as_secs_f64() * 1_000.0).min(MAX_RETRY_AFTER_MS));
                 let away = call.at_ms + self.round_ms().max(pause) / self.again() - self.slot_ms();
                 self.not_before_ms = self.not_before_ms.max(now_ms + told).max(away);
             }
-            Came::Silent => {
+            PollOutcome::TimedOut => {
                 self.share.refused(self.confirmed);
                 self.silent = self.silent.saturating_add(1);
                 let away = call.at_ms + self.round_ms() / self.again() - self.slot_ms();
                 // It was given up in the slot that the next one is made in, if it may be made by then.
-                (self.due, self.not_before_ms) = (self.gives_up, call.until_ms.max(away));
+                (self.due, self.not_before_ms) = (self.gives_up, call.timeout_at_ms.max(away));
             }
             _ => {}
         }
--- a/crates/cold-start/src/start_batches.rs
+++ b/crates/cold-start/src/start_batches.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::{Calendar, Came, Share};
+use crate::{AdaptiveShare, PollOutcome, SlotSchedule};
 
 /// The part of what the service bears that turns may take, beside the half of slots that calls at rest take.
 const PACE: f64 = 0.45;
@@ -24,7 +24,7 @@
 
 /// What one that starts is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum StartTurn {
     /// To make its first call at this moment, Unix time in ms, if its slot does not come before.
     Call {
         /// The moment.
@@ -33,12 +33,12 @@
         fetch: bool,
     },
     /// To ask again after so long, ms.
-    Ask {
+    AskAgain {
         /// How long.
         after_ms: f64,
     },
     /// To keep to its slots.
-    Slots,
+    UseSlots,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -62,9 +62,9 @@
 /// Danger: some tens of hundreds that start and wait for slots laid out for all, before a service with
 /// nothing to do. Harm: calls beside those of the slots, up to 0.45 of what the service is said to bear.
 #[derive(Clone, Debug)]
-pub struct Waves {
+pub struct StartBatches {
     per_s: f64,
-    share: Share,
+    share: AdaptiveShare,
     starters: HashMap<String, Starter>,
     line: BTreeMap<u64, String>,
     /// When each of them is held no more.
@@ -78,13 +78,13 @@
     fetched_by_ms: Option<f64>,
 }
 
-impl Waves {
+impl StartBatches {
     /// For a service that bears `calls_per_s` calls a second from all gateways, 0.001 at least.
     #[must_use]
-    pub fn new(calls_per_s: f64) -> Waves {
-        Waves {
+    pub fn new(calls_per_s: f64) -> StartBatches {
+        StartBatches {
             per_s: calls_per_s.max(0.001),
-            share: Share::of(FIRST),
+            share: AdaptiveShare::starting_at(FIRST),
             starters: HashMap::new(),
             line: BTreeMap::new(),
             ends: BTreeSet::new(),
@@ -98,27 +98,27 @@
 
     /// Turns a second in a fleet of so many, 0 where all of them wait.
     #[must_use]
-    pub fn pace(&self, gateways: u32) -> f64 {
+    pub fn turns_per_s(&self, gateways: u32) -> f64 {
         let waits = self.line.len() as f64 / f64::from(gateways.max(1));
         PACE * self.per_s * self.share.part() * (1.0 - waits).max(0.0)
     }
 
     /// How many wait for a turn.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.line.len()
     }
 
     /// A gateway of a fleet of so many starts, or asks again: its name, and its process.
-    pub fn ask(&mut self, now_ms: f64, name: &str, boot: u64, gateways: u32) -> Turn {
+    pub fn request_turn(&mut self, now_ms: f64, name: &str, boot: u64, gateways: u32) -> StartTurn {
         self.expire(now_ms);
-        self.round_ms = Calendar::new(0, gateways, self.per_s).round().as_secs_f64() * 1_000.0;
+        self.round_ms = SlotSchedule::new(0, gateways, self.per_s).round().as_secs_f64() * 1_000.0;
         let place = match self.starters.get(name).map(|starter| starter.state) {
             // Danger: one that crashes in a loop, each time the next in line.
-            Some(State::Had) => return Turn::Slots,
+            Some(State::Had) => return StartTurn::UseSlots,
             // One that crashed while it waited keeps its place.
             Some(State::Waits(place)) => place,
-            None if self.starters.len() >= MAX_STARTING_GATEWAYS => return Turn::Slots,
+            None if self.starters.len() >= MAX_STARTING_GATEWAYS => return StartTurn::UseSlots,
             None => {
                 self.next += 1;
                 self.line.insert(self.next, name.to_string());
@@ -127,23 +127,31 @@
             }
         };
         let (first, pace) =
-            (self.line.first_key_value().map_or(place, |(first, _)| *first), self.pace(gateways));
+            (self.line.first_key_value().map_or(place, |(first, _)| *first), self.turns_per_s(gateways));
         let apart_ms = 1_000.0 / pace.max(1e-6);
         let free_ms = self.free_ms.max(now_ms);
         let due_ms = free_ms + (place - first) as f64 * apart_ms;
         if pace > 0.0 && due_ms <= now_ms + AHEAD_MS {
             self.free_ms = free_ms + apart_ms;
             self.had(name, boot, now_ms);
-            return Turn::Call { at_ms: free_ms, fetch: self.fetches(now_ms) };
+            return StartTurn::Call { at_ms: free_ms, fetch: self.fetches(now_ms) };
         }
         let after_ms = (due_ms - now_ms - AHEAD_MS / 2.0).clamp(ASK_MS.0, ASK_MS.1);
         self.hold(name, boot, State::Waits(place), now_ms + after_ms + GONE_MS);
-        Turn::Ask { after_ms }
+        StartTurn::AskAgain { after_ms }
     }
 
     /// What the first call of one that starts came to, after so long, ms, in its turn or in a slot before;
     /// and whether it told the whole list.
-    pub fn came(&mut self, now_ms: f64, name: &str, boot: u64, came: Came, took_ms: f64, list: bool) {
+    pub fn call_ended(
+        &mut self,
+        now_ms: f64,
+        name: &str,
+        boot: u64,
+        came: PollOutcome,
+        took_ms: f64,
+        list: bool,
+    ) {
         self.expire(now_ms);
         if list {
             (self.list_ms, self.fetched_by_ms) = (Some(now_ms), None);
@@ -153,9 +161,11 @@
             return;
         }
         match came {
-            Came::News | Came::Same => self.share.answered(Some(took_ms.max(0.0))),
-            Came::TurnedAway(_) | Came::Silent => self.share.refused(true),
-            Came::Older | Came::Broken => {}
+            PollOutcome::Updated | PollOutcome::Unchanged => {
+                self.share.record_response(Some(took_ms.max(0.0)))
+            }
+            PollOutcome::Rejected(_) | PollOutcome::TimedOut => self.share.refused(true),
+            PollOutcome::OlderVersion | PollOutcome::Failed => {}
         }
         self.had(name, boot, now_ms);
     }
--- a/crates/cold-start/tests/call_budget.rs
+++ b/crates/cold-start/tests/call_budget.rs
@@ -1,6 +1,6 @@
 //! Calls to a counter by fleets of 1 to 1,000 gateways that start together, in simulated time.
 
-use cold_start::Allowance;
+use cold_start::CallBudget;
 use proptest::prelude::*;
 
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
@@ -12,11 +12,11 @@
     let mut by_second = vec![0; seconds];
     for place in 0..n {
         let start = begins(place);
-        let mut allowance = Allowance::new(place, n, BEARS, start);
+        let mut allowance = CallBudget::new(place, n, BEARS, start);
         let every = 1_000.0 / wants;
         let mut at = start + every * f64::from(place % 17) / 17.0;
         while at < BEGIN_MS + 1_000.0 * seconds as f64 {
-            if allowance.take(at) {
+            if allowance.try_take(at) {
                 by_second[((at - BEGIN_MS) / 1_000.0) as usize] += 1;
             }
             at += every;
@@ -47,20 +47,20 @@
 
 #[test]
 fn it_ends_after_six_doublings_and_all_calls_are_made_from_then_on() {
-    let mut allowance = Allowance::new(7, 300, BEARS, BEGIN_MS);
+    let mut allowance = CallBudget::new(7, 300, BEARS, BEGIN_MS);
     let (mut made, mut first) = (0, None);
     for ms in 0..30_000 {
         let at = BEGIN_MS + f64::from(ms);
-        let taken = allowance.take(at);
+        let taken = allowance.try_take(at);
         made += u32::from(taken);
         if taken && first.is_none() {
             first = Some(at);
         }
-        assert!(!allowance.over(at) || taken, "one of {ms} ms was left out");
+        assert!(!allowance.is_over(at) || taken, "one of {ms} ms was left out");
     }
     let round = 300.0 / (0.9 * BEARS) * 1_000.0;
     assert!(first.expect("one is made") < BEGIN_MS + round, "a first call within a round");
-    assert!(allowance.over(BEGIN_MS + round + 12_000.0));
+    assert!(allowance.is_over(BEGIN_MS + round + 12_000.0));
     assert!(made > 12_000, "{made}");
 }
 
@@ -75,13 +75,15 @@
 fn it_doubles_every_two_seconds_and_saves_up_two_calls_at_most() {
     // One gateway alone has all that the counter bears, and wants more at any moment.
     let calls = |from: u32, to: u32| {
-        let mut allowance = Allowance::new(0, 1, BEARS, BEGIN_MS);
-        (0..to * 10).filter(|n| allowance.take(BEGIN_MS + f64::from(*n) / 10.0) && *n >= from * 10).count()
+        let mut allowance = CallBudget::new(0, 1, BEARS, BEGIN_MS);
+        (0..to * 10)
+            .filter(|n| allowance.try_take(BEGIN_MS + f64::from(*n) / 10.0) && *n >= from * 10)
+            .count()
     };
     let (first, later) = (calls(0, 2_000), calls(4_000, 6_000));
     assert!((3.5..4.5).contains(&(later as f64 / first as f64)), "{later} after {first}");
-    let mut idle = Allowance::new(0, 1, BEARS, BEGIN_MS);
-    assert!(idle.take(BEGIN_MS + 100.0));
-    let at_once = (0..100).filter(|_| idle.take(BEGIN_MS + 9_000.0)).count();
+    let mut idle = CallBudget::new(0, 1, BEARS, BEGIN_MS);
+    assert!(idle.try_take(BEGIN_MS + 100.0));
+    let at_once = (0..100).filter(|_| idle.try_take(BEGIN_MS + 9_000.0)).count();
     assert_eq!(at_once, 2);
 }
--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -1,7 +1,7 @@
 //! First connections of fleets of 1 to 1,000 gateways to backends that are well, dead or start anew, in
 //! simulated time.
 
-use cold_start::{Openings, Stage};
+use cold_start::{ConnectionRamp, RampStage};
 use proptest::prelude::*;
 use routing::Subset;
 
@@ -26,7 +26,7 @@
 
 /// A gateway in simulated time, and when it tried each backend.
 struct Gateway {
-    openings: Openings,
+    openings: ConnectionRamp,
     tried: Vec<(f64, u32)>,
     /// Those that the decisions were told of without a try.
     released: Vec<u32>,
@@ -34,9 +34,9 @@
 
 impl Gateway {
     fn new(place: u32, gateways: u32, backends: u32, now: f64) -> Gateway {
-        let mut openings = Openings::new(place, gateways, home(place, gateways), PER_S, now);
+        let mut openings = ConnectionRamp::new(place, gateways, home(place, gateways), PER_S, now);
         for id in 0..backends {
-            assert!(!openings.listed(id, key(id), 0.0), "open before its turn");
+            assert!(!openings.add(id, key(id), 0.0), "open before its turn");
         }
         Gateway { openings, tried: Vec::new(), released: Vec::new() }
     }
@@ -59,7 +59,7 @@
             now = next;
             while let Some(id) = self.openings.due(now) {
                 self.tried.push((now, id));
-                let _ = self.openings.tried(now + 1.0, id, 0.0, answers(id, now));
+                let _ = self.openings.first_connection_ended(now + 1.0, id, 0.0, answers(id, now));
             }
             now += 0.001;
         }
@@ -109,7 +109,7 @@
             }
             let mut gateway = Gateway::new(place, n, backends, now).confirmed(now);
             gateway.run(now, now + 2.0 * round + 200.0, late, |_, _| true);
-            prop_assert_eq!(gateway.openings.stage(), Stage::Warm);
+            prop_assert_eq!(gateway.openings.stage(), RampStage::Warm);
             prop_assert_eq!(gateway.openings.open(), backends as usize);
             // Its home is what it tried by turns, four at least.
             let degree = home(place, n).degree(backends as usize);
@@ -131,7 +131,7 @@
         gateway.run(BEGIN_MS, BEGIN_MS + 0.99 * round_ms(n), 0.0, half);
         // Those that failed are followed by others, each in a slot of its own.
         assert!((1..=4).contains(&gateway.openings.open()), "{}", gateway.openings.open());
-        assert_eq!((gateway.openings.stage(), gateway.released.len()), (Stage::Known, 0));
+        assert_eq!((gateway.openings.stage(), gateway.released.len()), (RampStage::Known, 0));
     }
     slots_hold(&fleet, backends, 0.0);
     let open: usize = fleet.iter().map(|g| g.openings.open()).sum();
@@ -144,7 +144,7 @@
     let from = BEGIN_MS + round_ms(n);
     gateway.run(from, from + 8.0 * round_ms(n), 0.0, |_, _| true);
     assert_eq!(gateway.openings.open(), backends as usize);
-    assert_eq!(gateway.openings.stage(), Stage::Known);
+    assert_eq!(gateway.openings.stage(), RampStage::Known);
 }
 
 #[test]
@@ -171,7 +171,7 @@
     let busy = chosen(&mut gateway, 8);
     assert!(busy >= few + 3, "{busy} with 8 attempts out, {few} before");
     for _ in 0..6 {
-        gateway.openings.fault();
+        gateway.openings.record_failure();
     }
     let failing = chosen(&mut gateway, 8);
     assert!(failing >= busy + 4, "{failing} after 6 that failed, {busy} before");
@@ -198,14 +198,14 @@
     // Nobody waits for those of the home that went meanwhile.
     let mut gone = Gateway::new(3, n, 40, BEGIN_MS).confirmed(BEGIN_MS);
     gone.openings.choose(BEGIN_MS, 0);
-    (0..40).filter(|id| !told.contains(id)).for_each(|id| gone.openings.gone(id));
+    (0..40).filter(|id| !told.contains(id)).for_each(|id| gone.openings.remove(id));
     assert_eq!(gone.openings.release(BEGIN_MS).len(), told.len());
     // From then on one that is not of the home waits for nothing.
     let far = (40..).find(|id| home(3, n).threshold(key(*id)) > 200.0).expect("one of many");
-    assert!(!gateway.openings.listed(far, key(far), 0.0));
+    assert!(!gateway.openings.add(far, key(far), 0.0));
     gateway.openings.choose(BEGIN_MS, 0);
     assert_eq!(gateway.openings.release(BEGIN_MS), [far]);
-    assert!(gateway.openings.listed(far, key(far), 0.0));
+    assert!(gateway.openings.add(far, key(far), 0.0));
 }
 
 #[test]
@@ -231,48 +231,48 @@
 
 #[test]
 fn a_later_life_a_drain_and_a_whole_list_shut_a_backend_until_its_turn() {
-    let mut openings = Openings::new(1, 30, home(1, 30), PER_S, BEGIN_MS);
+    let mut openings = ConnectionRamp::new(1, 30, home(1, 30), PER_S, BEGIN_MS);
     openings.confirm(BEGIN_MS);
     // Its moment, and its number.
-    let due = |openings: &mut Openings, from: f64| {
+    let due = |openings: &mut ConnectionRamp, from: f64| {
         openings.choose(from, 0);
         let at = openings.next(from).expect("it waits");
         assert_eq!(openings.due(at - 0.5), None, "before its turn");
         (at, openings.due(at))
     };
-    assert!(!openings.listed(5, 77, 0.0));
+    assert!(!openings.add(5, 77, 0.0));
     let (at, id) = due(&mut openings, BEGIN_MS);
-    assert_eq!((id, openings.stage()), (Some(5), Stage::Confirmed));
-    assert!(openings.tried(at + 1.0, 5, 0.0, true) && openings.listed(5, 77, 0.0));
-    assert_eq!((openings.release(at), openings.stage()), (vec![], Stage::Warm));
+    assert_eq!((id, openings.stage()), (Some(5), RampStage::Confirmed));
+    assert!(openings.first_connection_ended(at + 1.0, 5, 0.0, true) && openings.add(5, 77, 0.0));
+    assert_eq!((openings.release(at), openings.stage()), (vec![], RampStage::Warm));
     // It starts anew, and once more while its first connection is being opened: that tells nothing.
-    assert!(!openings.listed(5, 77, 10.0));
+    assert!(!openings.add(5, 77, 10.0));
     let (at, id) = due(&mut openings, at);
     assert_eq!(id, Some(5));
-    assert!(!openings.listed(5, 77, 20.0), "another life");
-    assert!(!openings.tried(at + 1.0, 5, 10.0, true), "an answer of the life before");
-    assert_eq!((openings.open(), openings.waiting()), (0, 1));
+    assert!(!openings.add(5, 77, 20.0), "another life");
+    assert!(!openings.first_connection_ended(at + 1.0, 5, 10.0, true), "an answer of the life before");
+    assert_eq!((openings.open(), openings.waiting_count()), (0, 1));
     let (at, id) = due(&mut openings, at);
     assert_eq!(id, Some(5));
-    assert!(openings.tried(at, 5, 20.0, true));
-    assert!(openings.listed(5, 77, 10.0), "an older line is none of another life");
+    assert!(openings.first_connection_ended(at, 5, 20.0, true));
+    assert!(openings.add(5, 77, 10.0), "an older line is none of another life");
     // The same while its first connection of the later life is being opened.
-    assert!(!openings.listed(5, 77, 30.0));
+    assert!(!openings.add(5, 77, 30.0));
     let (at, id) = due(&mut openings, at);
     assert_eq!(id, Some(5));
-    assert!(!openings.tried(at, 5, 20.0, true), "a late answer of the life before");
-    assert!(openings.tried(at, 5, 30.0, true));
+    assert!(!openings.first_connection_ended(at, 5, 20.0, true), "a late answer of the life before");
+    assert!(openings.first_connection_ended(at, 5, 30.0, true));
     // Drained and given back.
-    openings.gone(5);
-    assert_eq!((openings.stage(), openings.next(at)), (Stage::Empty, None));
-    assert!(!openings.listed(5, 77, 30.0));
+    openings.remove(5);
+    assert_eq!((openings.stage(), openings.next(at)), (RampStage::Empty, None));
+    assert!(!openings.add(5, 77, 30.0));
     let (at, id) = due(&mut openings, at);
     assert_eq!(id, Some(5));
-    assert!(openings.tried(at, 5, 30.0, true));
+    assert!(openings.first_connection_ended(at, 5, 30.0, true));
     // Off a whole list and on it again.
-    openings.keep_only(|id| id != 5);
-    assert!(!openings.listed(5, 77, 30.0));
-    assert_eq!(openings.waiting(), 1);
+    openings.retain(|id| id != 5);
+    assert!(!openings.add(5, 77, 30.0));
+    assert_eq!(openings.waiting_count(), 1);
 }
 
 #[test]
--- a/crates/cold-start/tests/poll_schedule.rs
+++ b/crates/cold-start/tests/poll_schedule.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use cold_start::{Calendar, Calls, Came, Share, MIN_SHARE};
+use cold_start::{AdaptiveShare, PollOutcome, PollSchedule, SlotSchedule, MIN_SHARE};
 
 /// In the middle of a round of 300 gateways at 50 calls a second, 6.67 s.
 const NOW_MS: f64 = 1_764_000_123_457.0;
 
-fn calls() -> Calls {
-    Calls::new(Calendar::new(7, 300, 50.0))
+fn calls() -> PollSchedule {
+    PollSchedule::new(SlotSchedule::new(7, 300, 50.0))
 }
 
 fn round_ms() -> f64 {
-    Calendar::new(7, 300, 50.0).round().as_secs_f64() * 1_000.0
+    SlotSchedule::new(7, 300, 50.0).round().as_secs_f64() * 1_000.0
 }
 
 #[test]
@@ -21,7 +21,7 @@
         let mut calls = calls();
         let call = calls.next(NOW_MS);
         let answered = call.at_ms + 5.0;
-        calls.came(answered, Came::TurnedAway(Some(Duration::from_secs(asked_s))));
+        calls.poll_ended(answered, PollOutcome::Rejected(Some(Duration::from_secs(asked_s))));
         let next = calls.next(answered);
         let after = next.at_ms - answered;
         assert!(after >= least_ms && after <= least_ms + round_ms() + 23.0, "{after} ms after {asked_s} s");
@@ -33,13 +33,13 @@
     let mut calls = calls();
     let first = calls.next(NOW_MS);
     assert_eq!(first.wait, Duration::ZERO, "the first is to be answered at once");
-    calls.came(first.at_ms + 20.0, Came::Same);
+    calls.poll_ended(first.at_ms + 20.0, PollOutcome::Unchanged);
     let mut watch = calls.next(first.at_ms + 20.0);
     for _ in 0..20 {
         let wait_ms = watch.wait.as_secs_f64() * 1_000.0;
         assert!(wait_ms > 1.9 * round_ms() && wait_ms < 2.1 * round_ms(), "{wait_ms}");
         let ended = watch.at_ms + wait_ms + 20.0;
-        calls.came(ended, Came::Same);
+        calls.poll_ended(ended, PollOutcome::Unchanged);
         let next = calls.next(ended);
         assert!((0.0..200.0).contains(&(next.at_ms - ended)), "a pause of {} ms", next.at_ms - ended);
         watch = next;
@@ -51,10 +51,10 @@
 fn after_news_the_next_watch_begins_in_the_next_slot() {
     let mut calls = calls();
     let first = calls.next(NOW_MS);
-    calls.came(first.at_ms + 20.0, Came::Same);
+    calls.poll_ended(first.at_ms + 20.0, PollOutcome::Unchanged);
     let watch = calls.next(first.at_ms + 20.0);
     let heard = watch.at_ms + 2_000.0;
-    calls.came(heard, Came::News);
+    calls.poll_ended(heard, PollOutcome::Updated);
     let next = calls.next(heard);
     let slots = (next.at_ms - first.at_ms) / round_ms();
     assert!((slots - slots.round()).abs() * round_ms() < 23.0, "not in its slot: {slots} rounds on");
@@ -67,12 +67,12 @@
     let mut call = calls.next(NOW_MS);
     let mut before = 0.0;
     for _ in 0..4 {
-        let patience = call.until_ms - call.at_ms;
+        let patience = call.timeout_at_ms - call.at_ms;
         assert!(patience >= 5_000.0 && patience >= before, "{patience} after {before}");
         before = patience;
-        calls.came(call.until_ms + 3.0, Came::Silent);
-        let next = calls.next(call.until_ms + 3.0);
-        assert!(next.at_ms - call.until_ms < 100.0, "{} ms later", next.at_ms - call.until_ms);
+        calls.poll_ended(call.timeout_at_ms + 3.0, PollOutcome::TimedOut);
+        let next = calls.next(call.timeout_at_ms + 3.0);
+        assert!(next.at_ms - call.timeout_at_ms < 100.0, "{} ms later", next.at_ms - call.timeout_at_ms);
         call = next;
     }
     assert!(before > 30_000.0, "{before}");
@@ -87,7 +87,8 @@
 
 #[test]
 fn a_start_without_a_list_waits_two_rounds_and_no_longer_than_20_s() {
-    let within = |gateways| Calls::new(Calendar::new(0, gateways, 50.0)).first_within().as_secs_f64();
+    let within =
+        |gateways| PollSchedule::new(SlotSchedule::new(0, gateways, 50.0)).first_timeout().as_secs_f64();
     assert!((within(1) - 0.544).abs() < 0.001 && (within(300) - 13.83).abs() < 0.01, "{}", within(300));
     assert_eq!(within(1_000), 20.0);
 }
@@ -96,7 +97,7 @@
 fn an_answer_in_no_time_at_all_is_not_asked_for_again_in_the_same_slot() {
     let mut calls = calls();
     let call = calls.next(NOW_MS);
-    calls.came(call.at_ms, Came::Older);
+    calls.poll_ended(call.at_ms, PollOutcome::OlderVersion);
     let next = calls.next(call.at_ms);
     assert!(next.at_ms > call.at_ms + round_ms() - 23.0, "{} ms later", next.at_ms - call.at_ms);
 }
@@ -105,23 +106,23 @@
 fn a_service_whose_answers_take_long_is_waited_for_by_that() {
     let mut calls = calls();
     let call = calls.next(NOW_MS);
-    calls.came(call.at_ms + 4_500.0, Came::Same);
+    calls.poll_ended(call.at_ms + 4_500.0, PollOutcome::Unchanged);
     let watch = calls.next(call.at_ms + 4_500.0);
-    let patience = watch.until_ms - watch.at_ms - watch.wait.as_secs_f64() * 1_000.0;
+    let patience = watch.timeout_at_ms - watch.at_ms - watch.wait.as_secs_f64() * 1_000.0;
     assert!(patience >= 4.0 * 4_500.0, "{patience}");
 }
 
 #[test]
 fn a_share_falls_by_half_to_its_least_and_comes_back_by_quick_answers() {
-    let mut share = Share::default();
-    share.answered(Some(5.0));
+    let mut share = AdaptiveShare::default();
+    share.record_response(Some(5.0));
     // One that stood in a queue counts as a refusal; one that was a little later as nothing.
-    share.answered(Some(500.0));
+    share.record_response(Some(500.0));
     assert_eq!(share.part(), 1.0);
-    share.answered(Some(1_500.0));
+    share.record_response(Some(1_500.0));
     assert_eq!(share.part(), 0.5);
     (0..20).for_each(|_| share.refused(true));
     assert_eq!(share.part(), MIN_SHARE);
-    (0..4).for_each(|_| share.answered(Some(5.0)));
+    (0..4).for_each(|_| share.record_response(Some(5.0)));
     assert_eq!(share.part(), 1.0);
 }
--- a/crates/cold-start/tests/service.rs
+++ b/crates/cold-start/tests/service.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use cold_start::{Calendar, Call, Calls, Came};
+use cold_start::{Poll, PollOutcome, PollSchedule, SlotSchedule};
 use proptest::prelude::*;
 
 /// What operators say that the service bears, calls a second.
@@ -69,14 +69,14 @@
         confirmed: vec![None; gateways as usize],
         ..Played::default()
     };
-    let calendar = |g| Calendar::new(g, gateways, TOLD);
-    let mut fleet: Vec<Calls> = (0..gateways).map(|g| Calls::new(calendar(g))).collect();
+    let calendar = |g| SlotSchedule::new(g, gateways, TOLD);
+    let mut fleet: Vec<PollSchedule> = (0..gateways).map(|g| PollSchedule::new(calendar(g))).collect();
     // Moments in us, whether a call is made or ends, whose, and what it came to.
     let mut heap: BinaryHeap<Reverse<(u64, u8, u32)>> = BinaryHeap::new();
-    let mut ends: Vec<(Came, Call)> = Vec::new();
+    let mut ends: Vec<(PollOutcome, Poll)> = Vec::new();
     let us = |ms: f64| ((ms - BEGIN_MS) * 1_000.0).round() as u64;
     let begin = BEGIN_MS + shift_ms;
-    let mut out: Vec<Option<Call>> = vec![None; gateways as usize];
+    let mut out: Vec<Option<Poll>> = vec![None; gateways as usize];
     for (g, calls) in (0..gateways).zip(&mut fleet) {
         let call = calls.next(begin);
         out[g as usize] = Some(call);
@@ -85,7 +85,7 @@
     let mut free = 0.0;
     // Calls that stand before the service, by when they are done.
     let mut standing: std::collections::VecDeque<f64> = std::collections::VecDeque::new();
-    let mut ended: Vec<Came> = vec![Came::Same; gateways as usize];
+    let mut ended: Vec<PollOutcome> = vec![PollOutcome::Unchanged; gateways as usize];
     ends.clear();
     while let Some(Reverse((at_us, what, g))) = heap.pop() {
         let now = BEGIN_MS + at_us as f64 / 1_000.0;
@@ -94,8 +94,8 @@
         }
         if what == 1 {
             let came = ended[g as usize];
-            fleet[g as usize].came(now, came);
-            if matches!(came, Came::News | Came::Same) {
+            fleet[g as usize].poll_ended(now, came);
+            if matches!(came, PollOutcome::Updated | PollOutcome::Unchanged) {
                 played.confirmed[g as usize].get_or_insert(now - begin);
             }
             let call = fleet[g as usize].next(now);
@@ -111,21 +111,22 @@
             standing.pop_front();
         }
         let (came, at) = match away {
-            Some(Away::Refuses) => (Came::Broken, now + 1.0),
-            Some(Away::Busy) => (Came::TurnedAway(None), now + service.delay_ms),
-            Some(Away::Silent) => (Came::Silent, f64::INFINITY),
-            None if standing.len() >= PLACES => (Came::TurnedAway(None), now + service.delay_ms),
+            Some(Away::Refuses) => (PollOutcome::Failed, now + 1.0),
+            Some(Away::Busy) => (PollOutcome::Rejected(None), now + service.delay_ms),
+            Some(Away::Silent) => (PollOutcome::TimedOut, f64::INFINITY),
+            None if standing.len() >= PLACES => (PollOutcome::Rejected(None), now + service.delay_ms),
             None => {
                 free = f64::max(free, now) + 1_000.0 / service.bears;
                 standing.push_back(free);
                 let waited = now + call.wait.as_secs_f64() * 1_000.0;
-                (Came::Same, f64::max(free, waited) + service.delay_ms)
+                (PollOutcome::Unchanged, f64::max(free, waited) + service.delay_ms)
             }
         };
-        if matches!(came, Came::TurnedAway(_)) {
+        if matches!(came, PollOutcome::Rejected(_)) {
             played.turned_away.push(now - begin);
         }
-        let (came, at) = if at > call.until_ms { (Came::Silent, call.until_ms) } else { (came, at) };
+        let (came, at) =
+            if at > call.timeout_at_ms { (PollOutcome::TimedOut, call.timeout_at_ms) } else { (came, at) };
         ended[g as usize] = came;
         heap.push(Reverse((us(at), 1, g)));
     }
@@ -135,7 +136,7 @@
 const WELL: Service = Service { bears: TOLD, delay_ms: 1.0, away: None };
 
 fn round_ms(gateways: u32) -> f64 {
-    Calendar::new(0, gateways, TOLD).round().as_secs_f64() * 1_000.0
+    SlotSchedule::new(0, gateways, TOLD).round().as_secs_f64() * 1_000.0
 }
 
 /// Few cases that are the same in every run; `PROPTEST_CASES` and `PROPTEST_RNG_SEED` ask for others.
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -1,6 +1,6 @@
 //! Turns for those that start, beside the slots of all, in simulated time.
 
-use cold_start::{Calendar, Call, Calls, Came, Turn, Waves};
+use cold_start::{Poll, PollOutcome, PollSchedule, SlotSchedule, StartBatches, StartTurn};
 use proptest::prelude::*;
 
 /// What operators say that the service bears, calls a second.
@@ -12,9 +12,9 @@
 
 struct Gateway {
     name: String,
-    calls: Calls,
+    calls: PollSchedule,
     /// Its next call by slots, and whether it is out, until when it is answered.
-    call: Call,
+    call: Poll,
     answered_ms: Option<f64>,
     /// When it asks the agent next; none: no more.
     asks_ms: Option<f64>,
@@ -45,16 +45,16 @@
 /// A fleet at rest, of which `starts` start anew together, spread over its places; the service works on one
 /// call after another, `bears` a second, with 50 places.
 fn play(gateways: u32, starts: u32, bears: f64, with_agent: bool, seconds: f64) -> Played {
-    let mut waves = Waves::new(BEARS);
+    let mut waves = StartBatches::new(BEARS);
     let anew = |place: u32| place * starts / gateways != (place + 1) * starts / gateways;
     let mut all: Vec<Gateway> = (0..gateways)
         .map(|place| {
-            let mut calls = Calls::new(Calendar::new(place, gateways, BEARS));
+            let mut calls = PollSchedule::new(SlotSchedule::new(place, gateways, BEARS));
             let mut from = BEGIN_MS;
             // Those at rest were told in the round before, all in that one, as after a start of all.
             if !anew(place) {
                 let before = calls.next(BEGIN_MS - calls_round(gateways));
-                calls.came(before.at_ms + 20.0, Came::Same);
+                calls.poll_ended(before.at_ms + 20.0, PollOutcome::Unchanged);
                 from = before.at_ms + 21.0;
             }
             let call = calls.next(from);
@@ -68,27 +68,27 @@
     while now < BEGIN_MS + seconds * 1_000.0 {
         for g in &mut all {
             if g.asks_ms.is_some_and(|at| at <= now) {
-                match waves.ask(now, &g.name, 1, gateways) {
-                    Turn::Call { at_ms, fetch } => {
+                match waves.request_turn(now, &g.name, 1, gateways) {
+                    StartTurn::Call { at_ms, fetch } => {
                         (g.turn, g.asks_ms) = (Some(at_ms), None);
                         played.fetched += usize::from(fetch);
                     }
-                    Turn::Ask { after_ms } => g.asks_ms = Some(now + after_ms),
-                    Turn::Slots => g.asks_ms = None,
+                    StartTurn::AskAgain { after_ms } => g.asks_ms = Some(now + after_ms),
+                    StartTurn::UseSlots => g.asks_ms = None,
                 }
             }
             if g.turn.is_some_and(|at| at <= now) && g.answered_ms.is_none() {
                 g.turn = None;
-                g.call = g.calls.first_now(now).unwrap_or(g.call);
+                g.call = g.calls.start_now(now).unwrap_or(g.call);
             }
             if g.answered_ms.is_none() && g.call.at_ms <= now {
                 played.calls.push(now - BEGIN_MS);
                 // Places are for calls that are worked on, not for watches.
                 if free_ms - now > 50.0 * 1_000.0 / bears {
                     played.turned_away += 1;
-                    g.calls.came(now, Came::TurnedAway(None));
+                    g.calls.poll_ended(now, PollOutcome::Rejected(None));
                     if std::mem::take(&mut g.first) {
-                        waves.came(now, &g.name, 1, Came::TurnedAway(None), 0.0, false);
+                        waves.call_ended(now, &g.name, 1, PollOutcome::Rejected(None), 0.0, false);
                         g.first = true;
                     }
                     g.call = g.calls.next(now);
@@ -99,11 +99,11 @@
             }
             if g.answered_ms.is_some_and(|at| at <= now) {
                 g.answered_ms = None;
-                g.calls.came(now, Came::Same);
+                g.calls.poll_ended(now, PollOutcome::Unchanged);
                 if std::mem::take(&mut g.first) {
                     g.told_ms = Some(now - BEGIN_MS);
                     (g.asks_ms, g.turn) = (None, None);
-                    waves.came(now, &g.name, 1, Came::Same, now - g.call.at_ms, false);
+                    waves.call_ended(now, &g.name, 1, PollOutcome::Unchanged, now - g.call.at_ms, false);
                 }
                 g.call = g.calls.next(now);
             }
@@ -116,7 +116,7 @@
 }
 
 fn calls_round(gateways: u32) -> f64 {
-    Calendar::new(0, gateways, BEARS).round().as_secs_f64() * 1_000.0
+    SlotSchedule::new(0, gateways, BEARS).round().as_secs_f64() * 1_000.0
 }
 
 #[test]
@@ -160,12 +160,12 @@
 }
 
 /// Asks until there is a turn; when, and whether it fetches.
-fn turn(waves: &mut Waves, mut now: f64, name: &str, boot: u64) -> Option<(f64, bool)> {
+fn turn(waves: &mut StartBatches, mut now: f64, name: &str, boot: u64) -> Option<(f64, bool)> {
     for _ in 0..1_000 {
-        match waves.ask(now, name, boot, 300) {
-            Turn::Call { at_ms, fetch } => return Some((at_ms, fetch)),
-            Turn::Ask { after_ms } => now += after_ms,
-            Turn::Slots => return None,
+        match waves.request_turn(now, name, boot, 300) {
+            StartTurn::Call { at_ms, fetch } => return Some((at_ms, fetch)),
+            StartTurn::AskAgain { after_ms } => now += after_ms,
+            StartTurn::UseSlots => return None,
         }
     }
     panic!("asked a thousand times");
@@ -174,57 +174,57 @@
 /// Danger: a gateway that crashes in a loop, at each start first in line.
 #[test]
 fn a_name_has_one_turn_a_round_whatever_process_it_is() {
-    let mut waves = Waves::new(BEARS);
+    let mut waves = StartBatches::new(BEARS);
     assert!(turn(&mut waves, BEGIN_MS, "n0", 1).is_some());
     assert_eq!(turn(&mut waves, BEGIN_MS + 500.0, "n0", 2), None);
     assert!(turn(&mut waves, BEGIN_MS + calls_round(300) + 1.0, "n0", 3).is_some());
     // One that crashes while it waits keeps its place, and is not two.
     for boot in 0..20 {
-        waves.ask(BEGIN_MS + 50_000.0, "n1", boot, 300);
-        waves.ask(BEGIN_MS + 50_000.0, "n2", boot, 300);
+        waves.request_turn(BEGIN_MS + 50_000.0, "n1", boot, 300);
+        waves.request_turn(BEGIN_MS + 50_000.0, "n2", boot, 300);
     }
-    assert!(waves.waiting() <= 2);
+    assert!(waves.waiting_count() <= 2);
 }
 
 #[test]
 fn those_that_do_not_ask_again_are_waited_for_no_more_and_the_told_give_their_place_up() {
-    let mut waves = Waves::new(BEARS);
+    let mut waves = StartBatches::new(BEARS);
     for i in 0..40 {
-        waves.ask(BEGIN_MS, &format!("n{i}"), 1, 300);
+        waves.request_turn(BEGIN_MS, &format!("n{i}"), 1, 300);
     }
-    assert!(waves.waiting() >= 39);
+    assert!(waves.waiting_count() >= 39);
     for i in 0..20 {
-        waves.came(BEGIN_MS + 10.0, &format!("n{i}"), 1, Came::Same, 20.0, false);
+        waves.call_ended(BEGIN_MS + 10.0, &format!("n{i}"), 1, PollOutcome::Unchanged, 20.0, false);
         // Another process of that name says nothing of this one.
-        waves.came(BEGIN_MS + 10.0, &format!("n{}", i + 20), 7, Came::Same, 20.0, false);
+        waves.call_ended(BEGIN_MS + 10.0, &format!("n{}", i + 20), 7, PollOutcome::Unchanged, 20.0, false);
     }
-    assert_eq!(waves.waiting(), 20);
-    waves.ask(BEGIN_MS + 4_000.0, "late", 1, 300);
-    assert!(waves.waiting() <= 1, "{}", waves.waiting());
+    assert_eq!(waves.waiting_count(), 20);
+    waves.request_turn(BEGIN_MS + 4_000.0, "late", 1, 300);
+    assert!(waves.waiting_count() <= 1, "{}", waves.waiting_count());
 }
 
 #[test]
 fn more_than_ten_thousand_are_not_held() {
-    let mut waves = Waves::new(BEARS);
+    let mut waves = StartBatches::new(BEARS);
     for i in 0..12_000 {
-        waves.ask(BEGIN_MS, &format!("n{i}"), 1, 20_000);
+        waves.request_turn(BEGIN_MS, &format!("n{i}"), 1, 20_000);
     }
-    assert!(waves.waiting() <= 10_000, "{}", waves.waiting());
-    assert_eq!(waves.ask(BEGIN_MS, "one more", 1, 20_000), Turn::Slots);
+    assert!(waves.waiting_count() <= 10_000, "{}", waves.waiting_count());
+    assert_eq!(waves.request_turn(BEGIN_MS, "one more", 1, 20_000), StartTurn::UseSlots);
 }
 
 /// Turns of a wave in five seconds, each of whose first calls comes to the same.
-fn wave(came: Came, took_ms: f64) -> usize {
-    let (mut waves, mut now, mut turns, mut next) = (Waves::new(BEARS), BEGIN_MS, 0, 0);
+fn wave(came: PollOutcome, took_ms: f64) -> usize {
+    let (mut waves, mut now, mut turns, mut next) = (StartBatches::new(BEARS), BEGIN_MS, 0, 0);
     while now < BEGIN_MS + 5_000.0 {
         // There is always somebody in line.
-        match waves.ask(now, &format!("n{next}"), 1, 10_000) {
-            Turn::Call { .. } => {
-                waves.came(now, &format!("n{next}"), 1, came, took_ms, false);
+        match waves.request_turn(now, &format!("n{next}"), 1, 10_000) {
+            StartTurn::Call { .. } => {
+                waves.call_ended(now, &format!("n{next}"), 1, came, took_ms, false);
                 (turns, next) = (turns + 1, next + 1);
             }
-            Turn::Ask { after_ms } => now += after_ms,
-            Turn::Slots => unreachable!("each asks once"),
+            StartTurn::AskAgain { after_ms } => now += after_ms,
+            StartTurn::UseSlots => unreachable!("each asks once"),
         }
     }
     turns
@@ -233,12 +233,12 @@
 #[test]
 fn a_wave_grows_with_answers_and_shrinks_with_calls_that_are_too_many() {
     let [quick, slow, busy, silent, broken] = [
-        wave(Came::Same, 20.0),
+        wave(PollOutcome::Unchanged, 20.0),
         // Behind the quickest by over a second, after a first one that sets it.
-        wave(Came::Same, 500.0),
-        wave(Came::TurnedAway(None), 0.0),
-        wave(Came::Silent, 5_000.0),
-        wave(Came::Broken, 0.0),
+        wave(PollOutcome::Unchanged, 500.0),
+        wave(PollOutcome::Rejected(None), 0.0),
+        wave(PollOutcome::TimedOut, 5_000.0),
+        wave(PollOutcome::Failed, 0.0),
     ];
     // 0.45 of 50 a second, and as they begin: a fifth of that.
     assert!((100..=114).contains(&quick), "{quick}");
@@ -248,13 +248,14 @@
 
 #[test]
 fn one_fetches_the_list_and_the_next_when_it_is_old_or_that_one_is_gone() {
-    let mut waves = Waves::new(BEARS);
-    let fetch = |waves: &mut Waves, at: f64, name: &str| turn(waves, BEGIN_MS + at, name, 1).map(|(_, f)| f);
+    let mut waves = StartBatches::new(BEARS);
+    let fetch =
+        |waves: &mut StartBatches, at: f64, name: &str| turn(waves, BEGIN_MS + at, name, 1).map(|(_, f)| f);
     assert_eq!(fetch(&mut waves, 0.0, "n0"), Some(true));
     assert_eq!(fetch(&mut waves, 1_000.0, "n1"), Some(false), "one fetches it already");
     // It never tells.
     assert_eq!(fetch(&mut waves, 6_500.0, "n2"), Some(true));
-    waves.came(BEGIN_MS + 7_000.0, "n2", 1, Came::News, 20.0, true);
+    waves.call_ended(BEGIN_MS + 7_000.0, "n2", 1, PollOutcome::Updated, 20.0, true);
     assert_eq!(fetch(&mut waves, 8_000.0, "n3"), Some(false), "it is fresh");
     assert_eq!(fetch(&mut waves, 13_000.0, "n4"), Some(true));
 }
--- a/crates/dns-sd/src/cache.rs
+++ b/crates/dns-sd/src/cache.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::answer::{Absence, Answer, Data, Question};
+use crate::answer::{Answer, NegativeAnswer, Question, RecordData};
 
 /// Part of its life after which a record is asked for again, before jitter: so that it does not run out while
 /// the resolver is asked once or twice more.
@@ -15,56 +15,56 @@
 
 /// Bounds of times. All in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct CacheLimits {
     /// The least life of what was answered. Danger: a TTL of 0, and a resolver that is asked without a pause.
-    pub life_least: f64,
+    pub min_ttl_ms: f64,
     /// The most.
-    pub life_most: f64,
+    pub max_ttl_ms: f64,
     /// The most for "there is none" (RFC 2308 asks for 3 hours at most).
-    pub none_most: f64,
+    pub max_negative_ttl_ms: f64,
     /// How long after its life a record is still served while no answer can be had (RFC 8767 proposes 1 to 3
     /// days). After that it is unknown, which removes nobody from a list.
-    pub stale_most: f64,
+    pub max_stale_ms: f64,
     /// The first pause after a question went unanswered; it doubles.
-    pub pause_least: f64,
+    pub min_retry_ms: f64,
     /// The longest.
-    pub pause_most: f64,
+    pub max_retry_ms: f64,
     /// The most questions that are out at once.
-    pub out_most: usize,
+    pub max_queries_in_flight: usize,
 }
 
-impl Default for Bounds {
+impl Default for CacheLimits {
     fn default() -> Self {
-        Bounds {
-            life_least: 1_000.0,
-            life_most: 3_600_000.0,
-            none_most: 300_000.0,
-            stale_most: 86_400_000.0,
-            pause_least: 500.0,
-            pause_most: 30_000.0,
-            out_most: 64,
+        CacheLimits {
+            min_ttl_ms: 1_000.0,
+            max_ttl_ms: 3_600_000.0,
+            max_negative_ttl_ms: 300_000.0,
+            max_stale_ms: 86_400_000.0,
+            min_retry_ms: 500.0,
+            max_retry_ms: 30_000.0,
+            max_queries_in_flight: 64,
         }
     }
 }
 
 /// What is known of a question.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Known {
+pub enum CachedAnswer {
     /// Records, shared with the cache; not empty.
-    Records(Arc<[Data]>),
+    Records(Arc<[RecordData]>),
     /// An authority says that there are none.
-    None(Absence),
+    None(NegativeAnswer),
 }
 
 /// What may be said of a question now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum State {
+pub enum CacheState {
     /// An answer that holds.
-    Fresh(Known),
+    Fresh(CachedAnswer),
     /// The last answer, whose life is over while no other can be had.
     Stale {
         /// The answer.
-        known: Known,
+        known: CachedAnswer,
         /// Since when, ms of the caller's clock.
         since: f64,
     },
@@ -72,20 +72,20 @@
     Unknown,
 }
 
-impl State {
+impl CacheState {
     /// What is known, fresh or stale.
     #[must_use]
-    pub fn known(&self) -> Option<&Known> {
+    pub fn known(&self) -> Option<&CachedAnswer> {
         match self {
-            State::Fresh(known) | State::Stale { known, .. } => Some(known),
-            State::Unknown => None,
+            CacheState::Fresh(known) | CacheState::Stale { known, .. } => Some(known),
+            CacheState::Unknown => None,
         }
     }
 }
 
 /// A question that is to be asked now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct DueQuery {
     /// The question.
     pub question: Question,
     /// Its last answer is doubted: another resolver is to be asked before the one that gave it.
@@ -94,7 +94,7 @@
 
 #[derive(Debug, Default)]
 struct Entry {
-    known: Option<Known>,
+    known: Option<CachedAnswer>,
     /// When the life of `known` is over.
     until: f64,
     /// When it is to be asked next.
@@ -112,7 +112,7 @@
 /// Answers to the questions that are followed.
 #[derive(Debug)]
 pub struct Cache {
-    bounds: Bounds,
+    bounds: CacheLimits,
     entries: BTreeMap<Question, Entry>,
     /// Those to be asked, by time; none of them is out.
     agenda: BTreeSet<(u64, Question)>,
@@ -128,7 +128,7 @@
 impl Cache {
     /// A cache that follows nothing. The seed is for jitter.
     #[must_use]
-    pub fn new(bounds: Bounds, seed: u64) -> Cache {
+    pub fn new(bounds: CacheLimits, seed: u64) -> Cache {
         Cache { bounds, entries: BTreeMap::new(), agenda: BTreeSet::new(), out: 0, dice: seed }
     }
 
@@ -153,9 +153,9 @@
 
     /// Takes the questions that are to be asked now, at most as many as may be out. Each of them has to be
     /// told back by [`Cache::answered`] or [`Cache::failed`].
-    pub fn due(&mut self, now: f64) -> Vec<Due> {
+    pub fn due(&mut self, now: f64) -> Vec<DueQuery> {
         let mut due = Vec::new();
-        while self.out < self.bounds.out_most {
+        while self.out < self.bounds.max_queries_in_flight {
             match self.agenda.first() {
                 Some((at, _)) if *at <= rank(now) => {}
                 _ => break,
@@ -164,7 +164,7 @@
             let Some(entry) = self.entries.get_mut(&question) else { continue };
             entry.out = true;
             self.out += 1;
-            due.push(Due { question, doubted: entry.doubted });
+            due.push(DueQuery { question, doubted: entry.doubted });
         }
         due
     }
@@ -172,7 +172,7 @@
     /// When the next question is due, if one is and may be asked.
     #[must_use]
     pub fn next(&self) -> Option<f64> {
-        let first = self.agenda.first().filter(|_| self.out < self.bounds.out_most);
+        let first = self.agenda.first().filter(|_| self.out < self.bounds.max_queries_in_flight);
         first.map(|(at, _)| f64::from_bits(*at))
     }
 
@@ -219,14 +219,16 @@
     pub fn answered(&mut self, now: f64, question: &Question, answer: Answer) -> bool {
         let b = self.bounds;
         let (known, ttl_s, most) = match answer {
-            Answer::Records { records, ttl_s } => (Known::Records(records.into()), ttl_s, b.life_most),
-            Answer::None { why, ttl_s } => (Known::None(why), ttl_s, b.none_most),
+            Answer::Records { records, ttl_s } => {
+                (CachedAnswer::Records(records.into()), ttl_s, b.max_ttl_ms)
+            }
+            Answer::None { why, ttl_s } => (CachedAnswer::None(why), ttl_s, b.max_negative_ttl_ms),
             Answer::Truncated => {
                 self.failed(now, question, "truncated");
                 return false;
             }
         };
-        let life = (f64::from(ttl_s) * 1_000.0).clamp(b.life_least, most.max(b.life_least));
+        let life = (f64::from(ttl_s) * 1_000.0).clamp(b.min_ttl_ms, most.max(b.min_ttl_ms));
         let pause = self.jittered(life * REFRESH);
         let Some(entry) = self.back(question) else { return false };
         let other = entry.known.as_ref() != Some(&known);
@@ -243,7 +245,7 @@
         let Some(entry) = self.back(question) else { return };
         let since = entry.failing.take().map_or(now, |(since, _)| since);
         entry.failing = Some((since, why.chars().take(200).collect()));
-        entry.pause = (entry.pause * 2.0).clamp(b.pause_least, b.pause_most);
+        entry.pause = (entry.pause * 2.0).clamp(b.min_retry_ms, b.max_retry_ms);
         let pause = entry.pause;
         let pause = self.jittered(pause);
         self.plan(question, now + pause);
@@ -251,18 +253,18 @@
 
     /// What may be said of a question.
     #[must_use]
-    pub fn get(&self, now: f64, question: &Question) -> State {
-        let Some(entry) = self.entries.get(question) else { return State::Unknown };
+    pub fn get(&self, now: f64, question: &Question) -> CacheState {
+        let Some(entry) = self.entries.get(question) else { return CacheState::Unknown };
         match &entry.known {
-            None => State::Unknown,
-            Some(known) if now < entry.until => State::Fresh(known.clone()),
+            None => CacheState::Unknown,
+            Some(known) if now < entry.until => CacheState::Fresh(known.clone()),
             // Danger: "there is none" that outlives its time, and holds back what is there by now. It is not
             // served stale: nobody is taken off a list by it, and nobody kept off.
-            Some(Known::None(_)) => State::Unknown,
-            Some(known) if now < entry.until + self.bounds.stale_most => {
-                State::Stale { known: known.clone(), since: entry.until }
+            Some(CachedAnswer::None(_)) => CacheState::Unknown,
+            Some(known) if now < entry.until + self.bounds.max_stale_ms => {
+                CacheState::Stale { known: known.clone(), since: entry.until }
             }
-            Some(_) => State::Unknown,
+            Some(_) => CacheState::Unknown,
         }
     }
 
--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -6,9 +6,9 @@
 
 use hickory_proto::rr::Name;
 
-use crate::answer::{Data, Kind, Question, Service};
-use crate::cache::{Cache, Known, State};
-use crate::metadata::Traits;
+use crate::answer::{QueryType, Question, RecordData, SrvRecord};
+use crate::cache::{Cache, CacheState, CachedAnswer};
+use crate::metadata::InstanceMetadata;
 
 /// The most instances of a list. Danger: an answer that fills the memory; what is above is dropped.
 pub const MAX_INSTANCES: usize = 20_000;
@@ -25,7 +25,7 @@
     /// Its SRV weight among those of its priority; 0 means very little of it (RFC 2782).
     pub weight: u16,
     /// What its TXT record tells.
-    pub traits: Traits,
+    pub traits: InstanceMetadata,
     /// Its name as an instance.
     pub instance: Name,
     /// Since when some record of it is stale, ms; none while all are fresh.
@@ -42,7 +42,7 @@
 
 /// An instance that is not on the list, or not on it by what it says now, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DroppedInstance {
     /// The instance.
     pub instance: Name,
     /// What is wrong with it.
@@ -72,7 +72,7 @@
 
 /// What one reading came to.
 #[derive(Clone, Debug, Default)]
-pub struct Reading {
+pub struct CatalogueUpdate {
     /// What is to be followed from now on.
     pub wanted: BTreeSet<Question>,
     /// What is to be asked again at once, as a part of the list that is too large hangs on it.
@@ -80,7 +80,7 @@
     /// What changed.
     pub changes: Vec<Change>,
     /// Who is not on the list, and why.
-    pub dropped: Vec<Dropped>,
+    pub dropped: Vec<DroppedInstance>,
     /// How many would leave by what is answered now, and are held until it is answered once more.
     pub held: usize,
     /// Instances of which something is not known yet, or not any more.
@@ -132,16 +132,16 @@
     }
 
     /// Reads the list anew from what is known.
-    pub fn read(&mut self, now: f64, cache: &Cache) -> Reading {
-        let mut reading = Reading::default();
+    pub fn read(&mut self, now: f64, cache: &Cache) -> CatalogueUpdate {
+        let mut reading = CatalogueUpdate::default();
         let mut here: BTreeMap<String, Endpoint> = BTreeMap::new();
         let mut gone: BTreeMap<String, Question> = BTreeMap::new();
         let mut named: BTreeSet<String> = BTreeSet::new();
         let mut aside = |instance: &Name, why: String| {
-            reading.dropped.push(Dropped { instance: instance.clone(), why });
+            reading.dropped.push(DroppedInstance { instance: instance.clone(), why });
         };
         for service in &self.services {
-            let question = Question { name: service.clone(), kind: Kind::Ptr };
+            let question = Question { name: service.clone(), kind: QueryType::Ptr };
             let state = cache.get(now, &question);
             reading.wanted.insert(question.clone());
             let Some(known) = state.known() else {
@@ -156,12 +156,12 @@
                 }
                 continue;
             };
-            let instances: &[Data] = match known {
-                Known::Records(records) => records,
-                Known::None(_) => &[],
+            let instances: &[RecordData] = match known {
+                CachedAnswer::Records(records) => records,
+                CachedAnswer::None(_) => &[],
             };
             for data in instances {
-                let Data::Ptr(instance) = data else { continue };
+                let RecordData::Ptr(instance) = data else { continue };
                 let name = match label(instance) {
                     Ok(name) if instance.base_name() == *service => name,
                     Ok(_) => {
@@ -199,7 +199,7 @@
         for (name, listed) in &self.listed {
             if !named.contains(name) {
                 let service = listed.endpoint.instance.base_name();
-                gone.insert(name.clone(), Question { name: service, kind: Kind::Ptr });
+                gone.insert(name.clone(), Question { name: service, kind: QueryType::Ptr });
             }
         }
         self.leave(cache, gone, &mut reading);
@@ -210,7 +210,7 @@
     /// Takes those off the list that left. Danger: a resolver that serves an old or an empty zone. What would
     /// take too much at once is asked for once more. Harm: a true loss of most of a service is believed one
     /// answer later; gateways find those that don't answer by themselves.
-    fn leave(&mut self, cache: &Cache, gone: BTreeMap<String, Question>, reading: &mut Reading) {
+    fn leave(&mut self, cache: &Cache, gone: BTreeMap<String, Question>, reading: &mut CatalogueUpdate) {
         let leaving: Vec<(String, Question)> =
             gone.into_iter().filter(|(name, _)| self.listed.contains_key(name)).collect();
         let many = leaving.len() as f64 > self.listed.len() as f64 * self.shrink_most;
@@ -258,9 +258,9 @@
     }
 }
 
-fn since(state: &State) -> Option<f64> {
+fn since(state: &CacheState) -> Option<f64> {
     match state {
-        State::Stale { since, .. } => Some(*since),
+        CacheState::Stale { since, .. } => Some(*since),
         _ => None,
     }
 }
@@ -278,20 +278,20 @@
 /// What is asked of an instance.
 fn follow(instance: &Name, now: f64, cache: &Cache, wanted: &mut BTreeSet<Question>) {
     let of = |kind| Question { name: instance.clone(), kind };
-    wanted.extend([of(Kind::Srv), of(Kind::Txt)]);
-    let state = cache.get(now, &of(Kind::Srv));
-    if let Some(Known::Records(records)) = state.known() {
+    wanted.extend([of(QueryType::Srv), of(QueryType::Txt)]);
+    let state = cache.get(now, &of(QueryType::Srv));
+    if let Some(CachedAnswer::Records(records)) = state.known() {
         if let Some(service) = first(records) {
             let of = |kind| Question { name: service.target.clone(), kind };
-            wanted.extend([of(Kind::A), of(Kind::Aaaa)]);
+            wanted.extend([of(QueryType::A), of(QueryType::Aaaa)]);
         }
     }
 }
 
 /// The SRV record that counts: of the least priority, and of those the one of most weight.
-fn first(records: &[Data]) -> Option<&Service> {
+fn first(records: &[RecordData]) -> Option<&SrvRecord> {
     let services = records.iter().filter_map(|data| match data {
-        Data::Srv(service) => Some(service),
+        RecordData::Srv(service) => Some(service),
         _ => None,
     });
     services.min_by_key(|s| (s.priority, u16::MAX - s.weight))
@@ -309,19 +309,19 @@
         let state = cache.get(now, &question);
         (question, state)
     };
-    let mut note = |state: &State| {
+    let mut note = |state: &CacheState| {
         let at = since(state);
         stale = match (stale, at) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
     };
-    let (question, state) = ask(instance, Kind::Srv);
+    let (question, state) = ask(instance, QueryType::Srv);
     note(&state);
     let service = match state.known() {
         None => return Verdict::Pending,
-        Some(Known::None(_)) => return Verdict::Gone(question, None),
-        Some(Known::Records(records)) => first(records).cloned(),
+        Some(CachedAnswer::None(_)) => return Verdict::Gone(question, None),
+        Some(CachedAnswer::Records(records)) => first(records).cloned(),
     };
     let Some(service) = service else { return Verdict::Pending };
     if service.target.is_root() {
@@ -330,29 +330,29 @@
     if service.port == 0 {
         return Verdict::Gone(question, Some("its SRV port is 0".to_string()));
     }
-    let (question, state) = ask(instance, Kind::Txt);
+    let (question, state) = ask(instance, QueryType::Txt);
     note(&state);
     let traits = match state.known() {
         None => return Verdict::Pending,
-        Some(Known::None(_)) => Ok(Traits::default()),
-        Some(Known::Records(records)) => match &records[..] {
+        Some(CachedAnswer::None(_)) => Ok(InstanceMetadata::default()),
+        Some(CachedAnswer::Records(records)) => match &records[..] {
             // Of several records the least counts, at all agents alike.
-            [Data::Txt(strings), ..] => Traits::read(strings),
-            _ => Ok(Traits::default()),
+            [RecordData::Txt(strings), ..] => InstanceMetadata::read(strings),
+            _ => Ok(InstanceMetadata::default()),
         },
     };
     let traits = match traits {
         Ok(traits) => traits,
         Err(bad) => return Verdict::Gone(question, Some(bad.to_string())),
     };
-    let (v4, four) = ask(&service.target, Kind::A);
-    let (_, six) = ask(&service.target, Kind::Aaaa);
+    let (v4, four) = ask(&service.target, QueryType::A);
+    let (_, six) = ask(&service.target, QueryType::Aaaa);
     let mut addresses: Vec<IpAddr> = Vec::new();
     for state in [&four, &six] {
-        if let Some(Known::Records(records)) = state.known() {
+        if let Some(CachedAnswer::Records(records)) = state.known() {
             note(state);
             addresses.extend(records.iter().filter_map(|data| match data {
-                Data::Address(address) => Some(*address),
+                RecordData::Address(address) => Some(*address),
                 _ => None,
             }));
         }
--- a/crates/dns-sd/src/lib.rs
+++ b/crates/dns-sd/src/lib.rs
@@ -21,9 +21,10 @@
 mod metadata;
 
 pub use answer::{
-    ask, read, Absence, Answer, BadAnswer, Data, Kind, Question, Service, MAX_ALIAS_CHAIN, PAYLOAD,
+    decode_answer, encode_query, Answer, AnswerError, NegativeAnswer, QueryType, Question, RecordData,
+    SrvRecord, MAX_ALIAS_CHAIN, PAYLOAD,
 };
-pub use cache::{Bounds, Cache, Due, Known, State};
-pub use catalogue::{Catalogue, Change, Dropped, Endpoint, Reading, MAX_INSTANCES};
+pub use cache::{Cache, CacheLimits, CacheState, CachedAnswer, DueQuery};
+pub use catalogue::{Catalogue, CatalogueUpdate, Change, DroppedInstance, Endpoint, MAX_INSTANCES};
 pub use hickory_proto::rr::Name;
-pub use metadata::{BadText, Status, Traits};
+pub use metadata::{InstanceMetadata, Status, TxtError};
--- a/crates/dns-sd/src/metadata.rs
+++ b/crates/dns-sd/src/metadata.rs
@@ -18,7 +18,7 @@
 /// What TXT keys tell of an instance. Keys are read without case, the first of several counts (RFC 6763,
 /// section 6.4), and unknown ones are passed over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Traits {
+pub struct InstanceMetadata {
     /// `zone`: at most 64 characters; empty without.
     pub zone: String,
     /// `type`: the kind of machine, at most 64 characters; empty without.
@@ -33,28 +33,28 @@
 
 /// A value that fits no key. It drops the instance, never the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadText {
+pub struct TxtError {
     /// The key.
     pub key: &'static str,
     /// What is wanted.
     pub wanted: &'static str,
 }
 
-impl fmt::Display for BadText {
+impl fmt::Display for TxtError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "TXT {}: {} is wanted", self.key, self.wanted)
     }
 }
 
-impl std::error::Error for BadText {}
+impl std::error::Error for TxtError {}
 
-impl Traits {
+impl InstanceMetadata {
     /// Reads the strings of a TXT record.
     ///
     /// # Errors
     /// A [`BadText`] with the first key whose value can't be used.
-    pub fn read(strings: &[Box<[u8]>]) -> Result<Traits, BadText> {
-        let bad = |key, wanted| move || BadText { key, wanted };
+    pub fn read(strings: &[Box<[u8]>]) -> Result<InstanceMetadata, TxtError> {
+        let bad = |key, wanted| move || TxtError { key, wanted };
         let word = |key, value: &[u8]| {
             let text = std::str::from_utf8(value).ok();
             let fits = |t: &&str| t.chars().count() <= MAX_VALUE_BYTES && !t.chars().any(char::is_control);
@@ -64,7 +64,7 @@
             let all = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
             std::str::from_utf8(value).ok().filter(|_| all)?.parse().ok()
         };
-        let (mut traits, mut seen) = (Traits::default(), Vec::new());
+        let (mut traits, mut seen) = (InstanceMetadata::default(), Vec::new());
         for string in strings {
             let at = string.iter().position(|b| *b == b'=').unwrap_or(string.len());
             let key = string[..at].to_ascii_lowercase();
--- a/crates/dns-sd/tests/answers.rs
+++ b/crates/dns-sd/tests/answers.rs
@@ -1,6 +1,8 @@
 //! Answers written out by hand, byte for byte from RFC 1035, so that a mistake shared with the library shows.
 
-use dns_sd::{ask, read, Absence, Answer, BadAnswer, Data, Kind, Name, Question};
+use dns_sd::{
+    decode_answer, encode_query, Answer, AnswerError, Name, NegativeAnswer, QueryType, Question, RecordData,
+};
 
 const ID: u16 = 0x1234;
 /// `_till._tcp.example.org`, as a name on the wire.
@@ -16,7 +18,7 @@
 }
 
 fn question() -> Question {
-    Question { name: name("_till._tcp.example.org."), kind: Kind::Ptr }
+    Question { name: name("_till._tcp.example.org."), kind: QueryType::Ptr }
 }
 
 /// Flags, counts of answers and authorities, what follows the question.
@@ -45,7 +47,7 @@
 
 #[test]
 fn a_question_is_what_the_rfc_says_with_room_for_1232_bytes() {
-    let bytes = ask(ID, &question()).expect("it can be written");
+    let bytes = encode_query(ID, &question()).expect("it can be written");
     let head = [0x12, 0x34, 0x01, 0x00, 0, 1, 0, 0, 0, 0, 0, 1];
     // The root, OPT, 1232 bytes, no flags, no data (RFC 6891).
     let opt = [0, 0, 41, 0x04, 0xd0, 0, 0, 0, 0, 0, 0];
@@ -55,69 +57,74 @@
 #[test]
 fn instances_are_read_with_the_least_of_their_lives_and_each_once() {
     let rest = [pointer(120, "t2"), pointer(60, "t1"), pointer(90, "t1")].concat();
-    let answer = read(&message(0x8180, 3, 0, &rest), ID, &question()).expect("an answer");
-    let to = |label: &str| Data::Ptr(name(&format!("{label}._till._tcp.example.org.")));
+    let answer = decode_answer(&message(0x8180, 3, 0, &rest), ID, &question()).expect("an answer");
+    let to = |label: &str| RecordData::Ptr(name(&format!("{label}._till._tcp.example.org.")));
     assert_eq!(answer, Answer::Records { records: vec![to("t1"), to("t2")], ttl_s: 60 });
     // The top bit of a TTL makes it 0 (RFC 2181).
-    let odd = read(&message(0x8180, 1, 0, &pointer(0x8000_0001, "t1")), ID, &question());
+    let odd = decode_answer(&message(0x8180, 1, 0, &pointer(0x8000_0001, "t1")), ID, &question());
     assert!(matches!(odd, Ok(Answer::Records { ttl_s: 0, .. })), "{odd:?}");
 }
 
 #[test]
 fn a_service_record_is_read_field_by_field() {
-    let asked = Question { name: name("t1.example.org."), kind: Kind::Srv };
+    let asked = Question { name: name("t1.example.org."), kind: QueryType::Srv };
     let mut bytes = vec![0x12, 0x34, 0x81, 0x80, 0, 1, 0, 1, 0, 0, 0, 0];
     bytes.extend(b"\x02t1\x07example\x03org\x00\x00\x21\x00\x01");
     bytes.extend(b"\xc0\x0c\x00\x21\x00\x01\x00\x00\x00\x78\x00\x16");
     bytes.extend(b"\x00\x0a\x00\x05\x1f\x90\x02h1\x07example\x03org\x00");
-    let Ok(Answer::Records { records, ttl_s: 120 }) = read(&bytes, ID, &asked) else { panic!("an answer") };
-    let [Data::Srv(service)] = &records[..] else { panic!("{records:?}") };
+    let Ok(Answer::Records { records, ttl_s: 120 }) = decode_answer(&bytes, ID, &asked) else {
+        panic!("an answer")
+    };
+    let [RecordData::Srv(service)] = &records[..] else { panic!("{records:?}") };
     assert_eq!((service.priority, service.weight, service.port), (10, 5, 8080));
     assert_eq!(service.target, name("h1.example.org."));
 }
 
 #[test]
 fn none_is_believed_for_the_lesser_of_ttl_and_minimum() {
-    let gone = read(&message(0x8183, 0, 1, SOA), ID, &question());
-    assert_eq!(gone, Ok(Answer::None { why: Absence::Name, ttl_s: 60 }));
-    let empty = read(&message(0x8180, 0, 1, SOA), ID, &question());
-    assert_eq!(empty, Ok(Answer::None { why: Absence::Data, ttl_s: 60 }));
-    let bare = read(&message(0x8180, 0, 0, &[]), ID, &question());
-    assert_eq!(bare, Ok(Answer::None { why: Absence::Data, ttl_s: 0 }));
+    let gone = decode_answer(&message(0x8183, 0, 1, SOA), ID, &question());
+    assert_eq!(gone, Ok(Answer::None { why: NegativeAnswer::NoSuchName, ttl_s: 60 }));
+    let empty = decode_answer(&message(0x8180, 0, 1, SOA), ID, &question());
+    assert_eq!(empty, Ok(Answer::None { why: NegativeAnswer::NoData, ttl_s: 60 }));
+    let bare = decode_answer(&message(0x8180, 0, 0, &[]), ID, &question());
+    assert_eq!(bare, Ok(Answer::None { why: NegativeAnswer::NoData, ttl_s: 0 }));
 }
 
 #[test]
 fn failures_are_never_taken_for_there_is_none() {
     for (code, word) in [(1, "Form"), (2, "Server"), (4, "Not Impl"), (5, "Refused")] {
-        let answer = read(&message(0x8180 | code, 0, 0, &[]), ID, &question());
-        let Err(BadAnswer::Code(said)) = &answer else { panic!("{word}: {answer:?}") };
+        let answer = decode_answer(&message(0x8180 | code, 0, 0, &[]), ID, &question());
+        let Err(AnswerError::Code(said)) = &answer else { panic!("{word}: {answer:?}") };
         assert!(!said.is_empty());
     }
     // Name servers to ask, and no start of authority.
     let points = b"\xc0\x17\x00\x02\x00\x01\x00\x00\x03\x84\x00\x05\x02ns\xc0\x17";
-    let answer = read(&message(0x8180, 0, 1, points), ID, &question());
-    assert_eq!(answer, Err(BadAnswer::Referral));
+    let answer = decode_answer(&message(0x8180, 0, 1, points), ID, &question());
+    assert_eq!(answer, Err(AnswerError::Referral));
     // Both "no such name" and a record of it.
-    let both = read(&message(0x8183, 1, 0, &pointer(9, "t1")), ID, &question());
-    assert!(matches!(both, Err(BadAnswer::Garbled(_))), "{both:?}");
+    let both = decode_answer(&message(0x8183, 1, 0, &pointer(9, "t1")), ID, &question());
+    assert!(matches!(both, Err(AnswerError::Garbled(_))), "{both:?}");
 }
 
 #[test]
 fn what_is_not_ours_is_strange_and_what_is_cut_is_told() {
     let good = message(0x8180, 1, 0, &pointer(9, "t1"));
-    assert_eq!(read(&good, ID + 1, &question()), Err(BadAnswer::OtherId));
-    let other = Question { name: name("_shop._tcp.example.org."), kind: Kind::Ptr };
-    assert_eq!(read(&good, ID, &other), Err(BadAnswer::OtherQuestion));
-    let srv = Question { kind: Kind::Srv, ..question() };
-    assert_eq!(read(&good, ID, &srv), Err(BadAnswer::OtherQuestion));
-    assert_eq!(read(&message(0x0180, 0, 0, &[]), ID, &question()), Err(BadAnswer::NoAnswer));
-    for strange in [BadAnswer::OtherId, BadAnswer::OtherQuestion, BadAnswer::NoAnswer] {
+    assert_eq!(decode_answer(&good, ID + 1, &question()), Err(AnswerError::OtherId));
+    let other = Question { name: name("_shop._tcp.example.org."), kind: QueryType::Ptr };
+    assert_eq!(decode_answer(&good, ID, &other), Err(AnswerError::OtherQuestion));
+    let srv = Question { kind: QueryType::Srv, ..question() };
+    assert_eq!(decode_answer(&good, ID, &srv), Err(AnswerError::OtherQuestion));
+    assert_eq!(decode_answer(&message(0x0180, 0, 0, &[]), ID, &question()), Err(AnswerError::NoAnswer));
+    for strange in [AnswerError::OtherId, AnswerError::OtherQuestion, AnswerError::NoAnswer] {
         assert!(strange.strange());
     }
-    assert_eq!(read(&message(0x8380, 0, 0, &[]), ID, &question()), Ok(Answer::Truncated));
+    assert_eq!(decode_answer(&message(0x8380, 0, 0, &[]), ID, &question()), Ok(Answer::Truncated));
     // Each part of a message but the whole is none.
     for length in 0..good.len() {
-        assert!(matches!(read(&good[..length], ID, &question()), Err(BadAnswer::Garbled(_))), "{length}");
+        assert!(
+            matches!(decode_answer(&good[..length], ID, &question()), Err(AnswerError::Garbled(_))),
+            "{length}"
+        );
     }
 }
 
@@ -125,35 +132,38 @@
 fn names_are_read_without_case_and_records_of_other_names_passed_over() {
     let mut good = message(0x8180, 1, 0, &pointer(9, "t1"));
     good[13..18].copy_from_slice(b"_TILL");
-    assert!(matches!(read(&good, ID, &question()), Ok(Answer::Records { .. })));
+    assert!(matches!(decode_answer(&good, ID, &question()), Ok(Answer::Records { .. })));
     // A record of `example.org`, which nobody asked for.
     let mut odd = pointer(9, "t1");
     odd[1] = 23;
-    let answer = read(&message(0x8180, 1, 0, &odd), ID, &question());
-    assert_eq!(answer, Ok(Answer::None { why: Absence::Data, ttl_s: 0 }));
+    let answer = decode_answer(&message(0x8180, 1, 0, &odd), ID, &question());
+    assert_eq!(answer, Ok(Answer::None { why: NegativeAnswer::NoData, ttl_s: 0 }));
 }
 
 #[test]
 fn aliases_are_followed_to_an_end_and_loops_are_errors() {
     // The service to `example.org` (byte 23), and that to itself again.
     let there = [alias(12, 23), vec![0xc0, 23, 0, 12, 0, 1, 0, 0, 0, 90, 0, 2, 0xc0, 23]].concat();
-    let answer = read(&message(0x8180, 2, 0, &there), ID, &question());
-    let records = vec![Data::Ptr(name("example.org."))];
+    let answer = decode_answer(&message(0x8180, 2, 0, &there), ID, &question());
+    let records = vec![RecordData::Ptr(name("example.org."))];
     assert_eq!(answer, Ok(Answer::Records { records, ttl_s: 30 }));
     let looped = [alias(12, 23), alias(23, 12)].concat();
-    assert_eq!(read(&message(0x8180, 2, 0, &looped), ID, &question()), Err(BadAnswer::Chain));
-    assert_eq!(read(&message(0x8180, 1, 0, &alias(12, 12)), ID, &question()), Err(BadAnswer::Chain));
+    assert_eq!(decode_answer(&message(0x8180, 2, 0, &looped), ID, &question()), Err(AnswerError::Chain));
+    assert_eq!(
+        decode_answer(&message(0x8180, 1, 0, &alias(12, 12)), ID, &question()),
+        Err(AnswerError::Chain)
+    );
 }
 
 #[test]
 fn pointers_that_lead_to_themselves_end() {
     let mut bytes = vec![0x12, 0x34, 0x81, 0x80, 0, 1, 0, 0, 0, 0, 0, 0];
     bytes.extend([0xc0, 12, 0, 12, 0, 1]);
-    assert!(matches!(read(&bytes, ID, &question()), Err(BadAnswer::Garbled(_))));
+    assert!(matches!(decode_answer(&bytes, ID, &question()), Err(AnswerError::Garbled(_))));
     // Two that lead to each other.
     let mut bytes = vec![0x12, 0x34, 0x81, 0x80, 0, 1, 0, 1, 0, 0, 0, 0];
     bytes.extend([SERVICE, &PTR].concat());
     let at = bytes.len() as u8;
     bytes.extend([0xc0, at + 2, 0xc0, at, 0, 12, 0, 1, 0, 0, 0, 9, 0, 2, 0xc0, 12]);
-    assert!(matches!(read(&bytes, ID, &question()), Err(BadAnswer::Garbled(_))));
+    assert!(matches!(decode_answer(&bytes, ID, &question()), Err(AnswerError::Garbled(_))));
 }
--- a/crates/dns-sd/tests/fuzz.rs
+++ b/crates/dns-sd/tests/fuzz.rs
@@ -1,10 +1,10 @@
 //! Bytes of chance, and answers that chance has changed: read or refused, never a panic.
 
-use dns_sd::{ask, read, Answer, Kind, Name, Question, Traits};
+use dns_sd::{decode_answer, encode_query, Answer, InstanceMetadata, Name, QueryType, Question};
 use proptest::prelude::*;
 
 fn question() -> Question {
-    Question { name: Name::from_ascii("_till._tcp.example.org.").expect("a name"), kind: Kind::Ptr }
+    Question { name: Name::from_ascii("_till._tcp.example.org.").expect("a name"), kind: QueryType::Ptr }
 }
 
 proptest! {
@@ -12,7 +12,7 @@
 
     #[test]
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let _ = read(&bytes, 7, &question());
+        let _ = decode_answer(&bytes, 7, &question());
     }
 
     #[test]
@@ -20,7 +20,7 @@
         labels in prop::collection::vec("[a-z]{1,20}", 1..8),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
-        let mut bytes = ask(7, &question()).expect("it can be written");
+        let mut bytes = encode_query(7, &question()).expect("it can be written");
         // An answer, with its answers between the question and what follows it.
         bytes[2] |= 0x80;
         bytes[7] = labels.len() as u8;
@@ -32,7 +32,7 @@
         }
         let end = bytes.len() - 11;
         bytes.splice(end..end, records);
-        let good = read(&bytes, 7, &question());
+        let good = decode_answer(&bytes, 7, &question());
         let many = labels.iter().collect::<std::collections::BTreeSet<_>>().len();
         let all = matches!(&good, Ok(Answer::Records { records, .. }) if records.len() == many);
         prop_assert!(all, "{good:?}");
@@ -40,7 +40,7 @@
             let at = at.index(bytes.len());
             bytes[at] = value;
         }
-        let _ = read(&bytes, 7, &question());
+        let _ = decode_answer(&bytes, 7, &question());
     }
 
     #[test]
@@ -48,7 +48,7 @@
         strings in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6),
     ) {
         let strings: Vec<Box<[u8]>> = strings.into_iter().map(Into::into).collect();
-        if let Ok(traits) = Traits::read(&strings) {
+        if let Ok(traits) = InstanceMetadata::read(&strings) {
             prop_assert!(traits.zone.chars().count() <= 64 && !traits.zone.chars().any(char::is_control));
         }
     }
@@ -58,14 +58,14 @@
 fn keys_are_read_as_rfc_6763_says() {
     let read = |all: &[&str]| {
         let all: Vec<Box<[u8]>> = all.iter().map(|s| s.as_bytes().into()).collect();
-        Traits::read(&all)
+        InstanceMetadata::read(&all)
     };
     let good =
         read(&["ZONE=room", "type=m", "group=3", "status=Draining", "since=5", "zone=hall", "x=1", "=y"]);
     let good = good.expect("good");
     assert_eq!((good.zone.as_str(), good.kind.as_str(), good.group, good.since_ms), ("room", "m", 3, 5.0));
     assert_eq!(good.status, dns_sd::Status::Draining);
-    assert_eq!(read(&[""]), Ok(Traits::default()));
+    assert_eq!(read(&[""]), Ok(InstanceMetadata::default()));
     for (bad, key) in [
         ("group=-1", "group"),
         ("group=4294967296", "group"),
--- a/crates/dns-sd/tests/lifetimes.rs
+++ b/crates/dns-sd/tests/lifetimes.rs
@@ -4,12 +4,12 @@
 
 use std::collections::BTreeSet;
 
-use dns_sd::{Absence, Answer, Bounds, Cache, Data, Kind, Known, State};
+use dns_sd::{Answer, Cache, CacheLimits, CacheState, CachedAnswer, NegativeAnswer, QueryType, RecordData};
 use proptest::prelude::*;
 use support::{name, of, World};
 
 fn questions() -> Vec<dns_sd::Question> {
-    (0..12).map(|i| of(name(&format!("h{i}.example.org.")), Kind::A)).collect()
+    (0..12).map(|i| of(name(&format!("h{i}.example.org.")), QueryType::A)).collect()
 }
 
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     fn each_question_is_out_once_and_every_one_falls_due_in_bounded_time(
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let bounds = Bounds { out_most: 5, ..Bounds::default() };
+        let bounds = CacheLimits { max_queries_in_flight: 5, ..CacheLimits::default() };
         let (all, mut cache, mut now) = (questions(), Cache::new(bounds, 3), 0.0);
         let mut followed: BTreeSet<_> = all.iter().cloned().collect();
         let mut out = BTreeSet::new();
@@ -49,25 +49,25 @@
             match step {
                 Step::Pass(ms) => now += f64::from(ms),
                 Step::Answer(q, ttl_s) => {
-                    let records = vec![Data::Address([127, 0, 0, 1].into())];
+                    let records = vec![RecordData::Address([127, 0, 0, 1].into())];
                     cache.answered(now, &all[q], Answer::Records { records, ttl_s });
                     out.remove(&all[q]);
                     if followed.contains(&all[q]) {
-                        prop_assert!(matches!(cache.get(now, &all[q]), State::Fresh(Known::Records(_))));
+                        prop_assert!(matches!(cache.get(now, &all[q]), CacheState::Fresh(CachedAnswer::Records(_))));
                         let end = now + f64::from(ttl_s) * 1_000.0;
-                        let end = end.clamp(now + bounds.life_least, now + bounds.life_most);
-                        prop_assert!(matches!(cache.get(end - 1.0, &all[q]), State::Fresh(_)));
-                        let stale = matches!(cache.get(end, &all[q]), State::Stale { .. });
+                        let end = end.clamp(now + bounds.min_ttl_ms, now + bounds.max_ttl_ms);
+                        prop_assert!(matches!(cache.get(end - 1.0, &all[q]), CacheState::Fresh(_)));
+                        let stale = matches!(cache.get(end, &all[q]), CacheState::Stale { .. });
                         prop_assert!(stale);
-                        let over = end + bounds.stale_most;
-                        prop_assert!(matches!(cache.get(over, &all[q]), State::Unknown));
+                        let over = end + bounds.max_stale_ms;
+                        prop_assert!(matches!(cache.get(over, &all[q]), CacheState::Unknown));
                     }
                 }
                 Step::None(q, ttl_s) => {
-                    cache.answered(now, &all[q], Answer::None { why: Absence::Name, ttl_s });
+                    cache.answered(now, &all[q], Answer::None { why: NegativeAnswer::NoSuchName, ttl_s });
                     out.remove(&all[q]);
-                    let end = now + bounds.none_most;
-                    prop_assert!(matches!(cache.get(end, &all[q]), State::Unknown));
+                    let end = now + bounds.max_negative_ttl_ms;
+                    prop_assert!(matches!(cache.get(end, &all[q]), CacheState::Unknown));
                 }
                 Step::Fail(q) => {
                     cache.failed(now, &all[q], "no answer");
@@ -84,11 +84,11 @@
                 prop_assert!(followed.contains(&due.question));
                 prop_assert!(out.insert(due.question), "asked while it is being asked");
             }
-            prop_assert!(out.len() <= bounds.out_most);
+            prop_assert!(out.len() <= bounds.max_queries_in_flight);
             prop_assert_eq!(cache.size(), (followed.len(), out.len()));
             // What is not out falls due before the longest life is over.
-            if out.len() < followed.len() && out.len() < bounds.out_most {
-                prop_assert!(cache.next().is_some_and(|at| at <= now + bounds.life_most));
+            if out.len() < followed.len() && out.len() < bounds.max_queries_in_flight {
+                prop_assert!(cache.next().is_some_and(|at| at <= now + bounds.max_ttl_ms));
             }
         }
     }
@@ -101,7 +101,7 @@
     fn whatever_the_resolver_does_not_answer_takes_nobody_off(
         days in prop::collection::vec((any::<bool>(), 1u32..300_000), 1..8),
     ) {
-        let mut world = World::new(Bounds::default(), 0.2);
+        let mut world = World::new(CacheLimits::default(), 0.2);
         for port in 0..3 {
             world.put(&format!("t{port}"), port, 9_000 + port, &["zone=room"]);
         }
@@ -117,11 +117,12 @@
 
 #[test]
 fn a_life_of_nothing_is_asked_once_a_second_and_jitter_spreads_a_thousand_of_the_same_life() {
-    let mut cache = Cache::new(Bounds { out_most: 2_000, ..Bounds::default() }, 9);
-    let all: BTreeSet<_> = (0..1_000).map(|i| of(name(&format!("h{i}.example.org.")), Kind::A)).collect();
+    let mut cache = Cache::new(CacheLimits { max_queries_in_flight: 2_000, ..CacheLimits::default() }, 9);
+    let all: BTreeSet<_> =
+        (0..1_000).map(|i| of(name(&format!("h{i}.example.org.")), QueryType::A)).collect();
     cache.follow(0.0, &all);
     for due in cache.due(0.0) {
-        let records = vec![Data::Address([127, 0, 0, 1].into())];
+        let records = vec![RecordData::Address([127, 0, 0, 1].into())];
         cache.answered(0.0, &due.question, Answer::Records { records, ttl_s: 100 });
     }
     // 80 s, less up to a quarter.
@@ -131,7 +132,7 @@
     assert_eq!(parts.iter().sum::<usize>(), 1_000);
     assert!(parts.iter().all(|n| (200..300).contains(n)), "{parts:?}");
     let one = all.first().expect("some").clone();
-    let records = vec![Data::Address([127, 0, 0, 1].into())];
+    let records = vec![RecordData::Address([127, 0, 0, 1].into())];
     cache.answered(80_000.0, &one, Answer::Records { records, ttl_s: 0 });
     assert!(cache.due(80_599.0).is_empty());
     assert_eq!(cache.due(80_800.0).len(), 1);
--- a/crates/dns-sd/tests/lists.rs
+++ b/crates/dns-sd/tests/lists.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use dns_sd::{Bounds, Change, Data, Kind, Service, Status};
+use dns_sd::{CacheLimits, Change, QueryType, RecordData, SrvRecord, Status};
 use support::{instance, name, of, World, SERVICE};
 
 const HOUR: f64 = 3_600_000.0;
 
 fn world(labels: &[&str]) -> World {
-    let mut world = World::new(Bounds::default(), 0.5);
+    let mut world = World::new(CacheLimits::default(), 0.5);
     for (port, label) in (9_000..).zip(labels) {
         world.put(label, 0, port, &["zone=room", "group=2", "type=m"]);
     }
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_list_is_made_of_pointers_services_texts_and_addresses() {
-    let mut world = World::new(Bounds::default(), 0.5);
+    let mut world = World::new(CacheLimits::default(), 0.5);
     world.put("t1", 7, 9_001, &["zone=room", "status=draining", "since=12", "colour=red"]);
     let (changes, _) = world.settle();
     assert_eq!(changes, [Change::Joined("t1".to_string())]);
@@ -54,7 +54,7 @@
 
 #[test]
 fn long_after_records_are_stale_no_more_but_unknown_the_list_still_stands() {
-    let bounds = Bounds { stale_most: 600_000.0, ..Bounds::default() };
+    let bounds = CacheLimits { max_stale_ms: 600_000.0, ..CacheLimits::default() };
     let mut world = World::new(bounds, 0.5);
     world.put("t1", 0, 9_001, &[]);
     world.put("t2", 0, 9_002, &[]);
@@ -76,7 +76,7 @@
     let mut world = world(&["t1", "t2", "t3", "t4"]);
     world.unpoint("t2");
     let changes = world.pass(60_000.0);
-    let by = of(name(SERVICE), Kind::Ptr);
+    let by = of(name(SERVICE), QueryType::Ptr);
     assert_eq!(changes, [Change::Left("t2".to_string(), by)]);
     assert_eq!(world.doubted, 0);
     world.point("t2");
@@ -91,12 +91,12 @@
     let all = world.zone.clone();
     // One answer of an empty zone, and true ones after it.
     world.zone.clear();
-    let ptr = of(name(SERVICE), Kind::Ptr);
+    let ptr = of(name(SERVICE), QueryType::Ptr);
     world.now += 55_000.0;
     let due = world.cache.due(world.now);
     assert!(due.iter().any(|d| d.question == ptr));
     for due in due {
-        let none = dns_sd::Answer::None { why: dns_sd::Absence::Name, ttl_s: 60 };
+        let none = dns_sd::Answer::None { why: dns_sd::NegativeAnswer::NoSuchName, ttl_s: 60 };
         world.cache.answered(world.now, &due.question, none);
     }
     let reading = world.catalogue.read(world.now, &world.cache);
@@ -120,13 +120,13 @@
     world.put("t5", 0, 9_005, &["group=many"]);
     world.put("t6", 0, 9_006, &["status=gone"]);
     world.put("t7", 0, 0, &[]);
-    let target = Service { priority: 0, weight: 0, port: 7, target: name(".") };
+    let target = SrvRecord { priority: 0, weight: 0, port: 7, target: name(".") };
     world.put("t8", 0, 9_008, &[]);
-    world.zone.insert(of(instance("t8"), Kind::Srv), vec![Data::Srv(target)]);
+    world.zone.insert(of(instance("t8"), QueryType::Srv), vec![RecordData::Srv(target)]);
     world.put("t9", 0, 9_009, &[]);
-    world.zone.remove(&of(name("t9.hosts.example.org."), Kind::A));
-    let pointers = world.zone.entry(of(name(SERVICE), Kind::Ptr)).or_default();
-    pointers.push(Data::Ptr(name("t1._shop._tcp.example.org.")));
+    world.zone.remove(&of(name("t9.hosts.example.org."), QueryType::A));
+    let pointers = world.zone.entry(of(name(SERVICE), QueryType::Ptr)).or_default();
+    pointers.push(RecordData::Ptr(name("t1._shop._tcp.example.org.")));
     assert_eq!(world.pass(60_000.0), []);
     let (_, reading) = world.settle();
     let why = |label: &str| {
@@ -143,8 +143,8 @@
 #[test]
 fn an_address_that_it_still_has_is_kept_though_others_come() {
     let mut world = world(&["t1", "t2", "t3"]);
-    let target = of(name("t1.hosts.example.org."), Kind::A);
-    let address = |last| Data::Address([127, 0, 0, last].into());
+    let target = of(name("t1.hosts.example.org."), QueryType::A);
+    let address = |last| RecordData::Address([127, 0, 0, last].into());
     // Sorted, the new one stands first.
     world.zone.insert(target.clone(), vec![address(0), address(1)]);
     assert_eq!(world.pass(61_000.0), []);
@@ -157,7 +157,7 @@
     let mut world = world(&["t1", "t2", "t3"]);
     let service = name("_shop._tcp.example.org.");
     world.catalogue = dns_sd::Catalogue::new(vec![name(SERVICE), service.clone()], 0.5);
-    world.zone.insert(of(service, Kind::Ptr), vec![Data::Ptr(name("t1._shop._tcp.example.org."))]);
+    world.zone.insert(of(service, QueryType::Ptr), vec![RecordData::Ptr(name("t1._shop._tcp.example.org."))]);
     let (_, reading) = world.settle();
     assert_eq!(world.names(), ["t1", "t2", "t3"]);
     assert!(reading.dropped.iter().any(|d| d.why.contains("that name")), "{:?}", reading.dropped);
--- a/crates/dns-sd/tests/support/mod.rs
+++ b/crates/dns-sd/tests/support/mod.rs
@@ -5,7 +5,8 @@
 use std::net::IpAddr;
 
 use dns_sd::{
-    Absence, Answer, Bounds, Cache, Catalogue, Change, Data, Kind, Name, Question, Reading, Service,
+    Answer, Cache, CacheLimits, Catalogue, CatalogueUpdate, Change, Name, NegativeAnswer, QueryType,
+    Question, RecordData, SrvRecord,
 };
 
 pub const SERVICE: &str = "_till._tcp.example.org.";
@@ -18,7 +19,7 @@
     name(&format!("{label}.{SERVICE}"))
 }
 
-pub fn of(name: Name, kind: Kind) -> Question {
+pub fn of(name: Name, kind: QueryType) -> Question {
     Question { name, kind }
 }
 
@@ -26,7 +27,7 @@
     pub cache: Cache,
     pub catalogue: Catalogue,
     /// What is asked for and not in it has no record.
-    pub zone: BTreeMap<Question, Vec<Data>>,
+    pub zone: BTreeMap<Question, Vec<RecordData>>,
     pub ttl_s: u32,
     pub now: f64,
     /// What the resolver says in place of an answer.
@@ -36,7 +37,7 @@
 }
 
 impl World {
-    pub fn new(bounds: Bounds, shrink_most: f64) -> World {
+    pub fn new(bounds: CacheLimits, shrink_most: f64) -> World {
         World {
             cache: Cache::new(bounds, 7),
             catalogue: Catalogue::new(vec![name(SERVICE)], shrink_most),
@@ -51,30 +52,30 @@
 
     pub fn put(&mut self, label: &str, priority: u16, port: u16, text: &[&str]) {
         let target = name(&format!("{label}.hosts.example.org."));
-        let service = Service { priority, weight: 1, port, target: target.clone() };
-        self.zone.insert(of(instance(label), Kind::Srv), vec![Data::Srv(service)]);
+        let service = SrvRecord { priority, weight: 1, port, target: target.clone() };
+        self.zone.insert(of(instance(label), QueryType::Srv), vec![RecordData::Srv(service)]);
         let text = text.iter().map(|s| s.as_bytes().into()).collect();
-        self.zone.insert(of(instance(label), Kind::Txt), vec![Data::Txt(text)]);
+        self.zone.insert(of(instance(label), QueryType::Txt), vec![RecordData::Txt(text)]);
         let address = IpAddr::from([127, 0, 0, 1]);
-        self.zone.insert(of(target, Kind::A), vec![Data::Address(address)]);
+        self.zone.insert(of(target, QueryType::A), vec![RecordData::Address(address)]);
         self.point(label);
     }
 
     pub fn point(&mut self, label: &str) {
-        let all = self.zone.entry(of(name(SERVICE), Kind::Ptr)).or_default();
-        all.push(Data::Ptr(instance(label)));
+        let all = self.zone.entry(of(name(SERVICE), QueryType::Ptr)).or_default();
+        all.push(RecordData::Ptr(instance(label)));
         all.sort();
         all.dedup();
     }
 
     /// Takes an instance's pointer away.
     pub fn unpoint(&mut self, label: &str) {
-        let all = self.zone.entry(of(name(SERVICE), Kind::Ptr)).or_default();
-        all.retain(|data| *data != Data::Ptr(instance(label)));
+        let all = self.zone.entry(of(name(SERVICE), QueryType::Ptr)).or_default();
+        all.retain(|data| *data != RecordData::Ptr(instance(label)));
     }
 
     /// Asks what is due now and reads the list, until nothing is due.
-    pub fn settle(&mut self) -> (Vec<Change>, Reading) {
+    pub fn settle(&mut self) -> (Vec<Change>, CatalogueUpdate) {
         let mut changes = Vec::new();
         loop {
             let mut reading = self.catalogue.read(self.now, &self.cache);
@@ -95,7 +96,7 @@
                 let records = self.zone.get(&due.question).cloned().unwrap_or_default();
                 let ttl_s = self.ttl_s;
                 let answer = if records.is_empty() {
-                    Answer::None { why: Absence::Data, ttl_s }
+                    Answer::None { why: NegativeAnswer::NoData, ttl_s }
                 } else {
                     Answer::Records { records, ttl_s }
                 };
--- a/crates/endpoint-sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -4,14 +4,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dns_sd::{Bounds, Cache, Catalogue, Dropped, Endpoint, Known, Name, Question, State, Status};
-use fleet::wire::{Because, ListState, ListedState, RecordState, Unanswered};
+use dns_sd::{
+    Cache, CacheLimits, CacheState, CachedAnswer, Catalogue, DroppedInstance, Endpoint, Name, Question,
+    Status,
+};
+use fleet::wire::{DroppedEndpoint, EndpointListStatus, EndpointStatus, RecordStatus, UnansweredQuery};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-use crate::resolver::{self, Answered, Resolver};
-use crate::table::{Line, Table};
+use crate::resolver::{self, QueryAnswer, Resolver};
+use crate::table::{EndpointTable, ListedEndpoint};
 
 /// The least time between two readings of the list, and how many times the last one's cost it is. Danger:
 /// thousands of answers, each followed by a walk over all of them.
@@ -31,7 +34,7 @@
     /// Services, such as `_till._tcp.ub-room.example.org`.
     pub services: Vec<Name>,
     /// Bounds of lifetimes.
-    pub bounds: Bounds,
+    pub bounds: CacheLimits,
     /// The part of the list that may leave by one answer, 0 to 1.
     pub shrink_most: f64,
     /// For jitter.
@@ -40,21 +43,21 @@
 
 /// Somebody who wants to know how the list stands, with each record or without.
 #[derive(Debug)]
-pub struct Ask {
+pub struct StatusRequest {
     /// Whether records are wanted.
     pub records: bool,
     /// Where the answer goes.
-    pub answer: oneshot::Sender<ListState>,
+    pub answer: oneshot::Sender<EndpointListStatus>,
 }
 
 /// A source that is followed.
-pub struct Following {
+pub struct Follower {
     resolver: Arc<Resolver>,
     cache: Cache,
     catalogue: Catalogue,
     begun: Instant,
     asked: u64,
-    asking: JoinSet<(Question, Result<Answered, resolver::Unanswered>)>,
+    asking: JoinSet<(Question, Result<QueryAnswer, resolver::QueryFailure>)>,
     /// When the list is to be read next, and what the last reading took.
     read_at: Instant,
     cost: Duration,
@@ -62,15 +65,15 @@
     failing: usize,
     held: usize,
     /// Of the last reading.
-    dropped: Vec<Dropped>,
+    dropped: Vec<DroppedInstance>,
     pending: (usize, usize),
 }
 
-impl Following {
+impl Follower {
     /// One that knows nothing yet.
     #[must_use]
-    pub fn new(settings: Settings, resolver: Resolver) -> Following {
-        Following {
+    pub fn new(settings: Settings, resolver: Resolver) -> Follower {
+        Follower {
             cache: Cache::new(settings.bounds, settings.seed),
             catalogue: Catalogue::new(settings.services, settings.shrink_most),
             resolver: Arc::new(resolver),
@@ -93,13 +96,13 @@
 
     /// Goes on by one event: an answer, or a time that has come. Gives the list if it was read and is to be
     /// served. `say` takes a line for each change and alarm. Cancelling loses no answer.
-    pub async fn step(&mut self, say: &mut impl FnMut(String)) -> Option<BTreeMap<String, Line>> {
+    pub async fn step(&mut self, say: &mut impl FnMut(String)) -> Option<BTreeMap<String, ListedEndpoint>> {
         let now = self.now();
         for due in self.cache.due(now) {
             self.asked += 1;
             let resolver = Arc::clone(&self.resolver);
             self.asking.spawn(async move {
-                let answered = resolver.ask(&due.question, due.doubted).await;
+                let answered = resolver.query(&due.question, due.doubted).await;
                 (due.question, answered)
             });
         }
@@ -121,7 +124,7 @@
         self.read(say)
     }
 
-    fn take(&mut self, question: &Question, answered: Result<Answered, resolver::Unanswered>) {
+    fn take(&mut self, question: &Question, answered: Result<QueryAnswer, resolver::QueryFailure>) {
         let now = self.now();
         let changed = match answered {
             Ok(answered) => self.cache.answered(now, question, answered.answer),
@@ -136,7 +139,7 @@
         }
     }
 
-    fn read(&mut self, say: &mut impl FnMut(String)) -> Option<BTreeMap<String, Line>> {
+    fn read(&mut self, say: &mut impl FnMut(String)) -> Option<BTreeMap<String, ListedEndpoint>> {
         let (begun, now) = (Instant::now(), self.now());
         let reading = self.catalogue.read(now, &self.cache);
         self.cache.follow(now, &reading.wanted);
@@ -181,34 +184,36 @@
 
     /// How the list stands, with the records that are followed, [`MAX_REPORTED_RECORDS`] at most, if they are wanted.
     #[must_use]
-    pub fn report(&self, records: bool) -> ListState {
+    pub fn report(&self, records: bool) -> EndpointListStatus {
         let now = self.now();
-        let record = |(question, life_ms): (&Question, Option<f64>)| RecordState {
+        let record = |(question, life_ms): (&Question, Option<f64>)| RecordStatus {
             question: question.to_string(),
             records: self.cache.get(now, question).known().map(|known| match known {
-                Known::Records(records) => records.len(),
-                Known::None(_) => 0,
+                CachedAnswer::Records(records) => records.len(),
+                CachedAnswer::None(_) => 0,
             }),
-            life_ms,
+            ttl_ms: life_ms,
         };
-        let unanswered = |(question, since, why): (&Question, f64, &str)| Unanswered {
+        let unanswered = |(question, since, why): (&Question, f64, &str)| UnansweredQuery {
             question: question.to_string(),
             for_ms: now - since,
-            why: why.to_string(),
+            reason: why.to_string(),
         };
-        let mut failing: Vec<Unanswered> = self.cache.failing().map(unanswered).collect();
+        let mut failing: Vec<UnansweredQuery> = self.cache.failing().map(unanswered).collect();
         failing.sort_by(|a, b| b.for_ms.total_cmp(&a.for_ms));
         failing.truncate(MAX_REPORTED_FAILURES);
         let dropped = self.dropped.iter().take(MAX_REPORTED_DROPPED);
         let (pending, unknown) = self.pending;
-        ListState {
+        EndpointListStatus {
             list: self.catalogue.list().map(|(name, e)| listed(now, name, e)).collect(),
-            dropped: dropped.map(|d| Because { what: d.instance.to_utf8(), why: d.why.clone() }).collect(),
+            dropped: dropped
+                .map(|d| DroppedEndpoint { instance: d.instance.to_utf8(), reason: d.why.clone() })
+                .collect(),
             unanswered: failing,
-            held: self.held,
+            awaiting_confirmation: self.held,
             pending,
             unknown,
-            asked: self.asked,
+            queries_sent: self.asked,
             known: self.ready,
             records: self
                 .cache
@@ -224,14 +229,14 @@
     pub fn settled(&self) -> bool {
         let now = self.now();
         let failing: Vec<&Question> = self.cache.failing().map(|(q, ..)| q).collect();
-        let told = |q: &Question| self.cache.get(now, q) != State::Unknown || failing.contains(&q);
+        let told = |q: &Question| self.cache.get(now, q) != CacheState::Unknown || failing.contains(&q);
         self.asking.is_empty() && self.cache.size().0 > 0 && self.cache.lives(now).all(|(q, _)| told(q))
     }
 }
 
-fn listed(now: f64, name: &str, endpoint: &Endpoint) -> ListedState {
+fn listed(now: f64, name: &str, endpoint: &Endpoint) -> EndpointStatus {
     let traits = &endpoint.traits;
-    ListedState {
+    EndpointStatus {
         name: name.to_string(),
         address: endpoint.address.to_string(),
         priority: endpoint.priority,
@@ -245,12 +250,12 @@
     }
 }
 
-fn line((name, endpoint): (&str, &Endpoint)) -> (String, Line) {
+fn line((name, endpoint): (&str, &Endpoint)) -> (String, ListedEndpoint) {
     let status = match endpoint.traits.status {
         Status::Serving => "SERVING",
         Status::Draining => "DRAINING",
     };
-    let line = Line {
+    let line = ListedEndpoint {
         name: name.to_string(),
         address: endpoint.address,
         zone: endpoint.traits.zone.clone(),
@@ -269,15 +274,15 @@
 pub async fn follow(
     settings: Settings,
     resolver: Resolver,
-    table: watch::Sender<Arc<Table>>,
-    mut asks: mpsc::Receiver<Ask>,
+    table: watch::Sender<Arc<EndpointTable>>,
+    mut asks: mpsc::Receiver<StatusRequest>,
     mut say: impl FnMut(String),
 ) {
-    let mut following = Following::new(settings, resolver);
+    let mut following = Follower::new(settings, resolver);
     loop {
         let list = tokio::select! {
             list = following.step(&mut say) => list,
-            Some(Ask { records, answer }) = asks.recv() => {
+            Some(StatusRequest { records, answer }) = asks.recv() => {
                 // Fails only where nobody waits for it any more.
                 let _ = answer.send(following.report(records));
                 None
@@ -288,7 +293,7 @@
             let changes = now.differs(&list);
             if changes {
                 // A copy, as a reader may hold the old one.
-                let mut next = Table::clone(now);
+                let mut next = EndpointTable::clone(now);
                 next.replace(list);
                 *now = Arc::new(next);
             }
--- a/crates/endpoint-sources/src/lib.rs
+++ b/crates/endpoint-sources/src/lib.rs
@@ -15,7 +15,7 @@
 mod serve;
 mod table;
 
-pub use follow::{follow, Ask, Following, Settings};
-pub use resolver::{Answered, Resolver, Unanswered};
+pub use follow::{follow, Follower, Settings, StatusRequest};
+pub use resolver::{QueryAnswer, QueryFailure, Resolver};
 pub use serve::serve;
-pub use table::{Line, Table, MAX_TOMBSTONES};
+pub use table::{EndpointTable, ListedEndpoint, MAX_TOMBSTONES};
--- a/crates/endpoint-sources/src/resolver.rs
+++ b/crates/endpoint-sources/src/resolver.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use dns_sd::{ask, read, Answer, BadAnswer, Question};
+use dns_sd::{decode_answer, encode_query, Answer, AnswerError, Question};
 use hickory_proto::op::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
@@ -17,7 +17,7 @@
 
 /// An answer, and how it was had.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct QueryAnswer {
     /// What it says; never truncated.
     pub answer: Answer,
     /// Who gave it.
@@ -32,12 +32,12 @@
 
 /// No resolver gave an answer.
 #[derive(Clone, Debug)]
-pub struct Unanswered {
+pub struct QueryFailure {
     /// Each that was asked, and what came of it.
     pub tries: Vec<(SocketAddr, String)>,
 }
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for QueryFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.tries.is_empty() {
             return write!(f, "no resolver is configured");
@@ -47,7 +47,7 @@
     }
 }
 
-impl std::error::Error for Unanswered {}
+impl std::error::Error for QueryFailure {}
 
 /// Resolvers, of which each answers for all.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// [`Unanswered`], with what each resolver did.
-    pub async fn ask(&self, question: &Question, doubted: bool) -> Result<Answered, Unanswered> {
+    pub async fn query(&self, question: &Question, doubted: bool) -> Result<QueryAnswer, QueryFailure> {
         let (begun, mut tries) = (Instant::now(), Vec::new());
         let first = self.first.load(Ordering::Relaxed) + usize::from(doubted);
         for turn in 0..self.servers.len() {
@@ -82,19 +82,19 @@
                     if !doubted {
                         self.first.store(place, Ordering::Relaxed);
                     }
-                    return Ok(Answered { answer, server, over_tcp, took: begun.elapsed(), tries });
+                    return Ok(QueryAnswer { answer, server, over_tcp, took: begun.elapsed(), tries });
                 }
                 Err(why) => tries.push((server, why)),
             }
         }
-        Err(Unanswered { tries })
+        Err(QueryFailure { tries })
     }
 
     async fn one(&self, server: SocketAddr, question: &Question) -> Result<(Answer, bool), String> {
         let until = Instant::now() + self.each;
         // Danger: an id that can be guessed (RFC 5452). The library draws it, the system the port.
         let id = Message::query().metadata.id;
-        let bytes = ask(id, question).map_err(|e| e.to_string())?;
+        let bytes = encode_query(id, question).map_err(|e| e.to_string())?;
         match timeout_at(until, by_udp(server, id, &bytes, question)).await {
             Err(_) => return Err("no answer in time".to_string()),
             Ok(Err(why)) => return Err(why),
@@ -126,7 +126,7 @@
     let mut last = None;
     for _ in 0..MAX_UNEXPECTED_DATAGRAMS {
         let length = socket.recv(&mut buffer).await.map_err(failed)?;
-        match read(&buffer[..length], id, question) {
+        match decode_answer(&buffer[..length], id, question) {
             Ok(answer) => return Ok(answer),
             Err(strange) if strange.strange() => last = Some(strange),
             Err(bad) => return Err(bad.to_string()),
@@ -135,7 +135,7 @@
     Err(format!("{MAX_UNEXPECTED_DATAGRAMS} datagrams that were not meant for it; {}", said(last)))
 }
 
-fn said(last: Option<BadAnswer>) -> String {
+fn said(last: Option<AnswerError>) -> String {
     last.map_or(String::new(), |last| format!("the last: {last}"))
 }
 
@@ -148,5 +148,5 @@
     let length = stream.read_u16().await.map_err(failed)?;
     let mut answer = vec![0; usize::from(length)];
     stream.read_exact(&mut answer).await.map_err(failed)?;
-    read(&answer, id, question).map_err(|e| e.to_string())
+    decode_answer(&answer, id, question).map_err(|e| e.to_string())
 }
--- a/crates/endpoint-sources/src/serve.rs
+++ b/crates/endpoint-sources/src/serve.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::{sleep, timeout};
 
-use crate::table::Table;
+use crate::table::EndpointTable;
 
 /// Connections at once, each gateway's one and some more; further ones wait in the listener's line.
 const MAX_CONNECTIONS: usize = 12_000;
@@ -28,7 +28,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves the list until the task ends. Cancelling closes the listener; answers under way go on.
-pub async fn serve(listener: TcpListener, table: watch::Receiver<Arc<Table>>) {
+pub async fn serve(listener: TcpListener, table: watch::Receiver<Arc<EndpointTable>>) {
     let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
@@ -55,7 +55,7 @@
 
 async fn answer(
     request: Request<Incoming>,
-    mut table: watch::Receiver<Arc<Table>>,
+    mut table: watch::Receiver<Arc<EndpointTable>>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if request.uri().path() != "/discovery/hosts" {
         return Ok(plain(StatusCode::NOT_FOUND, "GET /discovery/hosts is served here"));
@@ -82,7 +82,7 @@
         // Danger: an agent that knows nothing yet, taken for a fleet with nobody in it.
         return Ok(plain(StatusCode::SERVICE_UNAVAILABLE, "no source has told its list yet"));
     }
-    let Ok(body) = serde_json::to_vec(&now.news(after)) else {
+    let Ok(body) = serde_json::to_vec(&now.updates_after(after)) else {
         return Ok(plain(StatusCode::INTERNAL_SERVER_ERROR, "the list can't be written"));
     };
     let mut response = Response::new(Full::new(Bytes::from(body)));
--- a/crates/endpoint-sources/src/table.rs
+++ b/crates/endpoint-sources/src/table.rs
@@ -10,7 +10,7 @@
 
 /// A line of the list, as the discovery protocol has it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct ListedEndpoint {
     /// The backend.
     pub name: String,
     /// Where it takes work.
@@ -34,33 +34,33 @@
 
 /// An answer of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct News<'a> {
+pub struct TableUpdate<'a> {
     /// The version.
     pub index: u64,
     /// Whether it is the whole list.
     pub snapshot: bool,
     /// Its lines.
-    pub endpoints: Vec<&'a Line>,
+    pub endpoints: Vec<&'a ListedEndpoint>,
 }
 
 /// The list with versions.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct EndpointTable {
     index: u64,
     /// The list is known: it may be served.
     known: bool,
     /// What changed at or before this version is not remembered line by line.
     horizon: u64,
     /// Lines, each with the version that changed it; those that left as well.
-    lines: BTreeMap<String, (u64, Line)>,
+    lines: BTreeMap<String, (u64, ListedEndpoint)>,
 }
 
-impl Table {
+impl EndpointTable {
     /// An empty one that is not known yet. Versions begin above `index`. Danger: an agent that starts anew
     /// and counts from 0, before readers that wait for more than they have.
     #[must_use]
-    pub fn new(index: u64) -> Table {
-        Table { index, horizon: index, ..Table::default() }
+    pub fn new(index: u64) -> EndpointTable {
+        EndpointTable { index, horizon: index, ..EndpointTable::default() }
     }
 
     /// Its version.
@@ -77,13 +77,13 @@
 
     /// Whether a list is another than the one that is told, or none is told yet.
     #[must_use]
-    pub fn differs(&self, list: &BTreeMap<String, Line>) -> bool {
+    pub fn differs(&self, list: &BTreeMap<String, ListedEndpoint>) -> bool {
         let told = self.lines.values().map(|(_, line)| line).filter(|line| line.status != "DELETED");
         !self.known || !told.eq(list.values())
     }
 
     /// Takes the whole list as it is now; tells whether anything changed. One version for all that did.
-    pub fn replace(&mut self, list: BTreeMap<String, Line>) -> bool {
+    pub fn replace(&mut self, list: BTreeMap<String, ListedEndpoint>) -> bool {
         let (next, mut changed) = (self.index + 1, !self.known);
         for (name, (at, line)) in &mut self.lines {
             if !list.contains_key(name) && line.status != "DELETED" {
@@ -119,15 +119,15 @@
 
     /// What a reader is told that has `after`, or nothing yet.
     #[must_use]
-    pub fn news(&self, after: Option<u64>) -> News<'_> {
+    pub fn updates_after(&self, after: Option<u64>) -> TableUpdate<'_> {
         // A version of another life of this agent, or of before what is remembered: the whole list.
         let after = after.filter(|after| (self.horizon..=self.index).contains(after));
-        let wanted = |at: u64, line: &Line| match after {
+        let wanted = |at: u64, line: &ListedEndpoint| match after {
             Some(after) => at > after,
             None => line.status != "DELETED",
         };
         let lines = self.lines.values().filter(|(at, line)| wanted(*at, line)).map(|(_, line)| line);
-        News { index: self.index, snapshot: after.is_none(), endpoints: lines.collect() }
+        TableUpdate { index: self.index, snapshot: after.is_none(), endpoints: lines.collect() }
     }
 
     /// Whether a reader that has `after` is to wait for news.
@@ -141,8 +141,8 @@
 mod tests {
     use super::*;
 
-    fn line(name: &str, port: u16) -> (String, Line) {
-        let line = Line {
+    fn line(name: &str, port: u16) -> (String, ListedEndpoint) {
+        let line = ListedEndpoint {
             name: name.to_string(),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             zone: String::new(),
@@ -156,14 +156,14 @@
         (name.to_string(), line)
     }
 
-    fn told(table: &Table, after: Option<u64>) -> (bool, Vec<String>) {
-        let news = table.news(after);
+    fn told(table: &EndpointTable, after: Option<u64>) -> (bool, Vec<String>) {
+        let news = table.updates_after(after);
         (news.snapshot, news.endpoints.iter().map(|l| format!("{}:{}", l.name, l.status)).collect())
     }
 
     #[test]
     fn readers_get_what_changed_since_and_those_that_left_by_name() {
-        let mut table = Table::new(100);
+        let mut table = EndpointTable::new(100);
         assert!(!table.known());
         assert!(table.replace([line("a", 1), line("b", 2)].into()));
         let first = table.index();
@@ -184,19 +184,19 @@
 
     #[test]
     fn an_empty_list_is_known_once_it_was_told() {
-        let mut table = Table::new(0);
+        let mut table = EndpointTable::new(0);
         assert!(table.replace(BTreeMap::new()) && table.known());
         assert!(!table.replace(BTreeMap::new()));
     }
 
     #[test]
     fn names_that_came_and_went_are_bounded_and_a_reader_from_before_gets_all() {
-        let mut table = Table::new(0);
+        let mut table = EndpointTable::new(0);
         for i in 0..(MAX_TOMBSTONES / 50 + 3) as u64 {
             table.replace((0..50).map(|n| line(&format!("x{i}-{n}"), 1)).collect());
         }
         assert!(table.lines.len() <= MAX_TOMBSTONES + 50, "{}", table.lines.len());
-        assert!(table.news(Some(1)).snapshot);
-        assert!(!table.news(Some(table.index() - 1)).snapshot);
+        assert!(table.updates_after(Some(1)).snapshot);
+        assert!(!table.updates_after(Some(table.index() - 1)).snapshot);
     }
 }
--- a/crates/endpoint-sources/tests/resolver.rs
+++ b/crates/endpoint-sources/tests/resolver.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use dns_sd::{Absence, Answer, Kind, Name, Question};
+use dns_sd::{Answer, Name, NegativeAnswer, QueryType, Question};
 use endpoint_sources::Resolver;
 use testbed::dns::{Dns, Instance, Lie};
 use testbed::switch::Fault;
@@ -13,7 +13,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const SHORT: Duration = Duration::from_millis(150);
 
-fn question(kind: Kind) -> Question {
+fn question(kind: QueryType) -> Question {
     Question { name: Name::from_ascii(format!("{SERVICE}.")).expect("a name"), kind }
 }
 
@@ -38,16 +38,16 @@
 async fn a_short_answer_comes_by_udp_and_a_long_one_by_tcp() {
     let dns = zone(3).await;
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
-    let answered = resolver.ask(&question(Kind::Ptr), false).await.expect("an answer");
+    let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
     assert_eq!((records(&answered.answer), answered.over_tcp), (3, false));
     // 2,000 instances in one answer, where a datagram has room for some 60.
     let dns = zone(2_000).await;
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
-    let answered = resolver.ask(&question(Kind::Ptr), false).await.expect("an answer");
+    let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
     assert_eq!((records(&answered.answer), answered.over_tcp), (2_000, true));
     assert_eq!(dns.asked(), (1, 1));
-    let none = resolver.ask(&question(Kind::Srv), false).await.expect("an answer").answer;
-    assert_eq!(none, Answer::None { why: Absence::Data, ttl_s: 30 });
+    let none = resolver.query(&question(QueryType::Srv), false).await.expect("an answer").answer;
+    assert_eq!(none, Answer::None { why: NegativeAnswer::NoData, ttl_s: 30 });
 }
 
 #[tokio::test]
@@ -55,12 +55,12 @@
     let dns = zone(3).await;
     dns.lie(Lie::Forged);
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
-    let answered = resolver.ask(&question(Kind::Ptr), false).await.expect("an answer");
+    let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
     assert_eq!(records(&answered.answer), 3);
     // With nothing true behind them there is no answer, and least of all "there is none".
     dns.lie(Lie::OtherId);
     let resolver = Resolver::new(vec![dns.address], SHORT);
-    let unanswered = resolver.ask(&question(Kind::Ptr), false).await.expect_err("none");
+    let unanswered = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
     assert!(unanswered.to_string().contains("no answer in time"), "{unanswered}");
 }
 
@@ -81,7 +81,7 @@
         bad.switch.set(fault);
         let each = if fault == Fault::Silent { SHORT } else { PATIENCE };
         let resolver = Resolver::new(vec![bad.address, nobody, good.address], each);
-        let answered = resolver.ask(&question(Kind::Ptr), false).await.expect("an answer");
+        let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
         assert_eq!((records(&answered.answer), answered.server), (3, good.address));
         assert_eq!((answered.tries.len(), answered.tries[0].0), (2, bad.address));
         let (why, of) = (&answered.tries[0].1, &answered.tries[1].1);
@@ -89,9 +89,9 @@
         assert!(of.contains("refused"), "{of}");
         // The one that answered is asked first from now on, but where its answer is doubted.
         let before = bad.asked();
-        assert_eq!(resolver.ask(&question(Kind::Ptr), false).await.expect("an answer").tries.len(), 0);
+        assert_eq!(resolver.query(&question(QueryType::Ptr), false).await.expect("an answer").tries.len(), 0);
         assert_eq!(bad.asked(), before);
-        assert_eq!(resolver.ask(&question(Kind::Ptr), true).await.expect("an answer").tries.len(), 2);
+        assert_eq!(resolver.query(&question(QueryType::Ptr), true).await.expect("an answer").tries.len(), 2);
         assert!(bad.asked() > before);
     }
 }
@@ -101,8 +101,8 @@
     let dns = zone(3).await;
     dns.lie(Lie::Cut);
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
-    let unanswered = resolver.ask(&question(Kind::Ptr), false).await.expect_err("none");
+    let unanswered = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
     assert!(unanswered.to_string().contains("truncated"), "{unanswered}");
-    let none = Resolver::new(Vec::new(), PATIENCE).ask(&question(Kind::Ptr), false).await;
+    let none = Resolver::new(Vec::new(), PATIENCE).query(&question(QueryType::Ptr), false).await;
     assert!(none.expect_err("none").to_string().contains("no resolver"));
 }
