--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use dns_sd::{Bounds, Name};
-use endpoint_sources::{follow, serve, Ask, Resolver, Settings, Table};
+use dns_sd::{CacheLimits, Name};
+use endpoint_sources::{follow, serve, EndpointTable, Resolver, Settings, StatusRequest};
 use serde_json::Value;
 use testbed::dns::{Dns, Instance, Lie};
 use testbed::switch::Fault;
@@ -20,9 +20,9 @@
 
 struct Source {
     address: SocketAddr,
-    table: watch::Receiver<Arc<Table>>,
+    table: watch::Receiver<Arc<EndpointTable>>,
     said: Arc<Mutex<Vec<String>>>,
-    asks: mpsc::Sender<Ask>,
+    asks: mpsc::Sender<StatusRequest>,
     tasks: [JoinHandle<()>; 2],
 }
 
@@ -35,12 +35,17 @@
 impl Source {
     async fn start(servers: &[&Dns], services: &[&str]) -> Source {
         let name = |s: &&str| Name::from_ascii(s).expect("a name");
-        let bounds = Bounds { life_least: 100.0, pause_least: 50.0, pause_most: 200.0, ..Bounds::default() };
+        let bounds = CacheLimits {
+            min_ttl_ms: 100.0,
+            min_retry_ms: 50.0,
+            max_retry_ms: 200.0,
+            ..CacheLimits::default()
+        };
         let services = services.iter().map(name).collect();
         let settings = Settings { services, bounds, shrink_most: 0.5, seed: 1 };
         let servers = servers.iter().map(|d| d.address).collect();
         let resolver = Resolver::new(servers, Duration::from_millis(150));
-        let (sender, table) = watch::channel(Arc::new(Table::new(1_000)));
+        let (sender, table) = watch::channel(Arc::new(EndpointTable::new(1_000)));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let said = Arc::<Mutex<Vec<String>>>::default();
@@ -53,7 +58,7 @@
     }
 
     fn names(&self) -> Vec<String> {
-        self.table.borrow().news(None).endpoints.iter().map(|l| l.name.clone()).collect()
+        self.table.borrow().updates_after(None).endpoints.iter().map(|l| l.name.clone()).collect()
     }
 
     fn said(&self, what: &str) -> bool {
@@ -61,7 +66,7 @@
     }
 
     /// Waits until the list holds.
-    async fn until(&mut self, what: &str, holds: impl Fn(&Table) -> bool) {
+    async fn until(&mut self, what: &str, holds: impl Fn(&EndpointTable) -> bool) {
         let held = timeout(PATIENCE, self.table.wait_for(|t| t.known() && holds(t))).await;
         assert!(held.is_ok(), "not in time: {what}; {:?}", self.said);
     }
@@ -103,7 +108,7 @@
 async fn gateways_read_the_list_whole_and_then_what_changes() {
     let dns = zone(3).await;
     let mut source = Source::start(&[&dns], &[SERVICE]).await;
-    source.until("three", |t| t.news(None).endpoints.len() == 3).await;
+    source.until("three", |t| t.updates_after(None).endpoints.len() == 3).await;
     let (status, whole) = source.get("/discovery/hosts").await;
     assert_eq!((status, whole["snapshot"].as_bool()), (200, Some(true)));
     let first = &whole["endpoints"][1];
@@ -128,7 +133,9 @@
     assert_eq!(waited.1["snapshot"].as_bool(), Some(false));
     assert!(names(&waited.1).iter().all(|n| n == "t0 DELETED" || n == "t7 SERVING"), "{}", waited.1);
     source
-        .until("the change", |t| t.news(None).endpoints.iter().map(|l| &l.name[..]).eq(["t1", "t2", "t7"]))
+        .until("the change", |t| {
+            t.updates_after(None).endpoints.iter().map(|l| &l.name[..]).eq(["t1", "t2", "t7"])
+        })
         .await;
     assert_eq!(source.get("/discovery/hosts?after=x").await.0, 400);
     assert_eq!(source.get("/").await.0, 404);
@@ -151,7 +158,7 @@
     source.until_said("ALARM").await;
     assert_eq!(source.get("/discovery/hosts").await.0, 503);
     dns.switch.set(Fault::Well);
-    source.until("the list", |t| t.news(None).endpoints.len() == 3).await;
+    source.until("the list", |t| t.updates_after(None).endpoints.len() == 3).await;
     assert!(source.said("answered again"));
 }
 
@@ -159,7 +166,7 @@
 async fn resolvers_that_fail_take_nobody_off_the_list_and_an_alarm_says_since_when() {
     let dns = zone(4).await;
     let mut source = Source::start(&[&dns], &[SERVICE]).await;
-    source.until("four", |t| t.news(None).endpoints.len() == 4).await;
+    source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
     for fault in [Fault::Silent, Fault::Failing, Fault::Refusing, Fault::Garbled] {
         source.said.lock().expect("whole").clear();
         dns.switch.set(fault);
@@ -175,11 +182,11 @@
     source.until_said("ALARM").await;
     sleep(Duration::from_millis(1_300)).await;
     let (answer, told) = oneshot::channel();
-    source.asks.send(Ask { records: true, answer }).await.expect("it runs");
+    source.asks.send(StatusRequest { records: true, answer }).await.expect("it runs");
     let report = told.await.expect("told");
     assert_eq!((report.list.len(), report.known), (4, true));
     assert!(report.list.iter().all(|l| l.stale_ms.is_some_and(|ms| ms > 0.0)), "{report:?}");
-    assert!(report.unanswered.iter().any(|u| u.why.contains("Server Failure")), "{report:?}");
+    assert!(report.unanswered.iter().any(|u| u.reason.contains("Server Failure")), "{report:?}");
     // A pointer; a service, a text and two kinds of address for each.
     assert_eq!(report.records.len(), 1 + 4 * 4);
 }
@@ -188,12 +195,12 @@
 async fn a_resolver_that_serves_an_empty_zone_is_not_believed_where_another_knows_better() {
     let (old, good) = (zone(4).await, zone(4).await);
     let mut source = Source::start(&[&old, &good], &[SERVICE]).await;
-    source.until("four", |t| t.news(None).endpoints.len() == 4).await;
+    source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
     old.lie(Lie::Empty);
     source.until_said("ALARM 4 instances would leave at once").await;
     source.until_said("no instance is held any more").await;
     assert_eq!(source.names(), ["t0", "t1", "t2", "t3"]);
     // Where both say so, it is so.
     good.lie(Lie::Empty);
-    source.until("nobody", |t| t.news(None).endpoints.is_empty()).await;
+    source.until("nobody", |t| t.updates_after(None).endpoints.is_empty()).await;
 }
--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::name::OrderId;
-use crate::order::{Change, Order, Outcome, Revision, Subject};
+use crate::order::{ApplyOutcome, Change, Order, Revision, Subject};
 
 /// The most registers that a state holds. An order for one more is refused.
 pub const MAX_REGISTERS: usize = 5_000;
@@ -94,7 +94,7 @@
 
 /// What orders make of a backend.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Effect {
+pub struct EffectiveState {
     /// The first order that drains it, if any does.
     pub drained_by: Option<OrderId>,
     /// Its weight; 1 unless ordered otherwise.
@@ -103,28 +103,28 @@
 
 /// The state that operators want.
 #[derive(Clone, Debug, Default)]
-pub struct Desired {
+pub struct DesiredState {
     since: Revision,
     floor: Revision,
     registers: BTreeMap<(Subject, Aspect), Register>,
     /// First results by order, and the orders from the oldest.
-    results: BTreeMap<OrderId, Outcome>,
+    results: BTreeMap<OrderId, ApplyOutcome>,
     recent: VecDeque<OrderId>,
 }
 
-impl Desired {
+impl DesiredState {
     /// A state whose writer knows of no order before `since`.
     ///
     /// Danger: a writer that begins anew, as its log is lost, and whose empty state takes back every drain.
     /// What gateways hold from before stays until an order on the same subject comes. Harm: whoever lost the
     /// log has to look for such drains.
     #[must_use]
-    pub fn since(since: Revision) -> Desired {
-        Desired { since, ..Desired::default() }
+    pub fn since(since: Revision) -> DesiredState {
+        DesiredState { since, ..DesiredState::default() }
     }
 
     /// Takes an order in. The same id again gives the first result and does nothing.
-    pub fn apply(&mut self, order: &Order) -> Outcome {
+    pub fn apply(&mut self, order: &Order) -> ApplyOutcome {
         if let Some(first) = self.results.get(&order.id) {
             return first.clone();
         }
@@ -137,29 +137,31 @@
         outcome
     }
 
-    fn settle(&mut self, order: &Order) -> Outcome {
+    fn settle(&mut self, order: &Order) -> ApplyOutcome {
         if let Err(bad) = order.check() {
-            return Outcome::Refused(bad.to_string());
+            return ApplyOutcome::Rejected(bad.to_string());
         }
         let (subject, revision, id) = (order.subject.clone(), order.revision, order.id.clone());
         let register = Register { subject: subject.clone(), revision, id, value: order.change.into() };
         let room = self.registers.len() < MAX_REGISTERS;
         match self.registers.entry((subject, register.value.aspect())) {
-            Entry::Occupied(held) if *held.get() == register => Outcome::Applied,
-            Entry::Occupied(held) if !register.newer(held.get()) => Outcome::Superseded(held.get().revision),
+            Entry::Occupied(held) if *held.get() == register => ApplyOutcome::Applied,
+            Entry::Occupied(held) if !register.newer(held.get()) => {
+                ApplyOutcome::Superseded(held.get().revision)
+            }
             // Danger: an order that was superseded by one that left no register behind.
-            _ if revision <= self.floor => Outcome::Superseded(self.floor),
+            _ if revision <= self.floor => ApplyOutcome::Superseded(self.floor),
             Entry::Occupied(mut held) => {
                 held.insert(register);
-                Outcome::Applied
+                ApplyOutcome::Applied
             }
             // Danger: orders for ever new names that fill the memory.
             Entry::Vacant(_) if !room => {
-                Outcome::Refused(format!("{MAX_REGISTERS} subjects are ordered already"))
+                ApplyOutcome::Rejected(format!("{MAX_REGISTERS} subjects are ordered already"))
             }
             Entry::Vacant(free) => {
                 free.insert(register);
-                Outcome::Applied
+                ApplyOutcome::Applied
             }
         }
     }
@@ -226,8 +228,8 @@
     /// Danger: a backend that one person drained for a fault, put back by another's undrain of its group.
     /// Harm: whoever drained both has to undrain both.
     #[must_use]
-    pub fn effect(&self, name: &str, group: u32, kind: &str) -> Effect {
-        let mut effect = Effect { drained_by: None, weight: 1.0 };
+    pub fn effective_state(&self, name: &str, group: u32, kind: &str) -> EffectiveState {
+        let mut effect = EffectiveState { drained_by: None, weight: 1.0 };
         // A name that no order can hold has none.
         let backend = name.parse().ok().map(Subject::Backend);
         let subjects = [backend, Some(Subject::Group(group)), kind.parse().ok().map(Subject::Type)];
--- a/crates/fleet/src/gateway_record.rs
+++ b/crates/fleet/src/gateway_record.rs
@@ -19,7 +19,8 @@
     /// Not heard in time. What it does is not known; it goes on with the last orders that it had.
     Unreachable {
         /// Why, in a few words.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -36,41 +37,41 @@
 
 /// Something that was learned of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Sighting {
+pub enum Observation {
     /// It answered: it runs under this boot id and holds the orders up to this revision.
-    Heard {
+    Reachable {
         /// New with each start of its process.
-        boot: u64,
+        incarnation: u64,
         /// The newest revision that it holds.
-        holds: Revision,
+        applied_revision: Revision,
     },
     /// It could not be asked, or did not answer.
-    Lost(String),
+    Unreachable(String),
 }
 
 /// A gateway as the agent knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Member {
+pub struct GatewayRecord {
     boot: Option<u64>,
-    holds: Revision,
-    heard_ms: Option<f64>,
+    applied_revision: Revision,
+    last_seen_ms: Option<f64>,
     lost: Option<(f64, String)>,
     /// How often its process was seen to have started anew.
     pub restarts: u32,
 }
 
-impl Member {
+impl GatewayRecord {
     /// Takes a sighting in. Tells whether the process is another than before.
-    pub fn saw(&mut self, now_ms: f64, sighting: Sighting) -> bool {
+    pub fn observe(&mut self, now_ms: f64, sighting: Observation) -> bool {
         match sighting {
-            Sighting::Heard { boot, holds } => {
+            Observation::Reachable { incarnation: boot, applied_revision: holds } => {
                 let anew = self.boot.is_some_and(|b| b != boot);
                 self.restarts += u32::from(anew);
-                (self.boot, self.holds) = (Some(boot), holds);
-                (self.heard_ms, self.lost) = (Some(now_ms), None);
+                (self.boot, self.applied_revision) = (Some(boot), holds);
+                (self.last_seen_ms, self.lost) = (Some(now_ms), None);
                 anew
             }
-            Sighting::Lost(why) => {
+            Observation::Unreachable(why) => {
                 // Since when it is lost stays; why is the latest reason.
                 let since = self.lost.take().map_or(now_ms, |(since, _)| since);
                 self.lost = Some((since, why));
@@ -82,14 +83,14 @@
     /// Its health, given the newest revision and how long one may be silent, ms.
     #[must_use]
     pub fn health(&self, now_ms: f64, newest: Revision, silent_most_ms: f64) -> Health {
-        match (&self.lost, self.heard_ms) {
-            (Some((_, why)), _) => Health::Unreachable { why: why.clone() },
+        match (&self.lost, self.last_seen_ms) {
+            (Some((_, why)), _) => Health::Unreachable { reason: why.clone() },
             (None, None) => Health::Unknown,
             // Danger: one that was heard once, taken for well ever after.
             (None, Some(heard)) if now_ms - heard > silent_most_ms => {
-                Health::Unreachable { why: format!("silent for {:.0} ms", now_ms - heard) }
+                Health::Unreachable { reason: format!("silent for {:.0} ms", now_ms - heard) }
             }
-            (None, Some(_)) if self.holds < newest => Health::Behind,
+            (None, Some(_)) if self.applied_revision < newest => Health::Behind,
             (None, Some(_)) => Health::Ok,
         }
     }
@@ -97,18 +98,18 @@
     /// The newest revision that it was heard to hold.
     #[must_use]
     pub fn holds(&self) -> Revision {
-        self.holds
+        self.applied_revision
     }
 
     /// When it was last heard.
     #[must_use]
     pub fn heard_ms(&self) -> Option<f64> {
-        self.heard_ms
+        self.last_seen_ms
     }
 
     /// Since when it is lost, if it is.
     #[must_use]
-    pub fn lost_since_ms(&self) -> Option<f64> {
+    pub fn unreachable_since_ms(&self) -> Option<f64> {
         self.lost.as_ref().map(|(since, _)| *since)
     }
 }
--- a/crates/fleet/src/guard.rs
+++ b/crates/fleet/src/guard.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::desired::Desired;
+use crate::desired::DesiredState;
 use crate::order::{Change, Order, Subject};
 
 /// A backend as some gateway lists it.
@@ -23,7 +23,7 @@
 
 /// What the guard counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct GuardCounts {
     /// Those that the order's subject covers.
     pub covered: u32,
     /// Those that discovery says serve, or the gateways that answer.
@@ -31,29 +31,30 @@
     /// Those of them that no order drains now.
     pub ready: u32,
     /// Those that none would drain after the order.
-    pub left: u32,
+    #[serde(rename = "left")]
+    pub ready_after: u32,
 }
 
 /// An order that would leave too few.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TooFew {
+pub struct TooFewReady {
     /// What was counted.
-    pub counts: Counts,
+    pub counts: GuardCounts,
     /// How many have to be left.
-    pub least: u32,
+    pub minimum: u32,
     /// `backends` or `gateways`.
     pub of: &'static str,
 }
 
-impl fmt::Display for TooFew {
+impl fmt::Display for TooFewReady {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counts { serving, ready, left, .. } = self.counts;
-        let (least, of) = (self.least, self.of);
+        let GuardCounts { serving, ready, ready_after: left, .. } = self.counts;
+        let (least, of) = (self.minimum, self.of);
         write!(f, "would leave {left} of {serving} {of} ready ({ready} are now); {least} are to be left")
     }
 }
 
-impl std::error::Error for TooFew {}
+impl std::error::Error for TooFewReady {}
 
 /// Counts what an order would leave. `gateways` are the names of those that answer; `least` is the part, from
 /// 0 to 1, of the serving ones that has to be left, rounded up.
@@ -64,13 +65,13 @@
 /// # Errors
 /// [`TooFew`], with the counts.
 pub fn guard<'a>(
-    desired: &Desired,
+    desired: &DesiredState,
     order: &Order,
     backends: impl Iterator<Item = &'a Backend>,
     gateways: impl Iterator<Item = &'a str>,
     least: f64,
-) -> Result<Counts, TooFew> {
-    let (mut counts, drain) = (Counts::default(), order.change == Change::Drain);
+) -> Result<GuardCounts, TooFewReady> {
+    let (mut counts, drain) = (GuardCounts::default(), order.change == Change::Drain);
     // What is left is worked out backend by backend. Danger: a copy of the whole state for each order.
     let mut count = |covered: bool, ready: bool, elsewhere: bool| {
         counts.serving += 1;
@@ -79,7 +80,7 @@
             Change::Undrain if covered => !elsewhere,
             _ => ready && !(covered && drain),
         };
-        counts.left += u32::from(left);
+        counts.ready_after += u32::from(left);
     };
     let mut covers = 0;
     let of = if let Subject::Gateway(named) = &order.subject {
@@ -94,7 +95,7 @@
             let covered = order.subject.covers(&b.name, b.group, &b.kind);
             covers += u32::from(covered);
             if b.serving {
-                let ready = desired.effect(&b.name, b.group, &b.kind).drained_by.is_none();
+                let ready = desired.effective_state(&b.name, b.group, &b.kind).drained_by.is_none();
                 let elsewhere =
                     covered && desired.drained_elsewhere(&b.name, b.group, &b.kind, &order.subject);
                 count(covered, ready, elsewhere);
@@ -104,8 +105,8 @@
     };
     counts.covered = covers;
     let least = (f64::from(counts.serving) * least.clamp(0.0, 1.0)).ceil() as u32;
-    if drain && counts.left < counts.ready && counts.left < least {
-        return Err(TooFew { counts, least, of });
+    if drain && counts.ready_after < counts.ready && counts.ready_after < least {
+        return Err(TooFewReady { counts, minimum: least, of });
     }
     Ok(counts)
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -18,8 +18,8 @@
 mod order;
 pub mod wire;
 
-pub use desired::{Aspect, Desired, Effect, Register, Snapshot, Value, MAX_REGISTERS};
-pub use gateway_record::{Health, Member, Sighting};
-pub use guard::{guard, Backend, Counts, TooFew};
-pub use name::{BadName, Name, OrderId, MAX_NAME_BYTES, MAX_ORDER_ID_BYTES};
-pub use order::{BadOrder, Change, Order, Outcome, Revision, Subject, MAX_WEIGHT, MIN_WEIGHT};
+pub use desired::{Aspect, DesiredState, EffectiveState, Register, Snapshot, Value, MAX_REGISTERS};
+pub use gateway_record::{GatewayRecord, Health, Observation};
+pub use guard::{guard, Backend, GuardCounts, TooFewReady};
+pub use name::{InvalidName, Name, OrderId, MAX_NAME_BYTES, MAX_ORDER_ID_BYTES};
+pub use order::{ApplyOutcome, Change, InvalidOrder, Order, Revision, Subject, MAX_WEIGHT, MIN_WEIGHT};
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -12,20 +12,20 @@
 
 /// A name that can't be one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadName {
+pub struct InvalidName {
     what: &'static str,
     problem: String,
 }
 
-impl fmt::Display for BadName {
+impl fmt::Display for InvalidName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.what, self.problem)
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for InvalidName {}
 
-fn check(what: &'static str, text: &str, most: usize, fits: fn(char) -> bool) -> Result<(), BadName> {
+fn check(what: &'static str, text: &str, most: usize, fits: fn(char) -> bool) -> Result<(), InvalidName> {
     // Danger: a name of megabytes, or one that writes to a terminal, quoted in a message or a log.
     let problem = match text.chars().find(|c| !fits(*c)) {
         _ if text.is_empty() => "is empty".to_string(),
@@ -33,7 +33,7 @@
         Some(odd) => format!("holds {odd:?}, which no name holds"),
         None => return Ok(()),
     };
-    Err(BadName { what, problem })
+    Err(InvalidName { what, problem })
 }
 
 macro_rules! text {
@@ -52,17 +52,17 @@
         }
 
         impl FromStr for $name {
-            type Err = BadName;
+            type Err = InvalidName;
 
-            fn from_str(text: &str) -> Result<Self, BadName> {
+            fn from_str(text: &str) -> Result<Self, InvalidName> {
                 check($what, text, $most, $fits).map(|()| $name(text.into()))
             }
         }
 
         impl TryFrom<String> for $name {
-            type Error = BadName;
+            type Error = InvalidName;
 
-            fn try_from(text: String) -> Result<Self, BadName> {
+            fn try_from(text: String) -> Result<Self, InvalidName> {
                 text.parse()
             }
         }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::name::{BadName, Name, OrderId};
+use crate::name::{InvalidName, Name, OrderId};
 
 /// The least weight. Less is a drain, and is to be ordered as one.
 pub const MIN_WEIGHT: f64 = 0.01;
@@ -75,17 +75,17 @@
 }
 
 impl FromStr for Subject {
-    type Err = BadOrder;
+    type Err = InvalidOrder;
 
     /// Reads `backend/NAME`, `group/NUMBER`, `type/NAME` or `gateway/NAME`; a bare name is a backend's.
-    fn from_str(text: &str) -> Result<Self, BadOrder> {
+    fn from_str(text: &str) -> Result<Self, InvalidOrder> {
         Ok(match text.split_once('/') {
             None => Subject::Backend(text.parse()?),
             Some(("backend", name)) => Subject::Backend(name.parse()?),
-            Some(("group", number)) => Subject::Group(number.parse().map_err(|_| BadOrder::Group)?),
+            Some(("group", number)) => Subject::Group(number.parse().map_err(|_| InvalidOrder::Group)?),
             Some(("type", name)) => Subject::Type(name.parse()?),
             Some(("gateway", name)) => Subject::Gateway(name.parse()?),
-            Some(_) => return Err(BadOrder::Subject),
+            Some(_) => return Err(InvalidOrder::Subject),
         })
     }
 }
@@ -130,28 +130,29 @@
     ///
     /// # Errors
     /// A [`BadOrder`] that says why not.
-    pub fn check(&self) -> Result<(), BadOrder> {
-        BadOrder::of(&self.subject, self.change)
+    pub fn check(&self) -> Result<(), InvalidOrder> {
+        InvalidOrder::of(&self.subject, self.change)
     }
 }
 
 /// What became of an order at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Outcome {
+pub enum ApplyOutcome {
     /// It holds.
     Applied,
     /// A newer order of this revision holds, or did; nothing was changed.
     Superseded(Revision),
     /// Not taken, for this reason; nothing was changed.
-    Refused(String),
+    #[serde(rename = "refused")]
+    Rejected(String),
 }
 
 /// An order that can't be one.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BadOrder {
+pub enum InvalidOrder {
     /// A name is none.
-    Name(BadName),
+    Name(InvalidName),
     /// The group is no number.
     Group,
     /// The subject is of no known kind.
@@ -162,44 +163,44 @@
     WeightOf(Subject),
 }
 
-impl BadOrder {
+impl InvalidOrder {
     /// Looks for what is wrong with an order.
     ///
     /// # Errors
     /// What is wrong, if anything is.
-    pub fn of(subject: &Subject, change: Change) -> Result<(), BadOrder> {
+    pub fn of(subject: &Subject, change: Change) -> Result<(), InvalidOrder> {
         let Change::Weight(weight) = change else { return Ok(()) };
         if !matches!(subject, Subject::Backend(_)) {
-            return Err(BadOrder::WeightOf(subject.clone()));
+            return Err(InvalidOrder::WeightOf(subject.clone()));
         }
         if (MIN_WEIGHT..=MAX_WEIGHT).contains(&weight) {
             Ok(())
         } else {
-            Err(BadOrder::Weight(weight))
+            Err(InvalidOrder::Weight(weight))
         }
     }
 }
 
-impl From<BadName> for BadOrder {
-    fn from(e: BadName) -> Self {
-        BadOrder::Name(e)
+impl From<InvalidName> for InvalidOrder {
+    fn from(e: InvalidName) -> Self {
+        InvalidOrder::Name(e)
     }
 }
 
-impl fmt::Display for BadOrder {
+impl fmt::Display for InvalidOrder {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadOrder::Name(e) => e.fmt(f),
-            BadOrder::Group => write!(f, "a group is a whole number, as in group/3"),
-            BadOrder::Subject => {
+            InvalidOrder::Name(e) => e.fmt(f),
+            InvalidOrder::Group => write!(f, "a group is a whole number, as in group/3"),
+            InvalidOrder::Subject => {
                 write!(f, "a subject is NAME, backend/NAME, group/NUMBER, type/NAME or gateway/NAME")
             }
-            BadOrder::Weight(w) => {
+            InvalidOrder::Weight(w) => {
                 write!(f, "weight {w}: {MIN_WEIGHT} to {MAX_WEIGHT} is wanted; for none, drain")
             }
-            BadOrder::WeightOf(subject) => write!(f, "{subject} has no weight; a backend has"),
+            InvalidOrder::WeightOf(subject) => write!(f, "{subject} has no weight; a backend has"),
         }
     }
 }
 
-impl std::error::Error for BadOrder {}
+impl std::error::Error for InvalidOrder {}
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -8,9 +8,9 @@
 
 use crate::desired::Snapshot;
 use crate::gateway_record::Health;
-use crate::guard::Counts;
+use crate::guard::GuardCounts;
 use crate::name::{Name, OrderId};
-use crate::order::{Change, Order, Outcome, Revision, Subject};
+use crate::order::{ApplyOutcome, Change, Order, Revision, Subject};
 
 /// The longest line that a gateway or an agent takes, bytes: a snapshot of all the registers fits.
 pub const MAX_LINE_BYTES: usize = 4 << 20;
@@ -23,9 +23,10 @@
 
 /// A question with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Numbered<T> {
+pub struct Envelope<T> {
     /// Given back with the answer.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub request_id: u64,
     /// The question, or the answer.
     #[serde(flatten)]
     pub body: T,
@@ -34,7 +35,7 @@
 /// What a gateway can be asked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-pub enum GatewayAsk {
+pub enum GatewayRequest {
     /// Its state, and that of each backend if wanted.
     State {
         /// Whether each backend is wanted.
@@ -61,7 +62,7 @@
 /// What a gateway answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum GatewaySay {
+pub enum GatewayResponse {
     /// Its state.
     State(GatewayState),
     /// What became of orders or a whole state.
@@ -69,27 +70,31 @@
     /// Attempts in flight; requests, where the subject is a gateway.
     Inflight(u64),
     /// Nothing was done.
-    Fault(Fault),
+    #[serde(rename = "fault")]
+    Error(ErrorResponse),
 }
 
 /// What became of orders at a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Applied {
     /// The gateway's process: new with each start, below 2^53.
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// The newest revision that it holds.
-    pub holds: Revision,
+    #[serde(rename = "holds")]
+    pub applied_revision: Revision,
     /// For each order, in their order.
-    pub verdicts: Vec<Verdict>,
+    #[serde(rename = "verdicts")]
+    pub results: Vec<OrderResult>,
 }
 
 /// What became of an order at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Verdict {
+pub struct OrderResult {
     /// The order.
     pub id: OrderId,
     /// What became of it.
-    pub outcome: Outcome,
+    pub outcome: ApplyOutcome,
     /// Backends on the gateway's list that the subject covers; 1 for the gateway itself.
     pub matched: u32,
 }
@@ -102,9 +107,11 @@
     /// Version of its program.
     pub version: String,
     /// Its process: new with each start, below 2^53.
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// The newest revision that it holds.
-    pub holds: Revision,
+    #[serde(rename = "holds")]
+    pub applied_revision: Revision,
     /// The order that was taken in last, if any was.
     pub last_order: Option<OrderId>,
     /// The order that drains the gateway itself, if any does.
@@ -113,9 +120,11 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drained_ms: Option<f64>,
     /// Grows with each change of a line that a backend's row below is made of, but for what is in flight.
-    pub list: u64,
+    #[serde(rename = "list")]
+    pub list_version: u64,
     /// Figures.
-    pub figures: Figures,
+    #[serde(rename = "figures")]
+    pub statistics: GatewayStatistics,
     /// Its backends, where they were asked for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backends: Option<Vec<BackendState>>,
@@ -123,7 +132,7 @@
 
 /// Figures of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct GatewayStatistics {
     /// Backends on the list.
     pub listed: u32,
     /// Those that discovery says serve.
@@ -133,10 +142,12 @@
     /// Those that get no work as they failed or fell silent.
     pub ejected: u32,
     /// Those that are still warming up.
-    pub cold: u32,
+    #[serde(rename = "cold")]
+    pub warming_up: u32,
     /// Those that wait for their turn for a first connection.
     #[serde(default)]
-    pub waiting: u32,
+    #[serde(rename = "waiting")]
+    pub awaiting_connection: u32,
     /// Requests that are owed an answer.
     pub requests: u64,
     /// Attempts in flight.
@@ -149,10 +160,12 @@
     pub customers: u64,
     /// Stores that were dropped to make room for others.
     #[serde(default)]
-    pub forgotten: u64,
+    #[serde(rename = "forgotten")]
+    pub evicted_customers: u64,
     /// Units that the customers of those may pass beyond their quotas.
     #[serde(default)]
-    pub forgotten_units: u64,
+    #[serde(rename = "forgotten_units")]
+    pub evicted_units: u64,
 }
 
 /// A backend as a gateway sees it.
@@ -181,7 +194,8 @@
     /// Whether it gets no work as it failed or fell silent.
     pub ejected: bool,
     /// Part of its capacity that it is taken to have, 0 to 1.
-    pub warmth: f64,
+    #[serde(rename = "warmth")]
+    pub capacity_fraction: f64,
     /// Attempts in flight there.
     pub in_flight: u64,
 }
@@ -189,7 +203,7 @@
 /// What an agent can be asked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-pub enum Ask {
+pub enum ToolRequest {
     /// To write an order down and have every gateway carry it out.
     Order {
         /// Given by whoever makes it. The same id again gives the first result.
@@ -213,7 +227,8 @@
     /// The orders written down, newest first.
     Orders {
         /// How many.
-        most: usize,
+        #[serde(rename = "most")]
+        limit: usize,
     },
     /// What is in flight at a subject, gateway by gateway, asked afresh.
     Inflight {
@@ -242,20 +257,23 @@
         /// Its name.
         name: Name,
         /// Its process: new with each start, below 2^53.
-        boot: u64,
+        #[serde(rename = "boot")]
+        incarnation: u64,
         /// Gateways of its fleet.
         gateways: u32,
         /// The version of the list that it holds.
-        held: Option<u64>,
+        #[serde(rename = "held")]
+        held_version: Option<u64>,
     },
     /// To hear what the first call for the list of one that starts came to.
     Started {
         /// Its name.
         name: Name,
         /// Its process.
-        boot: u64,
+        #[serde(rename = "boot")]
+        incarnation: u64,
         /// What it came to.
-        call: FirstCall,
+        call: FirstCallReport,
     },
     /// To oversee a gateway no more.
     Deregister {
@@ -267,47 +285,48 @@
 /// What an agent says.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Say {
+pub enum ToolResponse {
     /// The order is written down for good.
-    Accepted(Accepted),
+    Accepted(OrderAccepted),
     /// What one gateway did.
-    Instance(Instance),
+    Instance(InstanceReport),
     /// All has been said about the order.
-    Done(Done),
+    Done(OrderSummary),
     /// All gateways.
-    Status(Status),
+    Status(FleetStatus),
     /// The backends of one gateway.
-    Backends(Seen),
+    Backends(GatewayBackends),
     /// Orders, newest first.
-    Orders(Vec<Logged>),
+    Orders(Vec<LoggedOrder>),
     /// What is in flight, by gateway.
-    Inflight(Vec<Instance>),
+    Inflight(Vec<InstanceReport>),
     /// The server list from sources.
-    Sources(Box<ListState>),
+    Sources(Box<EndpointListStatus>),
     /// What a gateway that starts is to do.
-    Starting(Starting),
+    Starting(StartInstructions),
     /// Something changed.
     Event(String),
     /// Nothing was done.
-    Fault(Fault),
+    #[serde(rename = "fault")]
+    Error(ErrorResponse),
 }
 
 /// An order that is written down.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct OrderAccepted {
     /// Its place among all orders.
     pub revision: Revision,
     /// The id was known: this is the first result, and nothing was done.
     pub repeated: bool,
     /// What the guard counted.
-    pub counts: Counts,
+    pub counts: GuardCounts,
     /// Gateways that are to carry it out.
     pub instances: u32,
 }
 
 /// An order as it was written down.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Logged {
+pub struct LoggedOrder {
     /// The order.
     #[serde(flatten)]
     pub order: Order,
@@ -316,61 +335,64 @@
     /// When, Unix time in ms.
     pub at_ms: u64,
     /// What the guard counted.
-    pub counts: Counts,
+    pub counts: GuardCounts,
 }
 
 /// What one gateway did.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Instance {
+pub struct InstanceReport {
     /// Its name.
     pub gateway: String,
     /// What it did.
     #[serde(flatten)]
-    pub did: Did,
+    pub outcome: InstanceOutcome,
 }
 
 /// What a gateway did with an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "did", rename_all = "lowercase")]
-pub enum Did {
+pub enum InstanceOutcome {
     /// It answered.
     Answered {
         /// What became of the order there; none for a gateway that caught up by the whole state.
-        outcome: Outcome,
+        outcome: ApplyOutcome,
         /// Backends on its list that the subject covers, where it said so.
         matched: Option<u32>,
         /// From the writing down to its answer, ms.
         took_ms: f64,
     },
     /// It answered how much is in flight.
-    Counted {
+    #[serde(rename = "counted")]
+    InFlight {
         /// Attempts, or requests where the subject is a gateway.
         in_flight: u64,
     },
     /// It can't be reached. It goes on with its last orders, and gets the whole state when it is back.
     Unreachable {
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// It did not answer within the deadline.
-    Late,
+    #[serde(rename = "late")]
+    TimedOut,
 }
 
-impl Did {
+impl InstanceOutcome {
     /// Whether the gateway is known to have done it.
     #[must_use]
-    pub fn done(&self) -> bool {
+    pub fn succeeded(&self) -> bool {
         match self {
-            Did::Answered { outcome, .. } => !matches!(outcome, Outcome::Refused(_)),
-            Did::Counted { .. } => true,
-            Did::Unreachable { .. } | Did::Late => false,
+            InstanceOutcome::Answered { outcome, .. } => !matches!(outcome, ApplyOutcome::Rejected(_)),
+            InstanceOutcome::InFlight { .. } => true,
+            InstanceOutcome::Unreachable { .. } | InstanceOutcome::TimedOut => false,
         }
     }
 }
 
 /// What a gateway that starts is to do. With neither time it keeps to its slots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Starting {
+pub struct StartInstructions {
     /// To make its first call for the list in so long, ms, if its slot does not come before.
     pub call_in_ms: Option<f64>,
     /// Whether that call is to fetch the whole list, and [`Ask::Started`] to tell it.
@@ -385,9 +407,10 @@
 
 /// What the first call for the list of a gateway that starts came to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FirstCall {
+pub struct FirstCallReport {
     /// What it came to.
-    pub came: FirstCame,
+    #[serde(rename = "came")]
+    pub outcome: FirstCallOutcome,
     /// After so long, ms.
     pub took_ms: f64,
     /// The whole list with its version, where it was to be fetched; [`MAX_START_LIST_BYTES`] bytes at most.
@@ -397,40 +420,44 @@
 /// What a first call came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FirstCame {
+pub enum FirstCallOutcome {
     /// The service answered with the list, or that nothing is new.
-    Told,
+    #[serde(rename = "told")]
+    Answered,
     /// It answered that it won't.
-    TurnedAway,
+    #[serde(rename = "turned-away")]
+    Rejected,
     /// It did not answer in time.
-    Silent,
+    #[serde(rename = "silent")]
+    TimedOut,
     /// No connection, or an answer that can't be read.
     Failed,
 }
 
 /// The end of what is said about an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Done {
+pub struct OrderSummary {
     /// Gateways that did it.
-    pub done: u32,
+    #[serde(rename = "done")]
+    pub succeeded: u32,
     /// Gateways that are not known to have done it.
     pub failed: u32,
 }
 
 /// All gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Status {
+pub struct FleetStatus {
     /// The newest revision.
     pub revision: Revision,
     /// Each gateway, by name.
-    pub gateways: Vec<MemberState>,
+    pub gateways: Vec<GatewayStatus>,
     /// What is ordered.
     pub ordered: Vec<crate::desired::Register>,
 }
 
 /// A gateway as the agent knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct MemberState {
+pub struct GatewayStatus {
     /// Its name.
     pub name: String,
     /// Its admin listener.
@@ -438,9 +465,11 @@
     /// Whether it can be relied on.
     pub health: Health,
     /// The newest revision that it was heard to hold.
-    pub holds: Revision,
+    #[serde(rename = "holds")]
+    pub applied_revision: Revision,
     /// When it was last heard, ms ago.
-    pub heard_ms_ago: Option<u64>,
+    #[serde(rename = "heard_ms_ago")]
+    pub last_seen_ms_ago: Option<u64>,
     /// How often it was seen to have started anew.
     pub restarts: u32,
     /// What it last told.
@@ -449,7 +478,7 @@
 
 /// The backends of one gateway, as it saw them just now.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Seen {
+pub struct GatewayBackends {
     /// The gateway.
     pub gateway: String,
     /// Its state with its backends, or why it could not be asked.
@@ -458,31 +487,33 @@
 
 /// The server list that is made from sources, and how it stands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ListState {
+pub struct EndpointListStatus {
     /// The list, by name.
-    pub list: Vec<ListedState>,
+    pub list: Vec<EndpointStatus>,
     /// Instances that are not on it by what they say now.
-    pub dropped: Vec<Because>,
+    pub dropped: Vec<DroppedEndpoint>,
     /// Questions that go unanswered, the oldest trouble first.
-    pub unanswered: Vec<Unanswered>,
+    pub unanswered: Vec<UnansweredQuery>,
     /// How many are held on the list until a second answer takes them off.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub awaiting_confirmation: usize,
     /// Instances of which not all is known.
     pub pending: usize,
     /// Services of which nothing is known.
     pub unknown: usize,
     /// Questions asked since the start.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub queries_sent: u64,
     /// Whether the list is known, and so served.
     pub known: bool,
     /// Each record that is followed, where they are wanted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub records: Vec<RecordState>,
+    pub records: Vec<RecordStatus>,
 }
 
 /// A line of the list from sources.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListedState {
+pub struct EndpointStatus {
     /// Its name.
     pub name: String,
     /// Where it takes work.
@@ -508,40 +539,44 @@
 
 /// Something, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Because {
+pub struct DroppedEndpoint {
     /// What.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub instance: String,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// A question that goes unanswered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Unanswered {
+pub struct UnansweredQuery {
     /// Name and type.
     pub question: String,
     /// For how long, ms.
     pub for_ms: f64,
     /// Why it did last.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// A question that is followed, and its records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RecordState {
+pub struct RecordStatus {
     /// Name and type.
     pub question: String,
     /// How many records there are; none while it is not known.
     pub records: Option<usize>,
     /// What is left of their life, ms: below 0 where they are stale.
-    pub life_ms: Option<f64>,
+    #[serde(rename = "life_ms")]
+    pub ttl_ms: Option<f64>,
 }
 
 /// Why nothing was done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ErrorResponse {
     /// The kind, for programs.
-    pub code: Code,
+    pub code: ErrorCode,
     /// What is wrong and what to do, for people.
     pub message: String,
 }
@@ -549,7 +584,7 @@
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Code {
+pub enum ErrorCode {
     /// The message can't be read, or can't be carried out as it is.
     BadRequest,
     /// The line is longer than is taken.
@@ -568,9 +603,9 @@
     Log,
 }
 
-impl Fault {
+impl ErrorResponse {
     /// A fault of a kind.
-    pub fn new(code: Code, message: impl Into<String>) -> Fault {
-        Fault { code, message: message.into() }
+    pub fn new(code: ErrorCode, message: impl Into<String>) -> ErrorResponse {
+        ErrorResponse { code, message: message.into() }
     }
 }
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -34,7 +34,7 @@
     orders.iter().map(|o| ((o.subject.to_string(), weight(o)), o.change)).collect()
 }
 
-fn held(state: &Desired) -> BTreeMap<(String, bool), Change> {
+fn held(state: &DesiredState) -> BTreeMap<(String, bool), Change> {
     let change = |value| match value {
         Value::Drained(true) => Change::Drain,
         Value::Drained(false) => Change::Undrain,
@@ -64,7 +64,7 @@
             x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             order.swap(i, (x >> 33) as usize % (i + 1));
         }
-        let mut state = Desired::default();
+        let mut state = DesiredState::default();
         order.iter().for_each(|o| drop(state.apply(o)));
         prop_assert_eq!(held(&state), truth(&log));
     }
@@ -77,7 +77,7 @@
         settle in any::<prop::sample::Index>(),
         stream in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 0..40),
     ) {
-        let (mut writer, mut snapshots) = (Desired::default(), Vec::new());
+        let (mut writer, mut snapshots) = (DesiredState::default(), Vec::new());
         for (i, order) in log.iter().enumerate() {
             writer.apply(order);
             if i == settle.index(log.len()) {
@@ -85,7 +85,7 @@
             }
             snapshots.push(writer.snapshot());
         }
-        let mut gateway = Desired::default();
+        let mut gateway = DesiredState::default();
         for (whole, at) in stream {
             if whole {
                 gateway.adopt(at.get(&snapshots));
@@ -111,7 +111,7 @@
     fn adopting_is_idempotent_and_either_way_round(a in log(), cut in any::<prop::sample::Index>()) {
         let cut = cut.index(a.len());
         let state = |orders: &[Order], settled: bool| {
-            let mut s = Desired::default();
+            let mut s = DesiredState::default();
             orders.iter().for_each(|o| drop(s.apply(o)));
             if settled { s.compact(); }
             s
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -7,18 +7,18 @@
     Order { id: id.parse().expect("an id"), revision, subject: subject.parse().expect("one"), change }
 }
 
-fn drained(state: &Desired, name: &str) -> bool {
-    state.effect(name, 3, "m2").drained_by.is_some()
+fn drained(state: &DesiredState, name: &str) -> bool {
+    state.effective_state(name, 3, "m2").drained_by.is_some()
 }
 
 #[test]
 fn the_same_id_again_gives_the_first_result_and_does_nothing() {
-    let mut state = Desired::default();
-    assert_eq!(state.apply(&order("a", 1, "s-1", Change::Drain)), Outcome::Applied);
-    assert_eq!(state.apply(&order("b", 2, "s-1", Change::Undrain)), Outcome::Applied);
+    let mut state = DesiredState::default();
+    assert_eq!(state.apply(&order("a", 1, "s-1", Change::Drain)), ApplyOutcome::Applied);
+    assert_eq!(state.apply(&order("b", 2, "s-1", Change::Undrain)), ApplyOutcome::Applied);
     let before = state.snapshot();
     // Under a newer revision it would drain again.
-    assert_eq!(state.apply(&order("a", 3, "s-1", Change::Drain)), Outcome::Applied);
+    assert_eq!(state.apply(&order("a", 3, "s-1", Change::Drain)), ApplyOutcome::Applied);
     assert_eq!(state.snapshot(), before);
     assert!(!drained(&state, "s-1"));
 }
@@ -26,43 +26,43 @@
 #[test]
 fn an_old_drain_after_a_newer_undrain_is_superseded_even_when_that_is_settled() {
     for settled in [false, true] {
-        let mut state = Desired::default();
+        let mut state = DesiredState::default();
         state.apply(&order("b", 2, "s-1", Change::Undrain));
         if settled {
             state.compact();
             assert_eq!(state.registers().count(), 0);
         }
         let late = state.apply(&order("a", 1, "s-1", Change::Drain));
-        assert_eq!(late, Outcome::Superseded(Revision { term: 1, seq: 2 }));
+        assert_eq!(late, ApplyOutcome::Superseded(Revision { term: 1, seq: 2 }));
         assert!(!drained(&state, "s-1"));
     }
 }
 
 #[test]
 fn orders_on_other_subjects_do_not_supersede() {
-    let mut state = Desired::default();
+    let mut state = DesiredState::default();
     state.apply(&order("b", 2, "s-2", Change::Drain));
-    assert_eq!(state.apply(&order("a", 1, "s-1", Change::Drain)), Outcome::Applied);
-    assert_eq!(state.apply(&order("c", 3, "s-1", Change::Weight(0.5))), Outcome::Applied);
-    let effect = state.effect("s-1", 3, "m2");
+    assert_eq!(state.apply(&order("a", 1, "s-1", Change::Drain)), ApplyOutcome::Applied);
+    assert_eq!(state.apply(&order("c", 3, "s-1", Change::Weight(0.5))), ApplyOutcome::Applied);
+    let effect = state.effective_state("s-1", 3, "m2");
     assert_eq!((effect.drained_by.expect("drained").as_str(), effect.weight), ("a", 0.5));
 }
 
 #[test]
 fn a_new_term_stands_above_every_sequence_of_the_old() {
-    let mut state = Desired::default();
+    let mut state = DesiredState::default();
     state.apply(&order("a", 900, "s-1", Change::Drain));
     let mut newer = order("b", 1, "s-1", Change::Undrain);
     newer.revision.term = 2;
-    assert_eq!(state.apply(&newer), Outcome::Applied);
+    assert_eq!(state.apply(&newer), ApplyOutcome::Applied);
     assert!(!drained(&state, "s-1"));
 }
 
 #[test]
 fn a_writer_that_lost_its_log_takes_no_drain_back_until_it_is_ordered_anew() {
-    let mut gateway = Desired::default();
+    let mut gateway = DesiredState::default();
     gateway.apply(&order("old", 7, "s-1", Change::Drain));
-    let mut writer = Desired::since(Revision { term: 2, seq: 0 });
+    let mut writer = DesiredState::since(Revision { term: 2, seq: 0 });
     let mut newer = order("new", 1, "s-2", Change::Undrain);
     newer.revision.term = 2;
     writer.apply(&newer);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_backend_is_back_only_when_nothing_drains_it() {
-    let mut state = Desired::default();
+    let mut state = DesiredState::default();
     state.apply(&order("a", 1, "s-1", Change::Drain));
     state.apply(&order("b", 2, "group/3", Change::Drain));
     state.apply(&order("c", 3, "type/m2", Change::Drain));
@@ -90,15 +90,15 @@
 
 #[test]
 fn a_state_holds_so_many_registers_and_no_more() {
-    let mut state = Desired::default();
+    let mut state = DesiredState::default();
     for i in 1..=MAX_REGISTERS as u64 {
         let o = order(&format!("o{i}"), i, &format!("s-{i}"), Change::Drain);
-        assert_eq!(state.apply(&o), Outcome::Applied);
+        assert_eq!(state.apply(&o), ApplyOutcome::Applied);
     }
     let one_more = state.apply(&order("x", 1 << 20, "s-0", Change::Drain));
-    assert!(matches!(one_more, Outcome::Refused(_)), "{one_more:?}");
+    assert!(matches!(one_more, ApplyOutcome::Rejected(_)), "{one_more:?}");
     // What is known may still change.
-    assert_eq!(state.apply(&order("y", 1 << 21, "s-1", Change::Undrain)), Outcome::Applied);
+    assert_eq!(state.apply(&order("y", 1 << 21, "s-1", Change::Undrain)), ApplyOutcome::Applied);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, 101.0] {
         let bad = order("a", 1, "s-1", Change::Weight(weight));
         assert!(bad.check().is_err(), "{weight}");
-        assert!(matches!(Desired::default().apply(&bad), Outcome::Refused(_)));
+        assert!(matches!(DesiredState::default().apply(&bad), ApplyOutcome::Rejected(_)));
     }
     assert!(order("a", 1, "group/3", Change::Weight(0.5)).check().is_err());
 }
@@ -121,19 +121,24 @@
     (0..n).map(backend).collect()
 }
 
-fn judge(state: &Desired, order: &Order, backends: &[Backend], gateways: &[&str]) -> Result<Counts, TooFew> {
+fn judge(
+    state: &DesiredState,
+    order: &Order,
+    backends: &[Backend],
+    gateways: &[&str],
+) -> Result<GuardCounts, TooFewReady> {
     guard(state, order, backends.iter(), gateways.iter().copied(), 0.5)
 }
 
 #[test]
 fn the_guard_refuses_what_would_leave_too_few_and_says_how_many() {
-    let (mut state, mut backends) = (Desired::default(), fleet(8, 2));
+    let (mut state, mut backends) = (DesiredState::default(), fleet(8, 2));
     backends[7].serving = false;
     state.apply(&order("a", 1, "s-0", Change::Drain));
     let refused = judge(&state, &order("b", 2, "group/0", Change::Drain), &backends, &[]);
     let refused = refused.expect_err("three of seven would be left");
-    assert_eq!((refused.counts.serving, refused.counts.ready, refused.counts.left), (7, 6, 3));
-    assert_eq!(refused.least, 4);
+    assert_eq!((refused.counts.serving, refused.counts.ready, refused.counts.ready_after), (7, 6, 3));
+    assert_eq!(refused.minimum, 4);
     assert!(refused.to_string().contains("3 of 7 backends"), "{refused}");
     // One fewer is allowed; so is whatever changes nothing, or takes a drain back.
     assert!(judge(&state, &order("c", 2, "s-2", Change::Drain), &backends, &[]).is_ok());
@@ -147,7 +152,7 @@
 /// What the guard counts is what is so once the order is taken in.
 #[test]
 fn the_guard_counts_what_the_order_makes_of_the_fleet() {
-    let (mut state, backends) = (Desired::default(), fleet(12, 3));
+    let (mut state, backends) = (DesiredState::default(), fleet(12, 3));
     let subjects = ["s-0", "s-4", "group/1", "group/2", "type/m", "s-7", "none"];
     let mut seed = 7u64;
     for seq in 1..400 {
@@ -155,23 +160,24 @@
         let subject = subjects[(seed >> 33) as usize % subjects.len()];
         let change = if (seed >> 50).is_multiple_of(2) { Change::Drain } else { Change::Undrain };
         let order = order(&format!("o{seq}"), seq, subject, change);
-        let ready = |state: &Desired| {
-            let drained = |b: &&Backend| state.effect(&b.name, b.group, &b.kind).drained_by.is_some();
+        let ready = |state: &DesiredState| {
+            let drained =
+                |b: &&Backend| state.effective_state(&b.name, b.group, &b.kind).drained_by.is_some();
             backends.iter().filter(|b| !drained(b)).count() as u32
         };
         let counts = guard(&state, &order, backends.iter(), std::iter::empty(), 0.0).expect("forced");
         assert_eq!(counts.ready, ready(&state));
         state.apply(&order);
-        assert_eq!(counts.left, ready(&state), "{subject} {change}");
+        assert_eq!(counts.ready_after, ready(&state), "{subject} {change}");
     }
 }
 
 #[test]
 fn the_guard_counts_gateways_where_one_is_drained() {
-    let mut state = Desired::default();
+    let mut state = DesiredState::default();
     let names = ["n0", "n1", "n2"];
     let first = order("a", 1, "gateway/n0", Change::Drain);
-    assert_eq!(judge(&state, &first, &[], &names).expect("two are left").left, 2);
+    assert_eq!(judge(&state, &first, &[], &names).expect("two are left").ready_after, 2);
     state.apply(&first);
     let refused = judge(&state, &order("b", 2, "gateway/n1", Change::Drain), &[], &names);
     assert_eq!(refused.expect_err("one would be left").of, "gateways");
@@ -179,20 +185,24 @@
 
 #[test]
 fn a_gateway_that_is_silent_or_lost_is_never_ok() {
-    let (mut member, newest) = (Member::default(), Revision { term: 1, seq: 5 });
-    let heard = |holds| Sighting::Heard { boot: 7, holds };
+    let (mut member, newest) = (GatewayRecord::default(), Revision { term: 1, seq: 5 });
+    let heard = |holds| Observation::Reachable { incarnation: 7, applied_revision: holds };
     assert_eq!(member.health(0.0, newest, 2_000.0), Health::Unknown);
-    member.saw(0.0, heard(Revision { term: 1, seq: 4 }));
+    member.observe(0.0, heard(Revision { term: 1, seq: 4 }));
     assert_eq!(member.health(10.0, newest, 2_000.0), Health::Behind);
-    member.saw(20.0, heard(newest));
+    member.observe(20.0, heard(newest));
     assert_eq!(member.health(30.0, newest, 2_000.0), Health::Ok);
     assert!(matches!(member.health(2_021.0, newest, 2_000.0), Health::Unreachable { .. }));
-    member.saw(40.0, Sighting::Lost("connection refused".to_string()));
-    member.saw(90.0, Sighting::Lost("no answer".to_string()));
-    assert_eq!(member.lost_since_ms(), Some(40.0));
+    member.observe(40.0, Observation::Unreachable("connection refused".to_string()));
+    member.observe(90.0, Observation::Unreachable("no answer".to_string()));
+    assert_eq!(member.unreachable_since_ms(), Some(40.0));
     assert!(
-        matches!(member.health(91.0, newest, 2_000.0), Health::Unreachable { why } if why == "no answer")
+        matches!(member.health(91.0, newest, 2_000.0), Health::Unreachable { reason } if reason == "no answer")
+    );
+    assert!(
+        member
+            .observe(100.0, Observation::Reachable { incarnation: 8, applied_revision: Revision::default() }),
+        "a new process"
     );
-    assert!(member.saw(100.0, Sighting::Heard { boot: 8, holds: Revision::default() }), "a new process");
     assert_eq!((member.restarts, member.health(101.0, newest, 2_000.0)), (1, Health::Behind));
 }
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -2,13 +2,16 @@
 
 use std::time::Duration;
 
-use fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, MAX_LINE_BYTES};
+use fleet::wire::{
+    Envelope, ErrorCode, ErrorResponse, GatewayRequest, GatewayResponse, ToolRequest, ToolResponse,
+    MAX_LINE_BYTES,
+};
 use fleet::Name;
-use operator_config::{Address, Admin};
+use operator_config::{Address, AdminConfig};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, Semaphore};
 use tokio::time::{sleep, timeout};
-use transport::{BindError, Dialer, LineError, Lines, Listener};
+use transport::{BindError, Connector, JsonLines, JsonLinesError, Listener};
 
 use crate::input::Input;
 
@@ -26,8 +29,8 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Opens the listener for a gateway of this name.
-pub async fn listen(admin: &Admin, name: &str) -> Result<Listener, BindError> {
-    Listener::bind(&admin.listen.of(name), admin.tls.as_ref(), MAX_LINE_BYTES).await
+pub async fn listen(admin: &AdminConfig, name: &str) -> Result<Listener, BindError> {
+    Listener::bind(&admin.listen.for_gateway(name), admin.tls.as_ref(), MAX_LINE_BYTES).await
 }
 
 /// Takes connections until the task ends. Each asks one thing after the other.
@@ -57,7 +60,7 @@
 
 /// Tells an agent of this gateway, again and again, until the task ends: the agent may start later, or have
 /// lost what it knew. The same again changes nothing there.
-pub async fn register(agent: Address, name: Name, admin: Address, dialer: Dialer) {
+pub async fn register(agent: Address, name: Name, admin: Address, dialer: Connector) {
     let mut told = String::new();
     loop {
         let said = match timeout(REGISTER_TIMEOUT, tell(&agent, &name, &admin, &dialer)).await {
@@ -74,39 +77,44 @@
     }
 }
 
-async fn tell(agent: &Address, name: &Name, admin: &Address, dialer: &Dialer) -> Result<(), String> {
+async fn tell(agent: &Address, name: &Name, admin: &Address, dialer: &Connector) -> Result<(), String> {
     let lines = dialer.connect(agent, REGISTER_TIMEOUT, MAX_LINE_BYTES).await;
     let mut lines = lines.map_err(|e| e.to_string())?;
-    let body = Ask::Register { name: name.clone(), address: admin.to_string() };
-    lines.send(&Numbered { n: 1, body }).await.map_err(|e| e.to_string())?;
-    match lines.next::<Numbered<Say>>().await.map_err(|e| e.to_string())? {
-        Some(Numbered { body: Say::Done(_), .. }) => Ok(()),
-        Some(Numbered { body: Say::Fault(fault), .. }) => Err(fault.message),
+    let body = ToolRequest::Register { name: name.clone(), address: admin.to_string() };
+    lines.send(&Envelope { request_id: 1, body }).await.map_err(|e| e.to_string())?;
+    match lines.next::<Envelope<ToolResponse>>().await.map_err(|e| e.to_string())? {
+        Some(Envelope { body: ToolResponse::Done(_), .. }) => Ok(()),
+        Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(fault.message),
         Some(_) => Err("it answered something else".to_string()),
         None => Err("it ended the connection".to_string()),
     }
 }
 
-async fn talk(mut lines: Lines, inbox: mpsc::Sender<Input>) {
+async fn talk(mut lines: JsonLines, inbox: mpsc::Sender<Input>) {
     loop {
-        let (n, said, last) = match timeout(IDLE_TIMEOUT, lines.next::<Numbered<GatewayAsk>>()).await {
-            Ok(Ok(Some(Numbered { n, body }))) => {
+        let (n, said, last) = match timeout(IDLE_TIMEOUT, lines.next::<Envelope<GatewayRequest>>()).await {
+            Ok(Ok(Some(Envelope { request_id: n, body }))) => {
                 let (say, said) = oneshot::channel();
                 if inbox.send(Input::Asked { ask: body, say }).await.is_err() {
                     return;
                 }
-                let ending = || GatewaySay::Fault(Fault::new(Code::Unavailable, "the gateway is ending"));
+                let ending = || {
+                    GatewayResponse::Error(ErrorResponse::new(
+                        ErrorCode::Unavailable,
+                        "the gateway is ending",
+                    ))
+                };
                 (n, said.await.unwrap_or_else(|_| ending()), false)
             }
-            Ok(Err(LineError::Unreadable(why))) => {
-                (0, GatewaySay::Fault(Fault::new(Code::BadRequest, why)), false)
+            Ok(Err(JsonLinesError::Malformed(why))) => {
+                (0, GatewayResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, why)), false)
             }
-            Ok(Err(e @ LineError::TooLong(_))) => {
-                (0, GatewaySay::Fault(Fault::new(Code::TooLong, e.to_string())), true)
+            Ok(Err(e @ JsonLinesError::TooLong(_))) => {
+                (0, GatewayResponse::Error(ErrorResponse::new(ErrorCode::TooLong, e.to_string())), true)
             }
-            Ok(Ok(None) | Err(LineError::Broken(_))) | Err(_) => return,
+            Ok(Ok(None) | Err(JsonLinesError::Broken(_))) | Err(_) => return,
         };
-        let written = timeout(WRITE_TIMEOUT, lines.send(&Numbered { n, body: said })).await;
+        let written = timeout(WRITE_TIMEOUT, lines.send(&Envelope { request_id: n, body: said })).await;
         if last || !matches!(written, Ok(Ok(()))) {
             return;
         }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use backoff::Pauses;
-use cold_start::Calendar;
-use gateway_policy::interface::ListScope;
+use backoff::Backoff;
+use cold_start::SlotSchedule;
+use gateway_policy::interface::UpdateScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -41,7 +41,7 @@
 /// News of the list.
 #[derive(Debug)]
 pub struct News {
-    pub scope: ListScope,
+    pub scope: UpdateScope,
     pub endpoints: Vec<Endpoint>,
     /// Backends whose lines could not be read: what is known of them stays.
     pub unsaid: Vec<String>,
@@ -50,7 +50,7 @@
 impl News {
     /// The text of an answer that is this whole list, with its version.
     fn text(&self, index: u64) -> Option<(u64, String)> {
-        (self.scope == ListScope::Full).then(|| (index, List::text(index, &self.endpoints)))
+        (self.scope == UpdateScope::Full).then(|| (index, List::text(index, &self.endpoints)))
     }
 }
 
@@ -66,7 +66,7 @@
     /// This gateway's own, for its pauses.
     pub seed: u64,
     /// Its slots, where the fleet's operators share out the calls; none: it goes by pauses alone.
-    pub slots: Option<(Calendar, Clock)>,
+    pub slots: Option<(SlotSchedule, Clock)>,
 }
 
 /// Follows the list for good and tells the driver of it. `ordering`: whom it asks for a turn when it starts,
@@ -81,8 +81,8 @@
         return paced::follow(agent, known.index, calendar, clock, ordering, inbox).await;
     }
     let Known { mut index, gateways, stop_within, seed, .. } = known;
-    let mut pauses = Pauses::new(PAUSE.0, PAUSE.1, EACH, PAUSE_LIMIT, gateways, seed);
-    sleep(pauses.start(EACH, stop_within.mul_f64(START_PART), gateways)).await;
+    let mut pauses = Backoff::new(PAUSE.0, PAUSE.1, EACH, PAUSE_LIMIT, gateways, seed);
+    sleep(pauses.initial_delay(EACH, stop_within.mul_f64(START_PART), gateways)).await;
     let (mut unreadable, mut silent) = (false, false);
     let soon = stop_within.mul_f64(START_PART);
     loop {
@@ -106,17 +106,17 @@
             End::Lost { heard } | End::Silent { heard } => {
                 index = None;
                 if heard {
-                    pauses.answered();
+                    pauses.reset();
                 }
             }
             // Danger: a discovery that is too busy for this call, asked for the whole list in its place.
             End::TurnedAway { heard } => {
                 if heard {
-                    pauses.answered();
+                    pauses.reset();
                 }
             }
         }
-        sleep(if silent { pauses.start(EACH, soon, gateways) } else { pauses.failed() }).await;
+        sleep(if silent { pauses.initial_delay(EACH, soon, gateways) } else { pauses.next_delay() }).await;
     }
 }
 
@@ -174,7 +174,7 @@
         }
         let news = *index != Some(list.index);
         *index = Some(list.index);
-        let scope = if list.snapshot { ListScope::Full } else { ListScope::Delta };
+        let scope = if list.snapshot { UpdateScope::Full } else { UpdateScope::Delta };
         let unsaid = list.unsaid();
         if inbox.send(News { scope, endpoints: list.endpoints, unsaid }.into()).await.is_err() {
             return End::Lost { heard };
--- a/crates/gateway/src/discovery/ordered.rs
+++ b/crates/gateway/src/discovery/ordered.rs
@@ -3,14 +3,17 @@
 
 use std::time::Duration;
 
-use cold_start::Came;
-use fleet::wire::{Ask, FirstCall, FirstCame, Numbered, Say, Starting, MAX_LINE_BYTES, MAX_START_LIST_BYTES};
+use cold_start::PollOutcome;
+use fleet::wire::{
+    Envelope, FirstCallOutcome, FirstCallReport, StartInstructions, ToolRequest, ToolResponse,
+    MAX_LINE_BYTES, MAX_START_LIST_BYTES,
+};
 use fleet::Name;
 use operator_config::Address;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
-use transport::Dialer;
+use transport::Connector;
 
 use crate::listing::List;
 
@@ -24,7 +27,7 @@
 #[derive(Clone)]
 pub struct Ordering {
     pub agent: Address,
-    pub dialer: Dialer,
+    pub dialer: Connector,
     pub name: Name,
     /// The gateway's process.
     pub boot: u64,
@@ -41,7 +44,7 @@
 
 /// What the first call came to, after so long, and the list where it was to be fetched.
 pub struct First {
-    pub came: Came,
+    pub came: PollOutcome,
     pub took: Duration,
     pub fetched: Option<(u64, String)>,
 }
@@ -92,24 +95,26 @@
     };
     let Ok(First { came, took, fetched }) = first else { return };
     let came = match came {
-        Came::News | Came::Same => FirstCame::Told,
-        Came::TurnedAway(_) => FirstCame::TurnedAway,
-        Came::Silent => FirstCame::Silent,
-        Came::Older | Came::Broken => FirstCame::Failed,
+        PollOutcome::Updated | PollOutcome::Unchanged => FirstCallOutcome::Answered,
+        PollOutcome::Rejected(_) => FirstCallOutcome::Rejected,
+        PollOutcome::TimedOut => FirstCallOutcome::TimedOut,
+        PollOutcome::OlderVersion | PollOutcome::Failed => FirstCallOutcome::Failed,
     };
     let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
-    let call = FirstCall { came, took_ms: took.as_secs_f64() * 1_000.0, list };
+    let call = FirstCallReport { outcome: came, took_ms: took.as_secs_f64() * 1_000.0, list };
     let Ordering { name, boot, .. } = ordering.clone();
     // Without it the agent goes by what others tell it.
-    let _ = ask(&ordering, Ask::Started { name, boot, call }).await;
+    let _ = ask(&ordering, ToolRequest::Started { name, incarnation: boot, call }).await;
 }
 
 /// Asks until there is a turn, or nothing to wait for.
 async fn line_up(ordering: &Ordering, mut held: Option<u64>, say: mpsc::Sender<Told>) -> Result<(), String> {
     loop {
         let Ordering { name, boot, gateways, .. } = ordering.clone();
-        let said = ask(ordering, Ask::Start { name, boot, gateways, held }).await?;
-        let Say::Starting(Starting { call_in_ms, fetch, ask_in_ms, list }) = said else {
+        let said =
+            ask(ordering, ToolRequest::Start { name, incarnation: boot, gateways, held_version: held })
+                .await?;
+        let ToolResponse::Starting(StartInstructions { call_in_ms, fetch, ask_in_ms, list }) = said else {
             return Err("it answered something else".to_string());
         };
         let list = list.and_then(|text| List::read(text.as_bytes()).ok()).filter(|list| list.snapshot);
@@ -131,13 +136,13 @@
     }
 }
 
-async fn ask(ordering: &Ordering, body: Ask) -> Result<Say, String> {
+async fn ask(ordering: &Ordering, body: ToolRequest) -> Result<ToolResponse, String> {
     let asked = async {
         let lines = ordering.dialer.connect(&ordering.agent, ANSWER, MAX_LINE_BYTES).await;
         let mut lines = lines.map_err(|e| e.to_string())?;
-        lines.send(&Numbered { n: 1, body }).await.map_err(|e| e.to_string())?;
-        match lines.next::<Numbered<Say>>().await.map_err(|e| e.to_string())? {
-            Some(Numbered { body: Say::Fault(fault), .. }) => Err(fault.message),
+        lines.send(&Envelope { request_id: 1, body }).await.map_err(|e| e.to_string())?;
+        match lines.next::<Envelope<ToolResponse>>().await.map_err(|e| e.to_string())? {
+            Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(fault.message),
             Some(said) => Ok(said.body),
             None => Err("it ended the connection".to_string()),
         }
--- a/crates/gateway/src/discovery/paced.rs
+++ b/crates/gateway/src/discovery/paced.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cold_start::{Calendar, Call, Calls, Came};
-use gateway_policy::interface::ListScope;
+use cold_start::{Poll, PollOutcome, PollSchedule, SlotSchedule};
+use gateway_policy::interface::UpdateScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
@@ -32,12 +32,13 @@
 pub async fn follow<T: From<News>>(
     agent: SocketAddr,
     index: Option<u64>,
-    calendar: Calendar,
+    calendar: SlotSchedule,
     clock: Clock,
     ordering: Option<Ordering>,
     inbox: mpsc::Sender<T>,
 ) {
-    let (mut calls, mut held) = (Calls::new(calendar), Held { agent, index, line: None, unreadable: false });
+    let (mut calls, mut held) =
+        (PollSchedule::new(calendar), Held { agent, index, line: None, unreadable: false });
     let mut turns = ordering.map(|ordering| Turns::start(ordering, index));
     loop {
         let (mut call, mut fetch) = (calls.next(clock.now_ms()), false);
@@ -54,7 +55,7 @@
                     }
                 }
                 Told::Turn { fetch: wanted } => {
-                    let Some(now) = calls.first_now(clock.now_ms()) else { continue };
+                    let Some(now) = calls.start_now(clock.now_ms()) else { continue };
                     (call, fetch) = (now, wanted);
                     break;
                 }
@@ -63,8 +64,8 @@
         if calls.missed(call, clock.now_ms()) {
             continue;
         }
-        let (came, news) = held.call(call, clock.instant(call.until_ms), fetch).await;
-        calls.came(clock.now_ms(), came);
+        let (came, news) = held.call(call, clock.instant(call.timeout_at_ms), fetch).await;
+        calls.poll_ended(clock.now_ms(), came);
         if let Some(turns) = turns.as_mut().filter(|turns| turns.wants()) {
             let took = Duration::from_secs_f64((clock.now_ms() - call.at_ms).max(0.0) / 1_000.0);
             let fetched = news.as_ref().filter(|_| fetch).and_then(|news| news.text(held.index?));
@@ -89,18 +90,18 @@
             return None;
         }
         self.index = Some(list.index);
-        Some(News { scope: ListScope::Cached, endpoints: list.endpoints, unsaid: Vec::new() })
+        Some(News { scope: UpdateScope::Cached, endpoints: list.endpoints, unsaid: Vec::new() })
     }
 
     /// One call, until it is given up; for the whole list if that is wanted.
-    async fn call(&mut self, call: Call, until: Instant, whole: bool) -> (Came, Option<News>) {
+    async fn call(&mut self, call: Poll, until: Instant, whole: bool) -> (PollOutcome, Option<News>) {
         // A connection is kept from call to call as long as it stands.
         let kept = self.line.take().filter(|line| !line.is_closed());
         let mut line = match kept {
             Some(line) => line,
             None => match Line::open(self.agent, CONNECT).await {
                 Some(line) => line,
-                None => return (Came::Broken, None),
+                None => return (PollOutcome::Failed, None),
             },
         };
         let changed = self.index.filter(|_| !whole).map(|i| (i, call.wait));
@@ -109,34 +110,34 @@
                 (self.line, self.unreadable) = (Some(line), false);
                 self.take(list)
             }
-            Ok(Got::TurnedAway(told)) => (Came::TurnedAway(told), None),
+            Ok(Got::TurnedAway(told)) => (PollOutcome::Rejected(told), None),
             Ok(Got::Unreadable(why)) => {
                 // Said once, as it is asked for again until it can be read.
                 if !std::mem::replace(&mut self.unreadable, true) {
                     tracing::warn!("discovery: {why}; the list held stays in force");
                 }
                 self.index = None;
-                (Came::Broken, None)
+                (PollOutcome::Failed, None)
             }
             // Danger: another service at the address, with versions of its own. The list is asked for anew.
             Ok(Got::Lost) => {
                 self.index = None;
-                (Came::Broken, None)
+                (PollOutcome::Failed, None)
             }
-            Err(_) => (Came::Silent, None),
+            Err(_) => (PollOutcome::TimedOut, None),
         }
     }
 
-    fn take(&mut self, list: List) -> (Came, Option<News>) {
+    fn take(&mut self, list: List) -> (PollOutcome, Option<News>) {
         name_wrong("discovery", &list);
         // Danger: a service that began anew, whose changes would be read as those of the list held.
         if !list.snapshot && self.index.is_some_and(|held| list.index < held) {
             self.index = None;
-            return (Came::Older, None);
+            return (PollOutcome::OlderVersion, None);
         }
-        let came = if self.index == Some(list.index) { Came::Same } else { Came::News };
+        let came = if self.index == Some(list.index) { PollOutcome::Unchanged } else { PollOutcome::Updated };
         self.index = Some(list.index);
-        let scope = if list.snapshot { ListScope::Full } else { ListScope::Delta };
+        let scope = if list.snapshot { UpdateScope::Full } else { UpdateScope::Delta };
         let unsaid = list.unsaid();
         (came, Some(News { scope, endpoints: list.endpoints, unsaid }))
     }
@@ -155,6 +156,6 @@
         assert!(held.known(list(5)).is_some());
         assert!(held.known(list(5)).is_none() && held.known(list(4)).is_none());
         assert_eq!(held.index, Some(5));
-        assert!(held.known(list(6)).is_some_and(|news| news.scope == ListScope::Cached));
+        assert!(held.known(list(6)).is_some_and(|news| news.scope == UpdateScope::Cached));
     }
 }
--- a/crates/gateway/src/driver/opening.rs
+++ b/crates/gateway/src/driver/opening.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use cold_start::{Openings, Stage};
-use gateway_policy::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
+use cold_start::{ConnectionRamp, RampStage};
+use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, Outcome, UpdateScope};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::time::delay_queue;
@@ -15,22 +15,22 @@
 
 /// Which backends are open, and the lines of those that wait for their turn.
 pub struct Opening {
-    openings: Openings,
+    openings: ConnectionRamp,
     /// The last line of each that waits, as the decisions get it when it is open.
-    held_back: HashMap<u32, BackendEntry>,
+    held_back: HashMap<u32, BackendEndpoint>,
     /// The timer of the next turn, and its moment, Unix time in ms.
     timer: Option<(delay_queue::Key, f64)>,
     /// What was said last of how far it has come.
-    stage: Stage,
+    stage: RampStage,
     /// Whether there is a backend to send to, or it is sure that the list names none.
     reached: watch::Sender<bool>,
 }
 
 impl Opening {
     /// With whether there is a backend to send to.
-    pub fn new(openings: Openings) -> (Opening, watch::Receiver<bool>) {
+    pub fn new(openings: ConnectionRamp) -> (Opening, watch::Receiver<bool>) {
         let (reached, told) = watch::channel(false);
-        (Opening { openings, held_back: HashMap::new(), timer: None, stage: Stage::Empty, reached }, told)
+        (Opening { openings, held_back: HashMap::new(), timer: None, stage: RampStage::Empty, reached }, told)
     }
 
     /// The list held is the one that there is.
@@ -40,26 +40,26 @@
 
     /// Backends on the list that the decisions may not have yet.
     pub fn waiting(&self) -> usize {
-        self.openings.waiting()
+        self.openings.waiting_count()
     }
 }
 
 impl Driver {
     /// Makes drains of the lines of backends that wait for their turn.
-    pub(super) fn hold_back(&mut self, scope: ListScope, entries: &mut [BackendEntry]) {
+    pub(super) fn hold_back(&mut self, scope: UpdateScope, entries: &mut [BackendEndpoint]) {
         let Some(Opening { openings, held_back, .. }) = &mut self.opening else { return };
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
-            openings.keep_only(|id| named.contains(&id));
+            openings.retain(|id| named.contains(&id));
             held_back.retain(|id, _| named.contains(id));
         }
         for entry in entries {
-            if entry.state != Readiness::Ready {
-                openings.gone(entry.id);
+            if entry.state != EndpointState::Ready {
+                openings.remove(entry.id);
                 held_back.remove(&entry.id);
-            } else if !openings.listed(entry.id, entry.key, entry.cold_from_ms()) {
+            } else if !openings.add(entry.id, entry.key, entry.slow_start_from_ms()) {
                 held_back.insert(entry.id, entry.clone());
-                entry.state = Readiness::Draining;
+                entry.state = EndpointState::Draining;
             }
         }
     }
@@ -71,17 +71,17 @@
         let Some(opening) = &mut self.opening else { return };
         opening.openings.choose(now, out);
         let released = opening.openings.release(now);
-        let entries: Vec<BackendEntry> =
+        let entries: Vec<BackendEndpoint> =
             released.iter().filter_map(|id| opening.held_back.remove(id)).collect();
         if !entries.is_empty() {
-            self.handle(Event::Backends { scope: ListScope::Delta, entries: &entries });
+            self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
         }
         let Some(opening) = &mut self.opening else { return };
         let (stage, open) = (opening.openings.stage(), opening.openings.open());
         if std::mem::replace(&mut opening.stage, stage) != stage {
-            tracing::info!("start: {stage}; {open} backends open, {} wait", opening.openings.waiting());
+            tracing::info!("start: {stage}; {open} backends open, {} wait", opening.openings.waiting_count());
         }
-        let none_listed = stage == Stage::Empty && opening.openings.confirmed();
+        let none_listed = stage == RampStage::Empty && opening.openings.confirmed();
         if open > 0 || none_listed {
             opening.reached.send_if_modified(|was| !std::mem::replace(was, true));
         }
@@ -111,7 +111,8 @@
             let now = self.clock.now_ms();
             let Some(opening) = &mut self.opening else { return };
             let Some(backend) = opening.openings.due(now) else { break };
-            let Some(life_ms) = opening.held_back.get(&backend).map(BackendEntry::cold_from_ms) else {
+            let Some(life_ms) = opening.held_back.get(&backend).map(BackendEndpoint::slow_start_from_ms)
+            else {
                 continue;
             };
             self.probe(backend, Purpose::FirstConnection { life_ms });
@@ -122,13 +123,13 @@
     /// Takes in what a first connection came to. The decisions have a backend from its first answer on.
     pub(super) fn tried(&mut self, backend: u32, life_ms: f64, reply: &Reply) {
         // One that is full answers.
-        let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Full, _));
+        let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Rejected, _));
         let now = self.clock.now_ms();
         let Some(opening) = &mut self.opening else { return };
-        if opening.openings.tried(now, backend, life_ms, answered) {
+        if opening.openings.first_connection_ended(now, backend, life_ms, answered) {
             self.backends.opened(backend, Instant::now());
             if let Some(entry) = opening.held_back.remove(&backend) {
-                self.handle(Event::Backends { scope: ListScope::Delta, entries: &[entry] });
+                self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
             }
         }
         self.settle_opening();
@@ -140,7 +141,7 @@
         match reply {
             Reply::Served(..) => self.backends.answered(backend, Instant::now()),
             Reply::Failed(Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout, _) => {
-                opening.openings.fault();
+                opening.openings.record_failure();
                 self.arm_opening();
             }
             Reply::Failed(..) => {}
--- a/crates/gateway/src/driver/overseen.rs
+++ b/crates/gateway/src/driver/overseen.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use fleet::wire::{
-    Applied, BackendState, Code, Fault, Figures, GatewayAsk, GatewaySay, GatewayState, Verdict,
-    MAX_ORDERS_PER_REQUEST,
+    Applied, BackendState, ErrorCode, ErrorResponse, GatewayRequest, GatewayResponse, GatewayState,
+    GatewayStatistics, OrderResult, MAX_ORDERS_PER_REQUEST,
 };
-use fleet::{Desired, OrderId, Subject};
+use fleet::{DesiredState, OrderId, Subject};
 use gateway_policy::interface::SettingsError;
-use gateway_policy::reload::Terms;
+use gateway_policy::reload::ServiceSettings;
 use gateway_policy::BackendView;
-use maintenance::Book;
+use maintenance::MaintenanceState;
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
@@ -27,9 +27,9 @@
 /// What operators want of this gateway, and what only the rest of the program knows of it.
 #[derive(Debug)]
 pub struct Overseen {
-    pub desired: Desired,
+    pub desired: DesiredState,
     /// What calls at the second address left in force.
-    pub book: Book,
+    pub book: MaintenanceState,
     name: String,
     /// New with each start, below 2^53.
     boot: u64,
@@ -42,32 +42,32 @@
 
 impl Overseen {
     pub fn new(name: String, boot: u64, clients: TaskTracker, drained: watch::Sender<bool>) -> Self {
-        let (desired, book, last_order) = (Desired::default(), Book::default(), None);
+        let (desired, book, last_order) = (DesiredState::default(), MaintenanceState::default(), None);
         Overseen { desired, book, name, boot, last_order, clients, drained }
     }
 }
 
 impl Driver {
     /// Does what is asked, and says what became of it.
-    pub(super) fn asked(&mut self, ask: GatewayAsk) -> GatewaySay {
+    pub(super) fn asked(&mut self, ask: GatewayRequest) -> GatewayResponse {
         match ask {
-            GatewayAsk::State { backends } => GatewaySay::State(self.state(backends)),
-            GatewayAsk::Inflight { subject } => GatewaySay::Inflight(self.in_flight(&subject)),
-            GatewayAsk::Apply { orders } if orders.len() > MAX_ORDERS_PER_REQUEST => {
+            GatewayRequest::State { backends } => GatewayResponse::State(self.state(backends)),
+            GatewayRequest::Inflight { subject } => GatewayResponse::Inflight(self.in_flight(&subject)),
+            GatewayRequest::Apply { orders } if orders.len() > MAX_ORDERS_PER_REQUEST => {
                 let message = format!("{} orders at once; {MAX_ORDERS_PER_REQUEST} at most", orders.len());
-                GatewaySay::Fault(Fault::new(Code::BadRequest, message))
+                GatewayResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, message))
             }
-            GatewayAsk::Apply { orders } => {
+            GatewayRequest::Apply { orders } => {
                 let mut verdicts = Vec::with_capacity(orders.len());
                 for order in &orders {
                     let outcome = self.overseen.desired.apply(order);
                     self.overseen.last_order = Some(order.id.clone());
                     let matched = self.matched(&order.subject);
-                    verdicts.push(Verdict { id: order.id.clone(), outcome, matched });
+                    verdicts.push(OrderResult { id: order.id.clone(), outcome, matched });
                 }
                 self.ordered(verdicts)
             }
-            GatewayAsk::Adopt { snapshot } => {
+            GatewayRequest::Adopt { snapshot } => {
                 self.overseen.desired.adopt(&snapshot);
                 self.ordered(Vec::new())
             }
@@ -83,9 +83,9 @@
                 self.others(others);
                 let _ = say.send(());
             }
-            Order::Untold { say } => drop(say.send(self.gateway.untold())),
+            Order::Untold { say } => drop(say.send(self.gateway.take_unreported_charges())),
             Order::TakeOver { untold, say } => {
-                self.gateway.take_over(self.clock.now_ms(), &untold);
+                self.gateway.adopt_unreported_charges(self.clock.now_ms(), &untold);
                 let _ = say.send(());
             }
             Order::Change { terms, say } => drop(say.send(self.change(&terms))),
@@ -99,26 +99,26 @@
     /// Leaves other processes of this gateway their shares.
     pub fn others(&mut self, others: usize) {
         let processes = u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1);
-        self.gateway.share_with(self.clock.now_ms(), processes);
+        self.gateway.set_process_count(self.clock.now_ms(), processes);
         self.parts.iter_mut().for_each(|part| part.share(processes as usize));
     }
 
     /// Goes by new settings, as far as they may change in service.
-    fn change(&mut self, new: &Terms) -> Result<(), SettingsError> {
+    fn change(&mut self, new: &ServiceSettings) -> Result<(), SettingsError> {
         let (now, held) = (self.clock.now_ms(), Arc::clone(&self.terms.borrow()));
         let longest = held.settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         // Danger: a request that was read, and did not come here yet, with a class that has its place by
         // then.
         let free = |place: usize| {
             let since = self.dropped.get(&place).copied().unwrap_or(now);
-            now - since > longest + READ_MS && !self.gateway.holds_class(place)
+            now - since > longest + READ_MS && !self.gateway.has_request_of_class(place)
         };
-        let terms = held.changed(new, free)?;
+        let terms = held.reloaded(new, free)?;
         let name = |place: usize| terms.names.classes.get(place)?.as_ref();
         let before = |place| held.names.classes.iter().position(|n| n.is_some() && n.as_ref() == name(place));
-        self.gateway.change(terms.settings.clone(), before);
-        self.dropped.retain(|place, _| terms.settings.classes[*place].dropped);
-        for (place, _) in terms.settings.classes.iter().enumerate().filter(|(_, c)| c.dropped) {
+        self.gateway.update_settings(terms.settings.clone(), before);
+        self.dropped.retain(|place, _| terms.settings.classes[*place].retired);
+        for (place, _) in terms.settings.classes.iter().enumerate().filter(|(_, c)| c.retired) {
             self.dropped.entry(place).or_insert(now);
         }
         let connect = Duration::from_secs_f64(terms.settings.limits.connect_timeout_ms / 1000.0);
@@ -128,7 +128,7 @@
     }
 
     /// Puts a book in force if it is newer than the one that is.
-    pub fn adopt(&mut self, book: Book) {
+    pub fn adopt(&mut self, book: MaintenanceState) {
         if book.newer_than(self.overseen.book.revision()) {
             self.overseen.book = book;
             self.want();
@@ -140,7 +140,7 @@
         let wanted = Wanted { desired: &self.overseen.desired, book: &self.overseen.book };
         let lines = self.roster.reorder(wanted, &self.names.zones);
         if !lines.is_empty() {
-            self.lines(gateway_policy::interface::ListScope::Delta, lines);
+            self.lines(gateway_policy::interface::UpdateScope::Delta, lines);
         }
         let overseen = &self.overseen;
         let drained = overseen.desired.gateway_drained(&overseen.name).is_some()
@@ -149,10 +149,10 @@
     }
 
     /// Carries out what the orders have changed, before anybody is told that they were taken in.
-    fn ordered(&mut self, verdicts: Vec<Verdict>) -> GatewaySay {
+    fn ordered(&mut self, verdicts: Vec<OrderResult>) -> GatewayResponse {
         self.want();
         let (boot, holds) = (self.overseen.boot, self.overseen.desired.revision());
-        GatewaySay::Applied(Applied { boot, holds, verdicts })
+        GatewayResponse::Applied(Applied { incarnation: boot, applied_revision: holds, results: verdicts })
     }
 
     fn matched(&self, subject: &Subject) -> u32 {
@@ -181,27 +181,27 @@
         let mut out: HashMap<u32, u64> = HashMap::new();
         self.attempts.values().for_each(|a| *out.entry(a.backend).or_default() += 1);
         let mut rows: Vec<BackendState> = Vec::new();
-        let (forgotten, forgotten_units) = self.gateway.forgotten();
-        let mut figures = Figures {
-            waiting: self.opening.as_ref().map_or(0, |o| o.waiting() as u32),
+        let (forgotten, forgotten_units) = self.gateway.evictions();
+        let mut figures = GatewayStatistics {
+            awaiting_connection: self.opening.as_ref().map_or(0, |o| o.waiting() as u32),
             requests: self.open.len() as u64,
             in_flight: self.attempts.len() as u64,
             idle_connections: self.backends.idle() as u32,
             client_connections: self.overseen.clients.len() as u32,
-            customers: self.gateway.customers() as u64,
-            forgotten,
-            forgotten_units: forgotten_units.ceil() as u64,
-            ..Figures::default()
+            customers: self.gateway.customer_count() as u64,
+            evicted_customers: forgotten,
+            evicted_units: forgotten_units.ceil() as u64,
+            ..GatewayStatistics::default()
         };
         for row in self.roster.rows() {
             let (e, view) = (&row.endpoint, seen.get(&row.number));
             let (serving, drained_by) = (matches!(e.status, Status::Serving), row.effect.drained_by.clone());
-            let (ejected, warmth) = view.map_or((false, 1.0), |b| (b.ejected, b.warmth));
+            let (ejected, warmth) = view.map_or((false, 1.0), |b| (b.ejected, b.capacity_fraction));
             figures.listed += 1;
             figures.serving += u32::from(serving);
             figures.drained += u32::from(drained_by.is_some() || row.banned_ms.is_some());
             figures.ejected += u32::from(ejected);
-            figures.cold += u32::from(warmth < 1.0);
+            figures.warming_up += u32::from(warmth < 1.0);
             if backends {
                 rows.push(BackendState {
                     name: e.name.clone(),
@@ -214,7 +214,7 @@
                     banned_ms: row.banned_ms,
                     weight: row.effect.weight,
                     ejected,
-                    warmth,
+                    capacity_fraction: warmth,
                     in_flight: out.get(&row.number).copied().unwrap_or(0),
                 });
             }
@@ -224,13 +224,13 @@
         GatewayState {
             name: overseen.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_string(),
-            boot: overseen.boot,
-            holds: overseen.desired.revision(),
+            incarnation: overseen.boot,
+            applied_revision: overseen.desired.revision(),
             last_order: overseen.last_order.clone(),
             drained_by: overseen.desired.gateway_drained(&overseen.name).cloned(),
             drained_ms: overseen.book.drained_ms(),
-            list: self.roster.changes(),
-            figures,
+            list_version: self.roster.changes(),
+            statistics: figures,
             backends: backends.then_some(rows),
         }
     }
--- a/crates/gateway/src/folder.rs
+++ b/crates/gateway/src/folder.rs
@@ -85,7 +85,7 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(format!("{}: {e}", path.display())),
         };
-        checksummed::open(kind, &bytes).map(Some).map_err(|e| format!("{}: {e}", path.display()))
+        checksummed::decode(kind, &bytes).map(Some).map_err(|e| format!("{}: {e}", path.display()))
     }
 
     /// Writes a state of a kind: whoever reads it finds the old one or this one, never a part.
@@ -93,7 +93,7 @@
     /// # Errors
     /// What the file system says; the old one stays.
     pub fn write<T: Serialize>(&self, kind: &str, state: &T) -> Result<(), String> {
-        let bytes = checksummed::seal(kind, state).map_err(|e| format!("{kind}: {e}"))?;
+        let bytes = checksummed::encode(kind, state).map_err(|e| format!("{kind}: {e}"))?;
         let (part, path) = (self.path.join(format!("{kind}.{}", self.boot)), self.path.join(kind));
         let written = fs::write(&part, bytes).and_then(|()| fs::rename(&part, &path));
         written.map_err(|e| format!("{}: {e}", path.display()))
@@ -116,7 +116,7 @@
             let fits = fs::metadata(&mine).is_ok_and(|m| m.len() <= MAX_STATE_BYTES);
             let bytes = if fits { fs::read(&mine).unwrap_or_default() } else { Vec::new() };
             let _ = fs::remove_file(&mine);
-            match checksummed::open(kind, &bytes) {
+            match checksummed::decode(kind, &bytes) {
                 Ok(state) => all.push(state),
                 Err(e) => tracing::warn!("{}: {e}; what it held is lost", file.path().display()),
             }
@@ -129,7 +129,7 @@
     /// # Errors
     /// What the file system says.
     pub fn leave<T: Serialize>(&self, kind: &str, state: &T) -> Result<(), String> {
-        let bytes = checksummed::seal(kind, state).map_err(|e| format!("{kind}: {e}"))?;
+        let bytes = checksummed::encode(kind, state).map_err(|e| format!("{kind}: {e}"))?;
         let (part, path) =
             (self.path.join(format!("part.{}", self.boot)), self.path.join(format!("{kind}-{}", self.boot)));
         let written = fs::write(&part, bytes).and_then(|()| fs::rename(&part, &path));
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use fleet::wire::{GatewayAsk, GatewaySay};
+use fleet::wire::{GatewayRequest, GatewayResponse};
 use tokio::sync::oneshot;
 
 use crate::backends::{Connection, Reply};
@@ -67,8 +67,8 @@
     Due(Due),
     /// An operator, or the agent, asks.
     Asked {
-        ask: GatewayAsk,
-        say: oneshot::Sender<GatewaySay>,
+        ask: GatewayRequest,
+        say: oneshot::Sender<GatewayResponse>,
     },
     /// The gateway is told to end: what comes from now on has to be answered by a moment, Unix time in ms.
     Ending {
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gateway_policy::interface::Untold;
-use maintenance::{Book, Call, Done};
+use gateway_policy::interface::UnreportedCharge;
+use maintenance::{Command, CommandOutcome, MaintenanceState};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
@@ -28,13 +28,13 @@
 const LOCK_TRIES: u32 = 40;
 const LOCK_PAUSE: Duration = Duration::from_millis(5);
 
-fn written(u: Untold) -> Charge {
-    (u.customer, u.plan as u64, u.width, u.units)
+fn written(u: UnreportedCharge) -> Charge {
+    (u.customer, u.plan as u64, u.fan_out, u.units)
 }
 
-fn read((customer, plan, width, units): Charge) -> Untold {
+fn read((customer, plan, width, units): Charge) -> UnreportedCharge {
     // A plan that no settings have is passed over by the decisions.
-    Untold { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), width, units }
+    UnreportedCharge { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), fan_out: width, units }
 }
 
 /// How far this process is.
@@ -63,7 +63,7 @@
 
 /// A call, and where its answer goes.
 pub struct Told {
-    pub call: Call,
+    pub call: Command,
     pub say: oneshot::Sender<Answer>,
 }
 
@@ -73,7 +73,7 @@
 /// Carries calls out.
 pub struct Keeper {
     folder: Option<Folder>,
-    book: Book,
+    book: MaintenanceState,
     clock: Clock,
     /// For so long after a return a backend may be cold, ms.
     warm_up_ms: f64,
@@ -92,7 +92,7 @@
         stage: Stage,
         driver: mpsc::Sender<Order>,
     ) -> Keeper {
-        let (book, wrong) = (Book::default(), String::new());
+        let (book, wrong) = (MaintenanceState::default(), String::new());
         let mut keeper = Keeper { folder, book, clock, warm_up_ms, stage, driver, wrong };
         keeper.reread();
         keeper
@@ -106,7 +106,7 @@
     }
 
     /// What is in force now.
-    pub fn book(&self) -> Book {
+    pub fn book(&self) -> MaintenanceState {
         self.book.clone()
     }
 
@@ -158,7 +158,7 @@
     async fn take_over(&self) {
         let left = self.folder.as_ref().map(|folder| folder.claim::<Vec<Charge>>(UNTOLD)).unwrap_or_default();
         for untold in left {
-            let untold: Vec<Untold> = untold.into_iter().map(read).collect();
+            let untold: Vec<UnreportedCharge> = untold.into_iter().map(read).collect();
             tracing::info!("{} customers' charges taken over from a process that ended", untold.len());
             let (say, said) = oneshot::channel();
             if self.driver.send(Order::TakeOver { untold, say }).await.is_ok() {
@@ -187,7 +187,7 @@
     /// read, and bans that are forgotten for it. What is held stays in force.
     fn reread(&mut self) -> bool {
         let Some(folder) = &self.folder else { return false };
-        match folder.read::<Book>(BOOK) {
+        match folder.read::<MaintenanceState>(BOOK) {
             Ok(Some(book)) if book.newer_than(self.book.revision()) => {
                 self.book = book;
                 self.wrong.clear();
@@ -218,12 +218,12 @@
 
     async fn take(&mut self, Told { call, say }: Told) {
         let answer = match &call {
-            Call::Ready => self.ready().await,
+            Command::Ready => self.ready().await,
             call => self.change(call).await,
         };
         // Danger: a yes that another process of this gateway does not act by yet.
         let others = self.folder.as_ref().map_or(Ok(Vec::new()), Folder::others);
-        if call != Call::Ready && answer.is_ok() && others.is_ok_and(|others| !others.is_empty()) {
+        if call != Command::Ready && answer.is_ok() && others.is_ok_and(|others| !others.is_empty()) {
             tokio::spawn(async move {
                 sleep(SPREAD).await;
                 let _ = say.send(answer);
@@ -250,18 +250,18 @@
         }
     }
 
-    async fn change(&mut self, call: &Call) -> Answer {
+    async fn change(&mut self, call: &Command) -> Answer {
         let listed = match call {
-            Call::Disable(id) | Call::Enable(id) => self.lists(id).await,
+            Command::Disable(id) | Command::Enable(id) => self.lists(id).await,
             _ => true,
         };
         let lock = self.lock().await?;
         self.reread();
         let now = self.clock.now_ms();
         let mut book = self.book.clone();
-        let done = book.carry_out(call, listed, now).map_err(|e| e.to_string())?;
-        book.forget_returns(now - self.warm_up_ms);
-        if done == Done::Changed {
+        let done = book.execute(call, listed, now).map_err(|e| e.to_string())?;
+        book.forget_reenabled(now - self.warm_up_ms);
+        if done == CommandOutcome::Changed {
             if let Some(folder) = &self.folder {
                 folder
                     .write(BOOK, &book)
@@ -275,15 +275,17 @@
             return Err("ending".to_string());
         }
         let said = match (call, &done) {
-            (Call::Disable(id), Done::Changed) => format!("nothing more goes to {id}"),
-            (Call::Disable(id), Done::Held) => format!("{id} was banned already"),
-            (Call::Enable(id), Done::Changed) => format!("{id} is used again, as one that has just started"),
-            (Call::Enable(id), Done::Held) => format!("{id} was not banned"),
-            (Call::Drain, Done::Changed) => "draining".to_string(),
-            (Call::Drain, Done::Held) => "was drained already".to_string(),
-            (Call::Undrain, Done::Changed) => "clients are taken again".to_string(),
-            (Call::Undrain, Done::Held) => "was not drained".to_string(),
-            (Call::Ready, _) => String::new(),
+            (Command::Disable(id), CommandOutcome::Changed) => format!("nothing more goes to {id}"),
+            (Command::Disable(id), CommandOutcome::AlreadyInForce) => format!("{id} was banned already"),
+            (Command::Enable(id), CommandOutcome::Changed) => {
+                format!("{id} is used again, as one that has just started")
+            }
+            (Command::Enable(id), CommandOutcome::AlreadyInForce) => format!("{id} was not banned"),
+            (Command::Drain, CommandOutcome::Changed) => "draining".to_string(),
+            (Command::Drain, CommandOutcome::AlreadyInForce) => "was drained already".to_string(),
+            (Command::Undrain, CommandOutcome::Changed) => "clients are taken again".to_string(),
+            (Command::Undrain, CommandOutcome::AlreadyInForce) => "was not drained".to_string(),
+            (Command::Ready, _) => String::new(),
         };
         Ok(said)
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -35,7 +35,7 @@
 
 use std::path::{Path, PathBuf};
 
-use operator_config::Operator;
+use operator_config::OperatorConfig;
 
 /// Serves by the configuration that `GW_CONFIG` names until SIGTERM has been carried out. Where `operator`
 /// names an operator's file with an `[admin]` section, operators can order and look from there; its
@@ -46,7 +46,7 @@
 pub fn run(operator: Option<&Path>) -> Result<(), String> {
     // Fails only where a log is set up already.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-    let operator = operator.map(Operator::read).transpose().map_err(|e| e.to_string())?;
+    let operator = operator.map(OperatorConfig::read).transpose().map_err(|e| e.to_string())?;
     let path = PathBuf::from(std::env::var_os("GW_CONFIG").ok_or("GW_CONFIG: missing")?);
     let config = config::Config::read(&path).map_err(|e| e.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use gateway_policy::interface::Readiness;
+use gateway_policy::interface::EndpointState;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -49,12 +49,12 @@
     Deleted,
 }
 
-impl From<Status> for Readiness {
+impl From<Status> for EndpointState {
     fn from(status: Status) -> Self {
         match status {
-            Status::Serving => Readiness::Ready,
-            Status::Draining => Readiness::Draining,
-            Status::Deleted => Readiness::Gone,
+            Status::Serving => EndpointState::Ready,
+            Status::Draining => EndpointState::Draining,
+            Status::Deleted => EndpointState::Removed,
         }
     }
 }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use maintenance::{Call, MAX_LINE_BYTES};
+use maintenance::{Command, MAX_LINE_BYTES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit, Semaphore};
@@ -93,8 +93,8 @@
 }
 
 async fn answer(text: &[u8], caller: SocketAddr, keeper: &mpsc::Sender<Told>) -> Answer {
-    let call = Call::read(text).map_err(|e| e.to_string())?;
-    let changes = call != Call::Ready;
+    let call = Command::read(text).map_err(|e| e.to_string())?;
+    let changes = call != Command::Ready;
     let shown = call.to_string();
     let (say, said) = oneshot::channel();
     let asked = async {
--- a/crates/gateway/src/resp.rs
+++ b/crates/gateway/src/resp.rs
@@ -3,8 +3,8 @@
 use std::ops::RangeInclusive;
 
 use bytes::{Bytes, BytesMut};
-use gateway_policy::interface::{Effect, Settings};
-use gateway_policy::settings::Names;
+use gateway_policy::interface::{Idempotency, Settings};
+use gateway_policy::settings::SettingNames;
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::encode::extend_encode;
 use redis_protocol::resp2::types::BytesFrame;
@@ -218,7 +218,7 @@
 
 impl Command {
     /// Reads a client's command by the names of the settings.
-    pub fn read(frame: BytesFrame, settings: &Settings, names: &Names) -> Result<Command, Unknown> {
+    pub fn read(frame: BytesFrame, settings: &Settings, names: &SettingNames) -> Result<Command, Unknown> {
         let BytesFrame::Array(words) = frame else { return Err(Unknown("a command is an array")) };
         let words = words.into_iter().map(|word| match word {
             BytesFrame::BulkString(bytes) => Ok(bytes),
@@ -251,9 +251,9 @@
                 "d" => wait = whole(value, 1..=MAX_WAIT_MS).map(|ms| (ms, value)),
                 "k" => key = !value.is_empty(),
                 "r" => retry = value == "1",
-                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_units),
-                "spread" => spread = whole(value, 1..=settings.gateways),
-                "first" => first = whole(value, 0..=settings.gateways - 1),
+                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_request_units),
+                "spread" => spread = whole(value, 1..=settings.gateway_count),
+                "first" => first = whole(value, 0..=settings.gateway_count - 1),
                 _ => {}
             }
         }
@@ -265,10 +265,10 @@
         first.ok_or(Unknown("bad first"))?;
         let settings = &settings.classes[class];
         // Danger: a command that says safe of a class that is not, which a backend might run twice.
-        if (settings.effect == Effect::Safe) == write {
+        if (settings.idempotency == Idempotency::Idempotent) == write {
             return Err(Unknown("wrong command for the class"));
         }
-        if settings.effect == Effect::Keyed && !key {
+        if settings.idempotency == Idempotency::Keyed && !key {
             return Err(Unknown("no idempotency key"));
         }
         // Nobody waits longer than the class allows.
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use fleet::{Desired, Effect, Subject};
-use gateway_policy::interface::{BackendEntry, Readiness};
-use maintenance::Book;
+use fleet::{DesiredState, EffectiveState, Subject};
+use gateway_policy::interface::{BackendEndpoint, EndpointState};
+use maintenance::MaintenanceState;
 
 use crate::listing::{Endpoint, Status};
 
@@ -13,8 +13,8 @@
 /// takes work only where neither holds it out.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
-    pub desired: &'a Desired,
-    pub book: &'a Book,
+    pub desired: &'a DesiredState,
+    pub book: &'a MaintenanceState,
 }
 
 /// A backend on the list.
@@ -25,7 +25,7 @@
     /// The last that discovery told.
     pub endpoint: Endpoint,
     /// What orders make of it.
-    pub effect: Effect,
+    pub effect: EffectiveState,
     /// Since when a call bans it, Unix time in ms.
     pub banned_ms: Option<f64>,
     /// When a call gave it back, Unix time in ms; 0 for never.
@@ -36,8 +36,8 @@
     /// Looks anew at what operators want of it; tells whether that is something else.
     fn want(&mut self, wanted: Wanted<'_>) -> bool {
         let e = &self.endpoint;
-        let effect = wanted.desired.effect(&e.name, e.group, &e.kind);
-        let (banned, returned) = (wanted.book.banned_ms(&e.name), wanted.book.returned_ms(&e.name));
+        let effect = wanted.desired.effective_state(&e.name, e.group, &e.kind);
+        let (banned, returned) = (wanted.book.banned_ms(&e.name), wanted.book.reenabled_ms(&e.name));
         // A return that is forgotten is one of a backend that is warm.
         let other = effect != self.effect || banned != self.banned_ms || returned > self.returned_ms;
         (self.effect, self.banned_ms) = (effect, banned);
@@ -67,7 +67,12 @@
 
     /// Takes a line of discovery's in, and gives the one that the decisions are to have; `None` for a
     /// backend that is gone and was not known.
-    pub fn take(&mut self, endpoint: Endpoint, wanted: Wanted<'_>, zones: &[String]) -> Option<BackendEntry> {
+    pub fn take(
+        &mut self,
+        endpoint: Endpoint,
+        wanted: Wanted<'_>,
+        zones: &[String],
+    ) -> Option<BackendEndpoint> {
         let name = endpoint.name.clone();
         self.changes += 1;
         match self.rows.get_mut(&name) {
@@ -78,7 +83,7 @@
             None if matches!(endpoint.status, Status::Deleted) => return None,
             None => {
                 self.last += 1;
-                let (effect, number) = (Effect { drained_by: None, weight: 1.0 }, self.last);
+                let (effect, number) = (EffectiveState { drained_by: None, weight: 1.0 }, self.last);
                 let mut row = Row { number, endpoint, effect, banned_ms: None, returned_ms: 0.0 };
                 row.want(wanted);
                 self.rows.insert(name.clone(), Box::new(row));
@@ -88,7 +93,7 @@
     }
 
     /// What the decisions have of a backend, with its address.
-    pub fn held(&self, name: &str, zones: &[String]) -> Option<(BackendEntry, SocketAddr)> {
+    pub fn held(&self, name: &str, zones: &[String]) -> Option<(BackendEndpoint, SocketAddr)> {
         self.rows.get(name).map(|row| (self.entry(row, zones), row.endpoint.address))
     }
 
@@ -110,7 +115,7 @@
     }
 
     /// Works out anew what operators make of the list. Gives the lines that the decisions are to have.
-    pub fn reorder(&mut self, wanted: Wanted<'_>, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    pub fn reorder(&mut self, wanted: Wanted<'_>, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut changed = Vec::new();
         for (name, row) in &mut self.rows {
             if row.want(wanted) {
@@ -129,7 +134,7 @@
     }
 
     /// All lines, if the list has changed so that all shares have; else none.
-    pub fn reshare(&mut self, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    pub fn reshare(&mut self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         if self.weigh() {
             self.all(zones)
         } else {
@@ -137,7 +142,7 @@
         }
     }
 
-    fn all(&self, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    fn all(&self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut all: Vec<_> =
             self.rows.values().map(|row| (self.entry(row, zones), row.endpoint.address)).collect();
         all.sort_unstable_by_key(|(entry, _)| entry.id);
@@ -153,16 +158,16 @@
     }
 
     /// The line of a backend for the decisions. Discovery's DRAINING and DELETED win over every order.
-    fn entry(&self, row: &Row, zones: &[String]) -> BackendEntry {
+    fn entry(&self, row: &Row, zones: &[String]) -> BackendEndpoint {
         let endpoint = &row.endpoint;
         let zone = zones.iter().position(|z| *z == endpoint.zone);
-        let state = match Readiness::from(endpoint.status) {
-            Readiness::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
-                Readiness::Draining
+        let state = match EndpointState::from(endpoint.status) {
+            EndpointState::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
+                EndpointState::Draining
             }
             told => told,
         };
-        BackendEntry {
+        BackendEndpoint {
             id: row.number,
             state,
             cell: endpoint.group,
@@ -171,9 +176,9 @@
             key: hash(&endpoint.name),
             kind: hash(&endpoint.kind) as u32,
             started_ms: endpoint.since_ms,
-            returned_ms: row.returned_ms,
+            reenabled_ms: row.returned_ms,
             weight: endpoint.weight,
-            share: (row.effect.weight / self.greatest).min(1.0),
+            weight_share: (row.effect.weight / self.greatest).min(1.0),
         }
     }
 
@@ -211,49 +216,52 @@
         Endpoint { name: name.to_string(), address, zone, kind, group: 3, status, weight: 1.0, since_ms: 0.0 }
     }
 
-    fn order(desired: &mut Desired, seq: u64, subject: &str, change: Change) {
+    fn order(desired: &mut DesiredState, seq: u64, subject: &str, change: Change) {
         let (id, revision) = (format!("o{seq}").parse().expect("an id"), Revision { term: 1, seq });
         desired.apply(&Order { id, revision, subject: subject.parse().expect("one"), change });
     }
 
-    fn only(desired: &Desired) -> Wanted<'_> {
-        static NONE: std::sync::OnceLock<Book> = std::sync::OnceLock::new();
-        Wanted { desired, book: NONE.get_or_init(Book::default) }
+    fn only(desired: &DesiredState) -> Wanted<'_> {
+        static NONE: std::sync::OnceLock<MaintenanceState> = std::sync::OnceLock::new();
+        Wanted { desired, book: NONE.get_or_init(MaintenanceState::default) }
     }
 
-    fn state(roster: &Roster, name: &str) -> Readiness {
+    fn state(roster: &Roster, name: &str) -> EndpointState {
         roster.entry(&roster.rows[name], &[]).state
     }
 
     #[test]
     fn discovery_wins_over_an_undrain_and_an_order_over_serving() {
-        let (mut roster, mut desired) = (Roster::new(), Desired::default());
+        let (mut roster, mut desired) = (Roster::new(), DesiredState::default());
         order(&mut desired, 1, "a", Change::Drain);
         order(&mut desired, 2, "b", Change::Undrain);
         roster.take(endpoint("a", Status::Serving), only(&desired), &[]);
         roster.take(endpoint("b", Status::Draining), only(&desired), &[]);
-        assert_eq!((state(&roster, "a"), state(&roster, "b")), (Readiness::Draining, Readiness::Draining));
+        assert_eq!(
+            (state(&roster, "a"), state(&roster, "b")),
+            (EndpointState::Draining, EndpointState::Draining)
+        );
         order(&mut desired, 3, "a", Change::Undrain);
         let changed = roster.reorder(only(&desired), &[]);
         assert_eq!(changed.len(), 1);
-        assert_eq!(state(&roster, "a"), Readiness::Ready);
+        assert_eq!(state(&roster, "a"), EndpointState::Ready);
         // Ordered by its group, one that comes later is drained from the first.
         order(&mut desired, 4, "group/3", Change::Drain);
         roster.take(endpoint("c", Status::Serving), only(&desired), &[]);
-        assert_eq!(state(&roster, "c"), Readiness::Draining);
+        assert_eq!(state(&roster, "c"), EndpointState::Draining);
         roster.take(endpoint("c", Status::Deleted), only(&desired), &[]);
-        assert_eq!(state(&roster, "c"), Readiness::Gone);
+        assert_eq!(state(&roster, "c"), EndpointState::Removed);
     }
 
     #[test]
     fn shares_are_weights_over_the_greatest() {
-        let (mut roster, mut desired) = (Roster::new(), Desired::default());
+        let (mut roster, mut desired) = (Roster::new(), DesiredState::default());
         for name in ["a", "b", "c"] {
             roster.take(endpoint(name, Status::Serving), only(&desired), &[]);
         }
         order(&mut desired, 1, "a", Change::Weight(0.5));
         assert_eq!(roster.reorder(only(&desired), &[]).len(), 1);
-        let share = |roster: &Roster, name: &str| roster.entry(&roster.rows[name], &[]).share;
+        let share = |roster: &Roster, name: &str| roster.entry(&roster.rows[name], &[]).weight_share;
         assert_eq!((share(&roster, "a"), share(&roster, "b")), (0.5, 1.0));
         order(&mut desired, 2, "b", Change::Weight(4.0));
         let changed = roster.reorder(only(&desired), &[]);
@@ -264,7 +272,7 @@
 
     #[test]
     fn a_number_is_never_used_again() {
-        let (mut roster, desired) = (Roster::new(), Desired::default());
+        let (mut roster, desired) = (Roster::new(), DesiredState::default());
         let first = roster.take(endpoint("a", Status::Serving), only(&desired), &[]).map(|e| e.id);
         roster.keep_only(|_| false);
         assert!(roster.take(endpoint("a", Status::Deleted), only(&desired), &[]).is_none());
@@ -274,18 +282,19 @@
 
     #[test]
     fn a_ban_holds_through_another_life_and_a_return_is_cold() {
-        let (mut roster, desired, mut book) = (Roster::new(), Desired::default(), Book::default());
-        let call = |line: &str| maintenance::Call::read(line.as_bytes()).expect("a call");
+        let (mut roster, desired, mut book) =
+            (Roster::new(), DesiredState::default(), MaintenanceState::default());
+        let call = |line: &str| maintenance::Command::read(line.as_bytes()).expect("a call");
         roster.take(endpoint("a", Status::Serving), only(&desired), &[]);
-        book.carry_out(&call("DISABLE a"), true, 5.0).expect("it is listed");
+        book.execute(&call("DISABLE a"), true, 5.0).expect("it is listed");
         assert_eq!(roster.reorder(Wanted { desired: &desired, book: &book }, &[]).len(), 1);
-        assert_eq!(state(&roster, "a"), Readiness::Draining);
+        assert_eq!(state(&roster, "a"), EndpointState::Draining);
         let again = Endpoint { since_ms: 7.0, ..endpoint("a", Status::Serving) };
         roster.take(again, Wanted { desired: &desired, book: &book }, &[]);
-        assert_eq!(state(&roster, "a"), Readiness::Draining);
-        book.carry_out(&call("ENABLE a"), true, 9.0).expect("it is banned");
+        assert_eq!(state(&roster, "a"), EndpointState::Draining);
+        book.execute(&call("ENABLE a"), true, 9.0).expect("it is banned");
         let changed = roster.reorder(Wanted { desired: &desired, book: &book }, &[]);
-        assert_eq!(changed[0].0.state, Readiness::Ready);
-        assert_eq!((changed[0].0.started_ms, changed[0].0.cold_from_ms()), (7.0, 9.0));
+        assert_eq!(changed[0].0.state, EndpointState::Ready);
+        assert_eq!((changed[0].0.started_ms, changed[0].0.slow_start_from_ms()), (7.0, 9.0));
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cold_start::{Allowance, Calendar, Calls, Openings};
-use gateway_policy::interface::{ListScope, Routing};
-use gateway_policy::Gateway;
-use operator_config::{Admin, Operator};
+use cold_start::{CallBudget, ConnectionRamp, PollSchedule, SlotSchedule};
+use gateway_policy::interface::{Routing, UpdateScope};
+use gateway_policy::Policy;
+use operator_config::{AdminConfig, OperatorConfig};
 use routing::Subset;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::{AbortOnDropHandle, TaskTracker};
-use transport::Dialer;
+use transport::Connector;
 
 use crate::admin;
 use crate::backends::Backends;
@@ -108,7 +108,7 @@
             tracing::warn!("SIGHUP: {e}; the old configuration stays");
             continue;
         }
-        let restart = config.terms.need_restart(&new.terms);
+        let restart = config.terms.sections_needing_restart(&new.terms);
         tracing::info!("SIGHUP: the new configuration is in force");
         if !restart.is_empty() {
             tracing::warn!("SIGHUP: {} differ and need a restart", restart.join("; "));
@@ -159,15 +159,15 @@
 }
 
 /// Serves until SIGTERM has been carried out.
-pub async fn serve(mut config: Config, path: PathBuf, operator: Operator) -> Result<(), String> {
+pub async fn serve(mut config: Config, path: PathBuf, operator: OperatorConfig) -> Result<(), String> {
     let Config { listen, management, peers, seed, sockets, memory_mb, .. } = config;
     let (name, mut terms) = (config.name.clone(), config.terms.clone());
     let known = std::mem::replace(&mut config.known, List::empty());
     let settings = &mut terms.settings;
-    let Operator { admin, routing, start, .. } = operator;
-    let operator_config::Routing { whole, choices, subset, coverage } = routing;
-    settings.routing = Routing { whole, choices, subset, coverage };
-    settings.customers = Gateway::customers_in((memory_mb << 20) / RECORDS_PART);
+    let OperatorConfig { admin, routing, start, .. } = operator;
+    let operator_config::RoutingConfig { whole, choices, subset, coverage } = routing;
+    settings.routing = Routing { scan_all_up_to: whole, choices, subset_size: subset, coverage };
+    settings.max_customers = Policy::customers_fitting((memory_mb << 20) / RECORDS_PART);
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
     let mut terminate = signal(SignalKind::terminate()).map_err(failed("SIGTERM"))?;
     let hangup = signal(SignalKind::hangup()).map_err(failed("SIGHUP"))?;
@@ -184,7 +184,7 @@
     }
     let places = places / 2;
     let listener = clients_socket(listen).await?;
-    let gateway = Gateway::new(settings.clone(), seed, clock.now_ms()).map_err(|e| e.to_string())?;
+    let gateway = Policy::new(settings.clone(), seed, clock.now_ms()).map_err(|e| e.to_string())?;
 
     let (inbox, mut queue) = mpsc::channel(INBOX);
     let wait = Duration::from_secs_f64(settings.counter_timeout_ms / 1000.0);
@@ -196,8 +196,8 @@
     let overseen = Overseen::new(name.clone(), boot, tasks.clone(), drain);
     let (asks, bytes) = (inbox.clone(), Arc::clone(&room));
     let warm_up_ms = settings.slow_start.warm_up_ms;
-    let (me, gateways) = (settings.me, settings.gateways);
-    let stop_within = Duration::from_secs_f64((settings.stop_sending_ms / 1000.0).min(60.0));
+    let (me, gateways) = (settings.gateway_index, settings.gateway_count);
+    let stop_within = Duration::from_secs_f64((settings.drain_grace_ms / 1000.0).min(60.0));
     let (changes, terms) = watch::channel(Arc::new(terms));
     let bytes_most = (memory_mb << 20) / ROOM_PART;
     let passing = Arc::new(Semaphore::new(bytes_most));
@@ -210,10 +210,11 @@
     ];
     let per_s = start.and_then(|start| start.backend_connections_per_s);
     let calls = start.and_then(|start| start.counter_calls_per_s);
-    let allowance = calls.map(|per_s| Allowance::new(me, gateways, per_s, clock.now_ms()));
+    let allowance = calls.map(|per_s| CallBudget::new(me, gateways, per_s, clock.now_ms()));
     let subset_of_home = Subset::new(me, gateways, subset, coverage);
-    let openings = per_s.map(|per_s| Openings::new(me, gateways, subset_of_home, per_s, clock.now_ms()));
-    let first_backend = openings.as_ref().map(Openings::first_within);
+    let openings =
+        per_s.map(|per_s| ConnectionRamp::new(me, gateways, subset_of_home, per_s, clock.now_ms()));
+    let first_backend = openings.as_ref().map(ConnectionRamp::first_timeout);
     openings.iter().for_each(|openings| backends.grow_after(openings.round()));
     let (opening, reached) = openings.map(Opening::new).unzip();
     let around = Around {
@@ -240,21 +241,21 @@
     tokio::spawn(keeper.run(called, ended));
     // Danger: each start of a large fleet asks for the whole list, of which it has all but the last changes.
     let index = Some(known.index).filter(|_| !known.endpoints.is_empty());
-    let calendar = start.map(|start| Calendar::new(me, gateways, start.list_calls_per_s));
+    let calendar = start.map(|start| SlotSchedule::new(me, gateways, start.list_calls_per_s));
     let slots = calendar.map(|calendar| (calendar, clock));
     let held = Known { index, gateways, stop_within, seed, slots };
     // Ready with the list as it is now, if it is told soon; with none at all that is worth a longer wait.
     let first = match (index, calendar) {
         (Some(_), _) => FIRST_NEWS,
         (None, None) => FIRST_LIST,
-        (None, Some(calendar)) => Calls::new(calendar).first_within(),
+        (None, Some(calendar)) => PollSchedule::new(calendar).first_timeout(),
     };
     discovery::name_wrong("known", &known);
     let unsaid = Vec::new();
-    driver.take(Input::List(News { scope: ListScope::Cached, endpoints: known.endpoints, unsaid }));
+    driver.take(Input::List(News { scope: UpdateScope::Cached, endpoints: known.endpoints, unsaid }));
     let ordering = match admin.as_ref().filter(|_| start.is_some_and(|start| start.ordered_by_agent)) {
-        Some(Admin { agent: Some(agent), tls, .. }) => {
-            let dialer = Dialer::new(tls.as_ref()).map_err(|e| format!("admin: {e}"))?;
+        Some(AdminConfig { agent: Some(agent), tls, .. }) => {
+            let dialer = Connector::new(tls.as_ref()).map_err(|e| format!("admin: {e}"))?;
             let name = name.parse().map_err(|e| format!("to ask for a turn: {e}"))?;
             Some(Ordering { agent: agent.clone(), dialer, name, boot, gateways })
         }
@@ -304,7 +305,7 @@
         println!("admin on {at}");
         if let Some(agent) = admin.agent {
             let named = name.parse().map_err(|e| format!("to register: {e}"))?;
-            let dialer = Dialer::new(admin.tls.as_ref()).map_err(|e| format!("admin: {e}"))?;
+            let dialer = Connector::new(admin.tls.as_ref()).map_err(|e| format!("admin: {e}"))?;
             tokio::spawn(admin::register(agent, named, at, dialer));
         }
         tokio::spawn(admin::serve(listener, inbox.clone()));
--- a/crates/gatewayctl/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use fleet::wire::{Ask, Numbered, Say, MAX_LINE_BYTES};
+use fleet::wire::{Envelope, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use fleet::{Change, Health};
 use operator_config::Address;
 use testbed::backend::{Backend, Spec};
@@ -22,7 +22,7 @@
 use testbed::platform;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::time::sleep;
-use transport::{Dialer, Lines};
+use transport::{Connector, JsonLines};
 
 type Any = Box<dyn Error + Send + Sync>;
 
@@ -76,36 +76,43 @@
     Ok(field(11).ok_or("no utime")? + field(12).ok_or("no stime")?)
 }
 
-async fn connect(at: &Address) -> Result<Lines, Any> {
-    Ok(Dialer::default().connect(at, Duration::from_secs(5), MAX_LINE_BYTES).await?)
+async fn connect(at: &Address) -> Result<JsonLines, Any> {
+    Ok(Connector::default().connect(at, Duration::from_secs(5), MAX_LINE_BYTES).await?)
 }
 
 /// Orders once; gives how long it took until it was written down, and until all gateways had it, ms.
-async fn order(lines: &mut Lines, id: String, backend: usize, drain: bool) -> Result<(f64, f64, u32), Any> {
+async fn order(
+    lines: &mut JsonLines,
+    id: String,
+    backend: usize,
+    drain: bool,
+) -> Result<(f64, f64, u32), Any> {
     let begun = Instant::now();
     let change = if drain { Change::Drain } else { Change::Undrain };
     let subject = format!("till-{backend}").parse()?;
-    let body = Ask::Order { id: id.parse()?, subject, change, forced: true, deadline_ms: 30_000 };
-    lines.send(&Numbered { n: 1, body }).await?;
+    let body = ToolRequest::Order { id: id.parse()?, subject, change, forced: true, deadline_ms: 30_000 };
+    lines.send(&Envelope { request_id: 1, body }).await?;
     let (mut written, ms) = (0.0, |begun: Instant| begun.elapsed().as_secs_f64() * 1000.0);
     loop {
-        match lines.next::<Numbered<Say>>().await?.ok_or("the agent left")?.body {
-            Say::Accepted(_) => written = ms(begun),
-            Say::Done(done) => return Ok((written, ms(begun), done.failed)),
-            Say::Fault(fault) => return Err(fault.message.into()),
+        match lines.next::<Envelope<ToolResponse>>().await?.ok_or("the agent left")?.body {
+            ToolResponse::Accepted(_) => written = ms(begun),
+            ToolResponse::Done(done) => return Ok((written, ms(begun), done.failed)),
+            ToolResponse::Error(fault) => return Err(fault.message.into()),
             _ => {}
         }
     }
 }
 
 /// Waits until all gateways are well; gives how long that took.
-async fn well(lines: &mut Lines, gateways: usize) -> Result<Duration, Any> {
+async fn well(lines: &mut JsonLines, gateways: usize) -> Result<Duration, Any> {
     let begun = Instant::now();
     loop {
-        lines.send(&Numbered { n: 1, body: Ask::Status { backends: false } }).await?;
-        if let Say::Status(s) = lines.next::<Numbered<Say>>().await?.ok_or("the agent left")?.body {
-            let listed = |g: &&fleet::wire::MemberState| {
-                g.health == Health::Ok && g.state.as_ref().is_some_and(|s| s.figures.listed > 0)
+        lines.send(&Envelope { request_id: 1, body: ToolRequest::Status { backends: false } }).await?;
+        if let ToolResponse::Status(s) =
+            lines.next::<Envelope<ToolResponse>>().await?.ok_or("the agent left")?.body
+        {
+            let listed = |g: &&fleet::wire::GatewayStatus| {
+                g.health == Health::Ok && g.state.as_ref().is_some_and(|s| s.statistics.listed > 0)
             };
             if s.gateways.iter().filter(listed).count() == gateways {
                 return Ok(begun.elapsed());
--- a/crates/gatewayctl/src/call.rs
+++ b/crates/gatewayctl/src/call.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use maintenance::Call;
+use maintenance::Command;
 use serde::Serialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -30,13 +30,13 @@
 }
 
 impl GatewayCall {
-    fn parts(self) -> (Call, At) {
+    fn parts(self) -> (Command, At) {
         match self {
-            GatewayCall::Ready(at) => (Call::Ready, at),
-            GatewayCall::Disable { id, at } => (Call::Disable(id), at),
-            GatewayCall::Enable { id, at } => (Call::Enable(id), at),
-            GatewayCall::Drain(at) => (Call::Drain, at),
-            GatewayCall::Undrain(at) => (Call::Undrain, at),
+            GatewayCall::Ready(at) => (Command::Ready, at),
+            GatewayCall::Disable { id, at } => (Command::Disable(id), at),
+            GatewayCall::Enable { id, at } => (Command::Enable(id), at),
+            GatewayCall::Drain(at) => (Command::Drain, at),
+            GatewayCall::Undrain(at) => (Command::Undrain, at),
         }
     }
 }
@@ -46,7 +46,7 @@
     let (call, At { at, deadline }) = call.parts();
     // Danger: an id that is read as two words, or ends the line.
     let line = call.to_string();
-    if Call::read(line.as_bytes()).as_ref() != Ok(&call) {
+    if Command::read(line.as_bytes()).as_ref() != Ok(&call) {
         return Err(Failure::Usage("an id holds no spaces and no line ends".to_string()));
     }
     let mut asked = JoinSet::new();
--- a/crates/gatewayctl/src/check.rs
+++ b/crates/gatewayctl/src/check.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 
-use operator_config::{BadFile, Operator};
+use operator_config::{OperatorConfig, OperatorConfigError};
 use serde_json::json;
 
 use crate::agent::print;
@@ -75,13 +75,13 @@
 }
 
 fn operator(file: &Path, text: &str) -> Vec<Wrong> {
-    match Operator::parse(file, text) {
+    match OperatorConfig::parse(file, text) {
         Ok(_) => Vec::new(),
-        Err(BadFile::Values(_, all)) => all
+        Err(OperatorConfigError::Values(_, all)) => all
             .into_iter()
             .map(|(key, problem)| Wrong { line: lines::of_toml(text, &key), key, problem })
             .collect(),
-        Err(BadFile::Toml(_, said)) => {
+        Err(OperatorConfigError::Toml(_, said)) => {
             // The library's text: where it is, the line itself, and at the end what is wrong.
             let line = said.split("line ").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok());
             let problem = said.lines().last().unwrap_or_default().to_string();
@@ -89,7 +89,7 @@
             let key = key.split(['=', '#']).next().unwrap_or_default().trim().to_string();
             vec![Wrong { line, key, problem }]
         }
-        Err(BadFile::Unreadable(_, e)) => {
+        Err(OperatorConfigError::Unreadable(_, e)) => {
             vec![Wrong { line: None, key: "file".to_string(), problem: e.to_string() }]
         }
     }
--- a/crates/gatewayctl/src/exit.rs
+++ b/crates/gatewayctl/src/exit.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use fleet::wire::{Code, Fault};
+use fleet::wire::{ErrorCode, ErrorResponse};
 
 /// What the codes mean, for the help and the man page.
 pub const CODES: &str = "Exit codes:
@@ -26,7 +26,7 @@
     /// Not by every gateway; which and why was told.
     Partly,
     /// Refused, and nothing was changed.
-    Refused(Fault),
+    Refused(ErrorResponse),
     /// Refused by each gateway that was called; why was told.
     Turned,
     /// The agent can't be reached, or left too early.
@@ -40,7 +40,8 @@
             Failure::Broken(_) | Failure::Told => 1,
             Failure::Usage(_) => 2,
             Failure::Partly => 3,
-            Failure::Refused(Fault { code: Code::Unavailable | Code::Log, .. }) | Failure::Agent(_) => 5,
+            Failure::Refused(ErrorResponse { code: ErrorCode::Unavailable | ErrorCode::Log, .. })
+            | Failure::Agent(_) => 5,
             Failure::Refused(_) | Failure::Turned => 4,
         })
     }
--- a/crates/gatewayctl/src/look.rs
+++ b/crates/gatewayctl/src/look.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fleet::wire::{Ask, Logged, MemberState, Say, Status as Seen};
+use fleet::wire::{FleetStatus as Seen, GatewayStatus, LoggedOrder, ToolRequest, ToolResponse};
 use fleet::{Health, Register, Value};
 use operator_config::Address;
 use serde_json::json;
@@ -20,9 +20,9 @@
 /// Shows all gateways. Ends well only if each of them is well.
 pub async fn status(address: &Address, args: &Status, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
-    agent.ask(Ask::Status { backends: args.backends }).await?;
+    agent.ask(ToolRequest::Status { backends: args.backends }).await?;
     let mut seen = match agent.hear(RESPONSE_TIMEOUT).await? {
-        Say::Status(seen) => seen,
+        ToolResponse::Status(seen) => seen,
         other => return Err(odd(&other)),
     };
     if args.backends {
@@ -44,13 +44,13 @@
 async fn backends(agent: &mut Agent, seen: &mut Seen) -> Result<(), Failure> {
     loop {
         match agent.hear(RESPONSE_TIMEOUT).await? {
-            Say::Backends(one) => {
+            ToolResponse::Backends(one) => {
                 let gateway = seen.gateways.iter_mut().find(|g| g.name == one.gateway);
                 if let (Some(gateway), Ok(state)) = (gateway, one.state) {
                     gateway.state = Some(state);
                 }
             }
-            Say::Done(_) => return Ok(()),
+            ToolResponse::Done(_) => return Ok(()),
             other => return Err(odd(&other)),
         }
     }
@@ -94,7 +94,7 @@
                 b.kind.clone(),
                 state.to_string(),
                 b.weight.to_string(),
-                format!("{:.2}", b.warmth),
+                format!("{:.2}", b.capacity_fraction),
                 b.in_flight.to_string(),
                 order,
             ]);
@@ -104,26 +104,26 @@
     out(&table(&head, &rows));
 }
 
-fn gateway(g: &MemberState) -> Vec<String> {
-    let mut row = vec![g.name.clone(), g.health.to_string(), g.holds.to_string()];
-    row.push(g.heard_ms_ago.map_or("never".to_string(), |ms| format!("{} ago", ago(ms))));
+fn gateway(g: &GatewayStatus) -> Vec<String> {
+    let mut row = vec![g.name.clone(), g.health.to_string(), g.applied_revision.to_string()];
+    row.push(g.last_seen_ms_ago.map_or("never".to_string(), |ms| format!("{} ago", ago(ms))));
     match &g.state {
         None => row.extend(std::iter::repeat_n("-".to_string(), 6)),
         Some(state) => {
-            let f = &state.figures;
+            let f = &state.statistics;
             let ready = f.serving.saturating_sub(f.drained).saturating_sub(f.ejected);
             row.push(format!("{ready}/{}", f.listed));
-            row.extend([f.drained, f.ejected, f.cold].map(|n| n.to_string()));
+            row.extend([f.drained, f.ejected, f.warming_up].map(|n| n.to_string()));
             row.push(f.requests.to_string());
             row.push(f.client_connections.to_string());
         }
     }
     row.push(match &g.health {
-        Health::Unreachable { why } => why.clone(),
+        Health::Unreachable { reason: why } => why.clone(),
         _ if g.state.as_ref().is_some_and(|s| s.drained_by.is_some()) => "drained by order".to_string(),
         _ if g.state.as_ref().is_some_and(|s| s.drained_ms.is_some()) => "drained by call".to_string(),
-        _ if g.state.as_ref().is_some_and(|s| s.figures.waiting > 0) => {
-            let waiting = g.state.as_ref().map_or(0, |s| s.figures.waiting);
+        _ if g.state.as_ref().is_some_and(|s| s.statistics.awaiting_connection > 0) => {
+            let waiting = g.state.as_ref().map_or(0, |s| s.statistics.awaiting_connection);
             format!("{waiting} backends wait for their first connection")
         }
         _ if g.restarts > 0 => format!("started anew {} times", g.restarts),
@@ -144,16 +144,16 @@
 /// Shows the newest orders.
 pub async fn orders(address: &Address, most: usize, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
-    agent.ask(Ask::Orders { most }).await?;
+    agent.ask(ToolRequest::Orders { limit: most }).await?;
     let all = match agent.hear(RESPONSE_TIMEOUT).await? {
-        Say::Orders(all) => all,
+        ToolResponse::Orders(all) => all,
         other => return Err(odd(&other)),
     };
     if output == Output::Json {
         return all.iter().try_for_each(print);
     }
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let row = |l: &Logged| {
+    let row = |l: &LoggedOrder| {
         let forced = if l.forced { "forced" } else { "" };
         let when = format!("{} ago", ago((now.as_millis() as u64).saturating_sub(l.at_ms)));
         vec![
@@ -173,11 +173,11 @@
 /// Shows every change.
 pub async fn watch(address: &Address, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
-    agent.ask(Ask::Watch).await?;
+    agent.ask(ToolRequest::Watch).await?;
     loop {
         match agent.hear(WATCH_IDLE_TIMEOUT).await? {
-            Say::Event(line) if output == Output::Json => print(&json!({"event": line}))?,
-            Say::Event(line) => out(&format!("{line}\n")),
+            ToolResponse::Event(line) if output == Output::Json => print(&json!({"event": line}))?,
+            ToolResponse::Event(line) => out(&format!("{line}\n")),
             other => return Err(odd(&other)),
         }
     }
--- a/crates/gatewayctl/src/members.rs
+++ b/crates/gatewayctl/src/members.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fleet::wire::{Ask, Say};
+use fleet::wire::{ToolRequest, ToolResponse};
 use operator_config::Address;
 use serde_json::json;
 
@@ -18,14 +18,16 @@
     let mut agent = Agent::connect(address).await?;
     let (ask, name, what) = match command {
         Gateways::Add { name, address } => {
-            (Ask::Register { name: name.clone(), address: address.to_string() }, name, "overseen")
+            (ToolRequest::Register { name: name.clone(), address: address.to_string() }, name, "overseen")
+        }
+        Gateways::Remove { name } => {
+            (ToolRequest::Deregister { name: name.clone() }, name, "overseen no more")
         }
-        Gateways::Remove { name } => (Ask::Deregister { name: name.clone() }, name, "overseen no more"),
     };
     agent.ask(ask).await?;
     match agent.hear(RESPONSE_TIMEOUT).await? {
-        Say::Done(_) if output == Output::Json => print(&json!({"gateway": name, "is": what})),
-        Say::Done(_) => {
+        ToolResponse::Done(_) if output == Output::Json => print(&json!({"gateway": name, "is": what})),
+        ToolResponse::Done(_) => {
             out(&format!("gateway {name} is {what}\n"));
             Ok(())
         }
--- a/crates/gatewayctl/src/orders.rs
+++ b/crates/gatewayctl/src/orders.rs
@@ -3,8 +3,8 @@
 use std::io::IsTerminal;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use fleet::wire::{Accepted, Ask, Did, Done, Instance, Say};
-use fleet::{Change, OrderId, Outcome, Subject};
+use fleet::wire::{InstanceOutcome, InstanceReport, OrderAccepted, OrderSummary, ToolRequest, ToolResponse};
+use fleet::{ApplyOutcome, Change, OrderId, Subject};
 use operator_config::Address;
 use serde_json::json;
 use tokio::time::sleep;
@@ -48,7 +48,7 @@
     how: &How,
     output: Output,
 ) -> Result<(), Failure> {
-    fleet::BadOrder::of(subject, change).map_err(|e| Failure::Usage(e.to_string()))?;
+    fleet::InvalidOrder::of(subject, change).map_err(|e| Failure::Usage(e.to_string()))?;
     let id = match &how.id {
         Some(id) => id.clone(),
         None => new_id()?,
@@ -56,7 +56,9 @@
     let mut agent = Agent::connect(address).await?;
     let deadline_ms = how.deadline.as_millis() as u64;
     let (subject, forced) = (subject.clone(), how.force);
-    agent.ask(Ask::Order { id: id.clone(), subject: subject.clone(), change, forced, deadline_ms }).await?;
+    agent
+        .ask(ToolRequest::Order { id: id.clone(), subject: subject.clone(), change, forced, deadline_ms })
+        .await?;
     // Danger: an order that was written down, and whose caller doesn't know. The same id asks for it again.
     let again = |failure| match failure {
         Failure::Agent(text) => Failure::Agent(format!("{text}; ask again with --id {id}")),
@@ -72,28 +74,31 @@
     let unsettled = left.as_ref().is_some_and(|left| left.iter().any(|i| !idle(i)));
     if output == Output::Json {
         print(&json!({"id": id, "subject": subject, "change": change, "accepted": accepted,
-                      "instances": instances, "done": done.done, "failed": done.failed,
+                      "instances": instances, "done": done.succeeded, "failed": done.failed,
                       "in_flight": left}))?;
     }
     if done.failed > 0 || unsettled {
         if output == Output::Table {
-            eprintln!("gatewayctl: {} of {} gateways did it", done.done, done.done + done.failed);
+            eprintln!("gatewayctl: {} of {} gateways did it", done.succeeded, done.succeeded + done.failed);
         }
         return Err(Failure::Partly);
     }
     Ok(())
 }
 
-async fn hear(agent: &mut Agent, most: Duration) -> Result<(Accepted, Vec<Instance>, Done), Failure> {
+async fn hear(
+    agent: &mut Agent,
+    most: Duration,
+) -> Result<(OrderAccepted, Vec<InstanceReport>, OrderSummary), Failure> {
     let accepted = match agent.hear(most).await? {
-        Say::Accepted(accepted) => accepted,
+        ToolResponse::Accepted(accepted) => accepted,
         other => return Err(odd(&other)),
     };
     let mut instances = Vec::new();
     loop {
         match agent.hear(most).await? {
-            Say::Instance(instance) => instances.push(instance),
-            Say::Done(done) => {
+            ToolResponse::Instance(instance) => instances.push(instance),
+            ToolResponse::Done(done) => {
                 instances.sort_by(|a, b| a.gateway.cmp(&b.gateway));
                 return Ok((accepted, instances, done));
             }
@@ -102,20 +107,26 @@
     }
 }
 
-fn rows(instances: &[Instance]) -> Vec<Vec<String>> {
-    let row = |i: &Instance| {
-        let (did, matched, took) = match &i.did {
-            Did::Answered { outcome, matched, took_ms } => {
+fn rows(instances: &[InstanceReport]) -> Vec<Vec<String>> {
+    let row = |i: &InstanceReport| {
+        let (did, matched, took) = match &i.outcome {
+            InstanceOutcome::Answered { outcome, matched, took_ms } => {
                 let did = match outcome {
-                    Outcome::Applied => "applied".to_string(),
-                    Outcome::Superseded(by) => format!("superseded by {by}"),
-                    Outcome::Refused(why) => format!("refused: {why}"),
+                    ApplyOutcome::Applied => "applied".to_string(),
+                    ApplyOutcome::Superseded(by) => format!("superseded by {by}"),
+                    ApplyOutcome::Rejected(why) => format!("refused: {why}"),
                 };
                 (did, matched.map_or("-".to_string(), |n| n.to_string()), format!("{took_ms:.1} ms"))
             }
-            Did::Counted { in_flight } => (format!("{in_flight} in flight"), "-".to_string(), String::new()),
-            Did::Unreachable { why } => (format!("UNREACHABLE: {why}"), "-".to_string(), String::new()),
-            Did::Late => ("LATE: no answer in time".to_string(), "-".to_string(), String::new()),
+            InstanceOutcome::InFlight { in_flight } => {
+                (format!("{in_flight} in flight"), "-".to_string(), String::new())
+            }
+            InstanceOutcome::Unreachable { reason: why } => {
+                (format!("UNREACHABLE: {why}"), "-".to_string(), String::new())
+            }
+            InstanceOutcome::TimedOut => {
+                ("LATE: no answer in time".to_string(), "-".to_string(), String::new())
+            }
         };
         vec![i.gateway.clone(), did, matched, took]
     };
@@ -123,8 +134,11 @@
 }
 
 /// Whether a gateway is known to have nothing in flight, or can't be asked.
-fn idle(instance: &Instance) -> bool {
-    matches!(instance.did, Did::Counted { in_flight: 0 } | Did::Unreachable { .. })
+fn idle(instance: &InstanceReport) -> bool {
+    matches!(
+        instance.outcome,
+        InstanceOutcome::InFlight { in_flight: 0 } | InstanceOutcome::Unreachable { .. }
+    )
 }
 
 /// Waits until nothing is in flight at the subject on any gateway that can be reached, or the time is over.
@@ -134,19 +148,19 @@
     subject: &Subject,
     how: &How,
     output: Output,
-) -> Result<Vec<Instance>, Failure> {
+) -> Result<Vec<InstanceReport>, Failure> {
     let (until, mut told) = (Instant::now() + how.wait_most, String::new());
     let live = std::io::stderr().is_terminal();
     loop {
         let deadline_ms = how.deadline.as_millis() as u64;
-        agent.ask(Ask::Inflight { subject: subject.clone(), deadline_ms }).await?;
+        agent.ask(ToolRequest::Inflight { subject: subject.clone(), deadline_ms }).await?;
         let all = match agent.hear(how.deadline + MORE).await? {
-            Say::Inflight(all) => all,
+            ToolResponse::Inflight(all) => all,
             other => return Err(odd(&other)),
         };
-        let one = |i: &Instance| match &i.did {
-            Did::Counted { in_flight } => format!("{} {in_flight}", i.gateway),
-            Did::Unreachable { .. } => format!("{} unreachable", i.gateway),
+        let one = |i: &InstanceReport| match &i.outcome {
+            InstanceOutcome::InFlight { in_flight } => format!("{} {in_flight}", i.gateway),
+            InstanceOutcome::Unreachable { .. } => format!("{} unreachable", i.gateway),
             _ => format!("{} no answer", i.gateway),
         };
         let line = format!("in flight: {}", all.iter().map(one).collect::<Vec<_>>().join(", "));
--- a/crates/gatewayctl/src/plans.rs
+++ b/crates/gatewayctl/src/plans.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use plans::{read, BadCatalogue, Catalogue, Terms, Timeline};
+use plans::{read_catalogue, Catalogue, CatalogueFileError, PlanLimits, PlanTimeline};
 use serde_json::json;
 
 use crate::agent::print;
@@ -36,8 +36,8 @@
     std::fs::read_to_string(file).map_err(|e| Failure::Broken(format!("{}: {e}", file.display())))
 }
 
-fn lines(file: &Path, BadCatalogue(faults): &BadCatalogue) -> String {
-    let line = |f: &plans::Fault| {
+fn lines(file: &Path, CatalogueFileError(faults): &CatalogueFileError) -> String {
+    let line = |f: &plans::FileFault| {
         let key = if f.key.is_empty() { String::new() } else { format!("{}: ", f.key) };
         format!("{}:{}: {key}{}", file.display(), f.line, f.wanted)
     };
@@ -45,12 +45,12 @@
 }
 
 fn load(file: &Path) -> Result<Catalogue, Failure> {
-    read(&text_of(file)?).map_err(|bad| Failure::Broken(lines(file, &bad)))
+    read_catalogue(&text_of(file)?).map_err(|bad| Failure::Broken(lines(file, &bad)))
 }
 
 /// Whether it is good.
 fn check(file: &Path, output: Output) -> Result<bool, Failure> {
-    let found = read(&text_of(file)?);
+    let found = read_catalogue(&text_of(file)?);
     let name = file.display().to_string();
     match (&found, output) {
         (Ok(all), Output::Table) => out(&format!(
@@ -62,7 +62,7 @@
         (Err(bad), Output::Table) => out(&format!("{}\n", lines(file, bad))),
         (_, Output::Json) => {
             let faults = found.as_ref().err().map_or(&[][..], |bad| &bad.0);
-            let wrong = |f: &plans::Fault| json!({"line": f.line, "key": f.key, "problem": f.wanted});
+            let wrong = |f: &plans::FileFault| json!({"line": f.line, "key": f.key, "problem": f.wanted});
             let wrong: Vec<_> = faults.iter().map(wrong).collect();
             let revision = found.as_ref().ok().map(Catalogue::revision);
             print(&json!({"file": name, "good": found.is_ok(), "revision": revision, "wrong": wrong}))?;
@@ -84,7 +84,7 @@
 fn show(all: &Catalogue, customer: Option<u64>, output: Output) -> Result<(), Failure> {
     let Some(customer) = customer else { return show_plans(all, output) };
     let (mut rows, mut at) = (Vec::new(), 0);
-    let line = all.timeline(customer, Terms::default());
+    let line = all.timeline(customer, PlanLimits::default());
     if all.plan_at(customer, u64::MAX).is_none() {
         let text = format!("customer {customer:016x} is not in it: requests say which plan it has");
         return Err(Failure::Broken(text));
@@ -123,7 +123,7 @@
 fn show_plans(all: &Catalogue, output: Output) -> Result<(), Failure> {
     let mut rows = Vec::new();
     for (plan, terms) in all.plans() {
-        let Terms { rate, burst, ceiling_rate, ceiling_burst } = *terms;
+        let PlanLimits { rate, burst, ceiling_rate, ceiling_burst } = *terms;
         if output == Output::Json {
             print(&json!({
                 "plan": &*plan.name, "version": plan.version, "rate": rate, "burst": burst,
@@ -154,14 +154,14 @@
         let text = format!("customer {customer:016x} has no plan since ever in it: its level is not known");
         return Err(Failure::Broken(text));
     };
-    let line = all.timeline(customer, Terms::default());
+    let line = all.timeline(customer, PlanLimits::default());
     let (mut at, mut level, mut plan) = (0, level.unwrap_or(line.at(0).burst), first);
     let late_ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
     let mut rows = Vec::new();
     while let Some(next) = line.next_change(at) {
         let before = if at == 0 { level } else { (level + line.refill(at, next)).min(line.at(at).burst) };
         let after = line.carried(before, at, next);
-        let old = Timeline::always(*line.at(at));
+        let old = PlanTimeline::always(*line.at(at));
         let new = old.clone().then(next, *line.at(next));
         let heard = next.saturating_add(late_ms);
         let error = new.error_of(&old, next, heard);
--- a/crates/gatewayctl/src/resolve.rs
+++ b/crates/gatewayctl/src/resolve.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use dns_sd::Bounds;
-use endpoint_sources::{Following, Resolver, Settings};
-use fleet::wire::{Ask, ListState, ListedState, RecordState, Say};
+use dns_sd::CacheLimits;
+use endpoint_sources::{Follower, Resolver, Settings};
+use fleet::wire::{EndpointListStatus, EndpointStatus, RecordStatus, ToolRequest, ToolResponse};
 use operator_config::Address;
 use tokio::time::{timeout_at, Instant};
 
@@ -19,14 +19,14 @@
 /// Shows the agent's list. Ends well only if it is known and nothing is stale, held or unanswered.
 pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), Failure> {
     let mut agent = Agent::connect(address).await?;
-    agent.ask(Ask::Sources { records }).await?;
+    agent.ask(ToolRequest::Sources { records }).await?;
     let state = match agent.hear(RESPONSE_TIMEOUT).await? {
-        Say::Sources(state) => state,
+        ToolResponse::Sources(state) => state,
         other => return Err(odd(&other)),
     };
     show(&state, output)?;
     let fresh = state.list.iter().all(|l| l.stale_ms.is_none());
-    if state.known && fresh && state.held == 0 && state.unanswered.is_empty() {
+    if state.known && fresh && state.awaiting_confirmation == 0 && state.unanswered.is_empty() {
         Ok(())
     } else {
         Err(Failure::Partly)
@@ -37,8 +37,8 @@
 pub async fn run(args: &Resolve, output: Output) -> Result<(), Failure> {
     let resolver = Resolver::new(args.servers.clone(), args.each);
     let (services, seed) = (args.services.clone(), u64::from(std::process::id()));
-    let settings = Settings { services, bounds: Bounds::default(), shrink_most: 1.0, seed };
-    let (mut following, until) = (Following::new(settings, resolver), Instant::now() + args.deadline);
+    let settings = Settings { services, bounds: CacheLimits::default(), shrink_most: 1.0, seed };
+    let (mut following, until) = (Follower::new(settings, resolver), Instant::now() + args.deadline);
     let whole = async {
         // The list is read once more after the last answer. What changed is all of it.
         while following.step(&mut drop).await.is_none() || !following.settled() {}
@@ -57,7 +57,7 @@
     }
 }
 
-fn show(state: &ListState, output: Output) -> Result<(), Failure> {
+fn show(state: &EndpointListStatus, output: Output) -> Result<(), Failure> {
     if output == Output::Json {
         return print(state);
     }
@@ -68,16 +68,16 @@
             out(&format!("\n{}", table(head, &rows)));
         }
     };
-    let dropped = state.dropped.iter().map(|d| vec![d.what.clone(), d.why.clone()]);
+    let dropped = state.dropped.iter().map(|d| vec![d.instance.clone(), d.reason.clone()]);
     part(&["DROPPED", "WHY"], dropped.collect());
     let unanswered = state.unanswered.iter().map(|u| {
         let time = ago(u.for_ms.max(0.0) as u64);
-        vec![u.question.clone(), time, u.why.clone()]
+        vec![u.question.clone(), time, u.reason.clone()]
     });
     part(&["UNANSWERED", "FOR", "WHY"], unanswered.collect());
     part(&["QUESTION", "RECORDS", "LIFE"], state.records.iter().map(record).collect());
     let known = if state.known { "" } else { "; not known whole, and so not served" };
-    let ListState { held, pending, unknown, asked, .. } = state;
+    let EndpointListStatus { awaiting_confirmation: held, pending, unknown, queries_sent: asked, .. } = state;
     let held = if *held > 0 { format!("; {held} held until a second answer") } else { String::new() };
     let open = if pending + unknown > 0 {
         format!("; {pending} instances and {unknown} services wait for answers")
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-fn line(l: &ListedState) -> Vec<String> {
+fn line(l: &EndpointStatus) -> Vec<String> {
     let status = if l.serving { "serving" } else { "draining" };
     let stale = l.stale_ms.map_or("-".to_string(), |ms| ago(ms.max(0.0) as u64));
     let (priority, weight, group) = (l.priority.to_string(), l.weight.to_string(), l.group.to_string());
@@ -96,8 +96,8 @@
     vec![l.name.clone(), l.address.clone(), priority, weight, zone, kind, group, status.to_string(), stale]
 }
 
-fn record(r: &RecordState) -> Vec<String> {
-    let life = match r.life_ms {
+fn record(r: &RecordStatus) -> Vec<String> {
+    let life = match r.ttl_ms {
         None => "-".to_string(),
         Some(ms) if ms < 0.0 => format!("stale {}", ago(-ms as u64)),
         Some(ms) => ago(ms as u64),
--- a/crates/gatewayctl/src/up/agent.rs
+++ b/crates/gatewayctl/src/up/agent.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use operator_config::Operator;
+use operator_config::OperatorConfig;
 use tokio::signal::unix::{signal, SignalKind};
 
 use super::gateway::until_closed as end_with_input;
@@ -11,7 +11,7 @@
 /// Runs the agent until SIGTERM or Ctrl-C.
 pub async fn run(file: &Path, until_closed: bool) -> Result<(), Failure> {
     end_with_input(until_closed);
-    let operator = Operator::read(file).map_err(|e| Failure::Broken(e.to_string()))?;
+    let operator = OperatorConfig::read(file).map_err(|e| Failure::Broken(e.to_string()))?;
     let missing = || Failure::Broken(format!("{}: there is no [agent] section", file.display()));
     let agent = operator.agent.ok_or_else(missing)?;
     let failed = |e: std::io::Error| Failure::Broken(format!("signals: {e}"));
--- a/crates/gatewayctl/tests/crashes.rs
+++ b/crates/gatewayctl/tests/crashes.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 use agent::{Contents, Log, LogError};
-use fleet::wire::{Ask, Logged, Numbered, Say, MAX_LINE_BYTES};
+use fleet::wire::{Envelope, LoggedOrder, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use fleet::{Change, Subject};
 use operator_config::Address;
 use support::{until, Fleet, PATIENCE};
 use testbed::overseen::Overseen;
 use testbed::switch::Fault;
 use testbed::Dice;
-use transport::Dialer;
+use transport::Connector;
 
 /// Kills of one run.
 const KILLS: u64 = 24;
@@ -23,7 +23,9 @@
 /// Orders on the connections of one tool until it ends: notes what was tried and what was acknowledged.
 async fn order_on(address: Address, tool: u64, round: u64, seen: Arc<Mutex<Seen>>) {
     let mut dice = Dice::new(tool << 32 | round);
-    let Ok(mut lines) = Dialer::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await else { return };
+    let Ok(mut lines) = Connector::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await else {
+        return;
+    };
     for n in 0.. {
         let id = format!("r{round}-t{tool}-{n}");
         let subject: Subject = format!("till-{}", dice.below(4)).parse().expect("one");
@@ -34,17 +36,17 @@
         };
         seen.lock().expect("unpoisoned").tried.insert(id.clone(), (subject.clone(), change));
         let (id_word, forced) = (id.parse().expect("an id"), true);
-        let body = Ask::Order { id: id_word, subject, change, forced, deadline_ms: 5_000 };
-        if lines.send(&Numbered { n, body }).await.is_err() {
+        let body = ToolRequest::Order { id: id_word, subject, change, forced, deadline_ms: 5_000 };
+        if lines.send(&Envelope { request_id: n, body }).await.is_err() {
             return;
         }
         loop {
-            match lines.next::<Numbered<Say>>().await {
-                Ok(Some(Numbered { body: Say::Accepted(_), .. })) => {
+            match lines.next::<Envelope<ToolResponse>>().await {
+                Ok(Some(Envelope { body: ToolResponse::Accepted(_), .. })) => {
                     seen.lock().expect("unpoisoned").acknowledged.insert(id.clone());
                 }
-                Ok(Some(Numbered { body: Say::Done(_), .. })) => break,
-                Ok(Some(Numbered { body: Say::Fault(fault), .. })) => panic!("{}", fault.message),
+                Ok(Some(Envelope { body: ToolResponse::Done(_), .. })) => break,
+                Ok(Some(Envelope { body: ToolResponse::Error(fault), .. })) => panic!("{}", fault.message),
                 Ok(Some(_)) => {}
                 Ok(None) | Err(_) => return,
             }
@@ -59,17 +61,17 @@
 }
 
 /// What the log has, oldest first.
-fn logged(fleet: &Fleet) -> Vec<Logged> {
+fn logged(fleet: &Fleet) -> Vec<LoggedOrder> {
     let ran = fleet.json(&["orders", "-n", "1000"]);
     assert_eq!(ran.code, 0, "{}", ran.err);
-    let mut all: Vec<Logged> =
+    let mut all: Vec<LoggedOrder> =
         ran.out.lines().map(|line| serde_json::from_str(line).expect("an order")).collect();
     all.reverse();
     all
 }
 
 /// What the orders of a log make of a backend, worked out without the code under test.
-fn made(log: &[Logged], backend: &str) -> (bool, f64) {
+fn made(log: &[LoggedOrder], backend: &str) -> (bool, f64) {
     log.iter().filter(|l| l.order.subject.covers(backend, u32::MAX, "")).fold((false, 1.0), |made, l| match l
         .order
         .change
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -5,8 +5,8 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use fleet::wire::{Applied, GatewayAsk, GatewaySay};
-use fleet::{Change, Order, Outcome, Revision};
+use fleet::wire::{Applied, GatewayRequest, GatewayResponse};
+use fleet::{ApplyOutcome, Change, Order, Revision};
 use support::{until, Fleet};
 use testbed::journal::Event;
 
@@ -117,7 +117,7 @@
     until("it says no", || ping(address).starts_with("-ERR"));
     let state = fleet.state(1);
     assert!(state.drained_by.is_some());
-    until("its connections have closed", || fleet.state(1).figures.client_connections == 0);
+    until("its connections have closed", || fleet.state(1).statistics.client_connections == 0);
     // The others take what would have come to it.
     let then = loading.load.tally().served;
     until("the load goes on", || loading.load.tally().served > then + 100);
@@ -126,7 +126,7 @@
     assert!(too_few.err.contains("1 of 3 gateways"), "{}", too_few.err);
     assert_eq!(fleet.json(&["undrain", "gateway/n1"]).code, 0);
     until("it says yes", || ping(address).starts_with("+PONG"));
-    until("it has work", || fleet.state(1).figures.client_connections > 0);
+    until("it has work", || fleet.state(1).statistics.client_connections > 0);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     fleet.judge();
@@ -142,20 +142,21 @@
         subject: "till-0".parse().expect("one"),
         change,
     };
-    let apply = |orders: Vec<Order>| match fleet.ask(&fleet.gateways[0].admin, GatewayAsk::Apply { orders }) {
-        GatewaySay::Applied(Applied { verdicts, .. }) => verdicts,
-        other => panic!("{other:?}"),
-    };
+    let apply =
+        |orders: Vec<Order>| match fleet.ask(&fleet.gateways[0].admin, GatewayRequest::Apply { orders }) {
+            GatewayResponse::Applied(Applied { results: verdicts, .. }) => verdicts,
+            other => panic!("{other:?}"),
+        };
     let undrain = order("new", 2, Change::Undrain);
-    assert_eq!(apply(vec![undrain.clone()])[0].outcome, Outcome::Applied);
+    assert_eq!(apply(vec![undrain.clone()])[0].outcome, ApplyOutcome::Applied);
     let late = apply(vec![order("old", 1, Change::Drain)]);
-    assert_eq!(late[0].outcome, Outcome::Superseded(undrain.revision));
+    assert_eq!(late[0].outcome, ApplyOutcome::Superseded(undrain.revision));
     assert!(!fleet.drained(0, "till-0"));
     // The same id again, under a newer revision: the first result, and nothing is done.
     let again = apply(vec![order("old", 3, Change::Drain)]);
-    assert_eq!(again[0].outcome, Outcome::Superseded(undrain.revision));
+    assert_eq!(again[0].outcome, ApplyOutcome::Superseded(undrain.revision));
     assert!(!fleet.drained(0, "till-0"));
     let many = vec![undrain; fleet::wire::MAX_ORDERS_PER_REQUEST + 1];
-    let said = fleet.ask(&fleet.gateways[0].admin, GatewayAsk::Apply { orders: many });
-    assert!(matches!(said, GatewaySay::Fault(_)), "{said:?}");
+    let said = fleet.ask(&fleet.gateways[0].admin, GatewayRequest::Apply { orders: many });
+    assert!(matches!(said, GatewayResponse::Error(_)), "{said:?}");
 }
--- a/crates/gatewayctl/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -79,6 +79,6 @@
     let (bad, good) = (fleet.finish(bad), fleet.finish(good));
     assert!(bad.left > 60, "{bad:?}");
     assert_eq!((bad.lost, good.lost, good.left), (0, 0, 0), "{bad:?} {good:?}");
-    until("nothing is left open", || (0..2).all(|place| fleet.state(place).figures.requests == 0));
+    until("nothing is left open", || (0..2).all(|place| fleet.state(place).statistics.requests == 0));
     fleet.judge();
 }
--- a/crates/gatewayctl/tests/support/mod.rs
+++ b/crates/gatewayctl/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use fleet::wire::{GatewayAsk, GatewaySay, GatewayState, Numbered, MAX_LINE_BYTES};
+use fleet::wire::{Envelope, GatewayRequest, GatewayResponse, GatewayState, MAX_LINE_BYTES};
 use operator_config::Address;
 use serde_json::Value;
 use tempfile::TempDir;
@@ -22,7 +22,7 @@
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
-use transport::{Dialer, Lines};
+use transport::{Connector, JsonLines};
 
 /// How long anything that must come may take; long, so that a slow machine gives the same verdict.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -325,18 +325,18 @@
     }
 
     /// Asks a gateway itself.
-    pub fn ask(&self, admin: &Address, ask: GatewayAsk) -> GatewaySay {
+    pub fn ask(&self, admin: &Address, ask: GatewayRequest) -> GatewayResponse {
         self.runtime.block_on(async {
             let mut lines =
-                Dialer::default().connect(admin, PATIENCE, MAX_LINE_BYTES).await.expect("it listens");
+                Connector::default().connect(admin, PATIENCE, MAX_LINE_BYTES).await.expect("it listens");
             ask_on(&mut lines, ask).await
         })
     }
 
     /// A gateway's own state.
     pub fn state(&self, place: usize) -> GatewayState {
-        match self.ask(&self.gateways[place].admin, GatewayAsk::State { backends: true }) {
-            GatewaySay::State(state) => state,
+        match self.ask(&self.gateways[place].admin, GatewayRequest::State { backends: true }) {
+            GatewayResponse::State(state) => state,
             other => panic!("{other:?}"),
         }
     }
@@ -382,8 +382,8 @@
     }
 }
 
-pub async fn ask_on(lines: &mut Lines, ask: GatewayAsk) -> GatewaySay {
-    lines.send(&Numbered { n: 1, body: ask }).await.expect("it listens");
-    let said: Option<Numbered<GatewaySay>> = lines.next().await.expect("a line");
+pub async fn ask_on(lines: &mut JsonLines, ask: GatewayRequest) -> GatewayResponse {
+    lines.send(&Envelope { request_id: 1, body: ask }).await.expect("it listens");
+    let said: Option<Envelope<GatewayResponse>> = lines.next().await.expect("a line");
     said.expect("an answer").body
 }
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -6,10 +6,10 @@
 use std::os::unix::net::UnixListener;
 use std::time::Instant;
 
-use fleet::wire::{Ask, Numbered, Say, MAX_LINE_BYTES};
+use fleet::wire::{Envelope, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use fleet::Change;
 use support::{until, Fleet, PATIENCE};
-use transport::Dialer;
+use transport::Connector;
 
 #[test]
 fn gateways_that_cannot_be_reached_are_named_and_converge_by_themselves() {
@@ -163,24 +163,24 @@
         for _ in 0..40 {
             let address = address.clone();
             tools.spawn(async move {
-                let connected = Dialer::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await;
+                let connected = Connector::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await;
                 let (mut lines, mut answers) = (connected.expect("it listens"), Vec::new());
                 for n in 0..25 {
                     let (id, subject) = ("one".parse().expect("an id"), "till-0".parse().expect("one"));
                     let (change, forced, deadline_ms) = (Change::Drain, false, 20_000);
-                    let body = Ask::Order { id, subject, change, forced, deadline_ms };
-                    lines.send(&Numbered { n, body }).await.expect("it listens");
+                    let body = ToolRequest::Order { id, subject, change, forced, deadline_ms };
+                    lines.send(&Envelope { request_id: n, body }).await.expect("it listens");
                     let mut accepted = None;
                     loop {
-                        let said: Option<Numbered<Say>> = lines.next().await.expect("a line");
+                        let said: Option<Envelope<ToolResponse>> = lines.next().await.expect("a line");
                         match said.expect("an answer").body {
-                            Say::Accepted(a) => accepted = Some((a.repeated, a.revision.seq)),
-                            Say::Done(done) => {
+                            ToolResponse::Accepted(a) => accepted = Some((a.repeated, a.revision.seq)),
+                            ToolResponse::Done(done) => {
                                 let (repeated, seq) = accepted.expect("accepted first");
-                                answers.push((repeated, seq, done.done));
+                                answers.push((repeated, seq, done.succeeded));
                                 break;
                             }
-                            Say::Instance(_) => {}
+                            ToolResponse::Instance(_) => {}
                             other => panic!("{other:?}"),
                         }
                     }
--- a/crates/maintenance/src/checksummed.rs
+++ b/crates/maintenance/src/checksummed.rs
@@ -13,7 +13,7 @@
 
 /// Why bytes can't be opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unsealed {
+pub enum DecodeError {
     /// They are of something else.
     Foreign,
     /// They are of this version of the form, which is not the one that is read.
@@ -24,25 +24,25 @@
     Shape,
 }
 
-impl fmt::Display for Unsealed {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unsealed::Foreign => f.write_str("not a state of a gateway"),
-            Unsealed::Version(v) => write!(f, "a state of version {v}; {VERSION} is read"),
-            Unsealed::Garbled => f.write_str("cut short or garbled"),
-            Unsealed::Shape => f.write_str("another state"),
+            DecodeError::Foreign => f.write_str("not a state of a gateway"),
+            DecodeError::Version(v) => write!(f, "a state of version {v}; {VERSION} is read"),
+            DecodeError::Garbled => f.write_str("cut short or garbled"),
+            DecodeError::Shape => f.write_str("another state"),
         }
     }
 }
 
-impl std::error::Error for Unsealed {}
+impl std::error::Error for DecodeError {}
 
 /// Seals a state of a kind, so that one kind is not read for another.
 ///
 /// # Errors
 /// [`Unsealed::Shape`] if it can't be written down.
-pub fn seal<T: Serialize>(kind: &str, state: &T) -> Result<Vec<u8>, Unsealed> {
-    let body = postcard::to_allocvec(state).map_err(|_| Unsealed::Shape)?;
+pub fn encode<T: Serialize>(kind: &str, state: &T) -> Result<Vec<u8>, DecodeError> {
+    let body = postcard::to_allocvec(state).map_err(|_| DecodeError::Shape)?;
     let mut bytes = Vec::with_capacity(HEAD + body.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&VERSION.to_le_bytes());
@@ -55,21 +55,21 @@
 ///
 /// # Errors
 /// [`Unsealed`] for bytes of anything else, of another version, of another kind, or spoilt on the way.
-pub fn open<T: DeserializeOwned>(kind: &str, bytes: &[u8]) -> Result<T, Unsealed> {
-    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(Unsealed::Foreign)?;
+pub fn decode<T: DeserializeOwned>(kind: &str, bytes: &[u8]) -> Result<T, DecodeError> {
+    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(DecodeError::Foreign)?;
     if *magic != MAGIC {
-        return Err(Unsealed::Foreign);
+        return Err(DecodeError::Foreign);
     }
-    let (version, rest) = rest.split_first_chunk::<2>().ok_or(Unsealed::Garbled)?;
+    let (version, rest) = rest.split_first_chunk::<2>().ok_or(DecodeError::Garbled)?;
     let version = u16::from_le_bytes(*version);
     if version != VERSION {
-        return Err(Unsealed::Version(version));
+        return Err(DecodeError::Version(version));
     }
-    let (told, body) = rest.split_first_chunk::<{ blake3::OUT_LEN }>().ok_or(Unsealed::Garbled)?;
+    let (told, body) = rest.split_first_chunk::<{ blake3::OUT_LEN }>().ok_or(DecodeError::Garbled)?;
     if sum(kind, body) != *told {
-        return Err(Unsealed::Garbled);
+        return Err(DecodeError::Garbled);
     }
-    postcard::from_bytes(body).map_err(|_| Unsealed::Shape)
+    postcard::from_bytes(body).map_err(|_| DecodeError::Shape)
 }
 
 fn sum(kind: &str, body: &[u8]) -> blake3::Hash {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -7,5 +7,5 @@
 mod command;
 mod state;
 
-pub use command::{BadCall, Call, MAX_BACKEND_ID_BYTES, MAX_LINE_BYTES};
-pub use state::{Book, Done, Refused, MAX_BANS, MAX_REENABLED};
+pub use command::{Command, CommandError, MAX_BACKEND_ID_BYTES, MAX_LINE_BYTES};
+pub use state::{CommandOutcome, CommandRejected, MaintenanceState, MAX_BANS, MAX_REENABLED};
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::command::Call;
+use crate::command::Command;
 
 /// The most backends that are banned at once.
 pub const MAX_BANS: usize = 4_096;
@@ -14,11 +14,11 @@
 
 /// Bans of backends, their returns, and whether the gateway is drained.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct MaintenanceState {
     /// Grows with each change.
     revision: u64,
     /// When each was banned, Unix time in ms.
-    bans: BTreeMap<String, f64>,
+    ban_count: BTreeMap<String, f64>,
     /// When each was given back, Unix time in ms.
     returns: BTreeMap<String, f64>,
     /// Since when the gateway is drained, Unix time in ms.
@@ -27,34 +27,34 @@
 
 /// A call that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum CommandOutcome {
     /// The book has changed.
     Changed,
     /// What is asked for held already.
-    Held,
+    AlreadyInForce,
 }
 
 /// A call that is turned down. Nothing was changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum CommandRejected {
     /// No backend has this id.
-    Unknown,
+    UnknownBackend,
     /// [`MAX_BANS`] backends are banned already.
-    TooMany,
+    TooManyBans,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommandRejected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Unknown => f.write_str("no backend has this id"),
-            Refused::TooMany => write!(f, "{MAX_BANS} backends are banned already"),
+            CommandRejected::UnknownBackend => f.write_str("no backend has this id"),
+            CommandRejected::TooManyBans => write!(f, "{MAX_BANS} backends are banned already"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for CommandRejected {}
 
-impl Book {
+impl MaintenanceState {
     /// Carries a call out at `now_ms`, Unix time; `listed` says whether the backend that it names is on the
     /// list. Bans are no count: two need one call back.
     ///
@@ -62,33 +62,40 @@
     ///
     /// # Errors
     /// [`Refused`], with nothing changed.
-    pub fn carry_out(&mut self, call: &Call, listed: bool, now_ms: f64) -> Result<Done, Refused> {
+    pub fn execute(
+        &mut self,
+        call: &Command,
+        listed: bool,
+        now_ms: f64,
+    ) -> Result<CommandOutcome, CommandRejected> {
         let changed = match call {
-            Call::Ready => false,
-            Call::Drain => {
+            Command::Ready => false,
+            Command::Drain => {
                 let was = self.drained_ms.is_some();
                 self.drained_ms.get_or_insert(now_ms);
                 !was
             }
-            Call::Undrain => self.drained_ms.take().is_some(),
-            Call::Disable(id) if self.bans.contains_key(id) => false,
-            Call::Disable(_) if !listed => return Err(Refused::Unknown),
+            Command::Undrain => self.drained_ms.take().is_some(),
+            Command::Disable(id) if self.ban_count.contains_key(id) => false,
+            Command::Disable(_) if !listed => return Err(CommandRejected::UnknownBackend),
             // Danger: bans for ever new names that fill the memory.
-            Call::Disable(_) if self.bans.len() >= MAX_BANS => return Err(Refused::TooMany),
-            Call::Disable(id) => {
-                self.bans.insert(id.clone(), now_ms);
+            Command::Disable(_) if self.ban_count.len() >= MAX_BANS => {
+                return Err(CommandRejected::TooManyBans)
+            }
+            Command::Disable(id) => {
+                self.ban_count.insert(id.clone(), now_ms);
                 true
             }
-            Call::Enable(id) if self.bans.remove(id).is_some() => {
+            Command::Enable(id) if self.ban_count.remove(id).is_some() => {
                 self.returns.insert(id.clone(), now_ms);
                 self.bound();
                 true
             }
-            Call::Enable(_) if !listed => return Err(Refused::Unknown),
-            Call::Enable(_) => false,
+            Command::Enable(_) if !listed => return Err(CommandRejected::UnknownBackend),
+            Command::Enable(_) => false,
         };
         self.revision += u64::from(changed);
-        Ok(if changed { Done::Changed } else { Done::Held })
+        Ok(if changed { CommandOutcome::Changed } else { CommandOutcome::AlreadyInForce })
     }
 
     fn bound(&mut self) {
@@ -100,7 +107,7 @@
     }
 
     /// Forgets returns from before `since_ms`: those backends are warm. Harm: none but the room they took.
-    pub fn forget_returns(&mut self, since_ms: f64) {
+    pub fn forget_reenabled(&mut self, since_ms: f64) {
         self.returns.retain(|_, at| *at >= since_ms);
     }
 
@@ -119,13 +126,13 @@
     /// Since when a backend is banned, Unix time in ms.
     #[must_use]
     pub fn banned_ms(&self, id: &str) -> Option<f64> {
-        self.bans.get(id).copied()
+        self.ban_count.get(id).copied()
     }
 
     /// When a backend was last given back, Unix time in ms; 0 for never. It counts as started then, as it was
     /// restarted in between.
     #[must_use]
-    pub fn returned_ms(&self, id: &str) -> f64 {
+    pub fn reenabled_ms(&self, id: &str) -> f64 {
         self.returns.get(id).copied().unwrap_or(0.0)
     }
 
@@ -138,6 +145,6 @@
     /// How many backends are banned.
     #[must_use]
     pub fn bans(&self) -> usize {
-        self.bans.len()
+        self.ban_count.len()
     }
 }
--- a/crates/maintenance/tests/state.rs
+++ b/crates/maintenance/tests/state.rs
@@ -1,84 +1,87 @@
 //! Calls, what they leave in force, and the form in which it is handed on.
 
-use maintenance::{checksummed, BadCall, Book, Call, Done, Refused, MAX_BACKEND_ID_BYTES, MAX_BANS};
+use maintenance::{
+    checksummed, Command, CommandError, CommandOutcome, CommandRejected, MaintenanceState,
+    MAX_BACKEND_ID_BYTES, MAX_BANS,
+};
 use proptest::prelude::*;
 
-fn call(line: &str) -> Call {
-    Call::read(line.as_bytes()).expect("a call")
+fn call(line: &str) -> Command {
+    Command::read(line.as_bytes()).expect("a call")
 }
 
 #[test]
 fn lines_that_are_no_calls_say_why() {
     let long = format!("DISABLE {}", "x".repeat(10_000));
-    let cases: [(&[u8], BadCall); 9] = [
-        (b"", BadCall::Empty),
-        (b"  \t ", BadCall::Empty),
-        (b"REBOOT", BadCall::Unknown),
-        (b"DISABLE", BadCall::NoId),
-        (b"ENABLE a b", BadCall::Surplus),
-        (b"READY now", BadCall::Surplus),
-        (b"DISABLE \xff", BadCall::NoText),
-        (b"DISABLE \x1b[2J", BadCall::NoText),
-        (long.as_bytes(), BadCall::LongId(10_000)),
+    let cases: [(&[u8], CommandError); 9] = [
+        (b"", CommandError::Empty),
+        (b"  \t ", CommandError::Empty),
+        (b"REBOOT", CommandError::Unknown),
+        (b"DISABLE", CommandError::NoId),
+        (b"ENABLE a b", CommandError::Surplus),
+        (b"READY now", CommandError::Surplus),
+        (b"DISABLE \xff", CommandError::NoText),
+        (b"DISABLE \x1b[2J", CommandError::NoText),
+        (long.as_bytes(), CommandError::LongId(10_000)),
     ];
     for (line, why) in cases {
-        assert_eq!(Call::read(line), Err(why), "{:?}", String::from_utf8_lossy(line));
+        assert_eq!(Command::read(line), Err(why), "{:?}", String::from_utf8_lossy(line));
     }
-    assert_eq!(call(" disable  s-1\r"), Call::Disable("s-1".to_string()));
-    assert!(Call::read(format!("ENABLE {}", "x".repeat(MAX_BACKEND_ID_BYTES)).as_bytes()).is_ok());
+    assert_eq!(call(" disable  s-1\r"), Command::Disable("s-1".to_string()));
+    assert!(Command::read(format!("ENABLE {}", "x".repeat(MAX_BACKEND_ID_BYTES)).as_bytes()).is_ok());
 }
 
 #[test]
 fn two_bans_need_one_call_back_and_a_return_is_cold_from_then() {
-    let mut book = Book::default();
+    let mut book = MaintenanceState::default();
     let (ban, back) = (call("DISABLE a"), call("ENABLE a"));
-    assert_eq!(book.carry_out(&back, true, 1.0), Ok(Done::Held));
-    assert_eq!(book.returned_ms("a"), 0.0, "it was never away");
-    assert_eq!(book.carry_out(&ban, true, 2.0), Ok(Done::Changed));
-    assert_eq!(book.carry_out(&ban, true, 3.0), Ok(Done::Held));
+    assert_eq!(book.execute(&back, true, 1.0), Ok(CommandOutcome::AlreadyInForce));
+    assert_eq!(book.reenabled_ms("a"), 0.0, "it was never away");
+    assert_eq!(book.execute(&ban, true, 2.0), Ok(CommandOutcome::Changed));
+    assert_eq!(book.execute(&ban, true, 3.0), Ok(CommandOutcome::AlreadyInForce));
     assert_eq!(book.banned_ms("a"), Some(2.0));
-    assert_eq!(book.carry_out(&back, true, 4.0), Ok(Done::Changed));
-    assert_eq!((book.banned_ms("a"), book.returned_ms("a")), (None, 4.0));
-    book.forget_returns(5.0);
-    assert_eq!(book.returned_ms("a"), 0.0);
+    assert_eq!(book.execute(&back, true, 4.0), Ok(CommandOutcome::Changed));
+    assert_eq!((book.banned_ms("a"), book.reenabled_ms("a")), (None, 4.0));
+    book.forget_reenabled(5.0);
+    assert_eq!(book.reenabled_ms("a"), 0.0);
 }
 
 #[test]
 fn ids_that_nobody_has_get_a_no_but_a_ban_outlives_its_backend() {
-    let mut book = Book::default();
-    assert_eq!(book.carry_out(&call("DISABLE a"), false, 1.0), Err(Refused::Unknown));
-    assert_eq!(book.carry_out(&call("ENABLE a"), false, 1.0), Err(Refused::Unknown));
+    let mut book = MaintenanceState::default();
+    assert_eq!(book.execute(&call("DISABLE a"), false, 1.0), Err(CommandRejected::UnknownBackend));
+    assert_eq!(book.execute(&call("ENABLE a"), false, 1.0), Err(CommandRejected::UnknownBackend));
     assert_eq!(book.revision(), 0);
-    book.carry_out(&call("DISABLE a"), true, 1.0).expect("it is listed");
-    assert_eq!(book.carry_out(&call("DISABLE a"), false, 2.0), Ok(Done::Held));
-    assert_eq!(book.carry_out(&call("ENABLE a"), false, 3.0), Ok(Done::Changed));
-    assert_eq!(book.carry_out(&call("ENABLE a"), false, 4.0), Err(Refused::Unknown));
+    book.execute(&call("DISABLE a"), true, 1.0).expect("it is listed");
+    assert_eq!(book.execute(&call("DISABLE a"), false, 2.0), Ok(CommandOutcome::AlreadyInForce));
+    assert_eq!(book.execute(&call("ENABLE a"), false, 3.0), Ok(CommandOutcome::Changed));
+    assert_eq!(book.execute(&call("ENABLE a"), false, 4.0), Err(CommandRejected::UnknownBackend));
 }
 
 #[test]
 fn bans_have_a_bound() {
-    let mut book = Book::default();
+    let mut book = MaintenanceState::default();
     for i in 0..MAX_BANS {
-        book.carry_out(&call(&format!("DISABLE s-{i}")), true, 1.0).expect("room");
+        book.execute(&call(&format!("DISABLE s-{i}")), true, 1.0).expect("room");
     }
-    assert_eq!(book.carry_out(&call("DISABLE more"), true, 1.0), Err(Refused::TooMany));
-    assert_eq!(book.carry_out(&call("DISABLE s-0"), true, 1.0), Ok(Done::Held));
+    assert_eq!(book.execute(&call("DISABLE more"), true, 1.0), Err(CommandRejected::TooManyBans));
+    assert_eq!(book.execute(&call("DISABLE s-0"), true, 1.0), Ok(CommandOutcome::AlreadyInForce));
 }
 
 #[test]
 fn a_sealed_book_that_is_cut_or_flipped_anywhere_is_refused() {
-    let mut book = Book::default();
-    book.carry_out(&call("DISABLE s-5be2a07c"), true, 1.0).expect("listed");
-    book.carry_out(&call("DRAIN"), true, 2.0).expect("always");
-    let bytes = checksummed::seal("book", &book).expect("it can be written");
-    assert_eq!(checksummed::open::<Book>("book", &bytes), Ok(book));
-    assert!(checksummed::open::<Book>("other", &bytes).is_err(), "another kind");
+    let mut book = MaintenanceState::default();
+    book.execute(&call("DISABLE s-5be2a07c"), true, 1.0).expect("listed");
+    book.execute(&call("DRAIN"), true, 2.0).expect("always");
+    let bytes = checksummed::encode("book", &book).expect("it can be written");
+    assert_eq!(checksummed::decode::<MaintenanceState>("book", &bytes), Ok(book));
+    assert!(checksummed::decode::<MaintenanceState>("other", &bytes).is_err(), "another kind");
     for at in 0..bytes.len() {
-        assert!(checksummed::open::<Book>("book", &bytes[..at]).is_err(), "cut at {at}");
+        assert!(checksummed::decode::<MaintenanceState>("book", &bytes[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
             let mut flipped = bytes.clone();
             flipped[at] ^= 1 << bit;
-            assert!(checksummed::open::<Book>("book", &flipped).is_err(), "bit {bit} at {at}");
+            assert!(checksummed::decode::<MaintenanceState>("book", &flipped).is_err(), "bit {bit} at {at}");
         }
     }
 }
@@ -89,7 +92,7 @@
     /// What holds is what the last call on each subject said, and the revision counts the changes.
     #[test]
     fn the_last_call_on_a_subject_holds(calls in prop::collection::vec((0u8..4, 0u8..3), 0..40)) {
-        let mut book = Book::default();
+        let mut book = MaintenanceState::default();
         let (mut banned, mut drained, mut changes) = ([false; 3], false, 0);
         for (at, (verb, id)) in calls.into_iter().enumerate() {
             let before = (banned, drained);
@@ -99,9 +102,9 @@
                 2 => { drained = true; "DRAIN".to_string() }
                 _ => { drained = false; "UNDRAIN".to_string() }
             };
-            let done = book.carry_out(&call(&line), true, at as f64 + 1.0);
+            let done = book.execute(&call(&line), true, at as f64 + 1.0);
             let changed = before != (banned, drained);
-            prop_assert_eq!(done, Ok(if changed { Done::Changed } else { Done::Held }));
+            prop_assert_eq!(done, Ok(if changed { CommandOutcome::Changed } else { CommandOutcome::AlreadyInForce }));
             changes += u64::from(changed);
         }
         prop_assert_eq!(book.revision(), changes);
--- a/crates/operator-config/src/address.rs
+++ b/crates/operator-config/src/address.rs
@@ -30,7 +30,7 @@
     /// The address of a gateway of this name. Danger: a name with a slash, which leads elsewhere; it becomes
     /// an underscore.
     #[must_use]
-    pub fn of(&self, name: &str) -> Address {
+    pub fn for_gateway(&self, name: &str) -> Address {
         match self {
             Address::Unix(path) => {
                 let path = path.to_string_lossy().replace(NAME_MARK, &name.replace(['/', '\0'], "_"));
@@ -43,32 +43,32 @@
 
 /// A text that is no address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadAddress;
+pub struct InvalidAddress;
 
-impl fmt::Display for BadAddress {
+impl fmt::Display for InvalidAddress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "unix:PATH or tcp:ADDRESS:PORT is wanted")
     }
 }
 
-impl std::error::Error for BadAddress {}
+impl std::error::Error for InvalidAddress {}
 
 impl FromStr for Address {
-    type Err = BadAddress;
+    type Err = InvalidAddress;
 
-    fn from_str(text: &str) -> Result<Self, BadAddress> {
+    fn from_str(text: &str) -> Result<Self, InvalidAddress> {
         match text.split_once(':') {
             Some(("unix", path)) if !path.is_empty() => Ok(Address::Unix(path.into())),
-            Some(("tcp", address)) => address.parse().map(Address::Tcp).map_err(|_| BadAddress),
-            _ => Err(BadAddress),
+            Some(("tcp", address)) => address.parse().map(Address::Tcp).map_err(|_| InvalidAddress),
+            _ => Err(InvalidAddress),
         }
     }
 }
 
 impl TryFrom<String> for Address {
-    type Error = BadAddress;
+    type Error = InvalidAddress;
 
-    fn try_from(text: String) -> Result<Self, BadAddress> {
+    fn try_from(text: String) -> Result<Self, InvalidAddress> {
         text.parse()
     }
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -13,7 +13,7 @@
 
 use serde::Deserialize;
 
-pub use address::{Address, BadAddress, NAME_MARK};
+pub use address::{Address, InvalidAddress, NAME_MARK};
 
 /// The most gateways that an agent oversees.
 pub const MAX_GATEWAYS: usize = 10_000;
@@ -21,40 +21,40 @@
 /// The file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// The admin listener of each gateway; none: off.
-    pub admin: Option<Admin>,
+    pub admin: Option<AdminConfig>,
     /// How many backends each gateway looks at.
     #[serde(default)]
-    pub routing: Routing,
+    pub routing: RoutingConfig,
     /// How gateways start as a fleet; none: each as one alone.
-    pub start: Option<Start>,
+    pub start: Option<StartConfig>,
     /// The agent.
-    pub agent: Option<Agent>,
+    pub agent: Option<AgentConfig>,
     /// Where the agent takes the server list from for gateways; none: it serves no list.
-    pub sources: Option<Sources>,
+    pub sources: Option<SourcesConfig>,
     /// The gateways that the agent oversees from its start.
     #[serde(default, rename = "gateway")]
-    pub gateways: Vec<Gateway>,
+    pub gateways: Vec<GatewayConfig>,
 }
 
 /// The admin listener of a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Admin {
+pub struct AdminConfig {
     /// Where it listens; [`NAME_MARK`] in a path stands for the gateway's name. Over TCP only with `tls`.
     pub listen: Address,
     /// Where an agent takes registrations, [`Agent::register`]: the gateway tells it of itself. None: it does
     /// not.
     pub agent: Option<Address>,
     /// Certificates, for TCP.
-    pub tls: Option<Tls>,
+    pub tls: Option<TlsConfig>,
 }
 
 /// How many backends a gateway looks at. All gateways of a fleet are to have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Routing {
+pub struct RoutingConfig {
     /// Lists of up to so many backends are looked at whole for each request: 0 to 1,000.
     pub whole: usize,
     /// So many are drawn and looked at where there are more: 1 to 64.
@@ -66,9 +66,9 @@
     pub coverage: u32,
 }
 
-impl Default for Routing {
+impl Default for RoutingConfig {
     fn default() -> Self {
-        Routing { whole: 16, choices: 8, subset: 5, coverage: 3 }
+        RoutingConfig { whole: 16, choices: 8, subset: 5, coverage: 3 }
     }
 }
 
@@ -78,7 +78,7 @@
 /// for news for nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Start {
+pub struct StartConfig {
     /// Calls for the list that the one list service of all gateways bears, calls a second: 0.1 to 10,000.
     pub list_calls_per_s: f64,
     /// First connections that one backend takes from all gateways, connections a second: 0.1 to 10,000. None:
@@ -96,7 +96,7 @@
 /// Certificates of one side, PEM files. Both sides show one; each names whose it takes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Tls {
+pub struct TlsConfig {
     /// Its own chain.
     pub certificate: PathBuf,
     /// Its own key.
@@ -108,7 +108,7 @@
 /// The agent.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Agent {
+pub struct AgentConfig {
     /// Where it listens for tools: a Unix socket.
     pub listen: Address,
     /// Where gateways register, and can do nothing else. Over TCP only with `tls`. None: they can't.
@@ -129,13 +129,13 @@
     #[serde(default = "fan_out")]
     pub fan_out: usize,
     /// Certificates, for gateways whose admin listener is on TCP.
-    pub tls: Option<Tls>,
+    pub tls: Option<TlsConfig>,
 }
 
 /// The server list that the agent serves to gateways by the discovery protocol, from DNS-SD (RFC 6763).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sources {
+pub struct SourcesConfig {
     /// Where gateways read it: their configurations name this as `discovery`.
     pub listen: SocketAddr,
     /// Services, such as `_till._tcp.ub-room.example.org`: 1 to 64.
@@ -162,7 +162,7 @@
     pub questions: usize,
 }
 
-impl Sources {
+impl SourcesConfig {
     fn wrong(&self, say: &mut impl FnMut(&str, &str)) {
         if !(1..=64).contains(&self.services.len()) {
             say("sources.services", "1 to 64 are wanted");
@@ -222,7 +222,7 @@
 /// A gateway that the agent oversees.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Gateway {
+pub struct GatewayConfig {
     /// Its name.
     pub name: String,
     /// Its admin listener.
@@ -245,7 +245,7 @@
     256
 }
 
-impl Agent {
+impl AgentConfig {
     /// [`Agent::heartbeat_ms`] as a time.
     #[must_use]
     pub fn heartbeat(&self) -> Duration {
@@ -261,7 +261,7 @@
 
 /// A file that can't be used.
 #[derive(Debug)]
-pub enum BadFile {
+pub enum OperatorConfigError {
     /// It can't be read.
     Unreadable(PathBuf, std::io::Error),
     /// It is not TOML, or a key is unknown, missing or of the wrong kind: the text names line and key.
@@ -270,12 +270,12 @@
     Values(PathBuf, Vec<(String, String)>),
 }
 
-impl fmt::Display for BadFile {
+impl fmt::Display for OperatorConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadFile::Unreadable(path, e) => write!(f, "{}: {e}", path.display()),
-            BadFile::Toml(path, e) => write!(f, "{}: {}", path.display(), e.trim_end()),
-            BadFile::Values(path, all) => {
+            OperatorConfigError::Unreadable(path, e) => write!(f, "{}: {e}", path.display()),
+            OperatorConfigError::Toml(path, e) => write!(f, "{}: {}", path.display(), e.trim_end()),
+            OperatorConfigError::Values(path, all) => {
                 let lines = all.iter().map(|(key, wanted)| format!("{}: {key}: {wanted}", path.display()));
                 write!(f, "{}", lines.collect::<Vec<_>>().join("\n"))
             }
@@ -283,30 +283,31 @@
     }
 }
 
-impl std::error::Error for BadFile {}
+impl std::error::Error for OperatorConfigError {}
 
-impl Operator {
+impl OperatorConfig {
     /// Reads and checks a file.
     ///
     /// # Errors
     /// A [`BadFile`] that names the file and, where it can be, line and key.
-    pub fn read(path: &Path) -> Result<Operator, BadFile> {
-        let text = std::fs::read_to_string(path).map_err(|e| BadFile::Unreadable(path.to_path_buf(), e))?;
-        Operator::parse(path, &text)
+    pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| OperatorConfigError::Unreadable(path.to_path_buf(), e))?;
+        OperatorConfig::parse(path, &text)
     }
 
     /// Reads and checks a file's text; `path` only names it.
     ///
     /// # Errors
     /// As [`Operator::read`].
-    pub fn parse(path: &Path, text: &str) -> Result<Operator, BadFile> {
-        let file: Operator =
-            toml::from_str(text).map_err(|e| BadFile::Toml(path.to_path_buf(), e.to_string()))?;
+    pub fn parse(path: &Path, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
+        let file: OperatorConfig =
+            toml::from_str(text).map_err(|e| OperatorConfigError::Toml(path.to_path_buf(), e.to_string()))?;
         let wrong = file.wrong();
         if wrong.is_empty() {
             Ok(file)
         } else {
-            Err(BadFile::Values(path.to_path_buf(), wrong))
+            Err(OperatorConfigError::Values(path.to_path_buf(), wrong))
         }
     }
 
@@ -398,20 +399,20 @@
 mod tests {
     use super::*;
 
-    fn parse(text: &str) -> Result<Operator, String> {
-        Operator::parse(Path::new("operator.toml"), text).map_err(|e| e.to_string())
+    fn parse(text: &str) -> Result<OperatorConfig, String> {
+        OperatorConfig::parse(Path::new("operator.toml"), text).map_err(|e| e.to_string())
     }
 
     #[test]
     fn the_file_that_is_shipped_is_good() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/operator.toml");
-        let file = Operator::read(&path).expect("good");
+        let file = OperatorConfig::read(&path).expect("good");
         assert!(file.admin.is_some() && file.agent.is_some());
     }
 
     #[test]
     fn defaults_are_filled_in_and_an_empty_file_turns_nothing_on() {
-        assert_eq!(parse(""), Ok(Operator::default()));
+        assert_eq!(parse(""), Ok(OperatorConfig::default()));
         let file = parse("[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"").expect("good");
         assert_eq!(file.agent.expect("an agent").heartbeat_ms, 1_000);
     }
