--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::timeline::{Terms, Timeline};
+use crate::timeline::{PlanLimits, PlanTimeline};
 
 /// Versions of plans that a catalogue may hold.
 pub const MAX_PLANS: usize = 10_000;
@@ -36,7 +36,7 @@
 
 /// What makes no catalogue.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wrong {
+pub enum CatalogueError {
     /// A version's terms are not finite numbers of 0 or more.
     Terms(Plan),
     /// A version is 0, or stands there twice.
@@ -49,29 +49,31 @@
     TooMany(&'static str, usize),
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for CatalogueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::Terms(plan) => write!(f, "{plan}: finite numbers of 0 or more are wanted"),
-            Wrong::Version(plan) => write!(f, "{plan}: a version from 1 that stands there once is wanted"),
-            Wrong::NoPlan(customer, plan) => {
+            CatalogueError::Terms(plan) => write!(f, "{plan}: finite numbers of 0 or more are wanted"),
+            CatalogueError::Version(plan) => {
+                write!(f, "{plan}: a version from 1 that stands there once is wanted")
+            }
+            CatalogueError::NoPlan(customer, plan) => {
                 write!(f, "customer {customer:016x}: {plan} is no plan of this catalogue")
             }
-            Wrong::Twice(customer, from) => {
+            CatalogueError::Twice(customer, from) => {
                 write!(f, "customer {customer:016x}: two plans from {from} ms on")
             }
-            Wrong::TooMany(what, most) => write!(f, "more than {most} {what}"),
+            CatalogueError::TooMany(what, most) => write!(f, "more than {most} {what}"),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for CatalogueError {}
 
 /// All plans and who has them. One that is there is sound; it is made whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
     revision: u64,
-    plans: BTreeMap<Plan, Terms>,
+    plans: BTreeMap<Plan, PlanLimits>,
     /// By customer, in the order of the instants.
     customers: BTreeMap<u64, Vec<Assignment>>,
 }
@@ -83,20 +85,20 @@
     /// The first thing that is [`Wrong`] with it.
     pub fn new(
         revision: u64,
-        plans: impl IntoIterator<Item = (Plan, Terms)>,
+        plans: impl IntoIterator<Item = (Plan, PlanLimits)>,
         customers: impl IntoIterator<Item = (u64, Assignment)>,
-    ) -> Result<Catalogue, Wrong> {
+    ) -> Result<Catalogue, CatalogueError> {
         let mut all = Catalogue { revision, ..Catalogue::default() };
         for (plan, terms) in plans {
             let numbers = [terms.rate, terms.burst, terms.ceiling_rate, terms.ceiling_burst];
             if !numbers.iter().all(|n| n.is_finite() && *n >= 0.0) {
-                return Err(Wrong::Terms(plan));
+                return Err(CatalogueError::Terms(plan));
             }
             if plan.version == 0 || all.plans.contains_key(&plan) {
-                return Err(Wrong::Version(plan));
+                return Err(CatalogueError::Version(plan));
             }
             if all.plans.len() >= MAX_PLANS {
-                return Err(Wrong::TooMany("versions of plans", MAX_PLANS));
+                return Err(CatalogueError::TooMany("versions of plans", MAX_PLANS));
             }
             all.plans.insert(plan, terms);
         }
@@ -104,15 +106,15 @@
         for (customer, assignment) in customers {
             assignments += 1;
             if assignments > MAX_CUSTOMERS {
-                return Err(Wrong::TooMany("customers' plans", MAX_CUSTOMERS));
+                return Err(CatalogueError::TooMany("customers' plans", MAX_CUSTOMERS));
             }
             if !all.plans.contains_key(&assignment.plan) {
-                return Err(Wrong::NoPlan(customer, assignment.plan));
+                return Err(CatalogueError::NoPlan(customer, assignment.plan));
             }
             let of = all.customers.entry(customer).or_default();
             let place = of.partition_point(|a| a.from_ms < assignment.from_ms);
             if of.get(place).is_some_and(|a| a.from_ms == assignment.from_ms) {
-                return Err(Wrong::Twice(customer, assignment.from_ms));
+                return Err(CatalogueError::Twice(customer, assignment.from_ms));
             }
             of.insert(place, assignment);
         }
@@ -126,7 +128,7 @@
     }
 
     /// All versions of plans, in order, with their terms.
-    pub fn plans(&self) -> impl Iterator<Item = (&Plan, &Terms)> {
+    pub fn plans(&self) -> impl Iterator<Item = (&Plan, &PlanLimits)> {
         self.plans.iter()
     }
 
@@ -147,8 +149,8 @@
     /// A customer's terms over time; before the first that the catalogue gives it, `default`: what the
     /// request itself names.
     #[must_use]
-    pub fn timeline(&self, customer: u64, default: Terms) -> Timeline {
+    pub fn timeline(&self, customer: u64, default: PlanLimits) -> PlanTimeline {
         let of = self.customers.get(&customer).into_iter().flatten();
-        of.fold(Timeline::always(default), |line, a| line.then(a.from_ms, self.plans[&a.plan]))
+        of.fold(PlanTimeline::always(default), |line, a| line.then(a.from_ms, self.plans[&a.plan]))
     }
 }
--- a/crates/plans/src/catalogue_file.rs
+++ b/crates/plans/src/catalogue_file.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::catalogue::{Assignment, Catalogue, Plan, Wrong};
-use crate::timeline::Terms;
+use crate::catalogue::{Assignment, Catalogue, CatalogueError, Plan};
+use crate::timeline::PlanLimits;
 
 /// The longest name of a plan, bytes.
 const MAX_NAME_BYTES: usize = 64;
@@ -51,7 +51,7 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct FileFault {
     /// Line of the file, from 1; 0 if it is the whole file.
     pub line: usize,
     /// Key, such as `customer.from`.
@@ -62,11 +62,11 @@
 
 /// A file that is no catalogue: all that is wrong with it, in the order of the lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadCatalogue(pub Vec<Fault>);
+pub struct CatalogueFileError(pub Vec<FileFault>);
 
-impl fmt::Display for BadCatalogue {
+impl fmt::Display for CatalogueFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, Fault { line, key, wanted }) in self.0.iter().enumerate() {
+        for (i, FileFault { line, key, wanted }) in self.0.iter().enumerate() {
             let end = if i == 0 { "" } else { "\n" };
             match key.as_str() {
                 "" => write!(f, "{end}line {line}: {wanted}")?,
@@ -77,11 +77,11 @@
     }
 }
 
-impl std::error::Error for BadCatalogue {}
+impl std::error::Error for CatalogueFileError {}
 
 struct Faults<'a> {
     text: &'a str,
-    all: Vec<Fault>,
+    all: Vec<FileFault>,
 }
 
 impl Faults<'_> {
@@ -92,7 +92,7 @@
 
     fn say(&mut self, span: &Range<usize>, key: &str, wanted: impl Into<String>) {
         let line = self.line(span);
-        self.all.push(Fault { line, key: key.to_string(), wanted: wanted.into() });
+        self.all.push(FileFault { line, key: key.to_string(), wanted: wanted.into() });
     }
 
     /// A number of 0 or more.
@@ -109,11 +109,11 @@
 ///
 /// # Errors A [`BadCatalogue`] with all values that don't fit; of unknown, missing and mistyped keys the
 /// first alone, as the rest can't be read past it.
-pub fn read(text: &str) -> Result<Catalogue, BadCatalogue> {
+pub fn read_catalogue(text: &str) -> Result<Catalogue, CatalogueFileError> {
     let mut faults = Faults { text, all: Vec::new() };
     let file: File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(0, |span| faults.line(&span));
-        BadCatalogue(vec![Fault { line, key: String::new(), wanted: e.message().to_string() }])
+        CatalogueFileError(vec![FileFault { line, key: String::new(), wanted: e.message().to_string() }])
     })?;
     let mut plans = Vec::with_capacity(file.plan.len());
     for plan in &file.plan {
@@ -132,7 +132,7 @@
     }
     if !faults.all.is_empty() {
         faults.all.sort_by_key(|fault| fault.line);
-        return Err(BadCatalogue(faults.all));
+        return Err(CatalogueFileError(faults.all));
     }
     let plan_span = |plan: &Plan| {
         let same = |p: &&Spanned<PlanLine>| {
@@ -147,17 +147,17 @@
             place.map_or(0..0, |i| spans[i].clone())
         };
         let (span, key) = match &wrong {
-            Wrong::Terms(plan) | Wrong::Version(plan) => (plan_span(plan), "plan.version"),
-            Wrong::NoPlan(id, plan) => (of(*id, &|a| a.plan == *plan), "customer.plan"),
-            Wrong::Twice(id, from) => (of(*id, &|a| a.from_ms == *from), "customer.from"),
-            Wrong::TooMany(..) => (0..0, ""),
+            CatalogueError::Terms(plan) | CatalogueError::Version(plan) => (plan_span(plan), "plan.version"),
+            CatalogueError::NoPlan(id, plan) => (of(*id, &|a| a.plan == *plan), "customer.plan"),
+            CatalogueError::Twice(id, from) => (of(*id, &|a| a.from_ms == *from), "customer.from"),
+            CatalogueError::TooMany(..) => (0..0, ""),
         };
         faults.say(&span, key, wrong.to_string());
-        BadCatalogue(faults.all)
+        CatalogueFileError(faults.all)
     })
 }
 
-fn read_plan(line: &PlanLine, faults: &mut Faults<'_>) -> (Plan, Terms) {
+fn read_plan(line: &PlanLine, faults: &mut Faults<'_>) -> (Plan, PlanLimits) {
     let name = line.name.get_ref();
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
         faults.say(&line.name.span(), "plan.name", format!("1 to {MAX_NAME_BYTES} bytes are wanted"));
@@ -177,12 +177,12 @@
     }
     let plan = Plan { name: name.as_str().into(), version: *line.version.get_ref() };
     let (ceiling_rate, ceiling_burst) = (ceiling_rate.unwrap_or(0.0), ceiling_burst.unwrap_or(0.0));
-    (plan, Terms { rate, burst, ceiling_rate, ceiling_burst })
+    (plan, PlanLimits { rate, burst, ceiling_rate, ceiling_burst })
 }
 
 fn read_customer(
     line: &CustomerLine,
-    plans: &[(Plan, Terms)],
+    plans: &[(Plan, PlanLimits)],
     faults: &mut Faults<'_>,
 ) -> Option<(u64, Assignment)> {
     let id = line.id.get_ref();
--- a/crates/plans/src/fence.rs
+++ b/crates/plans/src/fence.rs
@@ -4,7 +4,7 @@
 
 /// What came of a catalogue that was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum FenceOutcome {
     /// It is in force.
     New,
     /// It was in force already: an order's repeat.
@@ -21,20 +21,20 @@
 
 /// Holds a catalogue.
 #[derive(Clone, Debug, Default)]
-pub struct Fence {
+pub struct CatalogueFence {
     held: Option<Catalogue>,
 }
 
-impl Fence {
+impl CatalogueFence {
     /// Takes a catalogue in, if it is newer.
-    pub fn take(&mut self, told: Catalogue) -> Taken {
+    pub fn take(&mut self, told: Catalogue) -> FenceOutcome {
         match &self.held {
-            Some(held) if held.revision() > told.revision() => Taken::Stale { holds: held.revision() },
-            Some(held) if held.revision() == told.revision() && *held == told => Taken::Same,
-            Some(held) if held.revision() == told.revision() => Taken::Conflict,
+            Some(held) if held.revision() > told.revision() => FenceOutcome::Stale { holds: held.revision() },
+            Some(held) if held.revision() == told.revision() && *held == told => FenceOutcome::Same,
+            Some(held) if held.revision() == told.revision() => FenceOutcome::Conflict,
             _ => {
                 self.held = Some(told);
-                Taken::New
+                FenceOutcome::New
             }
         }
     }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -17,11 +17,12 @@
 mod reservations;
 mod timeline;
 
-pub use catalogue::{Assignment, Catalogue, Plan, Wrong, MAX_CUSTOMERS, MAX_PLANS};
-pub use catalogue_file::{read, BadCatalogue, Fault};
-pub use fence::{Fence, Taken};
+pub use catalogue::{Assignment, Catalogue, CatalogueError, Plan, MAX_CUSTOMERS, MAX_PLANS};
+pub use catalogue_file::{read_catalogue, CatalogueFileError, FileFault};
+pub use fence::{CatalogueFence, FenceOutcome};
 pub use reservations::{
-    Ask, Book, End, Ended, Refused, Reservation, State, Token, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
+    EndReason, EndedReservation, FencingToken, Reservation, ReservationError, ReservationLedger,
+    ReservationRequest, ReservationState, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
     MAX_RESERVATIONS_PER_CUSTOMER,
 };
-pub use timeline::{Terms, Timeline};
+pub use timeline::{PlanLimits, PlanTimeline};
--- a/crates/plans/src/timeline.rs
+++ b/crates/plans/src/timeline.rs
@@ -7,7 +7,7 @@
 
 /// What a plan's version grants. Rates are units a second; units are those that requests are charged.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Terms {
+pub struct PlanLimits {
     /// Units that fill the store each second, 0 or more.
     pub rate: f64,
     /// Units that the store holds, 0 or more.
@@ -18,7 +18,7 @@
     pub ceiling_burst: f64,
 }
 
-impl Terms {
+impl PlanLimits {
     /// The bounds that a reservation may not pass: the ceiling's, or the quota's where there is no ceiling.
     fn most(&self) -> (f64, f64) {
         if self.ceiling_rate > 0.0 {
@@ -31,22 +31,22 @@
 
 /// Terms from their instants on, in order. There is at least one, in force since ever.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Timeline {
+pub struct PlanTimeline {
     /// The first is in force before its instant too.
-    steps: Vec<(u64, Terms)>,
+    steps: Vec<(u64, PlanLimits)>,
 }
 
-impl Timeline {
+impl PlanTimeline {
     /// Terms that never change.
     #[must_use]
-    pub fn always(terms: Terms) -> Timeline {
-        Timeline { steps: vec![(0, terms)] }
+    pub fn always(terms: PlanLimits) -> PlanTimeline {
+        PlanTimeline { steps: vec![(0, terms)] }
     }
 
     /// Adds terms from an instant (Unix ms) on. Of two for one instant the later call wins, so that a
     /// change and its change back in one instant are no change.
     #[must_use]
-    pub fn then(mut self, from_ms: u64, terms: Terms) -> Timeline {
+    pub fn then(mut self, from_ms: u64, terms: PlanLimits) -> PlanTimeline {
         let place = self.steps.partition_point(|(at, _)| *at < from_ms);
         match self.steps.get_mut(place).filter(|(at, _)| *at == from_ms) {
             Some(step) => step.1 = terms,
@@ -57,7 +57,7 @@
 
     /// The terms in force at an instant.
     #[must_use]
-    pub fn at(&self, ms: u64) -> &Terms {
+    pub fn at(&self, ms: u64) -> &PlanLimits {
         &self.steps[self.place(ms)].1
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The terms between two instants, each with the ms for which they are in force.
-    fn between(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = (f64, &Terms)> {
+    fn between(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = (f64, &PlanLimits)> {
         let (first, last) = (self.place(from_ms), self.place(to_ms));
         (first..=last).map(move |i| {
             let begins = if i == first { from_ms } else { self.steps[i].0 };
@@ -108,7 +108,7 @@
     /// How many units a level can be off at a gateway that goes by `heard`, an older timeline, at `now_ms`,
     /// in a window that began then: too much (above 0: it may pass that many beyond) or too little.
     #[must_use]
-    pub fn error_of(&self, heard: &Timeline, window_ms: u64, now_ms: u64) -> f64 {
+    pub fn error_of(&self, heard: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
         heard.level(0.0, window_ms, now_ms) - self.level(0.0, window_ms, now_ms)
     }
 
--- a/crates/plans/tests/catalogue.rs
+++ b/crates/plans/tests/catalogue.rs
@@ -1,6 +1,6 @@
 //! The catalogue's file, and the fence.
 
-use plans::{read, Catalogue, Fence, Taken, Terms};
+use plans::{read_catalogue, Catalogue, CatalogueFence, FenceOutcome, PlanLimits};
 
 const GOOD: &str = r#"
 revision = 7
@@ -31,22 +31,22 @@
 "#;
 
 fn revision(revision: u64) -> Catalogue {
-    read(&GOOD.replace("revision = 7", &format!("revision = {revision}"))).expect("sound")
+    read_catalogue(&GOOD.replace("revision = 7", &format!("revision = {revision}"))).expect("sound")
 }
 
 #[test]
 fn a_customer_has_a_plans_version_from_its_instant_on() {
-    let all = read(GOOD).expect("sound");
+    let all = read_catalogue(GOOD).expect("sound");
     let (customer, change) = (0xb4d6_5521, 1_798_135_200_000);
     assert_eq!((all.revision(), all.customers(), all.plans().count()), (7, 1, 2));
     let version = |at| all.plan_at(customer, at).map(|plan| plan.version);
     assert_eq!((version(0), version(change - 1), version(change)), (Some(1), Some(1), Some(2)));
     assert_eq!(all.plan_at(1, change), None);
-    let line = all.timeline(customer, Terms::default());
+    let line = all.timeline(customer, PlanLimits::default());
     assert_eq!((line.at(change - 1).burst, line.at(change).ceiling_rate), (10.0, 12.0));
     assert_eq!(line.next_change(1), Some(change));
     // Whom it does not name goes by what the request says.
-    let default = Terms { rate: 1.0, ..Terms::default() };
+    let default = PlanLimits { rate: 1.0, ..PlanLimits::default() };
     assert_eq!(all.timeline(1, default).at(change), &default);
 }
 
@@ -70,31 +70,32 @@
     ] {
         let text = GOOD.replacen(from, to, 1);
         // Where a line was taken out, both of the customer's plans hold since ever.
-        let bad = read(&text).map(|all| all.revision()).expect_err(to);
+        let bad = read_catalogue(&text).map(|all| all.revision()).expect_err(to);
         let found = bad.0.iter().any(|fault| fault.line == line && fault.key == key);
         assert!(found, "{to:?}: {bad}");
     }
     let both = GOOD.replace("rate = 4.0", "rate = -4.0").replace("2026-12-24T18:00:00Z", "soon");
-    assert_eq!(read(&both).expect_err("two faults").0.len(), 2);
+    assert_eq!(read_catalogue(&both).expect_err("two faults").0.len(), 2);
     for (from, to, line) in [
         ("rate = 4.0", "rates = 4.0", 7),
         ("rate = 4.0", "rate = \"much\"", 7),
         ("[[customer]]", "[[customer]", 18),
     ] {
-        let bad = read(&GOOD.replacen(from, to, 1)).expect_err(to);
+        let bad = read_catalogue(&GOOD.replacen(from, to, 1)).expect_err(to);
         assert_eq!((bad.0.len(), bad.0[0].line), (1, line), "{to:?}: {bad}");
     }
 }
 
 #[test]
 fn the_newest_revision_wins_whatever_the_order_and_a_repeat_changes_nothing() {
-    let mut fence = Fence::default();
+    let mut fence = CatalogueFence::default();
     assert!(fence.held().is_none());
-    assert_eq!(fence.take(revision(8)), Taken::New);
-    assert_eq!(fence.take(revision(8)), Taken::Same);
-    assert_eq!(fence.take(revision(7)), Taken::Stale { holds: 8 });
-    let other = read(&GOOD.replace("revision = 7", "revision = 8").replace("rate = 4.0", "rate = 5.0"));
-    assert_eq!(fence.take(other.expect("sound")), Taken::Conflict);
+    assert_eq!(fence.take(revision(8)), FenceOutcome::New);
+    assert_eq!(fence.take(revision(8)), FenceOutcome::Same);
+    assert_eq!(fence.take(revision(7)), FenceOutcome::Stale { holds: 8 });
+    let other =
+        read_catalogue(&GOOD.replace("revision = 7", "revision = 8").replace("rate = 4.0", "rate = 5.0"));
+    assert_eq!(fence.take(other.expect("sound")), FenceOutcome::Conflict);
     assert_eq!(fence.held(), Some(&revision(8)));
-    assert_eq!(fence.take(revision(9)), Taken::New);
+    assert_eq!(fence.take(revision(9)), FenceOutcome::New);
 }
--- a/crates/plans/tests/reservations.rs
+++ b/crates/plans/tests/reservations.rs
@@ -1,15 +1,18 @@
 //! Reservations: holders that die, orders that repeat, ceilings that are lowered.
 
-use plans::{Ask, Book, End, Refused, State, Terms, Timeline, Token, MAX_RESERVATIONS_PER_CUSTOMER};
+use plans::{
+    EndReason, FencingToken, PlanLimits, PlanTimeline, ReservationError, ReservationLedger,
+    ReservationRequest, ReservationState, MAX_RESERVATIONS_PER_CUSTOMER,
+};
 use proptest::prelude::*;
 
-fn ceiling(rate: f64, burst: f64) -> Timeline {
-    let terms = Terms { rate: 1.0, burst: 5.0, ceiling_rate: rate, ceiling_burst: burst };
-    Timeline::always(terms)
+fn ceiling(rate: f64, burst: f64) -> PlanTimeline {
+    let terms = PlanLimits { rate: 1.0, burst: 5.0, ceiling_rate: rate, ceiling_burst: burst };
+    PlanTimeline::always(terms)
 }
 
-fn ask(order: &str, units: f64, from_s: u64, to_s: u64) -> Ask {
-    Ask {
+fn ask(order: &str, units: f64, from_s: u64, to_s: u64) -> ReservationRequest {
+    ReservationRequest {
         order: order.to_string(),
         holder: "desk".to_string(),
         customer: 7,
@@ -22,65 +25,71 @@
 
 #[test]
 fn a_holder_that_dies_holds_nothing_beyond_its_lease() {
-    let (mut book, terms) = (Book::default(), ceiling(10.0, 20.0));
+    let (mut book, terms) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     let token = book.reserve(0, ask("a", 30.0, 100, 101), &terms).expect("room").token;
-    assert!(matches!(book.reserve(0, ask("b", 1.0, 100, 101), &terms), Err(Refused::NoRoom(_))));
+    assert!(matches!(book.reserve(0, ask("b", 1.0, 100, 101), &terms), Err(ReservationError::NoRoom(_))));
     assert!(book.expire(4_999).is_empty());
     // Confirmed or not: it is the lease that holds.
-    assert_eq!(book.confirm(token).expect("open").state, State::Confirmed);
+    assert_eq!(book.confirm(token).expect("open").state, ReservationState::Confirmed);
     book.extend(4_000, token, 5_000).expect("open");
     assert!(book.expire(8_999).is_empty());
     let ended = book.expire(9_000);
     assert_eq!(
         ended.iter().map(|e| (e.reservation.token, e.end)).collect::<Vec<_>>(),
-        [(token, End::Lapsed)]
+        [(token, EndReason::LeaseExpired)]
     );
-    assert_eq!(book.extend(9_001, token, 5_000), Err(Refused::Ended(End::Lapsed)));
+    assert_eq!(book.extend(9_001, token, 5_000), Err(ReservationError::Ended(EndReason::LeaseExpired)));
     assert!(book.reserve(9_001, ask("b", 30.0, 100, 101), &terms).is_ok());
 }
 
 #[test]
 fn a_repeated_order_is_one_reservation_and_another_holder_fences_the_first() {
-    let (mut book, terms) = (Book::default(), ceiling(10.0, 20.0));
+    let (mut book, terms) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     let first = book.reserve(0, ask("a", 20.0, 10, 20), &terms).expect("room").token;
     assert_eq!(book.reserve(1, ask("a", 20.0, 10, 20), &terms).expect("the same").token, first);
     assert_eq!(book.live().count(), 1);
-    assert_eq!(book.reserve(1, ask("a", 21.0, 10, 20), &terms), Err(Refused::OtherAsk));
-    let other = Ask { holder: "second desk".to_string(), ..ask("a", 20.0, 10, 20) };
+    assert_eq!(book.reserve(1, ask("a", 21.0, 10, 20), &terms), Err(ReservationError::OtherAsk));
+    let other = ReservationRequest { holder: "second desk".to_string(), ..ask("a", 20.0, 10, 20) };
     let second = book.reserve(2, other, &terms).expect("taken over").token;
     assert!(second > first && book.live().count() == 1);
-    assert_eq!(book.confirm(first), Err(Refused::Fenced));
-    assert_eq!(book.release(3, first), Err(Refused::Fenced));
+    assert_eq!(book.confirm(first), Err(ReservationError::Fenced));
+    assert_eq!(book.release(3, first), Err(ReservationError::Fenced));
     assert!(book.confirm(second).is_ok());
-    assert_eq!(book.release(4, second).expect("open").end, End::Released);
-    assert_eq!(book.release(5, second), Err(Refused::Ended(End::Released)));
+    assert_eq!(book.release(4, second).expect("open").end, EndReason::Released);
+    assert_eq!(book.release(5, second), Err(ReservationError::Ended(EndReason::Released)));
     // An order that ended is not carried out anew by a late repeat.
-    assert_eq!(book.reserve(6, ask("a", 20.0, 10, 20), &terms), Err(Refused::Ended(End::Released)));
-    assert_eq!(book.confirm(Token(99)), Err(Refused::Unknown));
+    assert_eq!(
+        book.reserve(6, ask("a", 20.0, 10, 20), &terms),
+        Err(ReservationError::Ended(EndReason::Released))
+    );
+    assert_eq!(book.confirm(FencingToken(99)), Err(ReservationError::Unknown));
 }
 
 #[test]
 fn a_reservation_has_room_only_in_what_the_ceiling_leaves_over_every_span() {
-    let (mut book, terms) = (Book::default(), ceiling(10.0, 20.0));
+    let (mut book, terms) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     // 20 and 10 a second: 30 in a second, 120 in ten.
-    assert_eq!(book.reserve(0, ask("a", 31.0, 100, 101), &terms), Err(Refused::NoRoom(30.0)));
+    assert_eq!(book.reserve(0, ask("a", 31.0, 100, 101), &terms), Err(ReservationError::NoRoom(30.0)));
     book.reserve(0, ask("b", 25.0, 100, 101), &terms).expect("room");
     book.reserve(0, ask("c", 90.0, 100, 110), &terms).expect("room");
-    assert_eq!(book.reserve(0, ask("d", 6.0, 105, 110), &terms), Err(Refused::NoRoom(5.0)));
+    assert_eq!(book.reserve(0, ask("d", 6.0, 105, 110), &terms), Err(ReservationError::NoRoom(5.0)));
     assert!(book.reserve(0, ask("d", 5.0, 105, 110), &terms).is_ok());
     // Another customer has its own.
-    let other = Ask { customer: 8, ..ask("e", 30.0, 100, 101) };
+    let other = ReservationRequest { customer: 8, ..ask("e", 30.0, 100, 101) };
     assert!(book.reserve(0, other, &terms).is_ok());
     // Without a ceiling the quota bounds it.
-    let quota = Timeline::always(Terms { rate: 1.0, burst: 5.0, ..Terms::default() });
-    let third = Ask { customer: 9, ..ask("f", 7.0, 100, 101) };
-    assert_eq!(book.reserve(0, third, &quota), Err(Refused::NoRoom(6.0)));
+    let quota = PlanTimeline::always(PlanLimits { rate: 1.0, burst: 5.0, ..PlanLimits::default() });
+    let third = ReservationRequest { customer: 9, ..ask("f", 7.0, 100, 101) };
+    assert_eq!(book.reserve(0, third, &quota), Err(ReservationError::NoRoom(6.0)));
 }
 
 #[test]
 fn a_lowered_plan_ends_pending_ones_first_and_of_each_the_newest() {
-    let (mut book, terms) = (Book::default(), ceiling(10.0, 40.0));
-    let long = |order: &str, units, from, to| Ask { lease_ms: 3_600_000, ..ask(order, units, from, to) };
+    let (mut book, terms) = (ReservationLedger::default(), ceiling(10.0, 40.0));
+    let long = |order: &str, units, from, to| ReservationRequest {
+        lease_ms: 3_600_000,
+        ..ask(order, units, from, to)
+    };
     let confirmed = book.reserve(0, long("old", 15.0, 100, 101), &terms).expect("room").token;
     let pending = book.reserve(0, long("pending", 15.0, 100, 101), &terms).expect("room").token;
     let newest = book.reserve(0, long("new", 15.0, 100, 101), &terms).expect("room").token;
@@ -88,40 +97,40 @@
     book.confirm(confirmed).expect("open");
     book.confirm(newest).expect("open");
     let lowered = ceiling(10.0, 20.0);
-    let lost: Vec<Token> = book.lowered(1, 7, &lowered).iter().map(|e| e.reservation.token).collect();
+    let lost: Vec<FencingToken> = book.lowered(1, 7, &lowered).iter().map(|e| e.reservation.token).collect();
     assert_eq!(lost, [pending]);
-    let more: Vec<Token> =
+    let more: Vec<FencingToken> =
         book.lowered(2, 7, &ceiling(5.0, 10.0)).iter().map(|e| e.reservation.token).collect();
     assert_eq!(more, [newest]);
     // The holder hears with the next thing that it asks.
-    assert_eq!(book.extend(3, newest, 1_000), Err(Refused::Ended(End::Lowered)));
+    assert_eq!(book.extend(3, newest, 1_000), Err(ReservationError::Ended(EndReason::PlanLowered)));
     assert!(book.confirm(elsewhere).is_ok() && book.confirm(confirmed).is_ok());
 }
 
 #[test]
 fn a_reservation_ends_with_its_time_and_odd_asks_are_named() {
-    let (mut book, terms) = (Book::default(), ceiling(10.0, 20.0));
-    let long = Ask { lease_ms: 3_600_000, ..ask("a", 5.0, 10, 20) };
+    let (mut book, terms) = (ReservationLedger::default(), ceiling(10.0, 20.0));
+    let long = ReservationRequest { lease_ms: 3_600_000, ..ask("a", 5.0, 10, 20) };
     book.reserve(0, long, &terms).expect("room");
-    assert_eq!(book.expire(60_000)[0].end, End::Over);
+    assert_eq!(book.expire(60_000)[0].end, EndReason::PeriodOver);
     for odd in [
-        Ask { units: f64::NAN, ..ask("x", 1.0, 10, 20) },
-        Ask { units: 0.0, ..ask("x", 1.0, 10, 20) },
-        Ask { to_ms: 10_000, ..ask("x", 1.0, 10, 20) },
-        Ask { lease_ms: 0, ..ask("x", 1.0, 10, 20) },
-        Ask { lease_ms: u64::MAX, ..ask("x", 1.0, 10, 20) },
-        Ask { order: String::new(), ..ask("x", 1.0, 10, 20) },
-        Ask { holder: "x".repeat(65), ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { units: f64::NAN, ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { units: 0.0, ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { to_ms: 10_000, ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { lease_ms: 0, ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { lease_ms: u64::MAX, ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { order: String::new(), ..ask("x", 1.0, 10, 20) },
+        ReservationRequest { holder: "x".repeat(65), ..ask("x", 1.0, 10, 20) },
     ] {
-        assert!(matches!(book.reserve(0, odd.clone(), &terms), Err(Refused::Bad(_))), "{odd:?}");
+        assert!(matches!(book.reserve(0, odd.clone(), &terms), Err(ReservationError::Bad(_))), "{odd:?}");
     }
-    assert!(matches!(book.reserve(20_000, ask("late", 1.0, 10, 20), &terms), Err(Refused::Bad(_))));
+    assert!(matches!(book.reserve(20_000, ask("late", 1.0, 10, 20), &terms), Err(ReservationError::Bad(_))));
     for i in 0..MAX_RESERVATIONS_PER_CUSTOMER as u64 {
         book.reserve(0, ask(&format!("n{i}"), 0.1, 10 + i, 12 + i), &terms).expect("room");
     }
     assert_eq!(
         book.reserve(0, ask("one more", 0.1, 10, 12), &terms),
-        Err(Refused::TooMany(MAX_RESERVATIONS_PER_CUSTOMER))
+        Err(ReservationError::TooMany(MAX_RESERVATIONS_PER_CUSTOMER))
     );
 }
 
@@ -154,21 +163,21 @@
     fn what_is_open_always_fits_and_never_outlives_its_lease(
         deeds in proptest::collection::vec(deed(), 1..80),
     ) {
-        let (mut book, mut now) = (Book::default(), 0u64);
-        let (mut terms, mut greatest) = (ceiling(10.0, 40.0), Token(0));
+        let (mut book, mut now) = (ReservationLedger::default(), 0u64);
+        let (mut terms, mut greatest) = (ceiling(10.0, 40.0), FencingToken(0));
         for deed in deeds {
             match deed {
                 Deed::Reserve(order, holder, units, from, length) => {
                     let at = now / 1_000 + from;
                     let ask = ask(&format!("o{order}"), units, at, at + length);
-                    let ask = Ask { holder: format!("h{holder}"), ..ask };
+                    let ask = ReservationRequest { holder: format!("h{holder}"), ..ask };
                     if let Ok(r) = book.reserve(now, ask, &terms) {
                         greatest = greatest.max(r.token);
                     }
                 }
-                Deed::Confirm(token) => drop(book.confirm(Token(token)).cloned()),
-                Deed::Extend(token, lease) => drop(book.extend(now, Token(token), lease).cloned()),
-                Deed::Release(token) => drop(book.release(now, Token(token))),
+                Deed::Confirm(token) => drop(book.confirm(FencingToken(token)).cloned()),
+                Deed::Extend(token, lease) => drop(book.extend(now, FencingToken(token), lease).cloned()),
+                Deed::Release(token) => drop(book.release(now, FencingToken(token))),
                 Deed::Wait(ms) => now += ms,
                 Deed::Lower(rate, burst) => {
                     terms = ceiling(rate, burst);
--- a/crates/plans/tests/timeline.rs
+++ b/crates/plans/tests/timeline.rs
@@ -1,10 +1,10 @@
 //! Changes of terms in the middle of a window.
 
-use plans::{Terms, Timeline};
+use plans::{PlanLimits, PlanTimeline};
 use proptest::prelude::*;
 
-fn terms(rate: f64, burst: f64) -> Terms {
-    Terms { rate, burst, ..Terms::default() }
+fn terms(rate: f64, burst: f64) -> PlanLimits {
+    PlanLimits { rate, burst, ..PlanLimits::default() }
 }
 
 const SMALL: (f64, f64) = (4.0, 10.0);
@@ -14,11 +14,11 @@
 fn a_raised_plan_helps_at_once_and_a_lowered_one_binds_at_once() {
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
     // A window from 0; 18 units charged by 2 s: the small plan is empty.
-    let raised = Timeline::always(small).then(2_000, large);
+    let raised = PlanTimeline::always(small).then(2_000, large);
     assert!((raised.level(18.0, 0, 1_999) - 0.0).abs() < 0.01);
     assert!((raised.level(18.0, 0, 2_000) - 30.0).abs() < 0.01);
     // The same on the way down: 30 of 40 are there, 10 are owed, and the small plan holds 10.
-    let lowered = Timeline::always(large).then(2_000, small);
+    let lowered = PlanTimeline::always(large).then(2_000, small);
     assert!((lowered.level(34.0, 0, 1_999) - 30.0).abs() < 0.02);
     assert!((lowered.level(34.0, 0, 2_000) - 0.0).abs() < 0.02);
     // One who owes more waits until it is made good: no level is made up.
@@ -29,7 +29,7 @@
 #[test]
 fn two_changes_in_one_second_and_a_change_back_leave_what_was_counted() {
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
-    let steady = Timeline::always(large);
+    let steady = PlanTimeline::always(large);
     // There and back in one instant is no change at all.
     assert_eq!(steady.clone().then(2_000, small).then(2_000, large).at(3_000), &large);
     let instant = steady.clone().then(2_000, small).then(2_000, large);
@@ -47,7 +47,7 @@
 #[test]
 fn a_gateway_that_has_not_heard_errs_by_the_bursts_and_the_rates_for_as_long() {
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
-    let (old, new) = (Timeline::always(large), Timeline::always(large).then(2_000, small));
+    let (old, new) = (PlanTimeline::always(large), PlanTimeline::always(large).then(2_000, small));
     // Before the instant it errs by nothing; a second after by the difference of the bursts, and of the
     // rates.
     assert!(new.error_of(&old, 0, 1_999).abs() < 1e-9);
@@ -55,17 +55,17 @@
     // Two gateways a second apart in when they hear read one level again as soon as both have.
     assert!(new.error_of(&new.clone(), 0, 3_000).abs() < 1e-9);
     // A raised plan not heard of refuses what fits, and passes nothing beyond.
-    let raised = Timeline::always(small).then(2_000, large);
-    assert!(raised.error_of(&Timeline::always(small), 0, 3_000) < 0.0);
+    let raised = PlanTimeline::always(small).then(2_000, large);
+    assert!(raised.error_of(&PlanTimeline::always(small), 0, 3_000) < 0.0);
 }
 
-fn any_terms() -> impl Strategy<Value = Terms> {
+fn any_terms() -> impl Strategy<Value = PlanLimits> {
     (0.0f64..50.0, 0.0f64..200.0).prop_map(|(rate, burst)| terms(rate, burst))
 }
 
-fn any_line() -> impl Strategy<Value = Timeline> {
+fn any_line() -> impl Strategy<Value = PlanTimeline> {
     (any_terms(), proptest::collection::vec((1u64..20_000, any_terms()), 0..6)).prop_map(|(first, steps)| {
-        steps.into_iter().fold(Timeline::always(first), |line, (at, terms)| line.then(at, terms))
+        steps.into_iter().fold(PlanTimeline::always(first), |line, (at, terms)| line.then(at, terms))
     })
 }
 
@@ -94,7 +94,7 @@
     fn the_error_of_one_who_has_not_heard_is_bounded(
         before in any_terms(), after in any_terms(), at in 1u64..10_000, late in 0u64..10_000,
     ) {
-        let (old, new) = (Timeline::always(before), Timeline::always(before).then(at, after));
+        let (old, new) = (PlanTimeline::always(before), PlanTimeline::always(before).then(at, after));
         let rates = (before.rate - after.rate).abs() * late as f64 / 1000.0;
         let bound = (before.burst - after.burst).abs() + rates;
         prop_assert!(new.error_of(&old, 0, at + late).abs() <= bound + 1e-6);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -6,18 +6,18 @@
 
 /// How often an effect may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the backends of one group, for a while.
     Keyed,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which backends drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -30,30 +30,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim_ms: f64,
+    pub latency_objective_ms: f64,
     /// The longest a client waits for all its tries.
     pub deadline_ms: f64,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Part of the worth left after the aim.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes: who drops repeats.
-    pub group: Group,
+    pub deduplication_scope: DeduplicationScope,
     /// For keyed classes: how long they do.
-    pub window_ms: f64,
+    pub deduplication_window_ms: f64,
     /// Whether answers are streamed.
     pub streaming: bool,
     /// New settings dropped it: no request comes with it any more, and open ones keep it.
-    pub dropped: bool,
+    pub retired: bool,
 }
 
 impl Class {
     /// Whether two are one class, whether or not either was dropped.
     #[must_use]
     pub fn same_rules(&self, other: &Class) -> bool {
-        *self == Class { dropped: self.dropped, ..other.clone() }
+        *self == Class { retired: self.retired, ..other.clone() }
     }
 }
 
@@ -65,16 +65,16 @@
     /// Units the store holds; it starts full.
     pub burst: f64,
     /// Attempts out at once.
-    pub open: u32,
+    pub max_in_flight: u32,
     /// Units a second of the hard ceiling.
     pub ceiling_rate: f64,
     /// Units the ceiling's store holds.
     pub ceiling_burst: f64,
     /// What a request costs that is sent on beyond the quota, as a part of its worth: 0 or more;
     /// above 1 counts as 1.
-    pub over_cost: f64,
+    pub over_quota_penalty: f64,
     /// Factor of a request's worth.
-    pub value: f64,
+    pub weight_factor: f64,
 }
 
 /// What a load report may tell, in the order of [`Settings::load_fields`].
@@ -115,31 +115,31 @@
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     /// Part of its capacity a backend starts at, at least.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// It is warm after this, at the latest.
     pub warm_up_ms: f64,
     /// Work of more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long makes it fall.
-    pub overload_for_ms: f64,
+    pub overload_window_ms: f64,
 }
 
 /// How many backends a gateway looks at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Routing {
     /// Up to so many backends are all looked at for each request.
-    pub whole: usize,
+    pub scan_all_up_to: usize,
     /// So many are drawn and looked at where there are more.
     pub choices: usize,
     /// Backends that a gateway keeps to while they do, beside its part of those that `coverage` calls for.
-    pub subset: u32,
+    pub subset_size: u32,
     /// Gateways that each backend has for this, where there are as many.
     pub coverage: u32,
 }
 
 impl Default for Routing {
     fn default() -> Self {
-        Routing { whole: 16, choices: 8, subset: 5, coverage: 3 }
+        Routing { scan_all_up_to: 16, choices: 8, subset_size: 5, coverage: 3 }
     }
 }
 
@@ -147,27 +147,27 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of this gateway, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Gateways in all.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Zone of this gateway.
     pub zone: u32,
     /// Shortest time between two events that are not at the same moment.
-    pub tick_ms: f64,
+    pub clock_granularity_ms: f64,
     /// Classes, by index.
     pub classes: Vec<Class>,
     /// Plans, by index.
     pub plans: Vec<Plan>,
     /// Whether there is a shared counter.
-    pub counter: bool,
+    pub shared_counter: bool,
     /// An unanswered call to the counter ends after this.
     pub counter_timeout_ms: f64,
     /// Period of the meter of use; 0 for none.
-    pub meter_ms: f64,
+    pub usage_meter_period_ms: f64,
     /// Messages a second a gateway takes from its peers; 0 where they can't talk.
     pub peer_messages_per_s: f64,
     /// The most units one request counts.
-    pub max_units: f64,
+    pub max_request_units: f64,
     /// What is allowed.
     pub limits: Limits,
     /// Rules on cold backends.
@@ -175,15 +175,15 @@
     /// How many backends are looked at.
     pub routing: Routing,
     /// Customers whose store is held, at most.
-    pub customers: usize,
+    pub max_customers: usize,
     /// Values of load reports, in order.
     pub load_fields: Vec<LoadField>,
     /// The list of backends must be asked for.
-    pub ask_for_list: bool,
+    pub polls_endpoints: bool,
     /// A gateway that must ask does so within this time.
-    pub ask_within_ms: f64,
+    pub poll_within_ms: f64,
     /// For so long a backend may be sent to after the gateway was told that it drains or is gone.
-    pub stop_sending_ms: f64,
+    pub drain_grace_ms: f64,
     /// Cost of an attempt that crosses zones, as a part of a request's worth.
     pub cross_zone_cost: f64,
 }
@@ -210,24 +210,27 @@
     ///
     /// # Errors
     /// A [`SettingsError`] that names the field.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let bad = |field: &str, problem| Err(SettingsError { field: field.to_string(), problem });
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let amount = |x: f64| x.is_finite() && x >= 0.0;
-        if self.gateways == 0 || self.me >= self.gateways {
+        if self.gateway_count == 0 || self.gateway_index >= self.gateway_count {
             return bad("gateways", "must be above the gateway's own number");
         }
         if self.classes.is_empty() {
             return bad("classes", "at least one is needed");
         }
         for (i, c) in self.classes.iter().enumerate() {
-            let times = positive(c.aim_ms) && positive(c.deadline_ms) && amount(c.window_ms);
-            if !times || !amount(c.worth) || !amount(c.late_worth) {
+            let times = positive(c.latency_objective_ms)
+                && positive(c.deadline_ms)
+                && amount(c.deduplication_window_ms);
+            if !times || !amount(c.priority_weight) || !amount(c.late_weight) {
                 return bad(&format!("classes[{i}]"), "needs times above 0 and a worth of 0 or more");
             }
         }
         for (i, p) in self.plans.iter().enumerate() {
-            let all = [p.rate, p.burst, p.ceiling_rate, p.ceiling_burst, p.over_cost, p.value];
+            let all =
+                [p.rate, p.burst, p.ceiling_rate, p.ceiling_burst, p.over_quota_penalty, p.weight_factor];
             if !all.into_iter().all(amount) {
                 return bad(&format!("plans[{i}]"), "needs finite numbers of 0 or more");
             }
@@ -236,16 +239,16 @@
             }
         }
         let s = &self.slow_start;
-        if !(positive(s.start_capacity) && s.start_capacity <= 1.0 && amount(s.warm_up_ms)) {
+        if !(positive(s.initial_capacity) && s.initial_capacity <= 1.0 && amount(s.warm_up_ms)) {
             return bad("slow_start", "needs a start capacity in (0, 1] and a warm-up of 0 or more");
         }
-        if !(positive(s.tip_multiple) && amount(s.overload_for_ms)) {
+        if !(positive(s.overload_multiple) && amount(s.overload_window_ms)) {
             return bad("slow_start", "needs a multiple above 0 and a time of 0 or more");
         }
-        if self.routing.choices == 0 || self.routing.subset == 0 || self.routing.coverage == 0 {
+        if self.routing.choices == 0 || self.routing.subset_size == 0 || self.routing.coverage == 0 {
             return bad("routing", "choices, subset and coverage must be above 0");
         }
-        if self.customers == 0 {
+        if self.max_customers == 0 {
             return bad("customers", "must be above 0");
         }
         if self.limits.max_attempts == 0 {
@@ -254,13 +257,19 @@
         if !(amount(self.limits.connect_timeout_ms) && amount(self.limits.max_retry_after_ms)) {
             return bad("limits", "needs times of 0 or more");
         }
-        if !(amount(self.tick_ms) && amount(self.counter_timeout_ms) && amount(self.meter_ms)) {
+        if !(amount(self.clock_granularity_ms)
+            && amount(self.counter_timeout_ms)
+            && amount(self.usage_meter_period_ms))
+        {
             return bad("tick_ms, counter_timeout_ms, meter_ms", "must be 0 or more");
         }
-        if !(amount(self.max_units) && amount(self.peer_messages_per_s) && amount(self.ask_within_ms)) {
+        if !(amount(self.max_request_units)
+            && amount(self.peer_messages_per_s)
+            && amount(self.poll_within_ms))
+        {
             return bad("max_units, peer_messages_per_s, ask_within_ms", "must be 0 or more");
         }
-        if !(amount(self.cross_zone_cost) && amount(self.stop_sending_ms)) {
+        if !(amount(self.cross_zone_cost) && amount(self.drain_grace_ms)) {
             return bad("cross_zone_cost, stop_sending_ms", "must be 0 or more");
         }
         Ok(())
@@ -269,25 +278,25 @@
 
 /// State of a backend, as the list tells it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Readiness {
+pub enum EndpointState {
     /// Takes work.
     #[default]
     Ready,
     /// Finishes its work and takes no more.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A line of the list of backends.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BackendEntry {
+pub struct BackendEndpoint {
     /// Its number at this gateway.
     pub id: u32,
     /// What it is known by at all gateways.
     pub key: u64,
     /// Its state.
-    pub state: Readiness,
+    pub state: EndpointState,
     /// Its cell.
     pub cell: u32,
     /// Its zone.
@@ -297,17 +306,17 @@
     /// When it started; 0 for long ago.
     pub started_ms: f64,
     /// When operators gave it back after a ban, in which it was restarted; 0 for never.
-    pub returned_ms: f64,
+    pub reenabled_ms: f64,
     /// Its registered size against the others', where known.
     pub weight: f64,
     /// Its share of new work against those of share 1, as operators want it: above 0, at most 1.
-    pub share: f64,
+    pub weight_share: f64,
 }
 
-impl Default for BackendEntry {
+impl Default for BackendEndpoint {
     fn default() -> Self {
-        let (state, started_ms, returned_ms, weight, share) = (Readiness::Ready, 0.0, 0.0, 0.0, 1.0);
-        BackendEntry {
+        let (state, started_ms, returned_ms, weight, share) = (EndpointState::Ready, 0.0, 0.0, 0.0, 1.0);
+        BackendEndpoint {
             id: 0,
             key: 0,
             state,
@@ -315,24 +324,24 @@
             zone: 0,
             kind: 0,
             started_ms,
-            returned_ms,
+            reenabled_ms: returned_ms,
             weight,
-            share,
+            weight_share: share,
         }
     }
 }
 
-impl BackendEntry {
+impl BackendEndpoint {
     /// From when it is cold: its start, or its return after a ban, whichever came last.
     #[must_use]
-    pub fn cold_from_ms(&self) -> f64 {
-        self.started_ms.max(self.returned_ms)
+    pub fn slow_start_from_ms(&self) -> f64 {
+        self.started_ms.max(self.reenabled_ms)
     }
 }
 
 /// How a list event is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListScope {
+pub enum UpdateScope {
     /// Changed lines only.
     Delta,
     /// All lines.
@@ -351,7 +360,7 @@
     /// Answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection.
@@ -361,14 +370,14 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the attempt is known not to have run.
     #[must_use]
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    pub fn never_executed(self) -> bool {
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -386,22 +395,22 @@
     /// Units it counts; a guess where they are settled later.
     pub units: f64,
     /// Gateways through which this customer's requests may come.
-    pub width: f64,
+    pub fan_out: f64,
     /// When the client gives this try up.
-    pub expires_ms: f64,
+    pub deadline_ms: f64,
     /// Marked as a client's repeat.
     pub retry: bool,
 }
 
 /// Charges of a customer that the counter was not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Untold {
+pub struct UnreportedCharge {
     /// Whose they are.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
     /// Gateways through which the customer's requests may come.
-    pub width: f64,
+    pub fan_out: f64,
     /// Units, above 0.
     pub units: f64,
 }
@@ -410,16 +419,16 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// News of the list of backends.
-    Backends {
+    EndpointsUpdated {
         /// How to read it.
-        scope: ListScope,
+        scope: UpdateScope,
         /// Its lines.
-        entries: &'a [BackendEntry],
+        endpoints: &'a [BackendEndpoint],
     },
     /// A request came in.
     Request(Request),
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: u64,
         /// Which attempt, from 0.
@@ -431,11 +440,11 @@
         /// Time since it was sent.
         latency_ms: f64,
         /// The client has its answer; nothing is owed any more.
-        closed: bool,
+        answered: bool,
         /// The customer's use over all gateways, as a part of its rate (or open attempts, of their cap).
-        metered: Option<f64>,
+        metered_use: Option<f64>,
         /// The true units, in place of the guess.
-        charged: Option<f64>,
+        actual_units: Option<f64>,
         /// Load report, empty for none.
         load: &'a [f32],
     },
@@ -449,12 +458,12 @@
         backend: u32,
     },
     /// The client has left; nothing is owed any more.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         id: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The backend.
         backend: u32,
         /// How it ended.
@@ -463,23 +472,23 @@
         load: &'a [f32],
     },
     /// A call to the counter ended.
-    Counted {
+    CounterReplied {
         /// The name.
-        name: u64,
+        key: u64,
         /// How it ended.
         outcome: Outcome,
         /// The value after it, if it ended well; not finite if it was added and the value can't be read.
         total: f64,
     },
     /// A message of another gateway.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// The message.
         body: &'a [u8],
     },
     /// A timer rang.
-    Timer {
+    TimerExpired {
         /// Its token.
         token: u64,
     },
@@ -489,31 +498,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Starts an attempt; they count from 0 for each request.
-    Send {
+    SendAttempt {
         /// The request.
         id: u64,
         /// Where to.
         backend: u32,
         /// The last byte of the request has to be written by then, ms; later it must not be sent at all.
         /// None: as long as the client waits.
-        begin_by_ms: Option<f64>,
+        write_deadline_ms: Option<f64>,
     },
     /// Ends the wait for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         id: u64,
         /// Which attempt.
         attempt: u32,
     },
     /// Final answer: trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: u64,
         /// When to come again.
         retry_after_ms: Option<f64>,
     },
     /// Final answer: nothing is promised.
-    Surrender {
+    Fail {
         /// The request.
         id: u64,
     },
@@ -523,26 +532,26 @@
         backend: u32,
     },
     /// Adds to a number of the shared counter.
-    Count {
+    IncrementCounter {
         /// Its name.
-        name: u64,
+        key: u64,
         /// What to add.
         amount: f64,
         /// When a new name is to be forgotten.
-        forget_after_ms: f64,
+        ttl_ms: f64,
     },
     /// Asks for a timer event.
-    Timer {
+    ScheduleTimer {
         /// Given back with it.
         token: u64,
         /// When.
         at_ms: f64,
     },
     /// Sends a message to all other gateways.
-    Tell {
+    BroadcastToPeers {
         /// The message.
         body: Vec<u8>,
     },
     /// Subscribes to the list of backends.
-    Watch,
+    PollEndpoints,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -14,5 +14,5 @@
 mod store;
 mod view;
 
-pub use policy::Gateway;
+pub use policy::Policy;
 pub use view::BackendView;
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Who is let in: quota, ceiling, room, and how pressed the fleet is.
 
 use super::{
-    Gateway, COUNT_WAIT, FEW, KEEP, MIN_BEARABLE_SLOWNESS, MIN_CALL_PROBABILITY, PRIOR, UNSEEN_WEIGHT,
+    Policy, COUNT_WAIT, FEW, KEEP, MIN_BEARABLE_SLOWNESS, MIN_CALL_PROBABILITY, PRIOR, UNSEEN_WEIGHT,
 };
 use crate::interface::{Action, Request};
 use crate::state::{roll, Ratio};
@@ -24,19 +24,20 @@
 /// Answers in which the least slowness rises to the present one.
 const CALM_RISE: f64 = 4000.0;
 
-impl Gateway {
+impl Policy {
     /// Decides on a request that just came: quota, ceiling, room; then sends, calls or refuses.
     pub(super) fn admit(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request.clone();
         let (customer, units) = (request.customer, request.units);
-        let width = if request.width >= 1.0 { request.width } else { f64::from(self.settings.gateways) };
-        let prior = self.settings.max_units.max(1.0);
+        let width =
+            if request.fan_out >= 1.0 { request.fan_out } else { f64::from(self.settings.gateway_count) };
+        let prior = self.settings.max_request_units.max(1.0);
         if self.customers.get(customer).is_none() {
             let plan = self.settings.plans.get(request.plan).cloned().unwrap_or_default();
-            let mut new = Customer::new(customer, plan, width, now, self.born, self.settings.counter);
+            let mut new = Customer::new(customer, plan, width, now, self.born, self.settings.shared_counter);
             // Danger: charges of a crowd of newcomers that no total holds, so that none could be forgotten.
             // They are told at once. Harm: each waits for the counter, as far as calls have a chance.
-            new.local = if self.customers.filled() > PRESSED { 0.0 } else { new.local };
+            new.local = if self.customers.fill_ratio() > PRESSED { 0.0 } else { new.local };
             new.shared_by(self.processes);
             if self.customers.insert(now, customer, new).is_err() {
                 return self.give_up(now, id, actions);
@@ -44,8 +45,9 @@
         }
         let c = self.customers.get_mut(customer).expect("just put there");
         c.refill(now);
-        let cap = (f64::from(c.plan.open) * c.share(prior).max(1.0 / c.width) / c.processes).max(1.0);
-        let over_open = c.plan.open > 0 && f64::from(c.open) + 1.0 > cap;
+        let cap =
+            (f64::from(c.plan.max_in_flight) * c.share(prior).max(1.0 / c.width) / c.processes).max(1.0);
+        let over_open = c.plan.max_in_flight > 0 && f64::from(c.open) + 1.0 > cap;
         let scarce = c.plan.ceiling_rate > 0.0 && c.ceiling < units;
         let over_ceiling = scarce && !c.totals_keep;
         // Danger: what is only assumed of others refuses, so that no call is made that would tell better.
@@ -77,7 +79,7 @@
         // Of these the first are of plans whose requests cost least beyond the quota. Danger: an order that
         // leaves all calls where all cost the same, so that a lower chance lessens none. It is relative to
         // the requests that come: on the whole calls fall as fast as if there was no order.
-        let cheap = MAX_CHEAPNESS - c.plan.over_cost.min(1.0);
+        let cheap = MAX_CHEAPNESS - c.plan.over_quota_penalty.min(1.0);
         self.cheap.add(cheap, 1.0, KEEP.1);
         let first = cheap / self.cheap.with_prior(cheap, f64::MIN_POSITIVE);
         let (room, less, least) = if calm {
@@ -87,14 +89,14 @@
         };
         let chance = (room - (1.0 - self.call_chance) * less).clamp(least.min(self.call_chance), 1.0);
         let kept = c.kept_part(self.mean_units.with_prior(1.0, f64::MIN_POSITIVE));
-        if !self.settings.counter || roll(&mut self.rng) >= chance {
+        if !self.settings.shared_counter || roll(&mut self.rng) >= chance {
             // Danger: what was never charged, given back.
             let passes = self.call_chance >= 1.0 || roll(&mut self.rng) * demand < 1.0;
-            if doubtful || !(passes || self.settings.counter && calm) {
+            if doubtful || !(passes || self.settings.shared_counter && calm) {
                 return self.give_up(now, id, actions);
             }
             held.charge = units;
-            if self.settings.counter && calm {
+            if self.settings.shared_counter && calm {
                 c.spend(units);
                 held.beside = (kept - 1.0) * units;
                 c.unreported += held.beside;
@@ -109,8 +111,8 @@
         let beside = held.beside;
         self.call(now, id, customer, (0.0, beside), actions);
         let longest = self.settings.counter_timeout_ms;
-        let wait = (self.settings.classes[request.class].aim_ms * COUNT_WAIT_PART).min(longest);
-        actions.push(Action::Timer { token: id << 2 | COUNT_WAIT, at_ms: now + wait });
+        let wait = (self.settings.classes[request.class].latency_objective_ms * COUNT_WAIT_PART).min(longest);
+        actions.push(Action::ScheduleTimer { token: id << 2 | COUNT_WAIT, at_ms: now + wait });
     }
 
     /// Danger: queues no answer comes out of in time (the design's store does not see them), or load
@@ -120,7 +122,7 @@
         let some = self.choose(now, id).filter(|(_, slow)| *slow <= self.fleet.bearable);
         let pressure = self.pressure(now);
         // Danger: clients with little time left. What is not expected to be done by then is not begun.
-        let Request { class, units, expires_ms, .. } = self.requests[&id].request;
+        let Request { class, units, deadline_ms: expires_ms, .. } = self.requests[&id].request;
         let in_time = self.work(class, units) * self.fleet.calm * pressure <= expires_ms - now;
         let room = some.filter(|_| in_time && pressure <= self.fleet.bearable);
         self.fleet.refused += (1.0 - KEEP.1) * (f64::from(u8::from(room.is_none())) - self.fleet.refused);
@@ -134,7 +136,7 @@
         let keep = (-(now - f.at) / self.longest.0).exp().max(f64::EPSILON);
         let prior = f.mean_work * PRIOR / keep;
         // What is usually out counts as well where the gateway is one of many, and sees little else.
-        let few = (FEW / f64::from(self.settings.gateways)).min(1.0);
+        let few = (FEW / f64::from(self.settings.gateway_count)).min(1.0);
         // Danger: a gateway that begins knows no usual load, and takes its first requests for a jam. Until it
         // has some answers, what is out is usual for as long as it may take.
         let unseen = (1.0 - f.answers / UNSEEN_WEIGHT).max(0.0);
@@ -144,7 +146,7 @@
         let time = Ratio { seen: time, ..f.lately };
         let queueing = time.with_prior(f.calm, prior) / f.calm - 1.0;
         // What this gateway has out tells of the whole as far as the others are few.
-        let others = f64::from(self.settings.gateways);
+        let others = f64::from(self.settings.gateway_count);
         1.0 + queueing * (f.out + others) / (or_now(f.out_mean, f.out) + others)
     }
 
--- a/crates/policy/src/policy/choice.rs
+++ b/crates/policy/src/policy/choice.rs
@@ -1,7 +1,7 @@
 //! Which backend takes a request, and whether another attempt follows.
 
-use super::{Gateway, EJECT, HEADROOM, HEDGE, PRIOR};
-use crate::interface::{Action, Class, Effect, Group, Request};
+use super::{Policy, EJECT, HEADROOM, HEDGE, PRIOR};
+use crate::interface::{Action, Class, DeduplicationScope, Idempotency, Request};
 use crate::state::{roll, Attempt, Backend, Choice, Held};
 use routing::From;
 
@@ -18,7 +18,7 @@
 /// A hedge is sent when an attempt takes this many times its expected latency.
 const HEDGE_AFTER: f64 = 3.0;
 
-impl Gateway {
+impl Policy {
     /// Slowness of a backend against what is expected of a request, by its own answers and, as they
     /// age, by the fleet's.
     pub(super) fn slowness(&self, b: &Backend, now: f64) -> f64 {
@@ -74,10 +74,11 @@
         let (home, all) = (self.backends.counts(From::Home), self.backends.counts(From::Fleet));
         let ignore_ejection = most(all.ejected, all.ready);
         let class = &self.settings.classes[held.request.class];
-        let ran = held.attempts.iter().find(|a| a.may_have_run).filter(|_| class.effect == Effect::Keyed);
-        let from = match (ran, class.group) {
-            (Some(a), Group::Cell) => [From::Cell(a.cell); 3],
-            (Some(a), Group::Zone) => [From::Zone(a.zone); 3],
+        let ran =
+            held.attempts.iter().find(|a| a.may_have_run).filter(|_| class.idempotency == Idempotency::Keyed);
+        let from = match (ran, class.deduplication_scope) {
+            (Some(a), DeduplicationScope::Cell) => [From::Cell(a.cell); 3],
+            (Some(a), DeduplicationScope::Zone) => [From::Zone(a.zone); 3],
             _ if most(home.ejected, home.ready) => [From::Fleet; 3],
             _ => [From::Home, From::Home, From::Fleet],
         };
@@ -128,7 +129,7 @@
             // always free beside it. It gets the cold part of an even share by chance; the sum over gateways
             // is the same. Harm: answers of a cold one are slower, so it is not done for each that starts.
             let (little, within) = (part < work, pushed + work <= part);
-            let given_back = b.entry.returned_ms > b.entry.started_ms;
+            let given_back = b.entry.reenabled_ms > b.entry.started_ms;
             lucky = (little || (some || given_back) && within) && roll(dice) * drawn as f64 <= warmth;
             // Danger: gateways that it is no home of, each with a part of its own.
             if !self.backends.is_home(place) || !(within || little && lucky) {
@@ -145,7 +146,7 @@
         let waiting = self.fleet.queue + (b.waiting - self.fleet.queue) * fresh;
         let load = (b.out * self.backends.degree()).max(b.out + waiting) + AT_ONCE;
         // An operator's weight: beyond its share of what others get, it comes last.
-        let sated = b.entry.share < 1.0 && pushed > b.entry.share * warm_push;
+        let sated = b.entry.weight_share < 1.0 && pushed > b.entry.weight_share * warm_push;
         let crosses = f64::from(u8::from(b.entry.zone != self.settings.zone));
         // Danger: backends that turn one plan or class away though they have room. Those that did both of
         // late come last for it; others go on there.
@@ -166,7 +167,7 @@
     /// of what warm ones get of it, or of its part of one core's work.
     pub(super) fn cold_part(&self, warmth: f64, gateways: f64, warm: f64) -> f64 {
         let slow = &self.settings.slow_start;
-        let core = slow.tip_multiple * slow.overload_for_ms / gateways;
+        let core = slow.overload_multiple * slow.overload_window_ms / gateways;
         warmth * core.max(warm)
     }
 
@@ -174,9 +175,9 @@
     /// drop repeats of the earliest attempt that may have run. None: as long as it has time.
     pub(super) fn repeat_until(&self, held: &Held) -> Option<f64> {
         let class = &self.settings.classes[held.request.class];
-        let ran = held.attempts.iter().filter(|a| a.may_have_run && class.effect == Effect::Keyed);
+        let ran = held.attempts.iter().filter(|a| a.may_have_run && class.idempotency == Idempotency::Keyed);
         let earliest = ran.map(|a| a.sent).min_by(f64::total_cmp)?;
-        Some(earliest + class.window_ms - self.settings.tick_ms)
+        Some(earliest + class.deduplication_window_ms - self.settings.clock_granularity_ms)
     }
 
     /// The one place that says whether a further attempt (to a backend) or a refusal (`None`) is legal.
@@ -190,15 +191,17 @@
                 return false;
             }
         }
-        match (class.effect, to) {
-            (Effect::Safe, _) => true,
-            (Effect::Unsafe, _) => may_have_run().next().is_none(),
-            (Effect::Keyed, None) => class.group == Group::All || may_have_run().next().is_none(),
-            (Effect::Keyed, Some(b)) => {
-                let same = may_have_run().all(|a| match class.group {
-                    Group::All => true,
-                    Group::Zone => a.zone == b.entry.zone,
-                    Group::Cell => a.cell == b.entry.cell,
+        match (class.idempotency, to) {
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::NonIdempotent, _) => may_have_run().next().is_none(),
+            (Idempotency::Keyed, None) => {
+                class.deduplication_scope == DeduplicationScope::All || may_have_run().next().is_none()
+            }
+            (Idempotency::Keyed, Some(b)) => {
+                let same = may_have_run().all(|a| match class.deduplication_scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => a.zone == b.entry.zone,
+                    DeduplicationScope::Cell => a.cell == b.entry.cell,
                 });
                 same && self.repeat_until(held).is_none_or(|until| now < until)
             }
@@ -210,7 +213,7 @@
         let work = self.work(class, self.requests[&id].request.units);
         let expected = work * finish.max(self.slowness(self.backends.get(place), now));
         let s = &self.settings;
-        let patience = (expected * HEDGE_AFTER).min(s.classes[class].aim_ms);
+        let patience = (expected * HEDGE_AFTER).min(s.classes[class].latency_objective_ms);
         let connect = s.limits.connect_timeout_ms;
         self.backends.push(place, now, work);
         let b = self.backends.learn(place);
@@ -228,9 +231,9 @@
         let begin_by_ms = self.repeat_until(&self.requests[&id]);
         let held = self.requests.get_mut(&id).expect("held");
         self.customers.get_mut(held.request.customer).into_iter().for_each(|c| c.open += 1);
-        actions.push(Action::Send { id, backend, begin_by_ms });
+        actions.push(Action::SendAttempt { id, backend, write_deadline_ms: begin_by_ms });
         held.attempts.push(attempt);
-        actions.push(Action::Timer { token: id << 2 | HEDGE, at_ms: now + patience });
+        actions.push(Action::ScheduleTimer { token: id << 2 | HEDGE, at_ms: now + patience });
     }
 
     /// Danger: attempts stuck on a bad backend, or whose answers are lost. An overdue one counts against
@@ -239,7 +242,7 @@
         // One whose answer comes is not overdue, however long that takes.
         let Some(held) = self.requests.get_mut(&id).filter(|h| !h.streaming) else { return };
         let (class, units, arrived) = (held.request.class, held.request.units, held.attempts[0].sent);
-        let tick = self.settings.tick_ms;
+        let tick = self.settings.clock_granularity_ms;
         let late = |a: &&mut Attempt| a.pending && !a.overdue && now - a.sent + tick >= a.patience;
         let Some(a) = held.attempts.iter_mut().find(late) else { return };
         a.overdue = true;
@@ -253,7 +256,7 @@
         if waits || !self.settings.limits.hedges || self.retry_budget < 1.0 {
             return;
         }
-        let left = (self.settings.classes[class].aim_ms - (now - arrived)) * HEADROOM;
+        let left = (self.settings.classes[class].latency_objective_ms - (now - arrived)) * HEADROOM;
         let chosen = self.choose(now, id).filter(|c| c.1 * self.work(class, units) < left);
         if let Some((place, finish)) = chosen.filter(|c| self.backends.get(c.0).entry.id != backend) {
             self.retry_budget -= 1.0;
@@ -277,7 +280,7 @@
         }
         // What ran nowhere multiplies no work: it costs no budget while the fleet is not pressed.
         let (late, ran) = (
-            now >= held.request.expires_ms - self.settings.tick_ms,
+            now >= held.request.deadline_ms - self.settings.clock_granularity_ms,
             held.attempts.iter().any(|a| a.may_have_run),
         );
         let cost = if ran || self.pressure(now) > self.fleet.bearable { 1.0 } else { 0.0 };
--- a/crates/policy/src/policy/counting.rs
+++ b/crates/policy/src/policy/counting.rs
@@ -1,6 +1,6 @@
 //! Calls to the counter: what a total decides, what is done without one, and how many calls are made.
 
-use super::{Gateway, MIN_CALL_PROBABILITY};
+use super::{Policy, MIN_CALL_PROBABILITY};
 use crate::interface::{Action, Outcome};
 use crate::state::{mix, roll, Call};
 use crate::store::WINDOW_MS;
@@ -15,7 +15,7 @@
 /// Stands for the request of a call that none waits for.
 const NOBODY: u64 = u64::MAX;
 
-impl Gateway {
+impl Policy {
     /// Tells the counter what it was not told of a customer in this window;
     /// `lost` is refill beyond that, `beside` what it tells for requests without a call.
     pub(super) fn call(
@@ -38,7 +38,11 @@
             beside,
             made: now,
         });
-        actions.push(Action::Count { name, amount: charge + lost + beside, forget_after_ms });
+        actions.push(Action::IncrementCounter {
+            key: name,
+            amount: charge + lost + beside,
+            ttl_ms: forget_after_ms,
+        });
     }
 
     /// Danger: no total to go by. The store decides alone; what it lets through is charged for the
@@ -47,7 +51,7 @@
         let held = self.requests.get_mut(&id).expect("held");
         let counted = std::mem::take(&mut held.counting);
         let (customer, units) = (held.request.customer, held.request.units);
-        let prior = self.settings.max_units.max(1.0);
+        let prior = self.settings.max_request_units.max(1.0);
         if let Some(c) = self.customers.get_mut(customer).filter(|c| c.plan.rate > 0.0) {
             c.spend(if counted { 0.0 } else { units });
             if c.level < 0.0 {
@@ -95,7 +99,7 @@
             }
             covered = c.level >= 0.0;
             // The total holds charges that were refused; the store itself can't be so far below nothing.
-            c.level = c.level.max(-self.settings.max_units);
+            c.level = c.level.max(-self.settings.max_request_units);
         }
         if lost != 0.0 {
             self.call(now, NOBODY, call.customer, (lost, 0.0), actions);
@@ -138,7 +142,7 @@
                 }
             }
             // A broken or silent connection says nothing of how busy the counter is.
-            Outcome::Reset | Outcome::Moot => 1.0,
+            Outcome::Reset | Outcome::NotSent => 1.0,
             _ => CALL_CHANCE.0,
         };
         if factor < 1.0 && made >= self.call_eased {
--- a/crates/policy/src/policy/health.rs
+++ b/crates/policy/src/policy/health.rs
@@ -1,7 +1,7 @@
 //! What is known of backends: the list, reports, outcomes, silence and ejection.
 
-use super::{Gateway, EJECT, HEADROOM, KEEP, MIN_BEARABLE_SLOWNESS, WATCH};
-use crate::interface::{Action, BackendEntry, ListScope, LoadField, Outcome, Readiness, Settings};
+use super::{Policy, EJECT, HEADROOM, KEEP, MIN_BEARABLE_SLOWNESS, WATCH};
+use crate::interface::{Action, BackendEndpoint, EndpointState, LoadField, Outcome, Settings, UpdateScope};
 use crate::state::{Backend, End};
 use crate::store::{LOCAL_PART, MEMORY_FILLS};
 use std::collections::HashSet;
@@ -14,15 +14,15 @@
 const EJECT_PAUSE: (f64, f64) = (2.0, 16.0);
 
 impl Backend {
-    pub(super) fn new(now: f64, entry: &BackendEntry, s: &Settings) -> Self {
+    pub(super) fn new(now: f64, entry: &BackendEndpoint, s: &Settings) -> Self {
         // Danger: a start that lies ahead, by another clock or in another unit, and a backend that is cold
         // until then. Harm: by a clock that goes a little before this one it is taken for that much warmer.
-        let (started, warm_up) = (entry.cold_from_ms().min(now), s.slow_start.warm_up_ms);
+        let (started, warm_up) = (entry.slow_start_from_ms().min(now), s.slow_start.warm_up_ms);
         Backend { started, warm_up, entry: entry.clone(), ..Backend::default() }
     }
 
     pub(super) fn ready(&self) -> bool {
-        self.entry.state == Readiness::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     /// Surely warm part of the capacity at `now`.
@@ -32,7 +32,7 @@
             return 1.0;
         }
         let grown = ((now - self.started) / slow.warm_up_ms).clamp(0.0, 1.0);
-        slow.start_capacity + (1.0 - slow.start_capacity) * grown
+        slow.initial_capacity + (1.0 - slow.initial_capacity) * grown
     }
 
     pub(super) fn eject(&mut self, now: f64, connect_timeout: f64) {
@@ -51,33 +51,36 @@
     }
 }
 
-impl Gateway {
+impl Policy {
     pub(super) fn list(
         &mut self,
         now: f64,
-        scope: ListScope,
-        entries: &[BackendEntry],
+        scope: UpdateScope,
+        entries: &[BackendEndpoint],
         actions: &mut Vec<Action>,
     ) {
         let s = &self.settings;
-        if s.ask_for_list && matches!(scope, ListScope::Failed | ListScope::Cached) {
-            let wait = if scope == ListScope::Failed { s.ask_within_ms * LOCAL_PART } else { 0.0 };
-            actions.push(Action::Timer { token: WATCH, at_ms: now + wait });
+        if s.polls_endpoints && matches!(scope, UpdateScope::Failed | UpdateScope::Cached) {
+            let wait = if scope == UpdateScope::Failed { s.poll_within_ms * LOCAL_PART } else { 0.0 };
+            actions.push(Action::ScheduleTimer { token: WATCH, at_ms: now + wait });
         }
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
             let ids = self.backends.places().map(|place| self.backends.get(place).entry.id);
             let gone: Vec<u32> = ids.filter(|id| !named.contains(id)).collect();
             for id in gone {
-                self.relist(now, &BackendEntry { id, state: Readiness::Gone, ..BackendEntry::default() });
+                self.relist(
+                    now,
+                    &BackendEndpoint { id, state: EndpointState::Removed, ..BackendEndpoint::default() },
+                );
             }
         }
         entries.iter().for_each(|entry| self.relist(now, entry));
     }
 
     /// Takes in a line of the list.
-    pub(super) fn relist(&mut self, now: f64, entry: &BackendEntry) {
-        let gone = entry.state == Readiness::Gone;
+    pub(super) fn relist(&mut self, now: f64, entry: &BackendEndpoint) {
+        let gone = entry.state == EndpointState::Removed;
         let Some(place) = self.backends.find(entry.id) else {
             if !gone {
                 self.backends.insert(now, Backend::new(now, entry, &self.settings));
@@ -87,7 +90,7 @@
         let b = self.backends.get(place);
         if gone {
             self.backends.update(now, place, |b| b.entry.state = entry.state);
-        } else if entry.cold_from_ms() > b.entry.cold_from_ms() {
+        } else if entry.slow_start_from_ms() > b.entry.slow_start_from_ms() {
             // Danger: what was learned of the process before says nothing of this one.
             let new = Backend { out: b.out, heard: b.heard, ..Backend::new(now, entry, &self.settings) };
             self.backends.renew(now, place, new);
@@ -102,7 +105,7 @@
     pub(super) fn forget(&mut self, now: f64, id: u32) {
         let Some(place) = self.backends.find(id) else { return };
         let b = self.backends.get(place);
-        if b.entry.state == Readiness::Gone && b.out <= 0.0 {
+        if b.entry.state == EndpointState::Removed && b.out <= 0.0 {
             self.backends.remove(now, place);
         }
     }
@@ -170,7 +173,7 @@
         let Some(a) = held.attempts.get_mut(attempt as usize).filter(|a| a.pending) else { return };
         a.pending = false;
         self.fleet.waits(a.sent, if a.overdue { 0.0 } else { -1.0 });
-        a.may_have_run = !outcome.never_ran();
+        a.may_have_run = !outcome.never_executed();
         self.fleet.out = (self.fleet.out - 1.0).max(0.0);
         let (backend, out_then, overdue, class) = (a.backend, a.out_then, a.overdue, held.request.class);
         let request = held.request.clone();
@@ -178,7 +181,7 @@
         if let Some(c) = self.customers.get_mut(held.request.customer) {
             c.open = c.open.saturating_sub(1);
             // Without a counter, or while it is gone, a meter's use over all gateways tells this one's share.
-            let uncounted = !self.settings.counter || !self.call_heard;
+            let uncounted = !self.settings.shared_counter || !self.call_heard;
             if let Some(used) = metered.filter(|_| uncounted && c.plan.rate > 0.0) {
                 c.others = (used * c.plan.burst * MEMORY_FILLS - c.own).max(0.0);
             }
@@ -196,13 +199,13 @@
         let Some(place) = self.backends.find(backend) else { return };
         let b = self.backends.learn(place);
         b.out = (b.out - 1.0).max(0.0);
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             b.heard = now;
         }
-        if matches!(outcome, Outcome::Moot | Outcome::Cancelled) || !latency.is_finite() {
+        if matches!(outcome, Outcome::NotSent | Outcome::Cancelled) || !latency.is_finite() {
             return;
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             b.full.resize(all, f64::MIN);
             marks.iter().for_each(|m| b.full[*m] = now);
         }
@@ -238,8 +241,9 @@
                 let relative = self.relative(units);
                 self.class_latency[class].add(latency / scale, relative, KEEP.2);
                 self.class_work[class] += (1.0 - KEEP.1) * (work - self.class_work[class]);
-                let classes = self.settings.classes.iter().zip(&self.class_work).filter(|(c, _)| !c.dropped);
-                let tightest = classes.map(|(c, w)| c.aim_ms / w).fold(f64::MAX, f64::min) / self.fleet.calm;
+                let classes = self.settings.classes.iter().zip(&self.class_work).filter(|(c, _)| !c.retired);
+                let tightest = classes.map(|(c, w)| c.latency_objective_ms / w).fold(f64::MAX, f64::min)
+                    / self.fleet.calm;
                 self.fleet.bearable = (tightest * HEADROOM).max(MIN_BEARABLE_SLOWNESS);
                 self.fleet.mean_work += (1.0 - KEEP.1) * (work - self.fleet.mean_work);
             }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -13,10 +13,10 @@
 mod counting;
 mod health;
 
-use crate::interface::{Action, Class, Event, Outcome, Request, Settings, SettingsError, Untold};
+use crate::interface::{Action, Class, Event, Outcome, Request, Settings, SettingsError, UnreportedCharge};
 use crate::state::{Backend, Call, End, Fleet, Held, Ratio};
 use crate::store::{Customer, MEMORY_FILLS};
-use bounded_cache::Records;
+use bounded_cache::BoundedCache;
 use routing::{Index, Reach, Subset};
 use std::collections::{HashMap, VecDeque};
 
@@ -50,12 +50,12 @@
 
 /// Decides for one gateway.
 #[derive(Debug)]
-pub struct Gateway {
+pub struct Policy {
     pub(crate) settings: Settings,
     born: f64,
     rng: u64,
     requests: HashMap<u64, Held>,
-    pub(crate) customers: Records<Customer>,
+    pub(crate) customers: BoundedCache<Customer>,
     calls: HashMap<u64, VecDeque<Call>>,
     /// Chance of calls to the counter: less while they fail or wait.
     call_chance: f64,
@@ -84,7 +84,7 @@
 
 /// Latency of a mean request of a class on an idle backend before any was seen.
 fn unseen(class: &Class) -> f64 {
-    class.aim_ms * UNSEEN_LATENCY
+    class.latency_objective_ms * UNSEEN_LATENCY
 }
 
 fn unseen_latency(class: &Class) -> Ratio {
@@ -94,24 +94,24 @@
 /// The longest aim and deadline of all classes.
 fn longest(settings: &Settings) -> (f64, f64) {
     let of = |time: fn(&Class) -> f64| settings.classes.iter().map(time).fold(1.0, f64::max);
-    (of(|c| c.aim_ms), of(|c| c.deadline_ms))
+    (of(|c| c.latency_objective_ms), of(|c| c.deadline_ms))
 }
 
-impl Gateway {
+impl Policy {
     /// A gateway that starts at `now` with nothing known.
     ///
     /// # Errors
     /// A [`SettingsError`] if the settings can't be worked with.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let class_work: Vec<f64> = settings.classes.iter().map(unseen).collect();
         let (mean_work, bearable) = (class_work[0], HEADROOM / UNSEEN_LATENCY);
         let r = &settings.routing;
-        let subset = Subset::new(settings.me, settings.gateways, r.subset, r.coverage);
-        let reach = Reach { whole: r.whole, choices: r.choices };
-        Ok(Gateway {
-            customers: Records::new(settings.customers),
-            backends: Index::new(subset, reach, settings.slow_start.overload_for_ms),
+        let subset = Subset::new(settings.gateway_index, settings.gateway_count, r.subset_size, r.coverage);
+        let reach = Reach { whole: r.scan_all_up_to, choices: r.choices };
+        Ok(Policy {
+            customers: BoundedCache::new(settings.max_customers),
+            backends: Index::new(subset, reach, settings.slow_start.overload_window_ms),
             longest: longest(&settings),
             class_latency: settings.classes.iter().map(unseen_latency).collect(),
             class_work,
@@ -139,7 +139,7 @@
     /// had before is the same one; what was learned of a class that changed goes with its name, which
     /// `before` tells as the place of each that is new. Open requests keep the class and the attempts they
     /// came with.
-    pub fn change(&mut self, settings: Settings, before: impl Fn(usize) -> Option<usize>) {
+    pub fn update_settings(&mut self, settings: Settings, before: impl Fn(usize) -> Option<usize>) {
         let known = self.settings.classes.len();
         for (place, class) in settings.classes.iter().enumerate() {
             if self.settings.classes.get(place).is_some_and(|old| old.same_rules(class)) {
@@ -162,9 +162,9 @@
 
     /// So many processes serve as this gateway from now on, this one among them: while one takes over from
     /// another, all that a gateway may do without asking is shared between them.
-    pub fn share_with(&mut self, now: f64, processes: u32) {
+    pub fn set_process_count(&mut self, now: f64, processes: u32) {
         let processes = f64::from(processes.max(1));
-        self.customers.change_all(|c| {
+        self.customers.for_each_mut(|c| {
             c.refill(now);
             c.shared_by(processes);
         });
@@ -173,14 +173,14 @@
 
     /// Takes off the charges that the counter was not told, so that another process tells them: of each plan
     /// that the settings have, of all customers.
-    pub fn untold(&mut self) -> Vec<Untold> {
+    pub fn take_unreported_charges(&mut self) -> Vec<UnreportedCharge> {
         let (plans, mut all) = (&self.settings.plans, Vec::new());
-        self.customers.change_all(|c| {
+        self.customers.for_each_mut(|c| {
             let plan = plans.iter().position(|plan| *plan == c.plan);
             let units = c.unreported - c.withdrawn;
             if let Some(plan) = plan.filter(|_| units.is_finite() && units > 0.0) {
                 (c.unreported, c.withdrawn) = (0.0, 0.0);
-                all.push(Untold { customer: c.key, plan, width: c.width, units });
+                all.push(UnreportedCharge { customer: c.key, plan, fan_out: c.width, units });
             }
         });
         all
@@ -188,11 +188,12 @@
 
     /// Tells the counter charges that another process did not, each with the next call for its customer. What
     /// can't be charges is passed over.
-    pub fn take_over(&mut self, now: f64, untold: &[Untold]) {
-        for u in untold.iter().filter(|u| u.units.is_finite() && u.units > 0.0 && u.width >= 1.0) {
+    pub fn adopt_unreported_charges(&mut self, now: f64, untold: &[UnreportedCharge]) {
+        for u in untold.iter().filter(|u| u.units.is_finite() && u.units > 0.0 && u.fan_out >= 1.0) {
             let Some(plan) = self.settings.plans.get(u.plan).cloned() else { continue };
             if self.customers.get(u.customer).is_none() {
-                let mut new = Customer::new(u.customer, plan, u.width, now, self.born, self.settings.counter);
+                let mut new =
+                    Customer::new(u.customer, plan, u.fan_out, now, self.born, self.settings.shared_counter);
                 new.shared_by(self.processes);
                 // Danger: more of them than there is room for. What is lost may pass again.
                 let _ = self.customers.insert(now, u.customer, new);
@@ -207,23 +208,33 @@
 
     /// Whether a request that is open came with the class at a place.
     #[must_use]
-    pub fn holds_class(&self, place: usize) -> bool {
+    pub fn has_request_of_class(&self, place: usize) -> bool {
         self.requests.values().any(|held| held.request.class == place)
     }
 
     /// The request that a timer is for, if any. When that has its final answer and no attempt out, the
     /// timer need not ring.
     #[must_use]
-    pub fn timer_request(token: u64) -> Option<u64> {
+    pub fn request_of_timer(token: u64) -> Option<u64> {
         (token & 3 != WATCH).then_some(token >> 2)
     }
 
     /// Takes an event and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Backends { scope, entries } => self.list(now, scope, entries, actions),
+            Event::EndpointsUpdated { scope, endpoints: entries } => self.list(now, scope, entries, actions),
             Event::Request(request) => self.arrive(now, request, actions),
-            Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load } => {
+            Event::AttemptEnded {
+                id,
+                attempt,
+                backend,
+                outcome,
+                latency_ms,
+                answered: closed,
+                metered_use: metered,
+                actual_units: charged,
+                load,
+            } => {
                 self.report(now, backend, load);
                 self.ended(now, &End { id, attempt, outcome, latency: latency_ms, charged, metered });
                 self.forget(now, backend);
@@ -234,19 +245,21 @@
                 self.requests.get_mut(&id).into_iter().for_each(|h| h.streaming = true);
                 self.cancel(id, Some(attempt), actions);
             }
-            Event::ClientGone { id } => self.finish(id, actions),
-            Event::Probed { backend, outcome, load } => {
+            Event::ClientDisconnected { id } => self.finish(id, actions),
+            Event::ProbeEnded { backend, outcome, load } => {
                 self.report(now, backend, load);
-                let restart = self.settings.slow_start.overload_for_ms;
+                let restart = self.settings.slow_start.overload_window_ms;
                 let place = self.backends.find(backend).filter(|p| self.backends.get(*p).ejected);
                 if let Some(place) = place.filter(|_| outcome == Outcome::Ok) {
                     self.backends.update(now, place, |b| b.readmit(now, restart));
                     self.backends.watch(place, now);
                 }
             }
-            Event::Counted { name, outcome, total } => self.counted(now, name, outcome, total, actions),
-            Event::Peer { .. } => {}
-            Event::Timer { token } => self.timer(now, token, actions),
+            Event::CounterReplied { key: name, outcome, total } => {
+                self.counted(now, name, outcome, total, actions)
+            }
+            Event::PeerMessage { .. } => {}
+            Event::TimerExpired { token } => self.timer(now, token, actions),
         }
     }
 
@@ -261,7 +274,7 @@
                 self.uncounted(now, id, actions);
             }
             COUNT_WAIT => {}
-            _ => actions.push(Action::Watch),
+            _ => actions.push(Action::PollEndpoints),
         }
     }
 
@@ -271,19 +284,19 @@
             return;
         }
         let sound = request.units.is_finite() && request.units >= 0.0;
-        request.units = if sound { request.units } else { self.settings.max_units.max(1.0) };
+        request.units = if sound { request.units } else { self.settings.max_request_units.max(1.0) };
         // A class that the settings don't know, or no time left: refused, as nothing was done.
-        if request.class >= self.settings.classes.len() || request.expires_ms.max(now) <= now {
-            return actions.push(Action::Refuse { id, retry_after_ms: None });
+        if request.class >= self.settings.classes.len() || request.deadline_ms.max(now) <= now {
+            return actions.push(Action::Reject { id, retry_after_ms: None });
         }
         // Danger: a saving of each of many gateways adds up to a storm. All together save for a few.
-        let most = (RETRY_BUDGET.1 * FEW / f64::from(self.settings.gateways)).max(1.0);
+        let most = (RETRY_BUDGET.1 * FEW / f64::from(self.settings.gateway_count)).max(1.0);
         self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(most);
         self.mean_units.add(request.units.max(1.0), 1.0, KEEP.1);
         self.sweep(now);
         self.watch_silence(now, actions);
-        let at_ms = request.expires_ms - self.settings.tick_ms;
-        actions.push(Action::Timer { token: id << 2 | DEADLINE, at_ms: at_ms.max(now) });
+        let at_ms = request.deadline_ms - self.settings.clock_granularity_ms;
+        actions.push(Action::ScheduleTimer { token: id << 2 | DEADLINE, at_ms: at_ms.max(now) });
         let most = self.settings.limits.max_attempts;
         self.requests.insert(id, Held { request, most, ..Held::default() });
         self.admit(now, id, actions);
@@ -297,9 +310,9 @@
             let wait = c.map_or(0.0, |c| (held.request.units - c.level) / c.plan.rate * 1000.0);
             let advised = self.settings.limits.retry_advice && wait > 0.0;
             let retry_after_ms = advised.then_some(wait.min(self.settings.limits.max_retry_after_ms));
-            actions.push(Action::Refuse { id, retry_after_ms });
+            actions.push(Action::Reject { id, retry_after_ms });
         } else {
-            actions.push(Action::Surrender { id });
+            actions.push(Action::Fail { id });
         }
         self.finish(id, actions);
     }
@@ -324,7 +337,7 @@
         let Some(held) = self.requests.get(&id).filter(|_| self.settings.limits.cancel) else { return };
         for (attempt, a) in (0..).zip(&held.attempts) {
             if a.pending && Some(attempt) != but {
-                actions.push(Action::Cancel { id, attempt });
+                actions.push(Action::CancelAttempt { id, attempt });
             }
         }
     }
--- a/crates/policy/src/reload.rs
+++ b/crates/policy/src/reload.rs
@@ -6,27 +6,31 @@
 use serde_json::Value;
 
 use crate::interface::{Settings, SettingsError};
-use crate::settings::Names;
+use crate::settings::SettingNames;
 
 /// The most places of the table: classes, and those that open requests still hold.
 pub const MAX_CLASSES: usize = 256;
 
 /// Settings and the names in them.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ServiceSettings {
     /// What the decisions go by.
     pub settings: Settings,
     /// How it is named.
-    pub names: Names,
+    pub names: SettingNames,
 }
 
-impl Terms {
+impl ServiceSettings {
     /// These terms with what may change in service taken from new ones. `free` tells of a place whose class
     /// was dropped whether no request can hold it any more.
     ///
     /// # Errors
     /// The class for which the table has no place; nothing is changed.
-    pub fn changed(&self, new: &Terms, free: impl Fn(usize) -> bool) -> Result<Terms, SettingsError> {
+    pub fn reloaded(
+        &self,
+        new: &ServiceSettings,
+        free: impl Fn(usize) -> bool,
+    ) -> Result<ServiceSettings, SettingsError> {
         let (mut settings, mut names) = (self.settings.clone(), self.names.clone());
         (settings.limits, settings.slow_start) =
             (new.settings.limits.clone(), new.settings.slow_start.clone());
@@ -61,28 +65,33 @@
         }
         names.classes = named;
         for (class, name) in settings.classes.iter_mut().zip(&names.classes) {
-            class.dropped = name.is_none();
+            class.retired = name.is_none();
         }
-        settings.check()?;
-        Ok(Terms { settings, names })
+        settings.validate()?;
+        Ok(ServiceSettings { settings, names })
     }
 
     /// Sections in which new terms differ beyond what may change in service: they need a restart.
     #[must_use]
-    pub fn need_restart(&self, new: &Terms) -> Vec<&'static str> {
+    pub fn sections_needing_restart(&self, new: &ServiceSettings) -> Vec<&'static str> {
         let (a, b) = (&self.settings, &new.settings);
         let mut other = Vec::new();
         let mut note = |same: bool, what| other.extend((!same).then_some(what));
-        note((a.me, a.gateways, a.zone) == (b.me, b.gateways, b.zone), "me, group-size, zone");
-        note(a.tick_ms == b.tick_ms, "granularity-ms");
+        note(
+            (a.gateway_index, a.gateway_count, a.zone) == (b.gateway_index, b.gateway_count, b.zone),
+            "me, group-size, zone",
+        );
+        note(a.clock_granularity_ms == b.clock_granularity_ms, "granularity-ms");
         note(a.plans == b.plans && self.names.plans == new.names.plans, "tariffs");
         note(self.names.zones == new.names.zones, "zones");
-        let info = |s: &Settings| (s.counter, s.counter_timeout_ms, s.meter_ms, s.max_units);
+        let info = |s: &Settings| {
+            (s.shared_counter, s.counter_timeout_ms, s.usage_meter_period_ms, s.max_request_units)
+        };
         note(info(a) == info(b) && a.peer_messages_per_s == b.peer_messages_per_s, "family-info");
         note(self.names.load_fields == new.names.load_fields, "feedback");
-        note((a.ask_for_list, a.ask_within_ms) == (b.ask_for_list, b.ask_within_ms), "registry-mode");
+        note((a.polls_endpoints, a.poll_within_ms) == (b.polls_endpoints, b.poll_within_ms), "registry-mode");
         note(a.cross_zone_cost == b.cross_zone_cost, "prices");
-        note(a.stop_sending_ms == b.stop_sending_ms, "contract.stop-sending-within-ms");
+        note(a.drain_grace_ms == b.drain_grace_ms, "contract.stop-sending-within-ms");
         other
     }
 }
@@ -91,7 +100,7 @@
 /// Each entry of a list has to have what all entries of the list before have. `but` names keys that may be
 /// missing.
 #[must_use]
-pub fn lacks(before: &Value, after: &Value, at: &str, but: &[&str]) -> Option<String> {
+pub fn first_missing_key(before: &Value, after: &Value, at: &str, but: &[&str]) -> Option<String> {
     match (before, after) {
         (Value::Object(before), Value::Object(after)) => before.iter().find_map(|(key, value)| {
             if but.contains(&key.as_str()) {
@@ -99,7 +108,7 @@
             }
             let place = format!("{at}.{key}");
             match after.get(key) {
-                Some(now) => lacks(value, now, &place, but),
+                Some(now) => first_missing_key(value, now, &place, but),
                 None => Some(place),
             }
         }),
@@ -107,7 +116,7 @@
             let (first, others) = before.split_first()?;
             let all = others.iter().fold(first.clone(), |all, other| common(&all, other));
             let mut each = after.iter().enumerate();
-            each.find_map(|(i, now)| lacks(&all, now, &format!("{at}[{i}]"), but))
+            each.find_map(|(i, now)| first_missing_key(&all, now, &format!("{at}[{i}]"), but))
         }
         _ => None,
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -5,7 +5,8 @@
 use serde_json::Value;
 
 use crate::interface::{
-    Class, Effect, Group, Limits, LoadField, Plan, Routing, Settings, SettingsError, SlowStart,
+    Class, DeduplicationScope, Idempotency, Limits, LoadField, Plan, Routing, Settings, SettingsError,
+    SlowStart,
 };
 
 /// Cost of a request beyond the quota, as a part of its worth, where the settings tell none.
@@ -18,7 +19,7 @@
 /// # Errors
 /// A [`SettingsError`] that names what is missing or of the wrong kind.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
-    read(&Keys::new("settings", &from_json("settings", text)?))
+    read_settings(&SettingsReader::new("settings", &from_json("settings", text)?))
 }
 
 /// Reads JSON.
@@ -31,7 +32,7 @@
 
 /// How the settings name what the decisions know by number, and what they leave to the program.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct SettingNames {
     /// Classes, by index; none where the class was dropped and open requests may still hold it.
     pub classes: Vec<Option<String>>,
     /// Plans, by index.
@@ -48,17 +49,17 @@
 ///
 /// # Errors
 /// A [`SettingsError`] that names what is missing or of the wrong kind.
-pub fn names(top: &Keys<'_>) -> Result<Names, SettingsError> {
-    let named = |keys: &Keys<'_>| keys.text("name").map(str::to_string);
-    let classes = top.each("profiles", named)?;
+pub fn read_names(top: &SettingsReader<'_>) -> Result<SettingNames, SettingsError> {
+    let named = |keys: &SettingsReader<'_>| keys.text("name").map(str::to_string);
+    let classes = top.list("profiles", named)?;
     // Danger: two classes of one name, of which requests go by either.
     let twice = classes.iter().enumerate().any(|(i, name)| classes[..i].contains(name));
-    top.or(if twice { Err(top.wrong("profiles", "two have one name")) } else { Ok(()) }, ())?;
-    Ok(Names {
+    top.recover(if twice { Err(top.invalid("profiles", "two have one name")) } else { Ok(()) }, ())?;
+    Ok(SettingNames {
         classes: classes.into_iter().map(Some).collect(),
-        plans: top.each("tariffs", named)?,
-        zones: top.each("zones", |keys| keys.word().map(str::to_string))?,
-        load_fields: top.section("feedback")?.each("fields", |keys| keys.word().map(str::to_string))?,
+        plans: top.list("tariffs", named)?,
+        zones: top.list("zones", |keys| keys.own_text().map(str::to_string))?,
+        load_fields: top.section("feedback")?.list("fields", |keys| keys.own_text().map(str::to_string))?,
         idle_close_ms: top.section("policy-limits")?.number("idle-close-ms")?,
     })
 }
@@ -67,88 +68,88 @@
 ///
 /// # Errors
 /// A [`SettingsError`] that names what is missing or of the wrong kind.
-pub fn read(top: &Keys<'_>) -> Result<Settings, SettingsError> {
+pub fn read_settings(top: &SettingsReader<'_>) -> Result<Settings, SettingsError> {
     let info = top.section("family-info")?;
     let limits = top.section("policy-limits")?;
     let contract = top.section("contract")?;
     let prices = top.section("prices")?;
     let feedback = top.section("feedback")?;
-    let peers = limits.flag("may-tell")?;
+    let peers = limits.boolean("may-tell")?;
     Ok(Settings {
-        me: top.whole("me")?,
-        gateways: top.whole("group-size")?,
-        zone: top.whole("zone")?,
-        tick_ms: top.number("granularity-ms")?,
-        classes: top.each("profiles", class)?,
-        plans: top.each("tariffs", plan)?,
-        counter: info.flag("shared-counter")?,
+        gateway_index: top.integer("me")?,
+        gateway_count: top.integer("group-size")?,
+        zone: top.integer("zone")?,
+        clock_granularity_ms: top.number("granularity-ms")?,
+        classes: top.list("profiles", class)?,
+        plans: top.list("tariffs", plan)?,
+        shared_counter: info.boolean("shared-counter")?,
         counter_timeout_ms: info.number("count-wait-ms")?,
-        meter_ms: info.number("meter-period-ms")?,
+        usage_meter_period_ms: info.number("meter-period-ms")?,
         peer_messages_per_s: if peers { info.number("peer-intake")? } else { 0.0 },
-        max_units: info.number("units-top")?,
+        max_request_units: info.number("units-top")?,
         limits: Limits {
-            max_attempts: limits.whole("max-attempts")?,
-            cancel: limits.flag("cancel")?,
-            hedges: limits.flag("second-copies")?,
-            probes: limits.flag("probing")?,
-            retry_advice: limits.flag("retry-after")?,
+            max_attempts: limits.integer("max-attempts")?,
+            cancel: limits.boolean("cancel")?,
+            hedges: limits.boolean("second-copies")?,
+            probes: limits.boolean("probing")?,
+            retry_advice: limits.boolean("retry-after")?,
             max_retry_after_ms: limits.number("max-retry-after-ms")?,
             connect_timeout_ms: limits.number("connect-timeout-ms")?,
         },
         slow_start: SlowStart {
-            start_capacity: contract.number("start-capacity")?,
+            initial_capacity: contract.number("start-capacity")?,
             warm_up_ms: contract.number("warm-up-ms")?,
-            tip_multiple: contract.number("tip-multiple")?,
-            overload_for_ms: contract.number("overload-for-ms")?,
+            overload_multiple: contract.number("tip-multiple")?,
+            overload_window_ms: contract.number("overload-for-ms")?,
         },
         routing: Routing::default(),
-        customers: CUSTOMERS,
-        load_fields: feedback.each("fields", load_field)?,
-        ask_for_list: top.text("registry-mode")? == "ask",
-        ask_within_ms: contract.number("ask-within-ms")?,
-        stop_sending_ms: contract.number("stop-sending-within-ms")?,
+        max_customers: CUSTOMERS,
+        load_fields: feedback.list("fields", load_field)?,
+        polls_endpoints: top.text("registry-mode")? == "ask",
+        poll_within_ms: contract.number("ask-within-ms")?,
+        drain_grace_ms: contract.number("stop-sending-within-ms")?,
         cross_zone_cost: prices.number("cross-zone")?,
     })
 }
 
-fn class(keys: &Keys<'_>) -> Result<Class, SettingsError> {
+fn class(keys: &SettingsReader<'_>) -> Result<Class, SettingsError> {
     Ok(Class {
-        aim_ms: keys.number("aim-ms")?,
+        latency_objective_ms: keys.number("aim-ms")?,
         deadline_ms: keys.number("deadline-ms")?,
-        worth: keys.number("credit")?,
-        late_worth: keys.number("late-worth")?,
-        effect: match keys.text("effect")? {
-            "read_like" => Effect::Safe,
-            "idempotency_key" => Effect::Keyed,
-            "non_idempotent" => Effect::Unsafe,
-            _ => return Err(keys.wrong("effect", "unknown word")),
+        priority_weight: keys.number("credit")?,
+        late_weight: keys.number("late-worth")?,
+        idempotency: match keys.text("effect")? {
+            "read_like" => Idempotency::Idempotent,
+            "idempotency_key" => Idempotency::Keyed,
+            "non_idempotent" => Idempotency::NonIdempotent,
+            _ => return Err(keys.invalid("effect", "unknown word")),
         },
-        group: match keys.text("group")? {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
-            _ => return Err(keys.wrong("group", "unknown word")),
+        deduplication_scope: match keys.text("group")? {
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
+            _ => return Err(keys.invalid("group", "unknown word")),
         },
-        window_ms: keys.number("window-ms")?,
-        streaming: keys.flag("streaming")?,
-        dropped: false,
+        deduplication_window_ms: keys.number("window-ms")?,
+        streaming: keys.boolean("streaming")?,
+        retired: false,
     })
 }
 
-fn plan(keys: &Keys<'_>) -> Result<Plan, SettingsError> {
+fn plan(keys: &SettingsReader<'_>) -> Result<Plan, SettingsError> {
     Ok(Plan {
         rate: keys.number("quota-rate")?,
         burst: keys.number("store-size")?,
-        open: keys.whole("concurrency")?,
+        max_in_flight: keys.integer("concurrency")?,
         ceiling_rate: keys.number("hard-rate")?,
         ceiling_burst: keys.number("cap-depth")?,
-        over_cost: keys.value("over-cost").map_or(Ok(COST_UNTOLD), |_| keys.number("over-cost"))?,
-        value: keys.number("value-factor")?,
+        over_quota_penalty: keys.value("over-cost").map_or(Ok(COST_UNTOLD), |_| keys.number("over-cost"))?,
+        weight_factor: keys.number("value-factor")?,
     })
 }
 
-fn load_field(keys: &Keys<'_>) -> Result<LoadField, SettingsError> {
-    Ok(match keys.word()? {
+fn load_field(keys: &SettingsReader<'_>) -> Result<LoadField, SettingsError> {
+    Ok(match keys.own_text()? {
         "active" => LoadField::Active,
         "waiting" => LoadField::Waiting,
         "cpu" => LoadField::Busy,
@@ -166,7 +167,7 @@
 
 /// A JSON value and where it stands.
 #[derive(Debug)]
-pub struct Keys<'a> {
+pub struct SettingsReader<'a> {
     at: String,
     value: &'a Value,
     /// Where errors go while reading goes on, if it is to.
@@ -174,20 +175,20 @@
 }
 
 #[allow(missing_docs, clippy::missing_errors_doc)] // Each reads what its name says, or names the field.
-impl<'a> Keys<'a> {
+impl<'a> SettingsReader<'a> {
     #[must_use]
     pub fn new(at: &str, value: &'a Value) -> Self {
-        Keys { at: at.to_string(), value, sink: None }
+        SettingsReader { at: at.to_string(), value, sink: None }
     }
 
     /// Reads on past errors, so that each is found: they go to `sink`, and something stands in for the value.
     #[must_use]
     pub fn collecting(at: &str, value: &'a Value, sink: &'a RefCell<Vec<SettingsError>>) -> Self {
-        Keys { at: at.to_string(), value, sink: Some(sink) }
+        SettingsReader { at: at.to_string(), value, sink: Some(sink) }
     }
 
     /// A result, or what stands in for it where errors are collected.
-    pub fn or<T>(&self, result: Result<T, SettingsError>, instead: T) -> Result<T, SettingsError> {
+    pub fn recover<T>(&self, result: Result<T, SettingsError>, instead: T) -> Result<T, SettingsError> {
         match (result, self.sink) {
             (Err(e), Some(sink)) => {
                 // What is in a section that is missing is not missing by itself.
@@ -202,21 +203,21 @@
 
     /// Whether nothing was found wrong so far.
     #[must_use]
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.sink.is_none_or(|sink| sink.borrow().is_empty())
     }
 
-    fn at(&self, key: &str, value: &'a Value) -> Keys<'a> {
-        Keys { at: format!("{}.{key}", self.at), value, sink: self.sink }
+    fn at(&self, key: &str, value: &'a Value) -> SettingsReader<'a> {
+        SettingsReader { at: format!("{}.{key}", self.at), value, sink: self.sink }
     }
 
     #[must_use]
-    pub fn wrong(&self, key: &str, problem: &'static str) -> SettingsError {
+    pub fn invalid(&self, key: &str, problem: &'static str) -> SettingsError {
         wrong(format!("{}.{key}", self.at), problem)
     }
 
     pub fn get(&self, key: &str) -> Result<&'a Value, SettingsError> {
-        self.value.get(key).ok_or_else(|| self.wrong(key, "missing"))
+        self.value.get(key).ok_or_else(|| self.invalid(key, "missing"))
     }
 
     /// A value that may be missing.
@@ -225,15 +226,15 @@
         self.value.get(key)
     }
 
-    pub fn section(&self, key: &str) -> Result<Keys<'a>, SettingsError> {
+    pub fn section(&self, key: &str) -> Result<SettingsReader<'a>, SettingsError> {
         let section = self.get(key).and_then(|value| {
             if value.is_object() {
                 Ok(value)
             } else {
-                Err(self.wrong(key, "a section is wanted"))
+                Err(self.invalid(key, "a section is wanted"))
             }
         });
-        Ok(self.at(key, self.or(section, &NOTHING)?))
+        Ok(self.at(key, self.recover(section, &NOTHING)?))
     }
 
     fn read<T>(
@@ -243,19 +244,22 @@
         wanted: &'static str,
         read: impl FnOnce(&'a Value) -> Option<T>,
     ) -> Result<T, SettingsError> {
-        self.or(self.get(key).and_then(|value| read(value).ok_or_else(|| self.wrong(key, wanted))), instead)
+        self.recover(
+            self.get(key).and_then(|value| read(value).ok_or_else(|| self.invalid(key, wanted))),
+            instead,
+        )
     }
 
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         self.read(key, 1.0, "a number is wanted", Value::as_f64)
     }
 
-    pub fn whole(&self, key: &str) -> Result<u32, SettingsError> {
+    pub fn integer(&self, key: &str) -> Result<u32, SettingsError> {
         let whole = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
         self.read(key, 1, "a whole number is wanted", whole)
     }
 
-    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
+    pub fn boolean(&self, key: &str) -> Result<bool, SettingsError> {
         self.read(key, false, "true or false is wanted", Value::as_bool)
     }
 
@@ -263,23 +267,23 @@
         self.read(key, "", "a word is wanted", Value::as_str)
     }
 
-    pub fn word(&self) -> Result<&'a str, SettingsError> {
+    pub fn own_text(&self) -> Result<&'a str, SettingsError> {
         let word = self.value.as_str().ok_or_else(|| wrong(self.at.clone(), "a word is wanted"));
-        self.or(word, "")
+        self.recover(word, "")
     }
 
-    pub fn each<T>(
+    pub fn list<T>(
         &self,
         key: &str,
-        read: impl Fn(&Keys<'a>) -> Result<T, SettingsError>,
+        read: impl Fn(&SettingsReader<'a>) -> Result<T, SettingsError>,
     ) -> Result<Vec<T>, SettingsError> {
         let list =
-            self.get(key).and_then(|v| v.as_array().ok_or_else(|| self.wrong(key, "a list is wanted")));
-        let list = self.or(list.map(Vec::as_slice), &[])?;
+            self.get(key).and_then(|v| v.as_array().ok_or_else(|| self.invalid(key, "a list is wanted")));
+        let list = self.recover(list.map(Vec::as_slice), &[])?;
         let mut all = Vec::with_capacity(list.len());
         for (i, value) in list.iter().enumerate() {
             let item = read(&self.at(&format!("{key}[{i}]"), value)).map(Some);
-            all.extend(self.or(item, None)?);
+            all.extend(self.recover(item, None)?);
         }
         Ok(all)
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,7 +2,7 @@
 
 use routing::{Facts, Filed, Listing};
 
-use crate::interface::{BackendEntry, Outcome, Readiness, Request};
+use crate::interface::{BackendEndpoint, EndpointState, Outcome, Request};
 
 /// A decayed sum of observed over expected.
 #[derive(Clone, Copy, Debug, Default)]
@@ -51,7 +51,7 @@
 }
 
 impl Attempt {
-    pub(crate) fn new(to: &BackendEntry, sent: f64, patience: f64, out_then: (f64, f64)) -> Self {
+    pub(crate) fn new(to: &BackendEndpoint, sent: f64, patience: f64, out_then: (f64, f64)) -> Self {
         let (backend, cell, zone) = (to.id, to.cell, to.zone);
         let (pending, overdue, may_have_run) = (true, false, true);
         Attempt { backend, cell, zone, sent, patience, out_then, pending, overdue, may_have_run }
@@ -128,7 +128,7 @@
 /// A backend as this gateway knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
-    pub(crate) entry: BackendEntry,
+    pub(crate) entry: BackendEndpoint,
     /// Last start that was told, or re-entry after silence.
     pub(crate) started: f64,
     /// It is warm after this time from then.
@@ -152,11 +152,11 @@
 
 impl Filed for Backend {
     fn facts(&self) -> Facts {
-        let BackendEntry { id, key, zone, cell, kind, share, .. } = self.entry;
+        let BackendEndpoint { id, key, zone, cell, kind, weight_share: share, .. } = self.entry;
         let listing = match self.entry.state {
-            Readiness::Ready => Listing::Ready,
-            Readiness::Draining => Listing::Draining,
-            Readiness::Gone => Listing::Gone,
+            EndpointState::Ready => Listing::Ready,
+            EndpointState::Draining => Listing::Draining,
+            EndpointState::Removed => Listing::Gone,
         };
         // One that started long ago, or says nothing, is warm.
         let warm_from = if self.started > 0.0 { self.started + self.warm_up } else { 0.0 };
--- a/crates/policy/src/store.rs
+++ b/crates/policy/src/store.rs
@@ -11,7 +11,7 @@
 //! A level above the burst is refill that was lost and that no total holds yet. Who sees it adds it, with a
 //! call of its own; until then its own estimate bounds what it reads.
 
-use bounded_cache::Kept;
+use bounded_cache::Evictable;
 
 use crate::interface::{Outcome, Plan};
 use crate::state::{mix, part, Call, Ratio};
@@ -324,10 +324,10 @@
     }
 }
 
-impl Kept for Customer {
+impl Evictable for Customer {
     /// A new store is full: what this one lacks may pass again. Danger: a charge that no total holds, and a
     /// ceiling that is spent; they stay.
-    fn cost(&mut self, now: f64) -> Option<f64> {
+    fn eviction_cost(&mut self, now: f64) -> Option<f64> {
         self.refill(now);
         let lacks = self.plan.burst - self.level;
         let untold = self.unreported != 0.0 && lacks > 0.0;
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,9 +1,9 @@
 //! What a gateway knows, to be looked at. Nothing is decided here, and nothing changed.
 
-use bounded_cache::Records;
+use bounded_cache::BoundedCache;
 
-use crate::interface::Readiness;
-use crate::policy::Gateway;
+use crate::interface::EndpointState;
+use crate::policy::Policy;
 use crate::store::Customer;
 
 /// A backend as the gateway knows it.
@@ -14,34 +14,34 @@
     /// It gets no work, as it failed or fell silent.
     pub ejected: bool,
     /// Part of its capacity that it is taken to have, above 0, at most 1.
-    pub warmth: f64,
+    pub capacity_fraction: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// The backends on the list, in no order, at `now` (ms, the caller's clock).
     pub fn backends(&self, now: f64) -> impl Iterator<Item = BackendView> + '_ {
         let all = self.backends.places().map(|place| self.backends.get(place));
-        all.filter(|b| b.entry.state != Readiness::Gone).map(move |b| {
+        all.filter(|b| b.entry.state != EndpointState::Removed).map(move |b| {
             let warmth = b.warmth(now, &self.settings);
-            BackendView { id: b.entry.id, ejected: b.ejected, warmth }
+            BackendView { id: b.entry.id, ejected: b.ejected, capacity_fraction: warmth }
         })
     }
 
     /// How many customers' stores fit some bytes.
     #[must_use]
-    pub fn customers_in(bytes: usize) -> usize {
-        Records::<Customer>::fit(bytes)
+    pub fn customers_fitting(bytes: usize) -> usize {
+        BoundedCache::<Customer>::capacity_for_bytes(bytes)
     }
 
     /// How many stores were dropped to make room, and the units that these may pass again.
     #[must_use]
-    pub fn forgotten(&self) -> (u64, f64) {
+    pub fn evictions(&self) -> (u64, f64) {
         self.customers.forgotten()
     }
 
     /// Customers whose store is held.
     #[must_use]
-    pub fn customers(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -14,7 +14,7 @@
     let mut passed = 0;
     for id in first.. {
         let mut r = request(id, 0, plan, units);
-        r.width = 1.0;
+        r.fan_out = 1.0;
         let actions = rig.ask(r);
         match sent_to(&actions) {
             Some(backend) => rig.end(id, 0, backend, Outcome::Ok),
@@ -42,17 +42,17 @@
 fn units_are_settled_from_the_answer() {
     let (mut rig, plan) = alone(0, 4);
     let mut r = request(1, 0, plan, 4.0);
-    r.width = 1.0;
+    r.fan_out = 1.0;
     let backend = sent_to(&rig.ask(r)).expect("sent");
-    rig.on(Event::Ended {
+    rig.on(Event::AttemptEnded {
         id: 1,
         attempt: 0,
         backend,
         outcome: Outcome::Ok,
         latency_ms: 50.0,
-        closed: true,
-        metered: None,
-        charged: Some(8.0),
+        answered: true,
+        metered_use: None,
+        actual_units: Some(8.0),
         load: &[],
     });
     assert_eq!(passes(&mut rig, plan, 4.0, 10), 2, "8 of 16 left");
@@ -69,7 +69,7 @@
 }
 
 fn with_counter() -> Settings {
-    Settings { counter: true, ..settings() }
+    Settings { shared_counter: true, ..settings() }
 }
 
 #[test]
@@ -94,7 +94,7 @@
 fn a_known_empty_store_refuses_without_a_call() {
     let mut rig = Rig::new(with_counter(), 4);
     let (name, _) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
-    rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 100.0 });
+    rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 100.0 });
     let actions = rig.ask(request(2, 0, 0, 4.0));
     assert!(refused(&actions));
     assert_eq!(counted(&actions), None);
@@ -122,7 +122,7 @@
             let mut rig = Rig::new(with_counter(), 4);
             let ask = |id| Request { customer, ..request(id, 0, 0, 2.0) };
             let (name, _) = counted(&rig.ask(ask(1))).expect("one call");
-            assert!(sent_to(&rig.on(Event::Counted { name, outcome, total })).is_some());
+            assert!(sent_to(&rig.on(Event::CounterReplied { key: name, outcome, total })).is_some());
             let (_, amount) = counted(&rig.ask(ask(2))).expect("a call for the next as well");
             assert_eq!(amount, 2.0);
         }
@@ -140,7 +140,7 @@
             let (name, amount) = counted(&rig.ask(asked)).expect("one call");
             assert_eq!(amount, 4.0);
             rig.now += wait_ms;
-            let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 400.0 });
+            let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 400.0 });
             assert!(refused(&actions));
             let back = counted(&actions);
             back.into_iter().for_each(|back| assert_eq!(back, (name, -4.0)));
@@ -158,7 +158,7 @@
     for id in 0..10 {
         let actions = rig.ask(request(id, 0, 0, 4.0));
         let (name, amount) = counted(&actions).expect("one call");
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 8.0 + amount });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 8.0 + amount });
         let backend = sent_to(&actions).expect("12 of 16 in this window");
         rig.end(id, 0, backend, Outcome::Ok);
         rig.now += 40_000.0;
@@ -172,7 +172,7 @@
     let mut calls = [0; 3];
     for id in 0..900 {
         rig.now += 20.0;
-        let r = Request { customer: id, expires_ms: rig.now + 4_000.0, ..request(id, 0, 0, 1.0) };
+        let r = Request { customer: id, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 0, 1.0) };
         let actions = rig.ask(r);
         let Some((name, amount)) = counted(&actions) else {
             let backend = sent_to(&actions).expect("decided alone");
@@ -182,13 +182,13 @@
         calls[id as usize / 300] += 1;
         let answers = id >= 300;
         let sent = if answers {
-            sent_to(&rig.on(Event::Counted { name, outcome: Outcome::Ok, total: amount }))
+            sent_to(&rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: amount }))
         } else {
             let (token, at) = *timers(&actions).last().expect("a deadline on the call");
             assert!(at - rig.now <= 30.0);
             rig.now = at;
-            let sent = sent_to(&rig.on(Event::Timer { token }));
-            rig.on(Event::Counted { name, outcome: Outcome::Timeout, total: 0.0 });
+            let sent = sent_to(&rig.on(Event::TimerExpired { token }));
+            rig.on(Event::CounterReplied { key: name, outcome: Outcome::Timeout, total: 0.0 });
             sent
         };
         rig.end(id, 0, sent.expect("goes on"), Outcome::Ok);
@@ -197,7 +197,7 @@
 }
 
 fn call_of(rig: &mut Rig, customer: u64, id: u64) -> Option<(u64, f64)> {
-    counted(&rig.ask(Request { customer, expires_ms: rig.now + 4_000.0, ..request(id, 0, 0, 2.0) }))
+    counted(&rig.ask(Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 0, 2.0) }))
 }
 
 /// Danger: one call's charge told for those of others as well, which empties stores of a few requests.
@@ -208,14 +208,14 @@
     let mut rig = Rig::new(slow, 4);
     let crowded = |rig: &mut Rig, customer| {
         let call = call_of(rig, customer, customer);
-        let busy = |(name, _)| Event::Counted { name, outcome: Outcome::Full, total: 0.0 };
+        let busy = |(name, _)| Event::CounterReplied { key: name, outcome: Outcome::Rejected, total: 0.0 };
         call.map(|call| rig.on(busy(call))).is_some()
     };
     let left_out = (0..100).find(|customer| !crowded(&mut rig, *customer)).expect("one is left out");
     for other in 1_000..1_100 {
         rig.now += 100.0;
         if let Some((name, total)) = call_of(&mut rig, other, other) {
-            rig.on(Event::Counted { name, outcome: Outcome::Ok, total });
+            rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total });
         }
     }
     let told = call_of(&mut rig, left_out, 2_000).map_or(0.0, |c| c.1);
@@ -228,21 +228,21 @@
     let mut rig = Rig::new(with_counter(), 4);
     for id in 1..3 {
         let (name, _) = counted(&rig.ask(request(id, 0, 0, 4.0))).expect("one call");
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Reset, total: 0.0 });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Reset, total: 0.0 });
         assert!(sent_to(&actions).is_some());
     }
     // Of 16 units 8 are spent, and as many assumed.
     let (name, _) = counted(&rig.ask(request(3, 0, 0, 4.0))).expect("one call");
-    let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 12.0 });
+    let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 12.0 });
     assert!(sent_to(&actions).is_some());
     // The store was full when the first came; the refill lost until then is told once a total shows it.
     let lost = counted(&actions).map_or(0.0, |(name, lost)| {
-        rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 12.0 + lost });
+        rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 12.0 + lost });
         lost
     });
     for (id, total) in [(4, 16.0 + lost), (5, 32.0 + lost)] {
         let Some((name, _)) = counted(&rig.ask(request(id, 0, 0, 4.0))) else { continue };
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total });
         assert_eq!(sent_to(&actions).is_some(), id == 4);
     }
 }
@@ -256,7 +256,7 @@
             rig.now += 1.0;
             let (name, total) = call_of(&mut rig, id, id)?;
             rig.now += if id == 0 { 5.0 } else { latency };
-            let backend = sent_to(&rig.on(Event::Counted { name, outcome: Outcome::Ok, total }))?;
+            let backend = sent_to(&rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total }))?;
             rig.end(id, 0, backend, Outcome::Ok);
             Some(())
         };
@@ -272,7 +272,7 @@
     let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
     let (name, amount) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
     counter.add(name, amount);
-    rig.on(Event::Counted { name, outcome: Outcome::Reset, total: 0.0 });
+    rig.on(Event::CounterReplied { key: name, outcome: Outcome::Reset, total: 0.0 });
     for id in 2..5 {
         assert!(sent_to(&counter.ask(&mut rig, request(id, 0, 0, 4.0))).is_some(), "{id}");
     }
@@ -285,7 +285,7 @@
     for id in 0..600 {
         rig.now += 100.0;
         let mut r = request(id, 0, 0, 2.0);
-        r.expires_ms = rig.now + 4_000.0;
+        r.deadline_ms = rig.now + 4_000.0;
         if let Some(backend) = sent_to(&rig.ask(r)) {
             passed += 2.0;
             rig.end(id, 0, backend, Outcome::Ok);
@@ -318,7 +318,7 @@
     let mut total = 0.0;
     let told = calls.map(|(name, amount)| {
         total += amount;
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total });
         assert!(sent_to(&actions).is_some());
         counted(&actions).map_or(0.0, |(_, lost)| lost)
     });
@@ -330,7 +330,7 @@
 #[test]
 fn a_cap_on_open_attempts_is_held_without_a_rate() {
     let mut s = settings();
-    s.plans[2].open = 4;
+    s.plans[2].max_in_flight = 4;
     let mut rig = Rig::new(s, 4);
     let out: Vec<bool> = (0..8).map(|id| sent_to(&rig.ask(request(id, 0, 2, 1.0))).is_some()).collect();
     let passed = out.iter().filter(|sent| **sent).count();
@@ -350,14 +350,15 @@
             // 5 s in which each call fails, then answers at once. Customers are new, so calls for them are
             // the first to be left out.
             let (customer, expires_ms) = (1_000 + step, rig.now + 4_000.0);
-            let mut actions = rig.ask(Request { customer, expires_ms, ..request(step, 0, 0, 1.0) });
+            let mut actions =
+                rig.ask(Request { customer, deadline_ms: expires_ms, ..request(step, 0, 0, 1.0) });
             if let Some((name, amount)) = counted(&actions) {
                 let fails = step < 200;
                 in_outage += u32::from((160..200).contains(&step));
                 let first = if fails { step } else { *first.get_or_insert(step) };
                 back += u32::from(!fails && step - first < 40);
                 let (outcome, total) = if fails { (Outcome::Timeout, 0.0) } else { (Outcome::Ok, amount) };
-                actions = rig.on(Event::Counted { name, outcome, total });
+                actions = rig.on(Event::CounterReplied { key: name, outcome, total });
             }
             rig.end(step, 0, sent_to(&actions).expect("goes on"), Outcome::Ok);
         }
--- a/crates/policy/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -9,14 +9,14 @@
 
 fn rig(counter: bool) -> Rig {
     let mut settings = settings();
-    (settings.customers, settings.counter) = (MOST, counter);
+    (settings.max_customers, settings.shared_counter) = (MOST, counter);
     Rig::new(settings, 4)
 }
 
 /// One request, served at once if it is sent; a counter that works answers at once as well. Gives whether it
 /// was served.
 fn one(rig: &mut Rig, counter: &mut Counter, id: u64, customer: u64, plan: usize, units: f64) -> bool {
-    let asked = Request { customer, expires_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
+    let asked = Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
     let actions = counter.ask(rig, asked);
     let to = sent_to(&actions);
     to.into_iter().for_each(|to| drop(rig.end(id, 0, to, Outcome::Ok)));
@@ -30,9 +30,9 @@
         rig.now += 1.0 / 26.0;
         // Within the local part, which no total holds; a gateway that is pressed for records tells it.
         served += u32::from(one(&mut rig, &mut counter, id, 1_000 + id, 0, 0.5));
-        assert!(rig.gateway.customers() <= MOST, "{} stores", rig.gateway.customers());
+        assert!(rig.gateway.customer_count() <= MOST, "{} stores", rig.gateway.customer_count());
     }
-    let (forgotten, units) = rig.gateway.forgotten();
+    let (forgotten, units) = rig.gateway.evictions();
     // Each lacked what it had, and no more.
     assert!(served > 45_000 && forgotten > 40_000, "{served} served, {forgotten} forgotten");
     assert!(units <= forgotten as f64 * 0.501, "{units} units for {forgotten}");
@@ -50,7 +50,7 @@
     for id in 1_000..11_000 {
         one(&mut rig, &mut counter, id, id, 0, 1.0);
     }
-    assert!(rig.gateway.forgotten().0 > 5_000);
+    assert!(rig.gateway.evictions().0 > 5_000);
     let passed = (20_000..20_100).filter(|id| one(&mut rig, &mut counter, *id, 7, 1, 1.0)).count();
     assert!(passed <= 2, "{passed} pass beyond a ceiling that was forgotten");
 }
@@ -64,7 +64,7 @@
             kept.push(id);
         }
     }
-    assert_eq!((kept.len(), rig.gateway.customers(), rig.gateway.forgotten().0), (MOST, MOST, 0));
+    assert_eq!((kept.len(), rig.gateway.customer_count(), rig.gateway.evictions().0), (MOST, MOST, 0));
     // As their stores fill, room comes back.
     rig.now += 20_000.0;
     let served = (10_000..12_000).filter(|id| one(&mut rig, &mut counter, *id, *id, 0, 1.0)).count();
--- a/crates/policy/tests/reload.rs
+++ b/crates/policy/tests/reload.rs
@@ -1,6 +1,6 @@
 //! Settings that change in service: classes at their places, keys that are missing.
 
-use gateway_policy::reload::{lacks, Terms, MAX_CLASSES};
+use gateway_policy::reload::{first_missing_key, ServiceSettings, MAX_CLASSES};
 use gateway_policy::settings;
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -27,19 +27,21 @@
     })
 }
 
-fn terms(told: &Value) -> Result<Terms, String> {
-    let keys = settings::Keys::new("settings", told);
-    let read = settings::read(&keys).and_then(|settings| {
-        settings.check()?;
-        Ok(Terms { names: settings::names(&keys)?, settings })
+fn terms(told: &Value) -> Result<ServiceSettings, String> {
+    let keys = settings::SettingsReader::new("settings", told);
+    let read = settings::read_settings(&keys).and_then(|settings| {
+        settings.validate()?;
+        Ok(ServiceSettings { names: settings::read_names(&keys)?, settings })
     });
     read.map_err(|e| e.to_string())
 }
 
 /// The classes that requests can name, and their rules.
-fn named(terms: &Terms) -> Vec<(String, f64, bool)> {
+fn named(terms: &ServiceSettings) -> Vec<(String, f64, bool)> {
     let all = terms.names.classes.iter().zip(&terms.settings.classes);
-    let safe = |c: &gateway_policy::interface::Class| c.effect == gateway_policy::interface::Effect::Safe;
+    let safe = |c: &gateway_policy::interface::Class| {
+        c.idempotency == gateway_policy::interface::Idempotency::Idempotent
+    };
     let mut named: Vec<_> = all.filter_map(|(n, c)| Some((n.clone()?, c.deadline_ms, safe(c)))).collect();
     named.sort_by(|a, b| a.0.cmp(&b.0));
     named
@@ -49,16 +51,16 @@
 fn a_class_that_changes_has_a_new_place_and_the_old_one_keeps_its_rules() {
     let one = terms(&told(&[(0, 100, true), (1, 200, true)], 3)).expect("sound");
     let two = terms(&told(&[(1, 200, false), (2, 300, true)], 5)).expect("sound");
-    let changed = one.changed(&two, |_| false).expect("room");
+    let changed = one.reloaded(&two, |_| false).expect("room");
     let names: Vec<Option<&str>> = changed.names.classes.iter().map(Option::as_deref).collect();
     assert_eq!(names, [None, None, Some("c1"), Some("c2")]);
     assert!(changed.settings.classes[0].same_rules(&one.settings.classes[0]));
-    assert!(changed.settings.classes[0].dropped && !changed.settings.classes[2].dropped);
+    assert!(changed.settings.classes[0].retired && !changed.settings.classes[2].retired);
     assert_eq!(changed.settings.limits.max_attempts, 5);
     // What no request holds any more is used again; what one may hold is not.
     let three =
         terms(&told(&[(1, 200, false), (2, 300, true), (3, 1, true), (4, 1, true)], 5)).expect("sound");
-    let again = changed.changed(&three, |place| place == 1).expect("room");
+    let again = changed.reloaded(&three, |place| place == 1).expect("room");
     let names: Vec<Option<&str>> = again.names.classes.iter().map(Option::as_deref).collect();
     assert_eq!(names, [None, Some("c3"), Some("c1"), Some("c2"), Some("c4")]);
 }
@@ -67,7 +69,7 @@
 fn classes_that_requests_hold_for_good_do_not_fill_the_memory() {
     let mut now = terms(&told(&[(0, 1, true)], 3)).expect("sound");
     for deadline in 2.. {
-        match now.changed(&terms(&told(&[(0, deadline, true)], 3)).expect("sound"), |_| false) {
+        match now.reloaded(&terms(&told(&[(0, deadline, true)], 3)).expect("sound"), |_| false) {
             Ok(changed) => now = changed,
             Err(e) => {
                 assert!(e.to_string().contains("c0: too many"), "{e}");
@@ -116,11 +118,11 @@
         let (section, key) = place.rsplit_once('/').expect("a key");
         let mut after = before.clone();
         after.pointer_mut(section).and_then(Value::as_object_mut).expect("a section").remove(key);
-        let missed = lacks(&before, &after, "settings", &[]).unwrap_or_else(|| panic!("{place}"));
+        let missed = first_missing_key(&before, &after, "settings", &[]).unwrap_or_else(|| panic!("{place}"));
         assert!(missed.ends_with(key), "{missed} for {place}");
     }
     // Fewer classes, and other values, are no keys that are missing.
-    assert_eq!(lacks(&before, &told(&[(5, 9, false)], 1), "settings", &[]), None);
+    assert_eq!(first_missing_key(&before, &told(&[(5, 9, false)], 1), "settings", &[]), None);
 }
 
 proptest! {
@@ -140,7 +142,7 @@
             let Ok(new) = terms(&told(&classes, attempts)) else { continue };
             let before = now.clone();
             let free = |place: usize| !held[place % 64];
-            now = now.changed(&new, free).expect("room");
+            now = now.reloaded(&new, free).expect("room");
             prop_assert_eq!(named(&now), named(&new));
             prop_assert_eq!(now.settings.limits.max_attempts, attempts);
             for (place, class) in before.settings.classes.iter().enumerate() {
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -11,8 +11,8 @@
 fn spread(out: usize) -> Vec<usize> {
     let mut rig = Rig::new(settings(), 10);
     let mut entries = backends(10);
-    entries[0].share = 0.25;
-    rig.on(Event::Backends { scope: ListScope::Full, entries: &entries });
+    entries[0].weight_share = 0.25;
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries });
     let (mut got, mut open) = (vec![0; 10], std::collections::VecDeque::new());
     for id in 0..8_000 {
         rig.now += 1.0;
@@ -43,8 +43,8 @@
 fn a_small_share_is_no_drain_where_nobody_else_is_left() {
     let mut rig = Rig::new(settings(), 1);
     let mut entries = backends(1);
-    entries[0].share = 0.0001;
-    rig.on(Event::Backends { scope: ListScope::Full, entries: &entries });
+    entries[0].weight_share = 0.0001;
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries });
     for id in 0..50 {
         assert_eq!(sent_to(&rig.ask(request(id, 0, 3, 1.0))), Some(0));
         rig.end(id, 0, 0, Outcome::Ok);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,16 +7,16 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use gateway_policy::interface::{Action, BackendEntry};
-use gateway_policy::{settings, Gateway};
+use gateway_policy::interface::{Action, BackendEndpoint};
+use gateway_policy::{settings, Policy};
 use wire::{Frame, Malformed, Record, Reply};
 
 const LISTS: usize = 16;
 
 #[derive(Default)]
 struct Host {
-    gateways: BTreeMap<u16, Gateway>,
-    lists: Vec<Vec<BackendEntry>>,
+    gateways: BTreeMap<u16, Policy>,
+    lists: Vec<Vec<BackendEndpoint>>,
 }
 
 impl Host {
@@ -32,7 +32,7 @@
                 Record::Directory(bank, entries) => self.lists[bank] = entries,
                 Record::Create { seed, settings } => {
                     let gateway = settings::parse(settings)
-                        .and_then(|s| Gateway::new(s, seed, frame.now))
+                        .and_then(|s| Policy::new(s, seed, frame.now))
                         .map_err(|e| Malformed::new(e.to_string()))?;
                     self.gateways.insert(instance(current)?, gateway);
                 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,9 @@
 use std::fmt;
 use std::io::{self, Read};
 
-use gateway_policy::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
+use gateway_policy::interface::{
+    Action, BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope,
+};
 
 const HEADER: usize = 20;
 const ENTRY: usize = 21;
@@ -134,7 +136,7 @@
 /// A record of a batch.
 pub enum Record<'a> {
     Context(u16),
-    Directory(usize, Vec<BackendEntry>),
+    Directory(usize, Vec<BackendEndpoint>),
     Create { seed: u64, settings: &'a [u8] },
     PowerOff,
     Event(Pending<'a>),
@@ -142,7 +144,7 @@
 
 /// An event whose list may still have to be looked up.
 pub enum Pending<'a> {
-    List(ListScope, usize),
+    List(UpdateScope, usize),
     Ended { id: u64, attempt: u32, backend: u32, outcome: Outcome, took: f64, closed: bool, facts: Facts },
     Probed { backend: u32, outcome: Outcome, load: Vec<f32> },
     Peer { from: u32, body: &'a [u8] },
@@ -158,30 +160,30 @@
 
 impl Pending<'_> {
     /// The event, with its list.
-    pub fn resolve<'a>(&'a self, lists: &'a [Vec<BackendEntry>]) -> Result<Event<'a>, Malformed> {
+    pub fn resolve<'a>(&'a self, lists: &'a [Vec<BackendEndpoint>]) -> Result<Event<'a>, Malformed> {
         Ok(match self {
             Pending::List(scope, bank) => {
-                let entries: &[BackendEntry] = match scope {
-                    ListScope::Failed => &[],
+                let entries: &[BackendEndpoint] = match scope {
+                    UpdateScope::Failed => &[],
                     _ => lists.get(*bank).ok_or_else(|| Malformed::new(format!("no list {bank}")))?,
                 };
-                Event::Backends { scope: *scope, entries }
+                Event::EndpointsUpdated { scope: *scope, endpoints: entries }
             }
-            Pending::Ended { id, attempt, backend, outcome, took, closed, facts } => Event::Ended {
+            Pending::Ended { id, attempt, backend, outcome, took, closed, facts } => Event::AttemptEnded {
                 id: *id,
                 attempt: *attempt,
                 backend: *backend,
                 outcome: *outcome,
                 latency_ms: *took,
-                closed: *closed,
-                metered: facts.metered,
-                charged: facts.charged,
+                answered: *closed,
+                metered_use: facts.metered,
+                actual_units: facts.charged,
                 load: &facts.load,
             },
             Pending::Probed { backend, outcome, load } => {
-                Event::Probed { backend: *backend, outcome: *outcome, load }
+                Event::ProbeEnded { backend: *backend, outcome: *outcome, load }
             }
-            Pending::Peer { from, body } => Event::Peer { from: *from, body },
+            Pending::Peer { from, body } => Event::PeerMessage { from: *from, body },
             Pending::Plain(event) => event.clone(),
         })
     }
@@ -209,10 +211,10 @@
         }
         1 => {
             let scope = match f.u8("BackendsChanged")? {
-                0 => ListScope::Delta,
-                1 => ListScope::Full,
-                2 => ListScope::Cached,
-                3 => ListScope::Failed,
+                0 => UpdateScope::Delta,
+                1 => UpdateScope::Full,
+                2 => UpdateScope::Cached,
+                3 => UpdateScope::Failed,
                 other => return Err(Malformed::new(format!("BackendsChanged: unknown scope {other}"))),
             };
             f.u32("BackendsChanged")?;
@@ -228,9 +230,9 @@
         4 => {
             let name = f.u64("Reckoned")?;
             let outcome = outcome(f.u8("Reckoned")?)?;
-            Pending::Plain(Event::Counted { name, outcome, total: f.f32("Reckoned")? })
+            Pending::Plain(Event::CounterReplied { key: name, outcome, total: f.f32("Reckoned")? })
         }
-        11 => Pending::Plain(Event::ClientGone { id: f.u64("Dropped")? }),
+        11 => Pending::Plain(Event::ClientDisconnected { id: f.u64("Dropped")? }),
         0 => {
             let backend = f.u32("Probed")?;
             f.f64("Probed")?;
@@ -242,21 +244,21 @@
             attempt: u32::from(f.u16("Flowing")?),
             backend: f.u32("Flowing")?,
         }),
-        12 => Pending::Plain(Event::Timer { token: f.u64("Ring")? }),
+        12 => Pending::Plain(Event::TimerExpired { token: f.u64("Ring")? }),
         other => return Err(Malformed::new(format!("unknown event code {other}"))),
     };
     Ok(Record::Event(event))
 }
 
-fn entry(f: &mut Fields<'_>) -> Result<BackendEntry, Malformed> {
+fn entry(f: &mut Fields<'_>) -> Result<BackendEndpoint, Malformed> {
     let state = match f.u8("Directory")? {
-        1 => Readiness::Ready,
-        2 => Readiness::Draining,
-        3 => Readiness::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
+        3 => EndpointState::Removed,
         other => return Err(Malformed::new(format!("Directory: unknown state {other}"))),
     };
     let id = f.u32("Directory")?;
-    Ok(BackendEntry {
+    Ok(BackendEndpoint {
         state,
         id,
         // Numbers are the same at all gateways here.
@@ -265,9 +267,9 @@
         cell: u32::from(f.u16("Directory")?),
         zone: u32::from(f.u8("Directory")?),
         started_ms: f.f64("Directory")?,
-        returned_ms: 0.0,
+        reenabled_ms: 0.0,
         weight: f.f32("Directory")?,
-        share: 1.0,
+        weight_share: 1.0,
     })
 }
 
@@ -282,7 +284,7 @@
     let expires_ms = f.f64(what)?;
     let class = usize::from(f.u8(what)?);
     let customer = f.u64(what)?;
-    Ok(Request { id, customer, plan, class, units, width, expires_ms, retry })
+    Ok(Request { id, customer, plan, class, units, fan_out: width, deadline_ms: expires_ms, retry })
 }
 
 fn ended<'a>(f: &mut Fields<'a>) -> Result<Pending<'a>, Malformed> {
@@ -307,12 +309,12 @@
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(Malformed::new(format!("unknown reason {other}"))),
     })
 }
@@ -353,31 +355,31 @@
     pub fn action(&mut self, instance: u16, action: &Action) {
         match action {
             // What is sent there begins at once, and waits until the client gives up.
-            Action::Send { id, backend, .. } => {
+            Action::SendAttempt { id, backend, .. } => {
                 let wait = 0.0f64.to_be_bytes();
                 self.put(instance, 6, &[&id.to_be_bytes(), &backend.to_be_bytes(), &wait]);
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 self.put(instance, 7, &[&id.to_be_bytes(), &(*attempt as u16).to_be_bytes()]);
             }
-            Action::Refuse { id, retry_after_ms } => {
+            Action::Reject { id, retry_after_ms } => {
                 let wait = retry_after_ms.unwrap_or(0.0).to_be_bytes();
                 self.put(instance, 0, &[&id.to_be_bytes(), &wait]);
             }
-            Action::Surrender { id } => self.put(instance, 3, &[&id.to_be_bytes()]),
+            Action::Fail { id } => self.put(instance, 3, &[&id.to_be_bytes()]),
             Action::Probe { backend } => self.put(instance, 1, &[&backend.to_be_bytes()]),
-            Action::Count { name, amount, forget_after_ms } => {
+            Action::IncrementCounter { key: name, amount, ttl_ms: forget_after_ms } => {
                 let amount = (*amount as f32).to_be_bytes();
                 self.put(instance, 12, &[&name.to_be_bytes(), &amount, &forget_after_ms.to_be_bytes()]);
             }
-            Action::Timer { token, at_ms } => {
+            Action::ScheduleTimer { token, at_ms } => {
                 self.put(instance, 2, &[&token.to_be_bytes(), &at_ms.to_be_bytes()]);
             }
-            Action::Tell { body } => {
+            Action::BroadcastToPeers { body } => {
                 let length = (body.len() as u16).to_be_bytes();
                 self.put(instance, 10, &[&u16::MAX.to_be_bytes(), &length, body]);
             }
-            Action::Watch => self.put(instance, 13, &[&[1]]),
+            Action::PollEndpoints => self.put(instance, 13, &[&[1]]),
         }
     }
 
--- a/crates/testbed/src/overseen.rs
+++ b/crates/testbed/src/overseen.rs
@@ -4,12 +4,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use fleet::wire::{
-    Applied, BackendState, Figures, GatewayAsk, GatewaySay, GatewayState, Numbered, Verdict, MAX_LINE_BYTES,
+    Applied, BackendState, Envelope, GatewayRequest, GatewayResponse, GatewayState, GatewayStatistics,
+    OrderResult, MAX_LINE_BYTES,
 };
-use fleet::Desired;
+use fleet::DesiredState;
 use operator_config::Address;
 use tokio::task::JoinHandle;
-use transport::{BindError, Lines, Listener};
+use transport::{BindError, JsonLines, Listener};
 
 use crate::switch::Switch;
 
@@ -26,7 +27,7 @@
 struct Held {
     name: String,
     boot: u64,
-    desired: Desired,
+    desired: DesiredState,
     backends: Vec<BackendState>,
 }
 
@@ -48,11 +49,11 @@
             banned_ms: None,
             weight: 1.0,
             ejected: false,
-            warmth: 1.0,
+            capacity_fraction: 1.0,
             in_flight: 0,
         };
         let backends = (0..backends).map(row).collect();
-        let (name, desired) = (name.to_string(), Desired::default());
+        let (name, desired) = (name.to_string(), DesiredState::default());
         let held = Arc::new(Mutex::new(Held { name, boot, desired, backends }));
         let (switch, serving) = (Switch::default(), Arc::clone(&held));
         let faults = switch.clone();
@@ -75,7 +76,7 @@
     #[must_use]
     pub fn drained(&self, backend: &str) -> bool {
         let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        held.desired.effect(backend, u32::MAX, "").drained_by.is_some()
+        held.desired.effective_state(backend, u32::MAX, "").drained_by.is_some()
     }
 }
 
@@ -85,26 +86,26 @@
     }
 }
 
-async fn talk(mut lines: Lines, held: &Mutex<Held>, faults: &Switch) {
-    while let Ok(Some(Numbered { n, body })) = lines.next::<Numbered<GatewayAsk>>().await {
+async fn talk(mut lines: JsonLines, held: &Mutex<Held>, faults: &Switch) {
+    while let Ok(Some(Envelope { request_id: n, body })) = lines.next::<Envelope<GatewayRequest>>().await {
         faults.delay().await;
         let body = held.lock().unwrap_or_else(PoisonError::into_inner).answer(body);
-        if lines.send(&Numbered { n, body }).await.is_err() {
+        if lines.send(&Envelope { request_id: n, body }).await.is_err() {
             return;
         }
     }
 }
 
 impl Held {
-    fn answer(&mut self, ask: GatewayAsk) -> GatewaySay {
+    fn answer(&mut self, ask: GatewayRequest) -> GatewayResponse {
         match ask {
-            GatewayAsk::Inflight { .. } => GatewaySay::Inflight(0),
-            GatewayAsk::Adopt { snapshot } => {
+            GatewayRequest::Inflight { .. } => GatewayResponse::Inflight(0),
+            GatewayRequest::Adopt { snapshot } => {
                 self.desired.adopt(&snapshot);
                 self.applied(Vec::new())
             }
-            GatewayAsk::Apply { orders } => {
-                let verdict = |order: &fleet::Order| Verdict {
+            GatewayRequest::Apply { orders } => {
+                let verdict = |order: &fleet::Order| OrderResult {
                     id: order.id.clone(),
                     outcome: self.desired.apply(order),
                     matched: 1,
@@ -112,22 +113,29 @@
                 let verdicts = orders.iter().map(verdict).collect();
                 self.applied(verdicts)
             }
-            GatewayAsk::State { backends } => GatewaySay::State(GatewayState {
+            GatewayRequest::State { backends } => GatewayResponse::State(GatewayState {
                 name: self.name.clone(),
                 version: env!("CARGO_PKG_VERSION").to_string(),
-                boot: self.boot,
-                holds: self.desired.revision(),
+                incarnation: self.boot,
+                applied_revision: self.desired.revision(),
                 last_order: None,
                 drained_by: None,
                 drained_ms: None,
-                list: 1,
-                figures: Figures { listed: self.backends.len() as u32, ..Figures::default() },
+                list_version: 1,
+                statistics: GatewayStatistics {
+                    listed: self.backends.len() as u32,
+                    ..GatewayStatistics::default()
+                },
                 backends: backends.then(|| self.backends.clone()),
             }),
         }
     }
 
-    fn applied(&self, verdicts: Vec<Verdict>) -> GatewaySay {
-        GatewaySay::Applied(Applied { boot: self.boot, holds: self.desired.revision(), verdicts })
+    fn applied(&self, verdicts: Vec<OrderResult>) -> GatewayResponse {
+        GatewayResponse::Applied(Applied {
+            incarnation: self.boot,
+            applied_revision: self.desired.revision(),
+            results: verdicts,
+        })
     }
 }
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use operator_config::{Address, Tls};
+use operator_config::{Address, TlsConfig};
 use rustls::pki_types::ServerName;
 use rustls::ClientConfig;
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::timeout;
 use tokio_rustls::TlsConnector;
 
-use crate::json_lines::Lines;
+use crate::json_lines::JsonLines;
 use crate::tls::{TlsError, TlsFiles};
 
 /// Why the other side can't be spoken to.
@@ -48,24 +48,24 @@
 
 /// Opens connections with one set of certificates.
 #[derive(Clone, Default)]
-pub struct Dialer {
+pub struct Connector {
     tls: Option<Arc<ClientConfig>>,
 }
 
-impl fmt::Debug for Dialer {
+impl fmt::Debug for Connector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Dialer").field("tls", &self.tls.is_some()).finish()
     }
 }
 
-impl Dialer {
+impl Connector {
     /// Reads the certificates, if any are named.
     ///
     /// # Errors
     /// A [`TlsError`] that names the file.
-    pub fn new(tls: Option<&Tls>) -> Result<Dialer, TlsError> {
-        let client = |files: &Tls| TlsFiles::read(files).and_then(|f| f.client());
-        Ok(Dialer { tls: tls.map(client).transpose()? })
+    pub fn new(tls: Option<&TlsConfig>) -> Result<Connector, TlsError> {
+        let client = |files: &TlsConfig| TlsFiles::read(files).and_then(|f| f.client());
+        Ok(Connector { tls: tls.map(client).transpose()? })
     }
 
     /// Connects within a time, for lines of at most so many bytes.
@@ -77,14 +77,14 @@
         address: &Address,
         limit: Duration,
         most: usize,
-    ) -> Result<Lines, ConnectError> {
+    ) -> Result<JsonLines, ConnectError> {
         let opening = async {
             match address {
                 Address::Unix(path) => {
                     foreign(path, address)?;
                     let stream = UnixStream::connect(path).await;
                     let stream = stream.map_err(|e| ConnectError::Io(address.clone(), e))?;
-                    Ok(Lines::new(Box::new(stream), most))
+                    Ok(JsonLines::new(Box::new(stream), most))
                 }
                 Address::Tcp(at) => {
                     let tls = self.tls.clone().ok_or_else(|| ConnectError::NoCertificate(address.clone()))?;
@@ -93,7 +93,7 @@
                     stream.set_nodelay(true).map_err(failed)?;
                     let name = ServerName::IpAddress(at.ip().into());
                     let stream = TlsConnector::from(tls).connect(name, stream).await.map_err(failed)?;
-                    Ok(Lines::new(Box::new(stream), most))
+                    Ok(JsonLines::new(Box::new(stream), most))
                 }
             }
         };
@@ -108,8 +108,8 @@
 ///
 /// # Errors
 /// A [`ConnectError`].
-pub async fn connect(address: &Address, limit: Duration, most: usize) -> Result<Lines, ConnectError> {
-    Dialer::default().connect(address, limit, most).await
+pub async fn connect(address: &Address, limit: Duration, most: usize) -> Result<JsonLines, ConnectError> {
+    Connector::default().connect(address, limit, most).await
 }
 
 /// Danger: a socket that another user put where ours was to be, who then is told every order and answers as
--- a/crates/transport/src/json_lines.rs
+++ b/crates/transport/src/json_lines.rs
@@ -15,45 +15,45 @@
 
 /// Why a line could not be had or sent.
 #[derive(Debug)]
-pub enum LineError {
+pub enum JsonLinesError {
     /// It is longer than is taken; nothing more can be read from the connection.
     TooLong(usize),
     /// It is no JSON of the wanted kind; the next one can be read. The text holds nothing of the line but
     /// names of fields.
-    Unreadable(String),
+    Malformed(String),
     /// The connection broke.
     Broken(std::io::Error),
 }
 
-impl fmt::Display for LineError {
+impl fmt::Display for JsonLinesError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LineError::TooLong(most) => write!(f, "line too long; {most} bytes at most"),
-            LineError::Unreadable(why) => write!(f, "not a message: {why}"),
-            LineError::Broken(e) => write!(f, "connection broke: {e}"),
+            JsonLinesError::TooLong(most) => write!(f, "line too long; {most} bytes at most"),
+            JsonLinesError::Malformed(why) => write!(f, "not a message: {why}"),
+            JsonLinesError::Broken(e) => write!(f, "connection broke: {e}"),
         }
     }
 }
 
-impl std::error::Error for LineError {}
+impl std::error::Error for JsonLinesError {}
 
 /// A connection that carries one JSON value a line.
-pub struct Lines {
+pub struct JsonLines {
     framed: Framed<Box<dyn Stream>, AnyDelimiterCodec>,
     most: usize,
 }
 
-impl fmt::Debug for Lines {
+impl fmt::Debug for JsonLines {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Lines").field("most", &self.most).finish_non_exhaustive()
     }
 }
 
-impl Lines {
-    pub(crate) fn new(stream: Box<dyn Stream>, most: usize) -> Lines {
+impl JsonLines {
+    pub(crate) fn new(stream: Box<dyn Stream>, most: usize) -> JsonLines {
         // Not the codec of lines of text: it ends a connection at the first byte that is not UTF-8.
         let codec = AnyDelimiterCodec::new_with_max_length(b"\n".to_vec(), b"\n".to_vec(), most);
-        Lines { framed: Framed::new(stream, codec), most }
+        JsonLines { framed: Framed::new(stream, codec), most }
     }
 
     /// The next value; `None` when the other side has ended. Cancelling loses nothing: what has come of a
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// A [`LineError`]. Only after [`LineError::Unreadable`] can the connection still be used.
-    pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LineError> {
+    pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, JsonLinesError> {
         // Danger: room for the longest line that ever came, kept for good on each of a thousand connections.
         let room = self.framed.read_buffer_mut();
         if room.is_empty() && room.capacity() > ROOM_KEPT {
@@ -71,14 +71,14 @@
             None => return Ok(None),
             Some(Ok(line)) => line,
             Some(Err(AnyDelimiterCodecError::MaxChunkLengthExceeded)) => {
-                return Err(LineError::TooLong(self.most));
+                return Err(JsonLinesError::TooLong(self.most));
             }
-            Some(Err(AnyDelimiterCodecError::Io(e))) => return Err(LineError::Broken(e)),
+            Some(Err(AnyDelimiterCodecError::Io(e))) => return Err(JsonLinesError::Broken(e)),
         };
         serde_json::from_slice(&line).map(Some).map_err(|e| {
             // Danger: what somebody sent, quoted whole in an answer or a log.
             let why: String = e.to_string().chars().take(200).collect();
-            LineError::Unreadable(why)
+            JsonLinesError::Malformed(why)
         })
     }
 
@@ -86,11 +86,11 @@
     ///
     /// # Errors
     /// [`LineError::Broken`]; [`LineError::Unreadable`] if the value is no JSON.
-    pub async fn send<T: Serialize>(&mut self, value: &T) -> Result<(), LineError> {
-        let text = serde_json::to_string(value).map_err(|e| LineError::Unreadable(e.to_string()))?;
+    pub async fn send<T: Serialize>(&mut self, value: &T) -> Result<(), JsonLinesError> {
+        let text = serde_json::to_string(value).map_err(|e| JsonLinesError::Malformed(e.to_string()))?;
         self.framed.send(text).await.map_err(|e| match e {
-            AnyDelimiterCodecError::Io(e) => LineError::Broken(e),
-            AnyDelimiterCodecError::MaxChunkLengthExceeded => LineError::TooLong(self.most),
+            AnyDelimiterCodecError::Io(e) => JsonLinesError::Broken(e),
+            AnyDelimiterCodecError::MaxChunkLengthExceeded => JsonLinesError::TooLong(self.most),
         })
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -15,8 +15,8 @@
 
 use tokio::io::{AsyncRead, AsyncWrite};
 
-pub use connect::{connect, ConnectError, Dialer};
-pub use json_lines::{LineError, Lines};
+pub use connect::{connect, ConnectError, Connector};
+pub use json_lines::{JsonLines, JsonLinesError};
 pub use listen::{BindError, Listener};
 pub use tls::{TlsError, TlsFiles};
 
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -7,12 +7,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use operator_config::{Address, Tls};
+use operator_config::{Address, TlsConfig};
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 
-use crate::json_lines::Lines;
+use crate::json_lines::JsonLines;
 use crate::tls::{TlsError, TlsFiles};
 
 /// How long a handshake may take. Danger: one that connects and says nothing holds up no one but itself, but
@@ -60,7 +60,7 @@
 }
 
 /// A connection that came, and may not be allowed to speak.
-pub struct Arrival {
+pub struct IncomingConnection {
     kind: ArrivalKind,
     most: usize,
 }
@@ -76,7 +76,11 @@
     ///
     /// # Errors
     /// A [`BindError`].
-    pub async fn bind(address: &Address, tls: Option<&Tls>, most: usize) -> Result<Listener, BindError> {
+    pub async fn bind(
+        address: &Address,
+        tls: Option<&TlsConfig>,
+        most: usize,
+    ) -> Result<Listener, BindError> {
         let failed = |e| BindError::Io(address.clone(), e);
         let kind = match address {
             Address::Unix(path) => {
@@ -110,24 +114,24 @@
     ///
     /// # Errors
     /// The system's; worth another try after a pause.
-    pub async fn accept(&self) -> io::Result<Arrival> {
+    pub async fn accept(&self) -> io::Result<IncomingConnection> {
         let kind = match &self.kind {
             Kind::Unix { listener, owner, .. } => ArrivalKind::Unix(listener.accept().await?.0, *owner),
             Kind::Tls { listener, acceptor } => {
                 ArrivalKind::Tls(listener.accept().await?.0, acceptor.clone())
             }
         };
-        Ok(Arrival { kind, most: self.most })
+        Ok(IncomingConnection { kind, most: self.most })
     }
 }
 
-impl Arrival {
+impl IncomingConnection {
     /// Finds out whether it may speak. This waits for the other side and so belongs in a task of its own.
     ///
     /// # Errors
     /// `PermissionDenied` for another user's process, the handshake's own error for a certificate that is
     /// missing or that no authority signed, `TimedOut` for one that says nothing.
-    pub async fn open(self) -> io::Result<Lines> {
+    pub async fn open(self) -> io::Result<JsonLines> {
         match self.kind {
             ArrivalKind::Unix(stream, owner) => {
                 let user = stream.peer_cred()?.uid();
@@ -136,12 +140,12 @@
                     let text = format!("user {user} is not the owner, {owner}");
                     return Err(io::Error::new(io::ErrorKind::PermissionDenied, text));
                 }
-                Ok(Lines::new(Box::new(stream), self.most))
+                Ok(JsonLines::new(Box::new(stream), self.most))
             }
             ArrivalKind::Tls(stream, acceptor) => {
                 stream.set_nodelay(true)?;
                 let stream = timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await??;
-                Ok(Lines::new(Box::new(stream), self.most))
+                Ok(JsonLines::new(Box::new(stream), self.most))
             }
         }
     }
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use operator_config::Tls;
+use operator_config::TlsConfig;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::WebPkiClientVerifier;
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// A [`TlsError`] that names the file.
-    pub fn read(tls: &Tls) -> Result<TlsFiles, TlsError> {
+    pub fn read(tls: &TlsConfig) -> Result<TlsFiles, TlsError> {
         let chain = certificates(&tls.certificate)?;
         let bad = |why: &str| TlsError::File(tls.key.clone(), why.to_string());
         let text = fs::read(&tls.key).map_err(|e| bad(&e.to_string()))?;
--- a/crates/transport/tests/who.rs
+++ b/crates/transport/tests/who.rs
@@ -5,12 +5,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use operator_config::{Address, Tls};
+use operator_config::{Address, TlsConfig};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, KeyUsagePurpose};
 use tempfile::TempDir;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UnixStream};
-use transport::{BindError, ConnectError, Dialer, LineError, Lines, Listener};
+use transport::{BindError, ConnectError, Connector, JsonLines, JsonLinesError, Listener};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const MOST: usize = 4096;
@@ -33,7 +33,7 @@
                             Ok(None) => return,
                             Err(e) => {
                                 let _ = lines.send(&e.to_string()).await;
-                                if !matches!(e, LineError::Unreadable(_)) {
+                                if !matches!(e, JsonLinesError::Malformed(_)) {
                                     return;
                                 }
                             }
@@ -47,7 +47,7 @@
     refusals
 }
 
-async fn ask(lines: &mut Lines, text: &str) -> String {
+async fn ask(lines: &mut JsonLines, text: &str) -> String {
     lines.send(&text).await.expect("it listens");
     lines.next().await.expect("a line").expect("an answer")
 }
@@ -71,7 +71,7 @@
     }
 
     /// The files of one side, which trusts another authority.
-    fn side(&self, name: &str, trusts: &Authority) -> Tls {
+    fn side(&self, name: &str, trusts: &Authority) -> TlsConfig {
         let key = KeyPair::generate().expect("a key");
         let params = CertificateParams::new(vec!["127.0.0.1".to_string()]).expect("parameters");
         let own = params.signed_by(&key, &self.issuer).expect("signed");
@@ -79,7 +79,7 @@
             (self.dir.join(format!("{name}.pem")), self.dir.join(format!("{name}.key")));
         fs::write(&certificate, own.pem()).expect("room");
         fs::write(&key_file, key.serialize_pem()).expect("room");
-        Tls { certificate, key: key_file, authorities: trusts.dir.join("ca.pem") }
+        TlsConfig { certificate, key: key_file, authorities: trusts.dir.join("ca.pem") }
     }
 }
 
@@ -122,7 +122,7 @@
         if std::os::unix::fs::chown(&path, Some(65_534), None).is_err() {
             return;
         }
-        let refused = Dialer::default().connect(&address, PATIENCE, MOST).await.expect_err("refused");
+        let refused = Connector::default().connect(&address, PATIENCE, MOST).await.expect_err("refused");
         assert!(matches!(refused, ConnectError::Owner(_, 65_534)), "{refused}");
         assert!(refused.to_string().contains("belongs to user 65534"), "{refused}");
     });
@@ -159,7 +159,7 @@
         let said = String::from_utf8_lossy(&said);
         assert!(said.is_empty() || said.contains("line too long"), "{said}");
         // The listener goes on.
-        let mut lines = Dialer::default().connect(&address, PATIENCE, MOST).await.expect("it listens");
+        let mut lines = Connector::default().connect(&address, PATIENCE, MOST).await.expect("it listens");
         assert_eq!(ask(&mut lines, "still").await, "still");
     });
 }
@@ -178,12 +178,12 @@
         let address = listener.address().expect("an address");
         let mut refusals = echo(listener);
 
-        let good = Dialer::new(Some(&ours.side("agent", &ours))).expect("certificates");
+        let good = Connector::new(Some(&ours.side("agent", &ours))).expect("certificates");
         let mut lines = good.connect(&address, PATIENCE, MOST).await.expect("it may speak");
         assert_eq!(ask(&mut lines, "hello").await, "hello");
 
         // A certificate that another authority signed: the server says no, at the latest with the first line.
-        let wrong = Dialer::new(Some(&others.side("agent", &ours))).expect("certificates");
+        let wrong = Connector::new(Some(&others.side("agent", &ours))).expect("certificates");
         match wrong.connect(&address, PATIENCE, MOST).await {
             Err(_) => {}
             Ok(mut lines) => {
@@ -228,10 +228,10 @@
             "key" => bad.key = file,
             _ => bad.authorities = file,
         }
-        let said = Dialer::new(Some(&bad)).expect_err(spoil).to_string();
+        let said = Connector::new(Some(&bad)).expect_err(spoil).to_string();
         assert!(said.contains("spoilt.pem") && !said.contains(&secret[40..60]), "{said}");
     }
     let mut gone = good;
     gone.key = dir.path().join("none");
-    assert!(Dialer::new(Some(&gone)).expect_err("none").to_string().contains("none"));
+    assert!(Connector::new(Some(&gone)).expect_err("none").to_string().contains("none"));
 }
