--- /dev/null
+++ b/crates/agent/tests/log_form.rs
@@ -0,0 +1,204 @@
+//! The form of the agent's log, as recorded: a file of this form is read, and new files hold the same rows.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use beechrudder_agent::{Contents, Log};
+use beechrudder_fleet::wire::Logged;
+use beechrudder_fleet::{Change, Counts, Order, Revision, Snapshot, Subject, Value};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
+
+/// When the recorded log began, and so the term of its orders.
+const TERM: u64 = 1_700_000_000;
+/// On each line, parted by tabs: table, key and value of each row of the recorded log.
+const ROWS: &str = include_str!("data/log-form-1.txt");
+
+const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
+const SETTLED: TableDefinition<&str, &[u8]> = TableDefinition::new("settled");
+const ORDERS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("orders");
+const MEMBERS: TableDefinition<&str, &str> = TableDefinition::new("members");
+
+fn logged(seq: u64, subject: Subject, change: Change, forced: bool) -> Logged {
+    let order = Order {
+        id: format!("o-{seq}").parse().expect("an id"),
+        revision: Revision { term: TERM, seq },
+        subject,
+        change,
+    };
+    let counts = Counts { covered: 1, serving: 8, ready: 7, left: 6 };
+    Logged { order, forced, at_ms: TERM * 1_000 + seq, counts }
+}
+
+/// Orders that were settled, and those that came after.
+fn orders() -> (Vec<Logged>, Vec<Logged>) {
+    let backend = |name: &str| Subject::Backend(name.parse().expect("a name"));
+    let settled = vec![
+        logged(1, backend("s-1"), Change::Drain, false),
+        logged(2, Subject::Group(3), Change::Drain, true),
+        logged(3, Subject::Group(3), Change::Undrain, false),
+        logged(4, backend("s-2"), Change::Weight(0.25), false),
+    ];
+    let later = vec![
+        logged(5, Subject::Type("m2".parse().expect("a name")), Change::Drain, true),
+        logged(6, Subject::Gateway("n1".parse().expect("a name")), Change::Drain, false),
+        logged(7, backend("s-1"), Change::Undrain, false),
+    ];
+    (settled, later)
+}
+
+/// The state that the settled orders make.
+fn snapshot() -> Snapshot {
+    let mut desired = beechrudder_fleet::Desired::since(Revision { term: TERM, seq: 0 });
+    for logged in orders().0 {
+        desired.apply(&logged.order);
+    }
+    desired.compact();
+    desired.snapshot()
+}
+
+fn write_sample(path: &Path) {
+    let (log, _) = Log::open(path).expect("a new log");
+    let (settled, later) = orders();
+    log.append(&settled, Some(&snapshot())).expect("room");
+    log.append(&later, None).expect("room");
+    log.member("n1", Some("unix:/run/n1.sock")).expect("room");
+    log.member("n2", Some("tcp:127.0.0.1:7001")).expect("room");
+    log.member("n3", Some("unix:/run/n3.sock")).expect("room");
+    log.member("n3", None).expect("room");
+}
+
+/// Every row of a log, as in [`ROWS`], with the names of all tables.
+fn rows(path: &Path) -> (Vec<String>, Vec<String>) {
+    let database = Database::open(path).expect("a database");
+    let read = database.begin_read().expect("a transaction");
+    let mut tables: Vec<String> =
+        read.list_tables().expect("tables").map(|table| table.name().to_string()).collect();
+    tables.sort();
+    let mut rows = Vec::new();
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("a text");
+    for row in read.open_table(MEMBERS).expect("a table").iter().expect("rows") {
+        let (key, value) = row.expect("a row");
+        rows.push(format!("members\t{}\t{}", key.value(), value.value()));
+    }
+    for row in read.open_table(META).expect("a table").iter().expect("rows") {
+        let (key, value) = row.expect("a row");
+        rows.push(format!("meta\t{}\t{}", key.value(), value.value()));
+    }
+    for row in read.open_table(ORDERS).expect("a table").iter().expect("rows") {
+        let (key, value) = row.expect("a row");
+        rows.push(format!("orders\t{}.{}\t{}", key.value().0, key.value().1, text(value.value())));
+    }
+    for row in read.open_table(SETTLED).expect("a table").iter().expect("rows") {
+        let (key, value) = row.expect("a row");
+        rows.push(format!("settled\t{}\t{}", key.value(), text(value.value())));
+    }
+    (tables, rows)
+}
+
+fn recorded_copy(folder: &Path) -> PathBuf {
+    let path = folder.join("log");
+    let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/log-form-1.redb");
+    fs::copy(recorded, &path).expect("the recorded log");
+    path
+}
+
+#[test]
+fn reads_a_recorded_log() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = recorded_copy(folder.path());
+    let (log, contents) = Log::open(&path).expect("a good log");
+    drop(log);
+    let Contents { desired, newest, orders: read, members } = contents;
+    let (mut expected, later) = orders();
+    expected.extend(later);
+    assert_eq!(read, expected);
+    assert_eq!(newest, Revision { term: TERM, seq: 7 });
+    let member = |name: &str, address: &str| (name.to_string(), address.to_string());
+    assert_eq!(members, [member("n1", "unix:/run/n1.sock"), member("n2", "tcp:127.0.0.1:7001")]);
+    let state = desired.snapshot();
+    assert_eq!(state.since, Revision { term: TERM, seq: 0 });
+    assert_eq!(state.floor, Revision { term: TERM, seq: 4 });
+    let held: BTreeMap<String, (u64, Value)> = state
+        .registers
+        .iter()
+        .map(|register| (register.subject.to_string(), (register.revision.seq, register.value)))
+        .collect();
+    let wanted = [
+        ("backend/s-1", (7, Value::Drained(false))),
+        ("backend/s-2", (4, Value::Weight(0.25))),
+        ("gateway/n1", (6, Value::Drained(true))),
+        ("type/m2", (5, Value::Drained(true))),
+    ];
+    assert_eq!(held, wanted.into_iter().map(|(subject, value)| (subject.to_string(), value)).collect());
+    // Reading changed no row.
+    assert_eq!(rows(&path).1, ROWS.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn new_logs_hold_the_recorded_rows() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = folder.path().join("log");
+    write_sample(&path);
+    let (tables, written) = rows(&path);
+    assert_eq!(tables, ["members", "meta", "orders", "settled"]);
+    let is_term = |row: &&str| row.starts_with("meta\tterm\t");
+    let written: Vec<&str> = written.iter().map(String::as_str).collect();
+    // The term is the time at which a log begins, and so differs; all else does not.
+    let terms: Vec<&&str> = written.iter().filter(|row| is_term(row)).collect();
+    let term: u64 = terms[0].rsplit('\t').next().and_then(|text| text.parse().ok()).expect("a number");
+    assert!(terms.len() == 1 && term > TERM, "{terms:?}");
+    let written: Vec<&str> = written.iter().copied().filter(|row| !is_term(row)).collect();
+    assert_eq!(written, ROWS.lines().filter(|row| !is_term(row)).collect::<Vec<_>>());
+}
+
+#[test]
+fn appends_to_a_recorded_log() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = recorded_copy(folder.path());
+    let (log, _) = Log::open(&path).expect("a good log");
+    log.append(&[logged(8, Subject::Group(4), Change::Drain, false)], None).expect("room");
+    log.member("n2", None).expect("room");
+    drop(log);
+    let (_, contents) = Log::open(&path).expect("a good log");
+    assert_eq!(contents.newest, Revision { term: TERM, seq: 8 });
+    assert_eq!(contents.orders.len(), 8);
+    assert_eq!(contents.members.len(), 1);
+}
+
+#[test]
+fn refuses_another_form_and_damage_in_the_recorded_words() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = recorded_copy(folder.path());
+    {
+        let database = Database::open(&path).expect("a database");
+        let write = database.begin_write().expect("a transaction");
+        write.open_table(META).expect("a table").insert("form", 2).expect("room");
+        write.commit().expect("room");
+    }
+    let said = Log::open(&path).expect_err("another form").to_string();
+    assert_eq!(said, format!("{}: form 2 of the log; this program reads form 1", path.display()));
+
+    let path = recorded_copy(folder.path());
+    let (held, _) = Log::open(&path).expect("a good log");
+    let said = Log::open(&path).expect_err("in use").to_string();
+    assert_eq!(said, format!("{}: another agent has it open", path.display()));
+    drop(held);
+
+    {
+        let database = Database::open(&path).expect("a database");
+        let write = database.begin_write().expect("a transaction");
+        let moved = serde_json::to_vec(&logged(9, Subject::Group(4), Change::Drain, false)).expect("JSON");
+        write.open_table(ORDERS).expect("a table").insert((TERM, 8), moved.as_slice()).expect("room");
+        write.commit().expect("room");
+    }
+    let said = Log::open(&path).expect_err("damaged").to_string();
+    assert_eq!(
+        said,
+        format!(
+            "{}: the log is damaged: order {TERM}.8 stands in another's place; put a copy in its place, or \
+             move it away and order anew: gateways keep what they hold until then",
+            path.display()
+        )
+    );
+}
