--- /dev/null
+++ b/crates/maintenance/tests/recorded.rs
@@ -0,0 +1,156 @@
+//! The forms that outlive a process or are read by people's scripts: the sealed state, byte for byte, and each
+//! line of a command with the exact text of its answer.
+
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+
+use beechrudder_maintenance::{sealed, Book, Call, Done, Refused};
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
+
+fn recorded(name: &str) -> String {
+    std::fs::read_to_string(data(name)).expect("recorded")
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut all, byte| {
+        write!(all, "{byte:02x}").expect("a string takes all");
+        all
+    })
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let pairs = text.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("digits"));
+    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hex")).collect()
+}
+
+/// Books by name: empty, and with something in each of its parts.
+fn books() -> Vec<(&'static str, Book)> {
+    let mut full = Book::default();
+    for (line, at_ms) in [
+        ("DISABLE s-5be2a07c", 1_800_000_000_000.0),
+        ("DISABLE s-2", 1_800_000_000_001.5),
+        ("DISABLE äther", 0.0),
+        ("ENABLE s-2", 1_800_000_000_002.0),
+        ("DRAIN", 1_800_000_000_003.25),
+    ] {
+        let call = Call::read(line.as_bytes()).expect("a call");
+        assert_eq!(full.carry_out(&call, true, at_ms), Ok(Done::Changed));
+    }
+    let mut undrained = full.clone();
+    assert_eq!(undrained.carry_out(&Call::Undrain, true, 1_800_000_000_004.0), Ok(Done::Changed));
+    vec![("empty", Book::default()), ("full", full), ("undrained", undrained)]
+}
+
+fn write_books() -> String {
+    let mut text = String::new();
+    for (name, book) in books() {
+        let bytes = sealed::seal("book", &book).expect("it can be written");
+        writeln!(text, "{name} {}", hex(&bytes)).expect("a string takes all");
+    }
+    text
+}
+
+#[test]
+fn writes_the_recorded_bytes_of_a_sealed_state() {
+    assert_eq!(write_books(), recorded("sealed.hex"));
+}
+
+#[test]
+fn reads_recorded_bytes_of_a_sealed_state_and_writes_them_again() {
+    let recorded = recorded("sealed.hex");
+    assert_eq!(recorded.lines().count(), books().len());
+    for (line, (name, book)) in recorded.lines().zip(books()) {
+        let bytes = unhex(line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')).expect("a name"));
+        assert_eq!(bytes[..6], *b"slkm\x01\x00", "magic, then the version, little-endian");
+        let read: Book = sealed::open("book", &bytes).expect(name);
+        assert_eq!(read, book);
+        assert_eq!(sealed::seal("book", &read), Ok(bytes));
+    }
+    let full = unhex(recorded.lines().nth(1).and_then(|line| line.strip_prefix("full ")).expect("full"));
+    let read: Book = sealed::open("book", &full).expect("sound");
+    assert_eq!((read.revision(), read.bans()), (5, 2));
+    assert_eq!(read.banned_ms("s-5be2a07c"), Some(1_800_000_000_000.0));
+    assert_eq!(read.banned_ms("äther"), Some(0.0));
+    assert_eq!((read.banned_ms("s-2"), read.returned_ms("s-2")), (None, 1_800_000_000_002.0));
+    assert_eq!(read.drained_ms(), Some(1_800_000_000_003.25));
+}
+
+#[test]
+fn each_reason_why_a_sealed_state_is_refused_has_its_text() {
+    let sealed = sealed::seal("book", &Book::default()).expect("it can be written");
+    let other = sealed::seal("book", &1u8).expect("it can be written");
+    let with = |at: usize, byte: u8| {
+        let mut bytes = sealed.clone();
+        bytes[at] = byte;
+        bytes
+    };
+    for (bytes, text) in [
+        (vec![], "not a state of a gateway"),
+        (b"slk".to_vec(), "not a state of a gateway"),
+        (with(0, b'x'), "not a state of a gateway"),
+        (with(4, 2), "a state of version 2; 1 is read"),
+        (with(5, 1), "a state of version 257; 1 is read"),
+        (sealed[..5].to_vec(), "cut short or garbled"),
+        (sealed[..20].to_vec(), "cut short or garbled"),
+        (with(6, !sealed[6]), "cut short or garbled"),
+        (other, "another state"),
+    ] {
+        let why = sealed::open::<Book>("book", &bytes).expect_err(text);
+        assert_eq!(why.to_string(), text);
+    }
+}
+
+#[test]
+fn each_line_has_its_command_or_its_text() {
+    let (long, longer) = ("x".repeat(253), "x".repeat(254));
+    let (long, longer) = (format!("DISABLE {long}"), format!("ENABLE {longer}"));
+    let unknown = "unknown call; READY, DISABLE, ENABLE, DRAIN, UNDRAIN are known";
+    let (text, surplus, missing) =
+        ("a line of text is wanted", "more words than the call takes", "the id of a backend is missing");
+    let cases: &[(&[u8], Result<&str, &str>)] = &[
+        (b"READY", Ok("READY")),
+        (b"ready", Ok("READY")),
+        (b"DISABLE s-1", Ok("DISABLE s-1")),
+        (b"Disable S-1", Ok("DISABLE S-1")),
+        (b"ENABLE s-1", Ok("ENABLE s-1")),
+        (b"\tenable\t \ts-1\r", Ok("ENABLE s-1")),
+        ("DISABLE äther".as_bytes(), Ok("DISABLE äther")),
+        (b"DRAIN", Ok("DRAIN")),
+        (b" drain ", Ok("DRAIN")),
+        (b"UNDRAIN", Ok("UNDRAIN")),
+        (b"undrain\r", Ok("UNDRAIN")),
+        (long.as_bytes(), Ok(&long)),
+        (longer.as_bytes(), Err("an id of 254 bytes; 253 at most")),
+        (b"", Err("empty line")),
+        (b" \t\r", Err("empty line")),
+        (b"STATUS", Err(unknown)),
+        (b"STATUS a b", Err(unknown)),
+        (b"REA DY", Err(unknown)),
+        (b"DISABLE", Err(missing)),
+        (b"enable ", Err(missing)),
+        (b"READY now", Err(surplus)),
+        (b"DRAIN now", Err(surplus)),
+        (b"UNDRAIN now", Err(surplus)),
+        (b"DISABLE a b", Err(surplus)),
+        (b"ENABLE a b", Err(surplus)),
+        (b"DISABLE \xff", Err(text)),
+        (b"\xc3", Err(text)),
+        (b"DISABLE a\0", Err(text)),
+        (b"DISABLE a\nb", Err(text)),
+        (b"\x1b[2J", Err(text)),
+        ("READY\u{85}".as_bytes(), Err(text)),
+    ];
+    for (line, wanted) in cases {
+        let read = Call::read(line).map(|call| call.to_string()).map_err(|bad| bad.to_string());
+        assert_eq!(read.as_deref().map_err(String::as_str), *wanted, "{:?}", String::from_utf8_lossy(line));
+    }
+}
+
+#[test]
+fn each_refusal_has_its_text() {
+    assert_eq!(Refused::Unknown.to_string(), "no backend has this id");
+    assert_eq!(Refused::TooMany.to_string(), "4096 backends are banned already");
+}
--- /dev/null
+++ b/crates/plans/tests/recorded.rs
@@ -0,0 +1,140 @@
+//! The catalogue's file as operators write it: a whole one, value by value, and wrong ones with the exact text of
+//! what is wrong.
+
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+
+use beechrudder_plans::{read, Catalogue, Plan, Terms, Wrong};
+
+const SAMPLE: &str = include_str!("data/catalogue.toml");
+
+/// Wrong files: what is replaced in the sample, at its first place, by what.
+const WRONG: &[(&str, &str)] = &[
+    ("revision = 42", ""),
+    ("revision = 42", "revision = 0"),
+    ("revision = 42", "revision = -1"),
+    ("revision = 42", "revision = \"42\""),
+    ("revision = 42", "revision = 42\nrevision = 43"),
+    ("revision = 42", "revisions = 42"),
+    ("rate = 4.0", "rate = -4.0"),
+    ("rate = 4.0", "rate = nan"),
+    ("rate = 4.0", "rate = 4"),
+    ("rate = 4.0", "rate = \"much\""),
+    ("rate = 4.0", "rates = 4.0"),
+    ("burst = 10.0", ""),
+    ("burst = 10.0", "burst = inf"),
+    ("ceiling_rate = 12.0", "ceiling_rate = 3.0"),
+    ("ceiling_rate = 12.0", "ceiling_rate = -1.0"),
+    ("ceiling_rate = 12.0", ""),
+    ("ceiling_burst = 30.0", "ceiling_burst = -inf"),
+    ("ceiling_burst = 30.0", ""),
+    ("name = \"standard\"", "name = \"\""),
+    ("name = \"standard\"", "name = \"a\\tb\""),
+    ("name = \"standard\"", "name = \"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\""),
+    ("version = 2", "version = 0"),
+    ("version = 2", "version = 1"),
+    ("version = 2", "version = 4294967296"),
+    ("version = 2", "version = 2.5"),
+    ("id = \"00000000b4d65521\"", "id = \"b4d65521\""),
+    ("id = \"00000000b4d65521\"", "id = \"0000000200000000\""),
+    ("id = \"00000000b4d65521\"", "id = \"+0000000b4d65521\""),
+    ("id = \"00000000b4d65521\"", "id = 5"),
+    ("id = \"00000000b4d65521\"", ""),
+    ("plan = \"standard\"\nversion = 1", "plan = \"other\"\nversion = 1"),
+    ("plan = \"standard\"\nversion = 1", "plan = \"standard\"\nversion = 9"),
+    ("from = \"2026-12-24T18:00:00Z\"", "from = \"tomorrow\""),
+    ("from = \"2026-12-24T18:00:00Z\"", "from = \"2026-12-24T18:00:00\""),
+    ("from = \"2026-12-24T18:00:00Z\"", "from = \"1969-12-31T23:59:59Z\""),
+    ("from = \"2026-12-24T18:00:00Z\"", "from = \"1970-01-01T00:00:00Z\""),
+    ("from = \"2026-12-24T18:00:00Z\"", ""),
+    ("[[customer]]", "[[customer]"),
+    ("[[customer]]", "[[client]]"),
+];
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
+
+fn plan(name: &str, version: u32) -> Plan {
+    Plan { name: name.into(), version }
+}
+
+fn terms(rate: f64, burst: f64, ceiling_rate: f64, ceiling_burst: f64) -> Terms {
+    Terms { rate, burst, ceiling_rate, ceiling_burst }
+}
+
+#[test]
+fn reads_each_value_of_a_whole_file() {
+    let all = read(SAMPLE).expect("sound");
+    assert_eq!((all.revision(), all.customers()), (42, 2));
+    let plans: Vec<(Plan, Terms)> = all.plans().map(|(plan, terms)| (plan.clone(), *terms)).collect();
+    let spaces = "größe, with spaces";
+    let wanted = [
+        (plan(spaces, u32::MAX), terms(0.0, 0.0, 0.0, 0.0)),
+        (plan("standard", 1), terms(4.0, 10.0, 0.0, 0.0)),
+        (plan("standard", 2), terms(6.5, 15.25, 12.0, 30.0)),
+    ];
+    assert_eq!(plans, wanted);
+    let (first, second) = (0xb4d6_5521, 0x1_ffff_ffff);
+    let (eve, day) = (1_798_135_200_000, 1_798_153_200_500);
+    for (customer, at_ms, wanted) in [
+        (first, 0, Some(plan("standard", 1))),
+        (first, eve - 1, Some(plan("standard", 1))),
+        (first, eve, Some(plan("standard", 2))),
+        (first, day - 1, Some(plan("standard", 2))),
+        (first, day, Some(plan(spaces, u32::MAX))),
+        (first, u64::MAX, Some(plan(spaces, u32::MAX))),
+        (second, 0, None),
+        (second, 1, Some(plan("standard", 2))),
+        (1, day, None),
+    ] {
+        assert_eq!(all.plan_at(customer, at_ms), wanted.as_ref(), "customer {customer:x} at {at_ms}");
+    }
+}
+
+fn texts() -> String {
+    let mut all = String::new();
+    for (from, to) in WRONG {
+        assert!(SAMPLE.contains(from), "{from:?}");
+        let text = match read(&SAMPLE.replacen(from, to, 1)) {
+            Ok(_) => "read".to_string(),
+            Err(bad) => bad.to_string(),
+        };
+        writeln!(all, "{from:?} -> {to:?}\n{text}\n").expect("a string takes all");
+    }
+    all
+}
+
+#[test]
+fn each_wrong_file_has_its_recorded_text() {
+    assert_eq!(texts(), std::fs::read_to_string(data("wrong.txt")).expect("recorded"));
+}
+
+#[test]
+fn two_faults_stand_in_the_order_of_their_lines() {
+    let both = SAMPLE.replace("rate = 6.5", "rate = -6.5").replace("2026-12-24T18:00:00Z", "soon");
+    let wanted = "line 13: plan.rate: -6.5 is no finite number of 0 or more\n\
+        line 34: customer.from: a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
+    assert_eq!(read(&both).expect_err("two faults").to_string(), wanted);
+}
+
+#[test]
+fn what_makes_no_catalogue_has_its_text() {
+    let many = (0..=10_000).map(|n| (plan("p", n + 1), Terms::default()));
+    assert_eq!(
+        Catalogue::new(1, many, []).expect_err("too many").to_string(),
+        "more than 10000 versions of plans"
+    );
+    for (wrong, text) in [
+        (Wrong::Terms(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
+        (Wrong::Version(plan("a", 0)), "a version 0: a version from 1 that stands there once is wanted"),
+        (
+            Wrong::NoPlan(0xb4d6_5521, plan("a", 2)),
+            "customer 00000000b4d65521: a version 2 is no plan of this catalogue",
+        ),
+        (Wrong::Twice(5, 12), "customer 0000000000000005: two plans from 12 ms on"),
+        (Wrong::TooMany("customers' plans", 3), "more than 3 customers' plans"),
+    ] {
+        assert_eq!(wrong.to_string(), text);
+    }
+}
