--- /dev/null
+++ b/crates/dnssd/tests/texts.rs
@@ -0,0 +1,68 @@
+//! Texts that reach logs and tools: why an answer is none, why an instance is left out, what changed.
+
+mod support;
+
+use beechrudder_dnssd::{BadAnswer, Bounds, Change, Data, Kind, Name, Service};
+use support::{instance, name, of, World, SERVICE};
+
+#[test]
+fn each_bad_answer_has_its_text() {
+    for (bad, text) in [
+        (BadAnswer::Garbled("x".to_string()), "no DNS message: x"),
+        (BadAnswer::OtherId, "an answer with another id"),
+        (BadAnswer::OtherQuestion, "an answer to another question"),
+        (BadAnswer::NoAnswer, "no answer to a query"),
+        (BadAnswer::Code("Server Failure".to_string()), "the resolver says Server Failure"),
+        (BadAnswer::Referral, "a referral, and no answer"),
+        (BadAnswer::Chain, "more than 8 aliases, or a loop of them"),
+    ] {
+        assert_eq!(bad.to_string(), text);
+    }
+}
+
+#[test]
+fn questions_and_changes_have_their_texts() {
+    let kinds = [Kind::Ptr, Kind::Srv, Kind::Txt, Kind::A, Kind::Aaaa].map(|kind| kind.to_string());
+    assert_eq!(kinds, ["PTR", "SRV", "TXT", "A", "AAAA"]);
+    let question = of(name(SERVICE), Kind::Ptr);
+    assert_eq!(question.to_string(), "_till._tcp.example.org. PTR");
+    let changes = [
+        Change::Joined("t1".to_string()),
+        Change::Changed("t1".to_string()),
+        Change::Left("t1".to_string(), question),
+    ];
+    let texts = changes.map(|change| change.to_string());
+    assert_eq!(texts, ["+ t1", "~ t1", "- t1 by _till._tcp.example.org. PTR"]);
+}
+
+#[test]
+fn each_reason_to_leave_an_instance_out_has_its_text() {
+    let mut world = World::new(Bounds::default(), 0.5);
+    for (port, label) in (9_000..).zip(["t1", "t3", "t4"]) {
+        world.put(label, 0, port, &[]);
+    }
+    world.put("t5", 0, 9_005, &["group=many"]);
+    world.put("t7", 0, 0, &[]);
+    world.put("t8", 0, 9_008, &[]);
+    let target = Service { priority: 0, weight: 0, port: 7, target: name(".") };
+    world.zone.insert(of(instance("t8"), Kind::Srv), vec![Data::Srv(target)]);
+    world.put("t9", 0, 9_009, &[]);
+    world.zone.remove(&of(name("t9.hosts.example.org."), Kind::A));
+    let labelled = |label: &[u8]| {
+        let service = name(SERVICE);
+        Name::from_labels(std::iter::once(label).chain(service.iter())).expect("a name")
+    };
+    let other = labelled(b"\xff\xfe");
+    let control = labelled(b"a\x07b");
+    let stranger = name("t1._shop._tcp.example.org.");
+    let pointers = world.zone.entry(of(name(SERVICE), Kind::Ptr)).or_default();
+    pointers.extend([&other, &control, &stranger, &Name::root()].map(|name| Data::Ptr(name.clone())));
+    let (_, reading) = world.settle();
+    let mut reasons: Vec<(String, String)> =
+        reading.dropped.iter().map(|d| (d.instance.to_utf8(), d.why.to_string())).collect();
+    reasons.sort();
+    let reasons: Vec<String> =
+        reasons.into_iter().map(|(instance, why)| format!("{instance} {why}")).collect();
+    let wanted = include_str!("data/left-out.txt");
+    assert_eq!(reasons.join("\n"), wanted.trim_end());
+}
--- /dev/null
+++ b/crates/plans/tests/texts.rs
@@ -0,0 +1,59 @@
+//! What a holder of a reservation is told when something is not done.
+
+use beechrudder_plans::{Ask, Book, End, Refused, Terms, Timeline};
+
+#[test]
+fn each_refusal_has_its_text() {
+    for (refused, text) in [
+        (Refused::Unknown, "no such reservation"),
+        (Refused::Fenced, "another holder took it over"),
+        (Refused::Ended(End::Released), "it was released"),
+        (Refused::Ended(End::Over), "its time is over"),
+        (Refused::Ended(End::Lapsed), "its lease ended, as the holder was not heard"),
+        (Refused::Ended(End::Lowered), "the plan was lowered and leaves no room for it"),
+        (Refused::OtherAsk, "that order was given before, for something else"),
+        (Refused::NoRoom(2.5), "the ceiling leaves 2.5 units for that time"),
+        (Refused::TooMany(32), "32 are open, which is the most"),
+    ] {
+        assert_eq!(refused.to_string(), text);
+    }
+}
+
+#[test]
+fn each_part_of_an_ask_that_does_not_fit_has_its_text() {
+    let good = Ask {
+        order: "o".to_string(),
+        holder: "h".to_string(),
+        customer: 1,
+        units: 1.0,
+        from_ms: 1_000,
+        to_ms: 2_000,
+        lease_ms: 1_000,
+    };
+    let order = "an order of 1 to 64 bytes is wanted";
+    let holder = "a holder of 1 to 64 bytes is wanted";
+    let units = "units above 0 are wanted";
+    let end = "an end after the begin is wanted";
+    let lease = "a lease of 1 to 3600000 ms is wanted";
+    let cases = [
+        (0, Ask { order: String::new(), ..good.clone() }, order),
+        (0, Ask { order: "o".repeat(65), ..good.clone() }, order),
+        (0, Ask { order: "o\n".to_string(), holder: String::new(), ..good.clone() }, order),
+        (0, Ask { holder: String::new(), units: 0.0, ..good.clone() }, holder),
+        (0, Ask { units: 0.0, to_ms: 0, ..good.clone() }, units),
+        (0, Ask { units: f64::NAN, ..good.clone() }, units),
+        (0, Ask { to_ms: 1_000, lease_ms: 0, ..good.clone() }, end),
+        (0, Ask { lease_ms: 0, ..good.clone() }, lease),
+        (0, Ask { lease_ms: 3_600_001, ..good.clone() }, lease),
+        (u64::MAX - 3_599_999, good.clone(), "a time on record is wanted"),
+        (2_000, good.clone(), "a time that is not over is wanted"),
+    ];
+    let terms = Timeline::always(Terms { rate: 1.0, burst: 10.0, ..Terms::default() });
+    for (now_ms, ask, text) in cases {
+        let refused = Book::default().reserve(now_ms, ask.clone(), &terms).map(|r| r.token);
+        assert_eq!(refused.map_err(|refused| refused.to_string()), Err(text.to_string()), "{ask:?}");
+    }
+    let mut book = Book::default();
+    let token = book.reserve(0, good, &terms).expect("room").token;
+    assert_eq!(book.extend(0, token, 0).map_err(|refused| refused.to_string()), Err(lease.to_string()));
+}
