--- /dev/null
+++ b/crates/slatelock/tests/settings.rs
@@ -0,0 +1,258 @@
+//! The settings that a gateway is given: every value that is read, and the exact text of every error.
+
+use std::cell::RefCell;
+
+use serde_json::{json, Value};
+use slatelock::interface::*;
+use slatelock::settings;
+
+const CONFIGURATION: &str = include_str!("data/configuration.json");
+const RECORDED_ERRORS: &str = include_str!("data/settings_errors.txt");
+
+fn sample() -> Value {
+    let configuration: Value = serde_json::from_str(CONFIGURATION).expect("JSON");
+    configuration["settings"].clone()
+}
+
+fn read(settings: &Value) -> Result<(Settings, settings::Names), SettingsError> {
+    let keys = settings::Keys::new("settings", settings);
+    let read = settings::read(&keys)?;
+    read.check()?;
+    Ok((read, settings::names(&keys)?))
+}
+
+#[test]
+fn every_value_of_the_sample_is_read() {
+    let (read, names) = read(&sample()).expect("sound settings");
+    assert_eq!((read.me, read.gateways, read.zone, read.tick_ms), (3, 12, 1, 4.5));
+    assert_eq!((read.counter, read.counter_timeout_ms, read.meter_ms), (true, 30.5, 250.0));
+    assert_eq!((read.peer_messages_per_s, read.max_units), (12.5, 8.0));
+    assert_eq!((read.ask_for_list, read.ask_within_ms), (true, 10_000.5));
+    assert_eq!((read.stop_sending_ms, read.cross_zone_cost), (500.75, 0.03));
+    assert_eq!(read.customers, 1 << 20);
+
+    let limits = &read.limits;
+    assert_eq!((limits.max_attempts, limits.cancel, limits.hedges), (5, true, true));
+    assert_eq!((limits.probes, limits.retry_advice), (true, true));
+    assert_eq!((limits.max_retry_after_ms, limits.connect_timeout_ms), (2_001.0, 251.0));
+
+    let slow_start = &read.slow_start;
+    assert_eq!((slow_start.start_capacity, slow_start.warm_up_ms), (0.2, 16_000.0));
+    assert_eq!((slow_start.tip_multiple, slow_start.overload_for_ms), (3.5, 3_000.25));
+
+    assert_eq!(read.routing, Routing { whole: 16, choices: 8, subset: 5, coverage: 3 });
+    let fields =
+        [LoadField::Active, LoadField::Waiting, LoadField::Busy, LoadField::ServiceMs, LoadField::Other];
+    assert_eq!(read.load_fields, fields);
+    assert_eq!(names.load_fields, ["active", "waiting", "cpu", "avg_ms", "queue_age"]);
+    assert_eq!(names.zones, ["a", "b", "c"]);
+    assert_eq!(names.plans, ["team", "free"]);
+    assert_eq!(names.classes, ["lookup", "order", "note", "pay"].map(|name| Some(name.to_string())));
+    assert_eq!(names.idle_close_ms, 15_000.0);
+}
+
+#[test]
+fn every_value_of_a_class_is_read() {
+    let (read, _) = read(&sample()).expect("sound settings");
+    let lookup = Class {
+        aim_ms: 120.0,
+        deadline_ms: 480.0,
+        worth: 1.5,
+        late_worth: 0.2,
+        effect: Effect::Safe,
+        group: Group::All,
+        window_ms: 0.0,
+        streaming: false,
+        dropped: false,
+    };
+    let order = Class {
+        aim_ms: 300.0,
+        deadline_ms: 1_500.0,
+        worth: 3.0,
+        late_worth: 0.4,
+        effect: Effect::Keyed,
+        group: Group::Zone,
+        window_ms: 5_000.0,
+        streaming: false,
+        dropped: false,
+    };
+    let note = Class {
+        aim_ms: 310.0,
+        deadline_ms: 1_600.0,
+        worth: 2.0,
+        late_worth: 0.0,
+        effect: Effect::Keyed,
+        group: Group::Cell,
+        window_ms: 4_000.0,
+        streaming: true,
+        dropped: false,
+    };
+    let pay = Class {
+        aim_ms: 500.0,
+        deadline_ms: 2_500.0,
+        worth: 4.25,
+        late_worth: 0.1,
+        effect: Effect::Unsafe,
+        group: Group::All,
+        window_ms: 1.0,
+        streaming: false,
+        dropped: false,
+    };
+    assert_eq!(read.classes, [lookup, order, note, pay]);
+}
+
+#[test]
+fn every_value_of_a_plan_is_read() {
+    let (read, _) = read(&sample()).expect("sound settings");
+    let team = Plan {
+        rate: 10.0,
+        burst: 45.0,
+        open: 7,
+        ceiling_rate: 30.0,
+        ceiling_burst: 90.0,
+        over_cost: 0.25,
+        value: 1.25,
+    };
+    let free = Plan {
+        rate: 2.0,
+        burst: 16.0,
+        open: 0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        over_cost: 0.5,
+        value: 0.5,
+    };
+    assert_eq!(read.plans, [team, free]);
+}
+
+#[test]
+fn peer_messages_are_zero_where_peers_may_not_talk() {
+    let mut settings = sample();
+    settings["policy-limits"]["may-tell"] = json!(false);
+    assert_eq!(read(&settings).expect("sound settings").0.peer_messages_per_s, 0.0);
+}
+
+#[test]
+fn flags_are_read_from_their_own_keys() {
+    let flags = |settings: &Value| {
+        let read = read(settings).expect("sound settings").0;
+        let limits = &read.limits;
+        [limits.cancel, limits.hedges, limits.probes, limits.retry_advice, read.counter, read.ask_for_list]
+    };
+    let places = [
+        "/policy-limits/cancel",
+        "/policy-limits/second-copies",
+        "/policy-limits/probing",
+        "/policy-limits/retry-after",
+        "/family-info/shared-counter",
+        "/registry-mode",
+    ];
+    for (number, place) in places.iter().enumerate() {
+        let mut settings = sample();
+        let off = if *place == "/registry-mode" { json!("push") } else { json!(false) };
+        *settings.pointer_mut(place).expect("a place of the sample") = off;
+        let mut expected = [true; 6];
+        expected[number] = false;
+        assert_eq!(flags(&settings), expected, "{place}");
+    }
+}
+
+/// The places of all values below one, as JSON pointers, sorted.
+fn places(value: &Value, at: &str, into: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
+        Value::Object(object) => object.iter().map(|(key, value)| (key.clone(), value)).collect(),
+        Value::Array(list) => list.iter().enumerate().map(|(i, value)| (i.to_string(), value)).collect(),
+        _ => Vec::new(),
+    };
+    for (key, child) in children {
+        let place = format!("{at}/{key}");
+        places(child, &place, into);
+        into.push(place);
+    }
+    into.sort();
+}
+
+fn remove(settings: &mut Value, place: &str) {
+    let (parent, key) = place.rsplit_once('/').expect("a pointer");
+    match settings.pointer_mut(parent).expect("a place of the sample") {
+        Value::Object(object) => drop(object.remove(key)),
+        Value::Array(list) => drop(list.remove(key.parse().expect("an index"))),
+        other => panic!("{place} is below {other}"),
+    }
+}
+
+fn outcome(settings: &Value) -> String {
+    read(settings).map_or_else(|error| error.to_string(), |_| "read".to_string())
+}
+
+/// What comes of the sample with each value in turn removed or replaced, one line each.
+fn outcomes_of_changes() -> Vec<String> {
+    let sample = sample();
+    let mut all = Vec::new();
+    places(&sample, "", &mut all);
+    let replacements =
+        [json!(null), json!("word"), json!(true), json!([]), json!({}), json!(-1), json!(0), json!(1.5)];
+    let mut lines = Vec::new();
+    for place in &all {
+        let mut settings = sample.clone();
+        remove(&mut settings, place);
+        lines.push(format!("{place} removed: {}", outcome(&settings)));
+        for replacement in &replacements {
+            let mut settings = sample.clone();
+            *settings.pointer_mut(place).expect("a place of the sample") = replacement.clone();
+            lines.push(format!("{place} = {replacement}: {}", outcome(&settings)));
+        }
+    }
+    lines
+}
+
+#[test]
+fn errors_of_missing_and_mistyped_values_are_as_recorded() {
+    let recorded: Vec<&str> = RECORDED_ERRORS.lines().collect();
+    let outcomes = outcomes_of_changes();
+    for (outcome, recorded) in outcomes.iter().zip(&recorded) {
+        assert_eq!(outcome, recorded);
+    }
+    assert_eq!(outcomes.len(), recorded.len());
+}
+
+#[test]
+fn errors_that_no_change_of_one_value_brings_are_worded_as_before() {
+    let error = |text: &str| settings::parse(text.as_bytes()).expect_err("unsound").to_string();
+    assert_eq!(error(""), "setting settings: not JSON");
+    assert_eq!(error("{"), "setting settings: not JSON");
+    assert_eq!(error("[]"), "setting settings.family-info: missing");
+    assert_eq!(error("{}"), "setting settings.family-info: missing");
+    let not_json = settings::from_json("known", b"nothing").expect_err("unsound");
+    assert_eq!(not_json.to_string(), "setting known: not JSON");
+    let mut twice = sample();
+    twice["profiles"][2]["name"] = json!("lookup");
+    assert_eq!(outcome(&twice), "setting settings.profiles: two have one name");
+}
+
+#[test]
+fn collected_errors_name_every_missing_section_and_key_once() {
+    let collected = |settings: &Value| -> Vec<String> {
+        let errors = RefCell::new(Vec::new());
+        let keys = settings::Keys::collecting("settings", settings, &errors);
+        assert!(settings::read(&keys).is_ok() && settings::names(&keys).is_ok());
+        assert!(!keys.sound());
+        errors.into_inner().iter().map(ToString::to_string).collect()
+    };
+    let mut settings = sample();
+    for place in ["/prices", "/policy-limits/cancel", "/profiles/1/aim-ms", "/tariffs/0/quota-rate", "/me"] {
+        remove(&mut settings, place);
+    }
+    settings["profiles"][3]["group"] = json!("planet");
+    settings["zones"] = json!(["a", 2]);
+    let expected = [
+        "setting settings.prices: missing",
+        "setting settings.me: missing",
+        "setting settings.profiles[1].aim-ms: missing",
+        "setting settings.profiles[3].group: unknown word",
+        "setting settings.tariffs[0].quota-rate: missing",
+        "setting settings.policy-limits.cancel: missing",
+        "setting settings.zones[1]: a word is wanted",
+    ];
+    assert_eq!(collected(&settings), expected);
+}
