--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -5,6 +5,9 @@
 
 use slatelock::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
 
+#[cfg(test)]
+mod tests;
+
 const HEADER: usize = 20;
 const ENTRY: usize = 21;
 
--- /dev/null
+++ b/crates/benchlink/src/wire/tests.rs
@@ -0,0 +1,41 @@
+//! Replies that no conversation brings forth: a message to the other gateways, and the report of a panic.
+
+use super::*;
+
+#[test]
+fn a_message_to_the_other_gateways_is_written_byte_for_byte() {
+    let mut reply = Reply::new(258);
+    reply.action(3, &Action::Tell { body: b"abc".to_vec() });
+    let expected = [
+        &[0, 0, 1, 2, 0, 0, 0, 19][..],
+        &[4, 0, 0, 0, 2, 0, 3],
+        &[10, 0, 0, 0, 7, 0xff, 0xff, 0, 3, b'a', b'b', b'c'],
+    ];
+    assert_eq!(reply.finish(), expected.concat());
+}
+
+#[test]
+fn the_report_of_a_panic_is_written_byte_for_byte_and_cut_to_its_length_field() {
+    let mut reply = Reply::new(1);
+    reply.bug(2, "oh");
+    let expected =
+        [&[0, 0, 0, 1, 0, 0, 0, 16][..], &[4, 0, 0, 0, 2, 0, 2], &[5, 0, 0, 0, 4, 0, 2, b'o', b'h']];
+    assert_eq!(reply.finish(), expected.concat());
+
+    let mut reply = Reply::new(1);
+    reply.bug(2, &"x".repeat(70_000));
+    let written = reply.finish();
+    assert_eq!(written[8..22], [4, 0, 0, 0, 2, 0, 2, 5, 0, 1, 0, 1, 0xff, 0xff]);
+    assert_eq!(written.len(), 22 + 65_535);
+}
+
+#[test]
+fn an_attempt_is_told_without_its_write_deadline() {
+    let mut reply = Reply::new(1);
+    for begin_by_ms in [None, Some(1.0)] {
+        reply.action(2, &Action::Send { id: 9, backend: 77, begin_by_ms });
+    }
+    let send = [&[6, 0, 0, 0, 20][..], &9u64.to_be_bytes(), &77u32.to_be_bytes(), &[0; 8]].concat();
+    let expected = [&[0, 0, 0, 1, 0, 0, 0, 57][..], &[4, 0, 0, 0, 2, 0, 2], &send, &send];
+    assert_eq!(reply.finish(), expected.concat());
+}
