--- a/crates/benchlink/tests/conversation.rs
+++ b/crates/benchlink/tests/conversation.rs
@@ -9,8 +9,9 @@
 
 const CONVERSATION: &str = include_str!("data/conversation.hex");
 
-/// Bytes of a frame's header, in which the length of its body stands at 8, and of a reply's, where it is at 4.
+/// Bytes of a frame's header.
 const FRAME_HEADER: usize = 20;
+/// Bytes of a reply's header.
 const REPLY_HEADER: usize = 8;
 
 fn bytes(hex: &str) -> Vec<u8> {
--- a/crates/slatelock/tests/records.rs
+++ b/crates/slatelock/tests/records.rs
@@ -3,9 +3,12 @@
 mod support;
 
 use slatelock::interface::*;
+use slatelock::Gateway;
 use support::*;
 
 const MOST: usize = 500;
+/// Bytes that a customer takes in all tables.
+const RECORD_BYTES: usize = 273;
 
 fn rig(counter: bool) -> Rig {
     let mut settings = settings();
@@ -83,3 +86,16 @@
     let again = (7_000..7_040).filter(|id| one(&mut rig, &mut counter, *id, 7, 0, 1.0)).count();
     assert!(again <= spent, "{again} after {spent}");
 }
+
+/// The bound that a gateway sets by its memory: a number that operators read, and that follows from the bytes
+/// of one record.
+#[test]
+fn memory_for_customers_is_counted_by_the_bytes_of_a_record() {
+    assert_eq!(Gateway::customers_in(0), 1);
+    for doubled in [1 << 4, 1 << 12, 1 << 20] {
+        // Half of what a table holds once it has doubled, and the room for both while it does.
+        let just_fits = RECORD_BYTES * doubled * 3 / 2;
+        assert_eq!(Gateway::customers_in(just_fits), doubled * 7 / 8, "{doubled}");
+        assert_eq!(Gateway::customers_in(just_fits - 1), doubled / 2 * 7 / 8, "{doubled}");
+    }
+}
