--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -7,6 +7,9 @@
     Action, BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope,
 };
 
+#[cfg(test)]
+mod tests;
+
 const HEADER: usize = 20;
 const ENTRY: usize = 21;
 
