--- a/crates/agent/tests/conversation.rs
+++ b/crates/agent/tests/conversation.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use beechrudder_operator::{Agent, Operator};
+use operator_config::{AgentConfig, OperatorConfig};
 use serde_json::{json, Value};
 use tempfile::TempDir;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -66,14 +66,14 @@
             "[agent]\nlisten = \"unix:{at}/agent.sock\"\nregister = \"unix:{at}/register.sock\"\n\
              log = \"{at}/log\"\nheartbeat_ms = 60000\nanswer_ms = {answer_ms}"
         );
-        let file = Operator::parse(Path::new("operator.toml"), &text).expect("a good file");
-        let config: Agent = file.agent.expect("an agent");
+        let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("a good file");
+        let config: AgentConfig = file.agent.expect("an agent");
         let (end, ended) = oneshot::channel();
         let (ready, is_ready) = oneshot::channel();
         let agent = tokio::spawn(async move {
             let ready = move |list| ready.send(list).expect("somebody waits");
             let end = async { drop(ended.await) };
-            beechrudder_agent::run(&config, &[], None, None, ready, end).await.expect("it runs");
+            agent::run(&config, &[], None, None, ready, end).await.expect("it runs");
         });
         assert_eq!(timeout(PATIENCE, is_ready).await.expect("in time"), Ok(None));
         Fixture { folder, end, agent }
--- a/crates/agent/tests/log_form.rs
+++ b/crates/agent/tests/log_form.rs
@@ -4,9 +4,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use beechrudder_agent::{Contents, Log};
-use beechrudder_fleet::wire::Logged;
-use beechrudder_fleet::{Change, Counts, Order, Revision, Snapshot, Subject, Value};
+use agent::{Contents, Log};
+use fleet::wire::LoggedOrder;
+use fleet::{Change, GuardCounts, Order, Revision, Snapshot, Subject, Value};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
 /// When the recorded log began, and so the term of its orders.
@@ -19,19 +19,19 @@
 const ORDERS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("orders");
 const MEMBERS: TableDefinition<&str, &str> = TableDefinition::new("members");
 
-fn logged(seq: u64, subject: Subject, change: Change, forced: bool) -> Logged {
+fn logged(seq: u64, subject: Subject, change: Change, forced: bool) -> LoggedOrder {
     let order = Order {
         id: format!("o-{seq}").parse().expect("an id"),
         revision: Revision { term: TERM, seq },
         subject,
         change,
     };
-    let counts = Counts { covered: 1, serving: 8, ready: 7, left: 6 };
-    Logged { order, forced, at_ms: TERM * 1_000 + seq, counts }
+    let counts = GuardCounts { covered: 1, serving: 8, ready: 7, ready_after: 6 };
+    LoggedOrder { order, forced, at_ms: TERM * 1_000 + seq, counts }
 }
 
 /// Orders that were settled, and those that came after.
-fn orders() -> (Vec<Logged>, Vec<Logged>) {
+fn orders() -> (Vec<LoggedOrder>, Vec<LoggedOrder>) {
     let backend = |name: &str| Subject::Backend(name.parse().expect("a name"));
     let settled = vec![
         logged(1, backend("s-1"), Change::Drain, false),
@@ -49,7 +49,7 @@
 
 /// The state that the settled orders make.
 fn snapshot() -> Snapshot {
-    let mut desired = beechrudder_fleet::Desired::since(Revision { term: TERM, seq: 0 });
+    let mut desired = fleet::DesiredState::since(Revision { term: TERM, seq: 0 });
     for logged in orders().0 {
         desired.apply(&logged.order);
     }
--- a/crates/agent/tests/refusals.rs
+++ b/crates/agent/tests/refusals.rs
@@ -2,13 +2,13 @@
 
 use std::path::Path;
 
-use beechrudder_agent::run;
-use beechrudder_operator::Operator;
+use agent::run;
+use operator_config::OperatorConfig;
 
 /// What is said of an agent that can't start with this file; `{at}` stands for the folder.
 async fn refusal(at: &str, text: &str) -> String {
     let text = text.replace("{at}", at);
-    let file = Operator::parse(Path::new("operator.toml"), &text).expect("a good file");
+    let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("a good file");
     let agent = file.agent.expect("an agent");
     let ready = |_| panic!("it started");
     let never = std::future::pending();
--- a/crates/agent/tests/settling.rs
+++ b/crates/agent/tests/settling.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use beechrudder_agent::{run, Log};
-use beechrudder_operator::Operator;
+use agent::{run, Log};
+use operator_config::OperatorConfig;
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::UnixStream;
@@ -18,7 +18,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let at = folder.path().display();
     let text = format!("[agent]\nlisten = \"unix:{at}/agent.sock\"\nlog = \"{at}/log\"");
-    let config = Operator::parse(Path::new("operator.toml"), &text).expect("good").agent.expect("an agent");
+    let config =
+        OperatorConfig::parse(Path::new("operator.toml"), &text).expect("good").agent.expect("an agent");
     let log = config.log.clone();
     for (orders, settled) in [(255_u64, 0), (256, 511), (257, 767)] {
         let (end, ended) = oneshot::channel::<()>();
--- a/crates/dns-sd/tests/texts.rs
+++ b/crates/dns-sd/tests/texts.rs
@@ -2,19 +2,19 @@
 
 mod support;
 
-use beechrudder_dnssd::{BadAnswer, Bounds, Change, Data, Kind, Name, Service};
+use dns_sd::{AnswerError, CacheLimits, Change, Name, QueryType, RecordData, SrvRecord};
 use support::{instance, name, of, World, SERVICE};
 
 #[test]
 fn each_bad_answer_has_its_text() {
     for (bad, text) in [
-        (BadAnswer::Garbled("x".to_string()), "no DNS message: x"),
-        (BadAnswer::OtherId, "an answer with another id"),
-        (BadAnswer::OtherQuestion, "an answer to another question"),
-        (BadAnswer::NoAnswer, "no answer to a query"),
-        (BadAnswer::Code("Server Failure".to_string()), "the resolver says Server Failure"),
-        (BadAnswer::Referral, "a referral, and no answer"),
-        (BadAnswer::Chain, "more than 8 aliases, or a loop of them"),
+        (AnswerError::Garbled("x".to_string()), "no DNS message: x"),
+        (AnswerError::OtherId, "an answer with another id"),
+        (AnswerError::OtherQuestion, "an answer to another question"),
+        (AnswerError::NoAnswer, "no answer to a query"),
+        (AnswerError::Code("Server Failure".to_string()), "the resolver says Server Failure"),
+        (AnswerError::Referral, "a referral, and no answer"),
+        (AnswerError::Chain, "more than 8 aliases, or a loop of them"),
     ] {
         assert_eq!(bad.to_string(), text);
     }
@@ -22,9 +22,10 @@
 
 #[test]
 fn questions_and_changes_have_their_texts() {
-    let kinds = [Kind::Ptr, Kind::Srv, Kind::Txt, Kind::A, Kind::Aaaa].map(|kind| kind.to_string());
+    let kinds = [QueryType::Ptr, QueryType::Srv, QueryType::Txt, QueryType::A, QueryType::Aaaa]
+        .map(|kind| kind.to_string());
     assert_eq!(kinds, ["PTR", "SRV", "TXT", "A", "AAAA"]);
-    let question = of(name(SERVICE), Kind::Ptr);
+    let question = of(name(SERVICE), QueryType::Ptr);
     assert_eq!(question.to_string(), "_till._tcp.example.org. PTR");
     let changes = [
         Change::Joined("t1".to_string()),
@@ -37,17 +38,17 @@
 
 #[test]
 fn each_reason_to_leave_an_instance_out_has_its_text() {
-    let mut world = World::new(Bounds::default(), 0.5);
+    let mut world = World::new(CacheLimits::default(), 0.5);
     for (port, label) in (9_000..).zip(["t1", "t3", "t4"]) {
         world.put(label, 0, port, &[]);
     }
     world.put("t5", 0, 9_005, &["group=many"]);
     world.put("t7", 0, 0, &[]);
     world.put("t8", 0, 9_008, &[]);
-    let target = Service { priority: 0, weight: 0, port: 7, target: name(".") };
-    world.zone.insert(of(instance("t8"), Kind::Srv), vec![Data::Srv(target)]);
+    let target = SrvRecord { priority: 0, weight: 0, port: 7, target: name(".") };
+    world.zone.insert(of(instance("t8"), QueryType::Srv), vec![RecordData::Srv(target)]);
     world.put("t9", 0, 9_009, &[]);
-    world.zone.remove(&of(name("t9.hosts.example.org."), Kind::A));
+    world.zone.remove(&of(name("t9.hosts.example.org."), QueryType::A));
     let labelled = |label: &[u8]| {
         let service = name(SERVICE);
         Name::from_labels(std::iter::once(label).chain(service.iter())).expect("a name")
@@ -55,8 +56,8 @@
     let other = labelled(b"\xff\xfe");
     let control = labelled(b"a\x07b");
     let stranger = name("t1._shop._tcp.example.org.");
-    let pointers = world.zone.entry(of(name(SERVICE), Kind::Ptr)).or_default();
-    pointers.extend([&other, &control, &stranger, &Name::root()].map(|name| Data::Ptr(name.clone())));
+    let pointers = world.zone.entry(of(name(SERVICE), QueryType::Ptr)).or_default();
+    pointers.extend([&other, &control, &stranger, &Name::root()].map(|name| RecordData::Ptr(name.clone())));
     let (_, reading) = world.settle();
     let mut reasons: Vec<(String, String)> =
         reading.dropped.iter().map(|d| (d.instance.to_utf8(), d.why.to_string())).collect();
--- a/crates/dns-sd/tests/traits.rs
+++ b/crates/dns-sd/tests/traits.rs
@@ -1,17 +1,17 @@
 //! The keys of a TXT record: which are read, and the exact text of what is wrong.
 
-use beechrudder_dnssd::{Status, Traits};
+use dns_sd::{InstanceMetadata, Status};
 
-fn read(strings: &[&[u8]]) -> Result<Traits, String> {
+fn read(strings: &[&[u8]]) -> Result<InstanceMetadata, String> {
     let strings: Vec<Box<[u8]>> = strings.iter().map(|s| Box::from(*s)).collect();
-    Traits::read(&strings).map_err(|bad| bad.to_string())
+    InstanceMetadata::read(&strings).map_err(|bad| bad.to_string())
 }
 
 #[test]
 fn reads_each_key() {
     let all: [&[u8]; 5] =
         [b"zone=room-1", b"type=m5", b"group=4294967295", b"status=draining", b"since=9007199254740991"];
-    let wanted = Traits {
+    let wanted = InstanceMetadata {
         zone: "room-1".to_string(),
         kind: "m5".to_string(),
         group: u32::MAX,
@@ -19,8 +19,13 @@
         since_ms: 9_007_199_254_740_991.0,
     };
     assert_eq!(read(&all), Ok(wanted));
-    let none =
-        Traits { zone: String::new(), kind: String::new(), group: 0, status: Status::Serving, since_ms: 0.0 };
+    let none = InstanceMetadata {
+        zone: String::new(),
+        kind: String::new(),
+        group: 0,
+        status: Status::Serving,
+        since_ms: 0.0,
+    };
     assert_eq!(read(&[]), Ok(none.clone()));
     // Unknown keys, keys that only look alike, strings without a key, and an empty one.
     assert_eq!(read(&[b"weight=5", b" zone=a", b"zone =a", b"=zone", b"", b"name=x"]), Ok(none));
--- a/crates/endpoint-sources/tests/recorded.rs
+++ b/crates/endpoint-sources/tests/recorded.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_sources::{serve, Line, Table};
+use endpoint_sources::{serve, EndpointTable, ListedEndpoint};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -30,8 +30,8 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-fn entry(name: &str, address: &str) -> Line {
-    Line {
+fn entry(name: &str, address: &str) -> ListedEndpoint {
+    ListedEndpoint {
         name: name.to_string(),
         address: address.parse().expect("an address"),
         zone: String::new(),
@@ -44,13 +44,13 @@
     }
 }
 
-fn list(entries: impl IntoIterator<Item = Line>) -> BTreeMap<String, Line> {
+fn list(entries: impl IntoIterator<Item = ListedEndpoint>) -> BTreeMap<String, ListedEndpoint> {
     entries.into_iter().map(|entry| (entry.name.clone(), entry)).collect()
 }
 
 /// A list with each field set and unset, and one that follows it: changed, gone, new.
-fn lists() -> [BTreeMap<String, Line>; 2] {
-    let full = Line {
+fn lists() -> [BTreeMap<String, ListedEndpoint>; 2] {
+    let full = ListedEndpoint {
         zone: "room \"1\"".to_string(),
         kind: "größe".to_string(),
         group: u32::MAX,
@@ -61,7 +61,7 @@
         ..entry("b", "[::1]:65535")
     };
     let plain = entry("a", "127.0.0.1:9000");
-    let changed = Line { weight: 65_535.0, since_ms: 0.5, ..plain.clone() };
+    let changed = ListedEndpoint { weight: 65_535.0, since_ms: 0.5, ..plain.clone() };
     [
         list([full, plain, entry("c", "10.0.0.3:1")]),
         list([changed, entry("c", "10.0.0.3:1"), entry("d", "10.0.0.4:1")]),
@@ -69,7 +69,7 @@
 }
 
 async fn answers() -> String {
-    let (sender, table) = watch::channel(Arc::new(Table::new(1_000)));
+    let (sender, table) = watch::channel(Arc::new(EndpointTable::new(1_000)));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let serving = tokio::spawn(serve(listener, table));
@@ -79,7 +79,7 @@
     let unknown = "GET /discovery/hosts";
     note(unknown, ask(address, unknown).await);
     let [first, second] = lists();
-    let mut table = Table::new(1_000);
+    let mut table = EndpointTable::new(1_000);
     for list in [first, second] {
         assert!(table.replace(list));
         sender.send(Arc::new(table.clone())).expect("it is served");
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use beechrudder_dnssd::{Bounds, Kind, Name, Question};
-use beechrudder_sources::{follow, Resolver, Settings, Table};
-use beechrudder_testbed::dns::{Dns, Instance};
-use beechrudder_testbed::switch::Fault;
+use dns_sd::{CacheLimits, Name, QueryType, Question};
+use endpoint_sources::{follow, EndpointTable, Resolver, Settings};
+use testbed::dns::{Dns, Instance};
+use testbed::switch::Fault;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -17,11 +17,11 @@
 const EACH: Duration = Duration::from_millis(150);
 
 fn question() -> Question {
-    Question { name: Name::from_ascii(SERVICE).expect("a name"), kind: Kind::Ptr }
+    Question { name: Name::from_ascii(SERVICE).expect("a name"), kind: QueryType::Ptr }
 }
 
 async fn why_unanswered(servers: Vec<SocketAddr>) -> String {
-    let answered = Resolver::new(servers, EACH).ask(&question(), false).await;
+    let answered = Resolver::new(servers, EACH).query(&question(), false).await;
     answered.map(|a| a.over_tcp).expect_err("nobody answers").to_string()
 }
 
@@ -61,10 +61,11 @@
         let (label, address) = (format!("t{i}"), Ipv4Addr::LOCALHOST);
         dns.put(SERVICE, &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address });
     }
-    let bounds = Bounds { life_least: 100.0, pause_least: 50.0, pause_most: 200.0, ..Bounds::default() };
+    let bounds =
+        CacheLimits { min_ttl_ms: 100.0, min_retry_ms: 50.0, max_retry_ms: 200.0, ..CacheLimits::default() };
     let settings = Settings { services: vec![question().name], bounds, shrink_most: 0.5, seed: 1 };
     let resolver = Resolver::new(vec![dns.address], EACH);
-    let (sender, _table) = watch::channel(Arc::new(Table::new(0)));
+    let (sender, _table) = watch::channel(Arc::new(EndpointTable::new(0)));
     let said = Arc::<Mutex<Vec<String>>>::default();
     let lines = Arc::clone(&said);
     let (_asks, asked) = mpsc::channel(1);
--- a/crates/fleet/tests/wire_form.rs
+++ b/crates/fleet/tests/wire_form.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use beechrudder_fleet::wire::{Ask, GatewayAsk, GatewaySay, Numbered, Say};
+use fleet::wire::{Envelope, GatewayRequest, GatewayResponse, ToolRequest, ToolResponse};
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
 const OTHER_VERSIONS: &str = include_str!("data/other-versions.txt");
 
 fn read_and_write<T: DeserializeOwned + Serialize>(line: &str) -> Result<String, serde_json::Error> {
-    let message: Numbered<T> = serde_json::from_str(line)?;
+    let message: Envelope<T> = serde_json::from_str(line)?;
     serde_json::to_string(&message)
 }
 
@@ -47,13 +47,13 @@
 #[test]
 fn gateway_requests_keep_their_bytes() {
     assert_eq!(kinds(GATEWAY_REQUESTS, Some("op")), names(&["state", "apply", "adopt", "inflight"]));
-    assert_round_trips::<GatewayAsk>(GATEWAY_REQUESTS);
+    assert_round_trips::<GatewayRequest>(GATEWAY_REQUESTS);
 }
 
 #[test]
 fn gateway_responses_keep_their_bytes() {
     assert_eq!(kinds(GATEWAY_RESPONSES, None), names(&["state", "applied", "inflight", "fault"]));
-    assert_round_trips::<GatewaySay>(GATEWAY_RESPONSES);
+    assert_round_trips::<GatewayResponse>(GATEWAY_RESPONSES);
 }
 
 #[test]
@@ -71,7 +71,7 @@
         "deregister",
     ];
     assert_eq!(kinds(TOOL_REQUESTS, Some("op")), names(&all));
-    assert_round_trips::<Ask>(TOOL_REQUESTS);
+    assert_round_trips::<ToolRequest>(TOOL_REQUESTS);
 }
 
 #[test]
@@ -81,7 +81,7 @@
         "event", "fault",
     ];
     assert_eq!(kinds(TOOL_RESPONSES, None), names(&all));
-    assert_round_trips::<Say>(TOOL_RESPONSES);
+    assert_round_trips::<ToolResponse>(TOOL_RESPONSES);
 }
 
 #[test]
@@ -90,10 +90,10 @@
         let columns: Vec<&str> = row.split('\t').collect();
         let [kind, line, expected] = columns[..] else { panic!("three columns are wanted: {row}") };
         let written = match kind {
-            "gateway-request" => read_and_write::<GatewayAsk>(line),
-            "gateway-response" => read_and_write::<GatewaySay>(line),
-            "tool-request" => read_and_write::<Ask>(line),
-            "tool-response" => read_and_write::<Say>(line),
+            "gateway-request" => read_and_write::<GatewayRequest>(line),
+            "gateway-response" => read_and_write::<GatewayResponse>(line),
+            "tool-request" => read_and_write::<ToolRequest>(line),
+            "tool-response" => read_and_write::<ToolResponse>(line),
             other => panic!("unknown kind {other}"),
         };
         assert_eq!(written.unwrap_or_else(|e| format!("error: {e}")), expected, "{row}");
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -10,11 +10,11 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-use beechrudder_testbed::dns::{Dns, Instance};
-use beechrudder_testbed::scripted::{config, endpoint, Agent, StandIn};
 use recorded::{compare, Normalizer, VOLATILE};
 use serde_json::{json, Map, Value};
 use support::{until, Fleet, Process, Ran, PATIENCE, PROGRAM};
+use testbed::dns::{Dns, Instance};
+use testbed::scripted::{config, endpoint, Agent, StandIn};
 
 /// What was seen of each command, by its words.
 struct Transcript<'a> {
--- a/crates/maintenance/tests/recorded.rs
+++ b/crates/maintenance/tests/recorded.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use beechrudder_maintenance::{sealed, Book, Call, Done, Refused};
+use maintenance::{checksummed, Command, CommandOutcome, CommandRejected, MaintenanceState};
 
 fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
@@ -27,8 +27,8 @@
 }
 
 /// Books by name: empty, and with something in each of its parts.
-fn books() -> Vec<(&'static str, Book)> {
-    let mut full = Book::default();
+fn books() -> Vec<(&'static str, MaintenanceState)> {
+    let mut full = MaintenanceState::default();
     for (line, at_ms) in [
         ("DISABLE s-5be2a07c", 1_800_000_000_000.0),
         ("DISABLE s-2", 1_800_000_000_001.5),
@@ -36,18 +36,18 @@
         ("ENABLE s-2", 1_800_000_000_002.0),
         ("DRAIN", 1_800_000_000_003.25),
     ] {
-        let call = Call::read(line.as_bytes()).expect("a call");
-        assert_eq!(full.carry_out(&call, true, at_ms), Ok(Done::Changed));
+        let call = Command::read(line.as_bytes()).expect("a call");
+        assert_eq!(full.execute(&call, true, at_ms), Ok(CommandOutcome::Changed));
     }
     let mut undrained = full.clone();
-    assert_eq!(undrained.carry_out(&Call::Undrain, true, 1_800_000_000_004.0), Ok(Done::Changed));
-    vec![("empty", Book::default()), ("full", full), ("undrained", undrained)]
+    assert_eq!(undrained.execute(&Command::Undrain, true, 1_800_000_000_004.0), Ok(CommandOutcome::Changed));
+    vec![("empty", MaintenanceState::default()), ("full", full), ("undrained", undrained)]
 }
 
 fn write_books() -> String {
     let mut text = String::new();
     for (name, book) in books() {
-        let bytes = sealed::seal("book", &book).expect("it can be written");
+        let bytes = checksummed::encode("book", &book).expect("it can be written");
         writeln!(text, "{name} {}", hex(&bytes)).expect("a string takes all");
     }
     text
@@ -65,23 +65,23 @@
     for (line, (name, book)) in recorded.lines().zip(books()) {
         let bytes = unhex(line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')).expect("a name"));
         assert_eq!(bytes[..6], *b"slkm\x01\x00", "magic, then the version, little-endian");
-        let read: Book = sealed::open("book", &bytes).expect(name);
+        let read: MaintenanceState = checksummed::decode("book", &bytes).expect(name);
         assert_eq!(read, book);
-        assert_eq!(sealed::seal("book", &read), Ok(bytes));
+        assert_eq!(checksummed::encode("book", &read), Ok(bytes));
     }
     let full = unhex(recorded.lines().nth(1).and_then(|line| line.strip_prefix("full ")).expect("full"));
-    let read: Book = sealed::open("book", &full).expect("sound");
+    let read: MaintenanceState = checksummed::decode("book", &full).expect("sound");
     assert_eq!((read.revision(), read.bans()), (5, 2));
     assert_eq!(read.banned_ms("s-5be2a07c"), Some(1_800_000_000_000.0));
     assert_eq!(read.banned_ms("äther"), Some(0.0));
-    assert_eq!((read.banned_ms("s-2"), read.returned_ms("s-2")), (None, 1_800_000_000_002.0));
+    assert_eq!((read.banned_ms("s-2"), read.reenabled_ms("s-2")), (None, 1_800_000_000_002.0));
     assert_eq!(read.drained_ms(), Some(1_800_000_000_003.25));
 }
 
 #[test]
 fn each_reason_why_a_sealed_state_is_refused_has_its_text() {
-    let sealed = sealed::seal("book", &Book::default()).expect("it can be written");
-    let other = sealed::seal("book", &1u8).expect("it can be written");
+    let sealed = checksummed::encode("book", &MaintenanceState::default()).expect("it can be written");
+    let other = checksummed::encode("book", &1u8).expect("it can be written");
     let with = |at: usize, byte: u8| {
         let mut bytes = sealed.clone();
         bytes[at] = byte;
@@ -98,7 +98,7 @@
         (with(6, !sealed[6]), "cut short or garbled"),
         (other, "another state"),
     ] {
-        let why = sealed::open::<Book>("book", &bytes).expect_err(text);
+        let why = checksummed::decode::<MaintenanceState>("book", &bytes).expect_err(text);
         assert_eq!(why.to_string(), text);
     }
 }
@@ -144,13 +144,13 @@
         ("READY\u{85}".as_bytes(), Err(text)),
     ];
     for (line, wanted) in cases {
-        let read = Call::read(line).map(|call| call.to_string()).map_err(|bad| bad.to_string());
+        let read = Command::read(line).map(|call| call.to_string()).map_err(|bad| bad.to_string());
         assert_eq!(read.as_deref().map_err(String::as_str), *wanted, "{:?}", String::from_utf8_lossy(line));
     }
 }
 
 #[test]
 fn each_refusal_has_its_text() {
-    assert_eq!(Refused::Unknown.to_string(), "no backend has this id");
-    assert_eq!(Refused::TooMany.to_string(), "4096 backends are banned already");
+    assert_eq!(CommandRejected::UnknownBackend.to_string(), "no backend has this id");
+    assert_eq!(CommandRejected::TooManyBans.to_string(), "4096 backends are banned already");
 }
--- a/crates/membership/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use beechrudder_membership::lease::{Given, Member, Message};
-use beechrudder_membership::wire::{read, write, Body, Dropped, Fleet};
+use membership::lease::{Given, Member, Message};
+use membership::wire::{read, write, Body, Dropped, Fleet};
 
 const FLEET: &str = "ub-room";
 
--- a/crates/membership/tests/traces.rs
+++ b/crates/membership/tests/traces.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use beechrudder_membership::detect::{Change, Detector, Node, Packet};
-use beechrudder_membership::lease::{Believed, Desk, Member, Message, Out, Terms, SLOT_UNITS};
-use beechrudder_membership::wire::{read, write, Body, Fleet};
+use membership::detect::{Change, Detector, Node, Packet};
+use membership::lease::{Believed, Desk, Member, Message, Out, Terms, SLOT_UNITS};
+use membership::wire::{read, write, Body, Fleet};
 
 const FLEET: &str = "trace";
 /// One way of a message, and the step of the clock, ms.
--- a/crates/operator-config/tests/file_form.rs
+++ b/crates/operator-config/tests/file_form.rs
@@ -4,17 +4,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use beechrudder_operator::{Address, Operator, Start, Tls};
+use operator_config::{Address, OperatorConfig, StartConfig, TlsConfig};
 
 /// Cases between lines of `=====`: the file's text, a line of `-----`, and what is said of it.
 const WRONG_FILES: &str = include_str!("data/wrong-files.txt");
 
-fn parse(text: &str) -> Result<Operator, String> {
-    Operator::parse(Path::new("operator.toml"), text).map_err(|e| e.to_string())
+fn parse(text: &str) -> Result<OperatorConfig, String> {
+    OperatorConfig::parse(Path::new("operator.toml"), text).map_err(|e| e.to_string())
 }
 
-fn tls(certificate: &str, key: &str, authorities: &str) -> Option<Tls> {
-    Some(Tls { certificate: certificate.into(), key: key.into(), authorities: authorities.into() })
+fn tls(certificate: &str, key: &str, authorities: &str) -> Option<TlsConfig> {
+    Some(TlsConfig { certificate: certificate.into(), key: key.into(), authorities: authorities.into() })
 }
 
 fn address(text: &str) -> Address {
@@ -71,7 +71,7 @@
     let file = parse(text).expect("a good file");
     let routing = file.routing;
     assert_eq!((routing.whole, routing.choices, routing.subset, routing.coverage), (16, 8, 5, 3));
-    let start = Start {
+    let start = StartConfig {
         list_calls_per_s: 1.0,
         backend_connections_per_s: None,
         counter_calls_per_s: None,
@@ -99,16 +99,17 @@
 
 #[test]
 fn names_a_file_that_cannot_be_read() {
-    let said = Operator::read(Path::new("/nonexistent/operator.toml")).expect_err("no such file").to_string();
+    let said =
+        OperatorConfig::read(Path::new("/nonexistent/operator.toml")).expect_err("no such file").to_string();
     assert_eq!(said, "/nonexistent/operator.toml: No such file or directory (os error 2)");
 }
 
 #[test]
 fn puts_names_into_addresses_as_recorded() {
     let marked = address("unix:/run/{name}/{name}.sock");
-    assert_eq!(marked.of("n1").to_string(), "unix:/run/n1/n1.sock");
-    assert_eq!(marked.of("a/b\0c").to_string(), "unix:/run/a_b_c/a_b_c.sock");
-    assert_eq!(address("tcp:[::1]:7").of("n1").to_string(), "tcp:[::1]:7");
+    assert_eq!(marked.for_gateway("n1").to_string(), "unix:/run/n1/n1.sock");
+    assert_eq!(marked.for_gateway("a/b\0c").to_string(), "unix:/run/a_b_c/a_b_c.sock");
+    assert_eq!(address("tcp:[::1]:7").for_gateway("n1").to_string(), "tcp:[::1]:7");
     for text in ["", "unix:", "/a", "tcp:localhost:1", "udp:127.0.0.1:1"] {
         let said = text.parse::<Address>().expect_err(text).to_string();
         assert_eq!(said, "unix:PATH or tcp:ADDRESS:PORT is wanted");
--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use beechrudder_plans::{read, Catalogue, Plan, Terms, Wrong};
+use plans::{read_catalogue, Catalogue, CatalogueError, Plan, PlanLimits};
 
 const SAMPLE: &str = include_str!("data/catalogue.toml");
 
@@ -59,15 +59,15 @@
     Plan { name: name.into(), version }
 }
 
-fn terms(rate: f64, burst: f64, ceiling_rate: f64, ceiling_burst: f64) -> Terms {
-    Terms { rate, burst, ceiling_rate, ceiling_burst }
+fn terms(rate: f64, burst: f64, ceiling_rate: f64, ceiling_burst: f64) -> PlanLimits {
+    PlanLimits { rate, burst, ceiling_rate, ceiling_burst }
 }
 
 #[test]
 fn reads_each_value_of_a_whole_file() {
-    let all = read(SAMPLE).expect("sound");
+    let all = read_catalogue(SAMPLE).expect("sound");
     assert_eq!((all.revision(), all.customers()), (42, 2));
-    let plans: Vec<(Plan, Terms)> = all.plans().map(|(plan, terms)| (plan.clone(), *terms)).collect();
+    let plans: Vec<(Plan, PlanLimits)> = all.plans().map(|(plan, terms)| (plan.clone(), *terms)).collect();
     let spaces = "größe, with spaces";
     let wanted = [
         (plan(spaces, u32::MAX), terms(0.0, 0.0, 0.0, 0.0)),
@@ -96,7 +96,7 @@
     let mut all = String::new();
     for (from, to) in WRONG {
         assert!(SAMPLE.contains(from), "{from:?}");
-        let text = match read(&SAMPLE.replacen(from, to, 1)) {
+        let text = match read_catalogue(&SAMPLE.replacen(from, to, 1)) {
             Ok(_) => "read".to_string(),
             Err(bad) => bad.to_string(),
         };
@@ -115,25 +115,28 @@
     let both = SAMPLE.replace("rate = 6.5", "rate = -6.5").replace("2026-12-24T18:00:00Z", "soon");
     let wanted = "line 13: plan.rate: -6.5 is no finite number of 0 or more\n\
         line 34: customer.from: a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
-    assert_eq!(read(&both).expect_err("two faults").to_string(), wanted);
+    assert_eq!(read_catalogue(&both).expect_err("two faults").to_string(), wanted);
 }
 
 #[test]
 fn what_makes_no_catalogue_has_its_text() {
-    let many = (0..=10_000).map(|n| (plan("p", n + 1), Terms::default()));
+    let many = (0..=10_000).map(|n| (plan("p", n + 1), PlanLimits::default()));
     assert_eq!(
         Catalogue::new(1, many, []).expect_err("too many").to_string(),
         "more than 10000 versions of plans"
     );
     for (wrong, text) in [
-        (Wrong::Terms(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
-        (Wrong::Version(plan("a", 0)), "a version 0: a version from 1 that stands there once is wanted"),
+        (CatalogueError::Terms(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
         (
-            Wrong::NoPlan(0xb4d6_5521, plan("a", 2)),
+            CatalogueError::Version(plan("a", 0)),
+            "a version 0: a version from 1 that stands there once is wanted",
+        ),
+        (
+            CatalogueError::NoPlan(0xb4d6_5521, plan("a", 2)),
             "customer 00000000b4d65521: a version 2 is no plan of this catalogue",
         ),
-        (Wrong::Twice(5, 12), "customer 0000000000000005: two plans from 12 ms on"),
-        (Wrong::TooMany("customers' plans", 3), "more than 3 customers' plans"),
+        (CatalogueError::Twice(5, 12), "customer 0000000000000005: two plans from 12 ms on"),
+        (CatalogueError::TooMany("customers' plans", 3), "more than 3 customers' plans"),
     ] {
         assert_eq!(wrong.to_string(), text);
     }
--- a/crates/policy/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -91,11 +91,11 @@
 /// of one record.
 #[test]
 fn memory_for_customers_is_counted_by_the_bytes_of_a_record() {
-    assert_eq!(Gateway::customers_in(0), 1);
+    assert_eq!(Policy::customers_fitting(0), 1);
     for doubled in [1 << 4, 1 << 12, 1 << 20] {
         // Half of what a table holds once it has doubled, and the room for both while it does.
         let just_fits = RECORD_BYTES * doubled * 3 / 2;
-        assert_eq!(Gateway::customers_in(just_fits), doubled * 7 / 8, "{doubled}");
-        assert_eq!(Gateway::customers_in(just_fits - 1), doubled / 2 * 7 / 8, "{doubled}");
+        assert_eq!(Policy::customers_fitting(just_fits), doubled * 7 / 8, "{doubled}");
+        assert_eq!(Policy::customers_fitting(just_fits - 1), doubled / 2 * 7 / 8, "{doubled}");
     }
 }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -2,9 +2,9 @@
 
 use std::cell::RefCell;
 
+use gateway_policy::interface::*;
+use gateway_policy::settings;
 use serde_json::{json, Value};
-use slatelock::interface::*;
-use slatelock::settings;
 
 const CONFIGURATION: &str = include_str!("data/configuration.json");
 const RECORDED_ERRORS: &str = include_str!("data/settings_errors.txt");
@@ -14,22 +14,28 @@
     configuration["settings"].clone()
 }
 
-fn read(settings: &Value) -> Result<(Settings, settings::Names), SettingsError> {
-    let keys = settings::Keys::new("settings", settings);
-    let read = settings::read(&keys)?;
-    read.check()?;
-    Ok((read, settings::names(&keys)?))
+fn read(settings: &Value) -> Result<(Settings, settings::SettingNames), SettingsError> {
+    let keys = settings::SettingsReader::new("settings", settings);
+    let read = settings::read_settings(&keys)?;
+    read.validate()?;
+    Ok((read, settings::read_names(&keys)?))
 }
 
 #[test]
 fn every_value_of_the_sample_is_read() {
     let (read, names) = read(&sample()).expect("sound settings");
-    assert_eq!((read.me, read.gateways, read.zone, read.tick_ms), (3, 12, 1, 4.5));
-    assert_eq!((read.counter, read.counter_timeout_ms, read.meter_ms), (true, 30.5, 250.0));
-    assert_eq!((read.peer_messages_per_s, read.max_units), (12.5, 8.0));
-    assert_eq!((read.ask_for_list, read.ask_within_ms), (true, 10_000.5));
-    assert_eq!((read.stop_sending_ms, read.cross_zone_cost), (500.75, 0.03));
-    assert_eq!(read.customers, 1 << 20);
+    assert_eq!(
+        (read.gateway_index, read.gateway_count, read.zone, read.clock_granularity_ms),
+        (3, 12, 1, 4.5)
+    );
+    assert_eq!(
+        (read.shared_counter, read.counter_timeout_ms, read.usage_meter_period_ms),
+        (true, 30.5, 250.0)
+    );
+    assert_eq!((read.peer_messages_per_s, read.max_request_units), (12.5, 8.0));
+    assert_eq!((read.polls_endpoints, read.poll_within_ms), (true, 10_000.5));
+    assert_eq!((read.drain_grace_ms, read.cross_zone_cost), (500.75, 0.03));
+    assert_eq!(read.max_customers, 1 << 20);
 
     let limits = &read.limits;
     assert_eq!((limits.max_attempts, limits.cancel, limits.hedges), (5, true, true));
@@ -37,10 +43,10 @@
     assert_eq!((limits.max_retry_after_ms, limits.connect_timeout_ms), (2_001.0, 251.0));
 
     let slow_start = &read.slow_start;
-    assert_eq!((slow_start.start_capacity, slow_start.warm_up_ms), (0.2, 16_000.0));
-    assert_eq!((slow_start.tip_multiple, slow_start.overload_for_ms), (3.5, 3_000.25));
+    assert_eq!((slow_start.initial_capacity, slow_start.warm_up_ms), (0.2, 16_000.0));
+    assert_eq!((slow_start.overload_multiple, slow_start.overload_window_ms), (3.5, 3_000.25));
 
-    assert_eq!(read.routing, Routing { whole: 16, choices: 8, subset: 5, coverage: 3 });
+    assert_eq!(read.routing, Routing { scan_all_up_to: 16, choices: 8, subset_size: 5, coverage: 3 });
     let fields =
         [LoadField::Active, LoadField::Waiting, LoadField::Busy, LoadField::ServiceMs, LoadField::Other];
     assert_eq!(read.load_fields, fields);
@@ -55,48 +61,48 @@
 fn every_value_of_a_class_is_read() {
     let (read, _) = read(&sample()).expect("sound settings");
     let lookup = Class {
-        aim_ms: 120.0,
+        latency_objective_ms: 120.0,
         deadline_ms: 480.0,
-        worth: 1.5,
-        late_worth: 0.2,
-        effect: Effect::Safe,
-        group: Group::All,
-        window_ms: 0.0,
+        priority_weight: 1.5,
+        late_weight: 0.2,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 0.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     let order = Class {
-        aim_ms: 300.0,
+        latency_objective_ms: 300.0,
         deadline_ms: 1_500.0,
-        worth: 3.0,
-        late_worth: 0.4,
-        effect: Effect::Keyed,
-        group: Group::Zone,
-        window_ms: 5_000.0,
+        priority_weight: 3.0,
+        late_weight: 0.4,
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Zone,
+        deduplication_window_ms: 5_000.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     let note = Class {
-        aim_ms: 310.0,
+        latency_objective_ms: 310.0,
         deadline_ms: 1_600.0,
-        worth: 2.0,
-        late_worth: 0.0,
-        effect: Effect::Keyed,
-        group: Group::Cell,
-        window_ms: 4_000.0,
+        priority_weight: 2.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Cell,
+        deduplication_window_ms: 4_000.0,
         streaming: true,
-        dropped: false,
+        retired: false,
     };
     let pay = Class {
-        aim_ms: 500.0,
+        latency_objective_ms: 500.0,
         deadline_ms: 2_500.0,
-        worth: 4.25,
-        late_worth: 0.1,
-        effect: Effect::Unsafe,
-        group: Group::All,
-        window_ms: 1.0,
+        priority_weight: 4.25,
+        late_weight: 0.1,
+        idempotency: Idempotency::NonIdempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 1.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     assert_eq!(read.classes, [lookup, order, note, pay]);
 }
@@ -107,20 +113,20 @@
     let team = Plan {
         rate: 10.0,
         burst: 45.0,
-        open: 7,
+        max_in_flight: 7,
         ceiling_rate: 30.0,
         ceiling_burst: 90.0,
-        over_cost: 0.25,
-        value: 1.25,
+        over_quota_penalty: 0.25,
+        weight_factor: 1.25,
     };
     let free = Plan {
         rate: 2.0,
         burst: 16.0,
-        open: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        over_cost: 0.5,
-        value: 0.5,
+        over_quota_penalty: 0.5,
+        weight_factor: 0.5,
     };
     assert_eq!(read.plans, [team, free]);
 }
@@ -137,7 +143,14 @@
     let flags = |settings: &Value| {
         let read = read(settings).expect("sound settings").0;
         let limits = &read.limits;
-        [limits.cancel, limits.hedges, limits.probes, limits.retry_advice, read.counter, read.ask_for_list]
+        [
+            limits.cancel,
+            limits.hedges,
+            limits.probes,
+            limits.retry_advice,
+            read.shared_counter,
+            read.polls_endpoints,
+        ]
     };
     let places = [
         "/policy-limits/cancel",
@@ -234,9 +247,9 @@
 fn collected_errors_name_every_missing_section_and_key_once() {
     let collected = |settings: &Value| -> Vec<String> {
         let errors = RefCell::new(Vec::new());
-        let keys = settings::Keys::collecting("settings", settings, &errors);
-        assert!(settings::read(&keys).is_ok() && settings::names(&keys).is_ok());
-        assert!(!keys.sound());
+        let keys = settings::SettingsReader::collecting("settings", settings, &errors);
+        assert!(settings::read_settings(&keys).is_ok() && settings::read_names(&keys).is_ok());
+        assert!(!keys.is_valid());
         errors.into_inner().iter().map(ToString::to_string).collect()
     };
     let mut settings = sample();
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_message_to_the_other_gateways_is_written_byte_for_byte() {
     let mut reply = Reply::new(258);
-    reply.action(3, &Action::Tell { body: b"abc".to_vec() });
+    reply.action(3, &Action::BroadcastToPeers { body: b"abc".to_vec() });
     let expected = [
         &[0, 0, 1, 2, 0, 0, 0, 19][..],
         &[4, 0, 0, 0, 2, 0, 3],
@@ -32,8 +32,8 @@
 #[test]
 fn an_attempt_is_told_without_its_write_deadline() {
     let mut reply = Reply::new(1);
-    for begin_by_ms in [None, Some(1.0)] {
-        reply.action(2, &Action::Send { id: 9, backend: 77, begin_by_ms });
+    for write_deadline_ms in [None, Some(1.0)] {
+        reply.action(2, &Action::SendAttempt { id: 9, backend: 77, write_deadline_ms });
     }
     let send = [&[6, 0, 0, 0, 20][..], &9u64.to_be_bytes(), &77u32.to_be_bytes(), &[0; 8]].concat();
     let expected = [&[0, 0, 0, 1, 0, 0, 0, 57][..], &[4, 0, 0, 0, 2, 0, 2], &send, &send];
--- a/crates/simulator-adapter/tests/conversation.rs
+++ b/crates/simulator-adapter/tests/conversation.rs
@@ -42,7 +42,7 @@
 fn recorded_frames_have_the_recorded_replies() {
     let (frames, replies) = (side("> "), side("< "));
     assert_eq!(frames.len(), replies.len());
-    let mut adapter = Command::new(env!("CARGO_BIN_EXE_slatelock-benchlink"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/crates/spool/tests/recorded.rs
+++ b/crates/spool/tests/recorded.rs
@@ -5,8 +5,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use beechrudder_spool::{Appended, Fsync, Policy, Spool};
-use beechrudder_usage::{scan, End, Record, Source, Units, FORMAT};
+use spool::{Appended, Fsync, Policy, Spool};
+use usage::{scan, End, Record, Source, Units, FORMAT};
 
 const POLICY: Policy = Policy { segment_bytes: 220, total_bytes: 1 << 20, fsync: Fsync::Segments };
 
--- a/crates/spool/tests/texts.rs
+++ b/crates/spool/tests/texts.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 
-use beechrudder_spool::Fault;
-use beechrudder_usage::Units;
+use spool::Fault;
+use usage::Units;
 
 #[test]
 fn each_fault_has_its_text() {
