--- a/crates/agent/tests/conversation.rs
+++ b/crates/agent/tests/conversation.rs
@@ -299,7 +299,10 @@
             fault(3, "bad-request", "unix:PATH or tcp:ADDRESS:PORT is wanted"),
         ),
         (
-            json!({"n": 4, "op": "order", "id": "o-1", "subject": {"backend": "s-1"}, "change": "drain", "deadline_ms": 1}),
+            json!({
+            "n": 4, "op": "order", "id": "o-1", "subject": {"backend": "s-1"}, "change": "drain",
+            "deadline_ms": 1
+            }),
             fault(4, "unavailable", "no gateway has told its backends yet; --force orders it all the same"),
         ),
         (json!({"n": 5, "op": "orders", "most": 5}), json!({"n": 5, "orders": []})),
--- a/crates/cold-start/src/adaptive_share.rs
+++ b/crates/cold-start/src/adaptive_share.rs
@@ -12,8 +12,8 @@
 /// An answer that took so long, ms, came at once, and one that took longer than this stood in a queue.
 const QUEUE_MS: (f64, f64) = (100.0, 1_000.0);
 
-/// The part of its rounds that a gateway takes, from [`MIN_SHARE`] to 1. Additive rise and multiplicative fall
-/// come to rest at what is borne, evenly, without anybody's being told (Chiu and Jain, 1989); where an
+/// The part of its rounds that a gateway takes, from [`MIN_SHARE`] to 1. Additive rise and multiplicative
+/// fall come to rest at what is borne, evenly, without anybody's being told (Chiu and Jain, 1989); where an
 /// answer's time tells more, the part follows sooner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdaptiveShare {
--- a/crates/cold-start/tests/traces.rs
+++ b/crates/cold-start/tests/traces.rs
@@ -64,12 +64,10 @@
     ];
     for (place, gateways, shift) in [(0, 1, 0), (7, 300, 0), (299, 300, 5), (3, 30, 9)] {
         let mut calls = PollSchedule::new(SlotSchedule::new(place, gateways, 50.0));
-        note!(
-            all,
-            "{place} {gateways}: {:?} {:?}",
-            calls.first_timeout(),
-            calls.start_now(BEGIN_MS - 9_000.0)
-        );
+        let first = calls.start_now(BEGIN_MS - 9_000.0).expect("none was made before");
+        let Poll { at_ms, wait, timeout_at_ms } = first;
+        let first = format!("Some(Call {{ at_ms: {at_ms:?}, wait: {wait:?}, until_ms: {timeout_at_ms:?} }})");
+        note!(all, "{place} {gateways}: {:?} {first}", calls.first_timeout());
         let mut now = BEGIN_MS;
         for i in 0..48 {
             let came = results[(i + shift) % results.len()];
--- a/crates/dns-sd/tests/lifetimes.rs
+++ b/crates/dns-sd/tests/lifetimes.rs
@@ -53,7 +53,8 @@
                     cache.answered(now, &all[q], Answer::Records { records, ttl_s });
                     out.remove(&all[q]);
                     if followed.contains(&all[q]) {
-                        prop_assert!(matches!(cache.get(now, &all[q]), CacheState::Fresh(CachedAnswer::Records(_))));
+                        let state = cache.get(now, &all[q]);
+                    prop_assert!(matches!(state, CacheState::Fresh(CachedAnswer::Records(_))));
                         let end = now + f64::from(ttl_s) * 1_000.0;
                         let end = end.clamp(now + bounds.min_ttl_ms, now + bounds.max_ttl_ms);
                         prop_assert!(matches!(cache.get(end - 1.0, &all[q]), CacheState::Fresh(_)));
--- a/crates/endpoint-sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -182,7 +182,8 @@
         (self.failing, self.held) = (failing, held);
     }
 
-    /// How the list stands, with the records that are followed, [`MAX_REPORTED_RECORDS`] at most, if they are wanted.
+    /// How the list stands, with the records that are followed if they are wanted,
+    /// [`MAX_REPORTED_RECORDS`] at most.
     #[must_use]
     pub fn report(&self, records: bool) -> EndpointListStatus {
         let now = self.now();
--- a/crates/fleet/src/guard.rs
+++ b/crates/fleet/src/guard.rs
@@ -23,6 +23,7 @@
 
 /// What the guard counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "Counts", expecting = "struct Counts")]
 pub struct GuardCounts {
     /// Those that the order's subject covers.
     pub covered: u32,
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -82,11 +82,11 @@
 }
 
 text!(
-    /// Name of a backend, a type of backends or a gateway: 1 to [`MAX_NAME_BYTES`] bytes, no white space and no
+    /// Name of a backend, an instance type or a gateway: 1 to [`MAX_NAME_BYTES`] bytes, no white space and no
     /// control characters.
     Name, "name", MAX_NAME_BYTES, |c| !c.is_whitespace() && !c.is_control()
 );
 text!(
-    /// Id of an order, given by whoever made it: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
+    /// Id of an order, given by its author: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
     OrderId, "order id", MAX_ORDER_ID_BYTES, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
 );
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -138,6 +138,7 @@
 /// What became of an order at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
+#[serde(rename = "Outcome", expecting = "enum Outcome")]
 pub enum ApplyOutcome {
     /// It holds.
     Applied,
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -23,6 +23,7 @@
 
 /// A question with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "Numbered", expecting = "struct Numbered")]
 pub struct Envelope<T> {
     /// Given back with the answer.
     #[serde(rename = "n")]
@@ -35,6 +36,7 @@
 /// What a gateway can be asked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
+#[serde(rename = "GatewayAsk", expecting = "internally tagged enum GatewayAsk")]
 pub enum GatewayRequest {
     /// Its state, and that of each backend if wanted.
     State {
@@ -62,6 +64,7 @@
 /// What a gateway answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
+#[serde(rename = "GatewaySay", expecting = "enum GatewaySay")]
 pub enum GatewayResponse {
     /// Its state.
     State(GatewayState),
@@ -90,6 +93,7 @@
 
 /// What became of an order at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Verdict", expecting = "struct Verdict")]
 pub struct OrderResult {
     /// The order.
     pub id: OrderId,
@@ -132,6 +136,7 @@
 
 /// Figures of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "Figures", expecting = "struct Figures")]
 pub struct GatewayStatistics {
     /// Backends on the list.
     pub listed: u32,
@@ -203,6 +208,7 @@
 /// What an agent can be asked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
+#[serde(rename = "Ask", expecting = "internally tagged enum Ask")]
 pub enum ToolRequest {
     /// To write an order down and have every gateway carry it out.
     Order {
@@ -285,6 +291,7 @@
 /// What an agent says.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
+#[serde(rename = "Say", expecting = "enum Say")]
 pub enum ToolResponse {
     /// The order is written down for good.
     Accepted(OrderAccepted),
@@ -313,6 +320,7 @@
 
 /// An order that is written down.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "Accepted", expecting = "struct Accepted")]
 pub struct OrderAccepted {
     /// Its place among all orders.
     pub revision: Revision,
@@ -326,6 +334,7 @@
 
 /// An order as it was written down.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Logged", expecting = "struct Logged")]
 pub struct LoggedOrder {
     /// The order.
     #[serde(flatten)]
@@ -340,6 +349,7 @@
 
 /// What one gateway did.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Instance", expecting = "struct Instance")]
 pub struct InstanceReport {
     /// Its name.
     pub gateway: String,
@@ -351,6 +361,7 @@
 /// What a gateway did with an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "did", rename_all = "lowercase")]
+#[serde(rename = "Did", expecting = "internally tagged enum Did")]
 pub enum InstanceOutcome {
     /// It answered.
     Answered {
@@ -392,6 +403,7 @@
 
 /// What a gateway that starts is to do. With neither time it keeps to its slots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Starting", expecting = "struct Starting")]
 pub struct StartInstructions {
     /// To make its first call for the list in so long, ms, if its slot does not come before.
     pub call_in_ms: Option<f64>,
@@ -407,6 +419,7 @@
 
 /// What the first call for the list of a gateway that starts came to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "FirstCall", expecting = "struct FirstCall")]
 pub struct FirstCallReport {
     /// What it came to.
     #[serde(rename = "came")]
@@ -420,6 +433,7 @@
 /// What a first call came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
+#[serde(rename = "FirstCame", expecting = "enum FirstCame")]
 pub enum FirstCallOutcome {
     /// The service answered with the list, or that nothing is new.
     #[serde(rename = "told")]
@@ -436,6 +450,7 @@
 
 /// The end of what is said about an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "Done", expecting = "struct Done")]
 pub struct OrderSummary {
     /// Gateways that did it.
     #[serde(rename = "done")]
@@ -446,6 +461,7 @@
 
 /// All gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "Status", expecting = "struct Status")]
 pub struct FleetStatus {
     /// The newest revision.
     pub revision: Revision,
@@ -457,6 +473,7 @@
 
 /// A gateway as the agent knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "MemberState", expecting = "struct MemberState")]
 pub struct GatewayStatus {
     /// Its name.
     pub name: String,
@@ -478,6 +495,7 @@
 
 /// The backends of one gateway, as it saw them just now.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "Seen", expecting = "struct Seen")]
 pub struct GatewayBackends {
     /// The gateway.
     pub gateway: String,
@@ -487,6 +505,7 @@
 
 /// The server list that is made from sources, and how it stands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "ListState", expecting = "struct ListState")]
 pub struct EndpointListStatus {
     /// The list, by name.
     pub list: Vec<EndpointStatus>,
@@ -513,6 +532,7 @@
 
 /// A line of the list from sources.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "ListedState", expecting = "struct ListedState")]
 pub struct EndpointStatus {
     /// Its name.
     pub name: String,
@@ -539,6 +559,7 @@
 
 /// Something, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "Because", expecting = "struct Because")]
 pub struct DroppedEndpoint {
     /// What.
     #[serde(rename = "what")]
@@ -550,6 +571,7 @@
 
 /// A question that goes unanswered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Unanswered", expecting = "struct Unanswered")]
 pub struct UnansweredQuery {
     /// Name and type.
     pub question: String,
@@ -562,6 +584,7 @@
 
 /// A question that is followed, and its records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "RecordState", expecting = "struct RecordState")]
 pub struct RecordStatus {
     /// Name and type.
     pub question: String,
@@ -574,6 +597,7 @@
 
 /// Why nothing was done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "Fault", expecting = "struct Fault")]
 pub struct ErrorResponse {
     /// The kind, for programs.
     pub code: ErrorCode,
@@ -584,6 +608,7 @@
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
+#[serde(rename = "Code", expecting = "enum Code")]
 pub enum ErrorCode {
     /// The message can't be read, or can't be carried out as it is.
     BadRequest,
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Calls of operators to one gateway at its second address, and what they leave in force.
 //!
 //! No I/O, no clock. [`Call`] reads a line, [`Book`] holds bans of backends, their returns and the drain of
-//! the gateway, and [`checksummed`] is the form in which a book goes from one process of a gateway to the next.
+//! the gateway, and [`checksummed`] is the form in which it goes from one process of a gateway to the next.
 
 pub mod checksummed;
 mod command;
--- a/crates/maintenance/tests/recorded.rs
+++ b/crates/maintenance/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! The forms that outlive a process or are read by people's scripts: the sealed state, byte for byte, and each
+//! The forms that outlive a process or are read by scripts: the checksummed state, byte for byte, and each
 //! line of a command with the exact text of its answer.
 
 use std::fmt::Write as _;
--- a/crates/maintenance/tests/state.rs
+++ b/crates/maintenance/tests/state.rs
@@ -104,7 +104,8 @@
             };
             let done = book.execute(&call(&line), true, at as f64 + 1.0);
             let changed = before != (banned, drained);
-            prop_assert_eq!(done, Ok(if changed { CommandOutcome::Changed } else { CommandOutcome::AlreadyInForce }));
+            let expected = if changed { CommandOutcome::Changed } else { CommandOutcome::AlreadyInForce };
+            prop_assert_eq!(done, Ok(expected));
             changes += u64::from(changed);
         }
         prop_assert_eq!(book.revision(), changes);
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -21,6 +21,7 @@
 /// The file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Operator", expecting = "struct Operator")]
 pub struct OperatorConfig {
     /// The admin listener of each gateway; none: off.
     pub admin: Option<AdminConfig>,
@@ -41,6 +42,7 @@
 /// The admin listener of a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Admin", expecting = "struct Admin")]
 pub struct AdminConfig {
     /// Where it listens; [`NAME_MARK`] in a path stands for the gateway's name. Over TCP only with `tls`.
     pub listen: Address,
@@ -54,6 +56,7 @@
 /// How many backends a gateway looks at. All gateways of a fleet are to have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
+#[serde(rename = "Routing", expecting = "struct Routing")]
 pub struct RoutingConfig {
     /// Lists of up to so many backends are looked at whole for each request: 0 to 1,000.
     pub whole: usize,
@@ -78,6 +81,7 @@
 /// for news for nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Start", expecting = "struct Start")]
 pub struct StartConfig {
     /// Calls for the list that the one list service of all gateways bears, calls a second: 0.1 to 10,000.
     pub list_calls_per_s: f64,
@@ -96,6 +100,7 @@
 /// Certificates of one side, PEM files. Both sides show one; each names whose it takes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Tls", expecting = "struct Tls")]
 pub struct TlsConfig {
     /// Its own chain.
     pub certificate: PathBuf,
@@ -108,6 +113,7 @@
 /// The agent.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Agent", expecting = "struct Agent")]
 pub struct AgentConfig {
     /// Where it listens for tools: a Unix socket.
     pub listen: Address,
@@ -135,6 +141,7 @@
 /// The server list that the agent serves to gateways by the discovery protocol, from DNS-SD (RFC 6763).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Sources", expecting = "struct Sources")]
 pub struct SourcesConfig {
     /// Where gateways read it: their configurations name this as `discovery`.
     pub listen: SocketAddr,
@@ -222,6 +229,7 @@
 /// A gateway that the agent oversees.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(rename = "Gateway", expecting = "struct Gateway")]
 pub struct GatewayConfig {
     /// Its name.
     pub name: String,
--- a/crates/operator-config/tests/file_form.rs
+++ b/crates/operator-config/tests/file_form.rs
@@ -67,7 +67,8 @@
 #[test]
 fn fills_in_the_recorded_defaults() {
     let text = "[start]\nlist_calls_per_s = 1\n[routing]\n[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"\n\
-                [sources]\nlisten = \"127.0.0.1:1\"\nservices = [\"_a._tcp.b\"]\nresolvers = [\"127.0.0.1:53\"]";
+                [sources]\nlisten = \"127.0.0.1:1\"\nservices = [\"_a._tcp.b\"]\n\
+                resolvers = [\"127.0.0.1:53\"]";
     let file = parse(text).expect("a good file");
     let routing = file.routing;
     assert_eq!((routing.whole, routing.choices, routing.subset, routing.coverage), (16, 8, 5, 3));
--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! The catalogue's file as operators write it: a whole one, value by value, and wrong ones with the exact text of
+//! The catalogue's file as operators write it: a whole one, value by value, and wrong ones with the text of
 //! what is wrong.
 
 use std::fmt::Write as _;
--- a/crates/policy/tests/ceiling.rs
+++ b/crates/policy/tests/ceiling.rs
@@ -137,7 +137,8 @@
                     let (metered, charged) = (None, None);
                     #[rustfmt::skip]
                     let ended = Event::AttemptEnded {
-                        id, attempt, backend, outcome, latency_ms, answered: closed, metered_use: metered, actual_units: charged, load,
+                        id, attempt, backend, outcome, latency_ms,
+ answered: closed, metered_use: metered, actual_units: charged, load,
                     };
                     fleet.tell(now, gateway, ended, lost);
                 }
--- a/crates/spool/tests/recorded.rs
+++ b/crates/spool/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Segments as released versions wrote them: recorded files are read whole, and the same records give the same
-//! bytes again.
+//! Segments as released versions wrote them: recorded files are read whole, and the same records give
+//! the same bytes again.
 
 use std::collections::BTreeMap;
 use std::fs;
