--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -196,9 +196,8 @@
     member.observe(40.0, Observation::Unreachable("connection refused".to_string()));
     member.observe(90.0, Observation::Unreachable("no answer".to_string()));
     assert_eq!(member.unreachable_since_ms(), Some(40.0));
-    assert!(
-        matches!(member.health(91.0, newest, 2_000.0), Health::Unreachable { reason: why } if why == "no answer")
-    );
+    let health = member.health(91.0, newest, 2_000.0);
+    assert!(matches!(health, Health::Unreachable { reason } if reason == "no answer"));
     assert!(
         member
             .observe(100.0, Observation::Reachable { incarnation: 8, applied_revision: Revision::default() }),
