--- a/crates/dnssd/src/lib.rs
+++ b/crates/dns-sd/src/lib.rs
@@ -18,10 +18,13 @@
 mod answer;
 mod cache;
 mod catalogue;
-mod traits;
+mod metadata;
 
-pub use answer::{ask, read, Absence, Answer, BadAnswer, Data, Kind, Question, Service, CHAIN_MOST, PAYLOAD};
-pub use cache::{Bounds, Cache, Due, Known, State};
-pub use catalogue::{Catalogue, Change, Dropped, Endpoint, Reading, INSTANCES_MOST};
+pub use answer::{
+    decode_answer, encode_query, Answer, AnswerError, NegativeAnswer, QueryType, Question, RecordData,
+    SrvRecord, MAX_ALIAS_CHAIN, PAYLOAD,
+};
+pub use cache::{Cache, CacheLimits, CacheState, CachedAnswer, DueQuery};
+pub use catalogue::{Catalogue, CatalogueUpdate, Change, DroppedInstance, Endpoint, MAX_INSTANCES};
 pub use hickory_proto::rr::Name;
-pub use traits::{BadText, Status, Traits};
+pub use metadata::{InstanceMetadata, Status, TxtError};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -12,14 +12,14 @@
 //! and any number of times; whoever has seen the same ones holds the same state.
 
 mod desired;
+mod gateway_record;
 mod guard;
-mod member;
 mod name;
 mod order;
 pub mod wire;
 
-pub use desired::{Aspect, Desired, Effect, Register, Snapshot, Value, REGISTERS_MOST};
-pub use guard::{guard, Backend, Counts, TooFew};
-pub use member::{Health, Member, Sighting};
-pub use name::{BadName, Name, OrderId, NAME_MOST, ORDER_ID_MOST};
-pub use order::{BadOrder, Change, Order, Outcome, Revision, Subject, WEIGHT_LEAST, WEIGHT_MOST};
+pub use desired::{Aspect, DesiredState, EffectiveState, Register, Snapshot, Value, MAX_REGISTERS};
+pub use gateway_record::{GatewayRecord, Health, Observation};
+pub use guard::{guard, Backend, GuardCounts, TooFewReady};
+pub use name::{InvalidName, Name, OrderId, MAX_NAME_BYTES, MAX_ORDER_ID_BYTES};
+pub use order::{ApplyOutcome, Change, InvalidOrder, Order, Revision, Subject, MAX_WEIGHT, MIN_WEIGHT};
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -4,12 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_channel::{BindError, ConnectError, Dialer, LineError, Lines, Listener};
-use beechrudder_fleet::wire::{Ask, Code, Fault, GatewayAsk, GatewaySay, Numbered, Say, LINE_MOST};
-use beechrudder_fleet::Name;
-use beechrudder_operator::{Address, Admin};
+use fleet::wire::{
+    Ask, Envelope, ErrorCode, Fault, GatewayRequest, GatewayResponse, ToolResponse, MAX_LINE_BYTES,
+};
+use fleet::Name;
+use operator_config::{Address, AdminConfig};
 use tokio::sync::{mpsc, oneshot, Semaphore};
 use tokio::time::{sleep, timeout};
+use transport::{BindError, ConnectError, Connector, JsonLines, JsonLinesError, Listener};
 
 use crate::input::Input;
 
@@ -29,8 +31,8 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Opens the listener for a gateway of this name.
-pub async fn listen(admin: &Admin, name: &str) -> Result<Listener, BindError> {
-    Listener::bind(&admin.listen.of(name), admin.tls.as_ref(), LINE_MOST).await
+pub async fn listen(admin: &AdminConfig, name: &str) -> Result<Listener, BindError> {
+    Listener::bind(&admin.listen.for_gateway(name), admin.tls.as_ref(), MAX_LINE_BYTES).await
 }
 
 /// Accepts connections until the task ends. Each asks one thing after the other.
@@ -59,7 +61,7 @@
 #[derive(Debug)]
 enum RegisterError {
     Connect(ConnectError),
-    Line(LineError),
+    Line(JsonLinesError),
     Rejected(Fault),
     Unexpected,
     Closed,
@@ -91,7 +93,7 @@
 
 /// Registers this gateway with an agent, again and again, until the task ends: the agent may start later, or
 /// have lost what it knew. The same again changes nothing there.
-pub async fn register(agent: Address, name: Name, admin: Address, dialer: Dialer) {
+pub async fn register(agent: Address, name: Name, admin: Address, dialer: Connector) {
     let mut last_problem = String::new();
     loop {
         let registered = timeout(REGISTER_TIMEOUT, register_once(&agent, &name, &admin, &dialer)).await;
@@ -112,15 +114,15 @@
     agent: &Address,
     name: &Name,
     admin: &Address,
-    dialer: &Dialer,
+    dialer: &Connector,
 ) -> Result<(), RegisterError> {
-    let connected = dialer.connect(agent, REGISTER_TIMEOUT, LINE_MOST).await;
+    let connected = dialer.connect(agent, REGISTER_TIMEOUT, MAX_LINE_BYTES).await;
     let mut lines = connected.map_err(RegisterError::Connect)?;
     let body = Ask::Register { name: name.clone(), address: admin.to_string() };
-    lines.send(&Numbered { n: 1, body }).await.map_err(RegisterError::Line)?;
-    match lines.next::<Numbered<Say>>().await.map_err(RegisterError::Line)? {
-        Some(Numbered { body: Say::Done(_), .. }) => Ok(()),
-        Some(Numbered { body: Say::Fault(fault), .. }) => Err(RegisterError::Rejected(fault)),
+    lines.send(&Envelope { request_id: 1, body }).await.map_err(RegisterError::Line)?;
+    match lines.next::<Envelope<ToolResponse>>().await.map_err(RegisterError::Line)? {
+        Some(Envelope { body: ToolResponse::Done(_), .. }) => Ok(()),
+        Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(RegisterError::Rejected(fault)),
         Some(_) => Err(RegisterError::Unexpected),
         None => Err(RegisterError::Closed),
     }
@@ -128,17 +130,20 @@
 
 /// A response, and whether the connection ends with it.
 struct Response {
-    line: Numbered<GatewaySay>,
+    line: Envelope<GatewayResponse>,
     last: bool,
 }
 
 impl Response {
-    fn fault(code: Code, message: String, last: bool) -> Response {
-        Response { line: Numbered { n: 0, body: GatewaySay::Fault(Fault::new(code, message)) }, last }
+    fn fault(code: ErrorCode, message: String, last: bool) -> Response {
+        Response {
+            line: Envelope { request_id: 0, body: GatewayResponse::Error(Fault::new(code, message)) },
+            last,
+        }
     }
 }
 
-async fn serve_connection(mut lines: Lines, inbox: mpsc::Sender<Input>) {
+async fn serve_connection(mut lines: JsonLines, inbox: mpsc::Sender<Input>) {
     while let Some(Response { line, last }) = next_response(&mut lines, &inbox).await {
         let written = timeout(WRITE_TIMEOUT, lines.send(&line)).await;
         if last || !matches!(written, Ok(Ok(()))) {
@@ -148,17 +153,20 @@
 }
 
 /// Reads a request, and has the event loop answer it; `None` when the connection ends.
-async fn next_response(lines: &mut Lines, inbox: &mpsc::Sender<Input>) -> Option<Response> {
-    match timeout(IDLE_TIMEOUT, lines.next::<Numbered<GatewayAsk>>()).await {
-        Ok(Ok(Some(Numbered { n, body: request }))) => {
+async fn next_response(lines: &mut JsonLines, inbox: &mpsc::Sender<Input>) -> Option<Response> {
+    match timeout(IDLE_TIMEOUT, lines.next::<Envelope<GatewayRequest>>()).await {
+        Ok(Ok(Some(Envelope { request_id, body: request }))) => {
             let (reply, response) = oneshot::channel();
             inbox.send(Input::AdminRequest { request, reply }).await.ok()?;
-            let ending = || GatewaySay::Fault(Fault::new(Code::Unavailable, "the gateway is ending"));
+            let ending =
+                || GatewayResponse::Error(Fault::new(ErrorCode::Unavailable, "the gateway is ending"));
             let body = response.await.unwrap_or_else(|_| ending());
-            Some(Response { line: Numbered { n, body }, last: false })
+            Some(Response { line: Envelope { request_id, body }, last: false })
+        }
+        Ok(Err(JsonLinesError::Malformed(why))) => Some(Response::fault(ErrorCode::BadRequest, why, false)),
+        Ok(Err(e @ JsonLinesError::TooLong(_))) => {
+            Some(Response::fault(ErrorCode::TooLong, e.to_string(), true))
         }
-        Ok(Err(LineError::Unreadable(why))) => Some(Response::fault(Code::BadRequest, why, false)),
-        Ok(Err(e @ LineError::TooLong(_))) => Some(Response::fault(Code::TooLong, e.to_string(), true)),
-        Ok(Ok(None) | Err(LineError::Broken(_))) | Err(_) => None,
+        Ok(Ok(None) | Err(JsonLinesError::Broken(_))) | Err(_) => None,
     }
 }
--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -6,9 +6,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use beechrudder_fleet::{Desired, Effect, Subject};
-use beechrudder_maintenance::Book;
-use slatelock::interface::{BackendEntry, Readiness};
+use fleet::{DesiredState, Effect, Subject};
+use gateway_policy::interface::{BackendEndpoint, EndpointState};
+use maintenance::Book;
 
 use crate::endpoint_list::{Endpoint, Status};
 
@@ -16,7 +16,7 @@
 /// backend takes work only where neither keeps it out.
 #[derive(Clone, Copy, Debug)]
 pub struct Overrides<'a> {
-    pub desired: &'a Desired,
+    pub desired: &'a DesiredState,
     pub book: &'a Book,
 }
 
@@ -39,7 +39,7 @@
     /// Looks anew at what operators want of it; tells whether that is something else.
     fn apply(&mut self, overrides: Overrides<'_>) -> bool {
         let e = &self.endpoint;
-        let effect = overrides.desired.effect(&e.name, e.group, &e.kind);
+        let effect = overrides.desired.effective_state(&e.name, e.group, &e.kind);
         let (banned, returned) = (overrides.book.banned_ms(&e.name), overrides.book.returned_ms(&e.name));
         // A return that is forgotten is one of a backend that is warm.
         let other = effect != self.effect || banned != self.banned_ms || returned > self.returned_ms;
@@ -75,7 +75,7 @@
         endpoint: Endpoint,
         overrides: Overrides<'_>,
         zones: &[String],
-    ) -> Option<BackendEntry> {
+    ) -> Option<BackendEndpoint> {
         let name = endpoint.name.clone();
         self.changes += 1;
         match self.rows.get_mut(&name) {
@@ -96,7 +96,7 @@
     }
 
     /// What the policy have of a backend, with its address.
-    pub fn entry_of(&self, name: &str, zones: &[String]) -> Option<(BackendEntry, SocketAddr)> {
+    pub fn entry_of(&self, name: &str, zones: &[String]) -> Option<(BackendEndpoint, SocketAddr)> {
         self.rows.get(name).map(|row| (self.entry(row, zones), row.endpoint.address))
     }
 
@@ -122,7 +122,7 @@
         &mut self,
         overrides: Overrides<'_>,
         zones: &[String],
-    ) -> Vec<(BackendEntry, SocketAddr)> {
+    ) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut changed = Vec::new();
         for (name, row) in &mut self.rows {
             if row.apply(overrides) {
@@ -141,7 +141,7 @@
     }
 
     /// All lines, if the list has changed so that all shares have; else none.
-    pub fn update_shares(&mut self, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    pub fn update_shares(&mut self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         if self.update_greatest_weight() {
             self.all(zones)
         } else {
@@ -149,7 +149,7 @@
         }
     }
 
-    fn all(&self, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    fn all(&self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut all: Vec<_> =
             self.rows.values().map(|row| (self.entry(row, zones), row.endpoint.address)).collect();
         all.sort_unstable_by_key(|(entry, _)| entry.id);
@@ -165,16 +165,16 @@
     }
 
     /// The line of a backend for the policy. Discovery's DRAINING and DELETED win over every order.
-    fn entry(&self, row: &BackendRow, zones: &[String]) -> BackendEntry {
+    fn entry(&self, row: &BackendRow, zones: &[String]) -> BackendEndpoint {
         let endpoint = &row.endpoint;
         let zone = zones.iter().position(|z| *z == endpoint.zone);
-        let state = match Readiness::from(endpoint.status) {
-            Readiness::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
-                Readiness::Draining
+        let state = match EndpointState::from(endpoint.status) {
+            EndpointState::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
+                EndpointState::Draining
             }
             told => told,
         };
-        BackendEntry {
+        BackendEndpoint {
             id: row.number,
             state,
             cell: endpoint.group,
@@ -183,9 +183,9 @@
             key: hash(&endpoint.name),
             kind: hash(&endpoint.kind) as u32,
             started_ms: endpoint.since_ms,
-            returned_ms: row.returned_ms,
+            reenabled_ms: row.returned_ms,
             weight: endpoint.weight,
-            share: (row.effect.weight / self.greatest).min(1.0),
+            weight_share: (row.effect.weight / self.greatest).min(1.0),
         }
     }
 
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-use slatelock::terms::Terms;
+use gateway_policy::reload::Terms;
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use gateway_policy::interface::SettingsError;
+use gateway_policy::reload::{self, Terms};
+use gateway_policy::settings::{self, SettingsReader};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
-use slatelock::interface::SettingsError;
-use slatelock::settings::{self, Keys};
-use slatelock::terms::{self, Terms};
 
 use crate::endpoint_list::EndpointList;
 
@@ -84,7 +84,7 @@
 
     pub fn parse(text: &[u8]) -> Result<Config, SettingsError> {
         let (known, json) = Text::read(text)?;
-        let config = Config::from(known, &Keys::new("configuration", &json))?;
+        let config = Config::from(known, &SettingsReader::new("configuration", &json))?;
         Ok(Config { told: json, ..config })
     }
 
@@ -106,7 +106,7 @@
             Err(e) => return vec![e],
         };
         let all = RefCell::new(Vec::new());
-        let last = Config::from(known, &Keys::collecting("configuration", &json, &all)).err();
+        let last = Config::from(known, &SettingsReader::collecting("configuration", &json, &all)).err();
         let mut all = all.into_inner();
         // What is found by looking at all of it counts only where its parts are right.
         if all.is_empty() {
@@ -121,28 +121,28 @@
         all
     }
 
-    fn from(known: Option<&RawValue>, top: &Keys<'_>) -> Result<Config, SettingsError> {
+    fn from(known: Option<&RawValue>, top: &SettingsReader<'_>) -> Result<Config, SettingsError> {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let address = |key: &str| {
             let parsed = top.get(key).and_then(|value| {
                 let parsed = value.as_str().and_then(|text| text.parse().ok());
-                parsed.ok_or_else(|| top.wrong(key, "an address with a port is wanted"))
+                parsed.ok_or_else(|| top.invalid(key, "an address with a port is wanted"))
             });
-            top.or(parsed, nowhere)
+            top.recover(parsed, nowhere)
         };
         let told = top.section("settings")?;
         let settings = settings::read(&told)?;
         // What stands in for a value that is wrong may fit no other.
-        if top.sound() {
-            top.or(settings.check(), ())?;
+        if top.is_valid() {
+            top.recover(settings.check(), ())?;
         }
         let seed = top.get("seed").and_then(|value| {
             let seed = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-            seed.ok_or_else(|| top.wrong("seed", "a hex number is wanted"))
+            seed.ok_or_else(|| top.invalid("seed", "a hex number is wanted"))
         });
-        let known = known.ok_or_else(|| top.wrong("known", "missing")).and_then(|text| {
+        let known = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
             EndpointList::read(text.get().as_bytes())
-                .map_err(|_| top.wrong("known", "a list of backends is wanted"))
+                .map_err(|_| top.invalid("known", "a list of backends is wanted"))
         });
         Ok(Config {
             name: top.get("name").ok().and_then(|name| name.as_str()).unwrap_or_default().to_string(),
@@ -152,11 +152,11 @@
                 discovery: address("discovery")?,
                 counter: if settings.counter { Some(address("counter")?) } else { None },
             },
-            seed: top.or(seed, 0)?,
-            sockets: top.section("limits")?.whole("sockets")? as usize,
-            memory_mb: top.section("limits")?.whole("memory_mb")? as usize,
-            known: top.or(known, EndpointList::empty())?,
-            terms: Terms { names: settings::names(&told)?, settings },
+            seed: top.recover(seed, 0)?,
+            sockets: top.section("limits")?.integer("sockets")? as usize,
+            memory_mb: top.section("limits")?.integer("memory_mb")? as usize,
+            known: top.recover(known, EndpointList::empty())?,
+            terms: Terms { names: settings::read_names(&told)?, settings },
             told: Value::Null,
         })
     }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use slatelock::interface::Outcome;
+use gateway_policy::interface::Outcome;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -85,7 +85,7 @@
         match (written, self.activity.silence(index, made).is_alone(self.timeout)) {
             (true, true) => Outcome::Reset,
             (true, false) => Outcome::Timeout,
-            (false, true) => Outcome::Moot,
+            (false, true) => Outcome::NotSent,
             (false, false) => Outcome::ConnectFailed,
         }
     }
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -68,5 +68,5 @@
     heard.write_all(b"ok 1\r\n").await.expect("it reads");
     assert_eq!(outcomes.recv().await.map(|c| (c.number, c.outcome)), Some((3, Outcome::Ok)));
     assert_eq!(counter.overdue(1, 0, made), Outcome::Reset);
-    assert_eq!(counter.overdue(2, 0, made), Outcome::Moot);
+    assert_eq!(counter.overdue(2, 0, made), Outcome::NotSent);
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechrudder_coldstart::Calendar;
-use beechrudder_pacing::Pauses;
-use slatelock::interface::ListScope;
+use backoff::Backoff;
+use cold_start::SlotSchedule;
+use gateway_policy::interface::UpdateScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -43,7 +43,7 @@
 /// An update of the endpoint list.
 #[derive(Debug)]
 pub struct EndpointUpdate {
-    pub scope: ListScope,
+    pub scope: UpdateScope,
     pub endpoints: Vec<Endpoint>,
     /// Backends whose lines could not be read: what is known of them stays.
     pub unread: Vec<String>,
@@ -52,7 +52,7 @@
 impl EndpointUpdate {
     /// The text of an answer that is this whole list, with its version.
     fn text(&self, index: u64) -> Option<(u64, String)> {
-        (self.scope == ListScope::Full).then(|| (index, EndpointList::text(index, &self.endpoints)))
+        (self.scope == UpdateScope::Full).then(|| (index, EndpointList::text(index, &self.endpoints)))
     }
 }
 
@@ -68,7 +68,7 @@
     /// This gateway's own, for its pauses.
     pub seed: u64,
     /// Its slots, where the fleet's operators share out the calls; none: it goes by pauses alone.
-    pub slots: Option<(Calendar, Clock)>,
+    pub slots: Option<(SlotSchedule, Clock)>,
 }
 
 /// Follows the list for good and tells the event loop of it. `order`: whom it asks for a turn when it starts,
@@ -83,8 +83,8 @@
         return slots::follow(agent, known.index, calendar, clock, order, inbox).await;
     }
     let FollowOptions { mut index, gateways, stop_within, seed, .. } = known;
-    let mut pauses = Pauses::new(BACKOFF_MIN, BACKOFF_MAX, CALL_SHARE, BACKOFF_LIMIT, gateways, seed);
-    sleep(pauses.start(CALL_SHARE, stop_within.mul_f64(START_FRACTION), gateways)).await;
+    let mut pauses = Backoff::new(BACKOFF_MIN, BACKOFF_MAX, CALL_SHARE, BACKOFF_LIMIT, gateways, seed);
+    sleep(pauses.initial_delay(CALL_SHARE, stop_within.mul_f64(START_FRACTION), gateways)).await;
     let (mut unreadable, mut silent) = (false, false);
     let soon = stop_within.mul_f64(START_FRACTION);
     loop {
@@ -112,17 +112,18 @@
             SessionEnd::Lost { heard } | SessionEnd::Silent { heard } => {
                 index = None;
                 if heard {
-                    pauses.answered();
+                    pauses.reset();
                 }
             }
             // A discovery that is too busy for this call is not asked for the whole list in its place.
             SessionEnd::Rejected { heard } => {
                 if heard {
-                    pauses.answered();
+                    pauses.reset();
                 }
             }
         }
-        sleep(if silent { pauses.start(CALL_SHARE, soon, gateways) } else { pauses.failed() }).await;
+        sleep(if silent { pauses.initial_delay(CALL_SHARE, soon, gateways) } else { pauses.next_delay() })
+            .await;
     }
 }
 
@@ -180,7 +181,7 @@
         }
         let changed = *index != Some(list.index);
         *index = Some(list.index);
-        let scope = if list.snapshot { ListScope::Full } else { ListScope::Delta };
+        let scope = if list.snapshot { UpdateScope::Full } else { UpdateScope::Delta };
         let unread = list.unread_names();
         if inbox.send(EndpointUpdate { scope, endpoints: list.endpoints, unread }.into()).await.is_err() {
             return SessionEnd::Lost { heard };
--- a/crates/gateway/src/discovery/start_order.rs
+++ b/crates/gateway/src/discovery/start_order.rs
@@ -6,7 +6,7 @@
 use beechrudder_channel::{ConnectError, Dialer, LineError};
 use beechrudder_coldstart::Came;
 use beechrudder_fleet::wire::{
-    Ask, Fault, FirstCall, FirstCame, Numbered, Say, Starting, LINE_MOST, START_LIST_MOST,
+    Ask, Fault, FirstCall, FirstCame, Numbered, Say, Starting, MAX_LINE_BYTES, MAX_START_LIST_BYTES,
 };
 use beechrudder_fleet::Name;
 use beechrudder_operator::Address;
@@ -100,7 +100,7 @@
         Came::Silent => FirstCame::Silent,
         Came::Older | Came::Broken => FirstCame::Failed,
     };
-    let list = fetched.filter(|(_, text)| text.len() <= START_LIST_MOST);
+    let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
     let call = FirstCall { came, took_ms: took.as_secs_f64() * 1_000.0, list };
     let StartOrder { name, incarnation: boot, .. } = order.clone();
     // Without it the agent goes by what others tell it.
@@ -141,7 +141,7 @@
 
 async fn request(order: &StartOrder, body: Ask) -> Result<Say, AgentError> {
     let responded = async {
-        let lines = order.dialer.connect(&order.agent, RESPONSE_TIMEOUT, LINE_MOST).await;
+        let lines = order.dialer.connect(&order.agent, RESPONSE_TIMEOUT, MAX_LINE_BYTES).await;
         let mut lines = lines.map_err(AgentError::Connect)?;
         lines.send(&Numbered { n: 1, body }).await.map_err(AgentError::Line)?;
         match lines.next::<Numbered<Say>>().await.map_err(AgentError::Line)? {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -10,9 +10,9 @@
 use std::fmt;
 use std::net::SocketAddr;
 
+use gateway_policy::interface::EndpointState;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use slatelock::interface::Readiness;
 
 /// The list of backends or a part of it.
 #[derive(Clone, Debug)]
@@ -53,12 +53,12 @@
     Deleted,
 }
 
-impl From<Status> for Readiness {
+impl From<Status> for EndpointState {
     fn from(status: Status) -> Self {
         match status {
-            Status::Serving => Readiness::Ready,
-            Status::Draining => Readiness::Draining,
-            Status::Deleted => Readiness::Gone,
+            Status::Serving => EndpointState::Ready,
+            Status::Draining => EndpointState::Draining,
+            Status::Deleted => EndpointState::Removed,
         }
     }
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -4,10 +4,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-use beechrudder_channel::{BindError, TlsError};
-use beechrudder_fleet::BadName;
-use beechrudder_operator::BadFile;
-use slatelock::interface::SettingsError;
+use fleet::InvalidName;
+use gateway_policy::interface::SettingsError;
+use operator_config::OperatorConfigError;
+use transport::{BindError, TlsError};
 
 use crate::config::ConfigError;
 use crate::server::SocketError;
@@ -18,7 +18,7 @@
     /// `GW_CONFIG` names no configuration.
     ConfigUnset,
     /// The operator's file can't be used.
-    Operator(BadFile),
+    Operator(OperatorConfigError),
     /// The configuration can't be used.
     Config(ConfigError),
     /// The decisions do not accept the settings.
@@ -54,7 +54,7 @@
         /// What the name is needed for.
         purpose: &'static str,
         /// What is wrong with it.
-        source: BadName,
+        source: InvalidName,
     },
 }
 
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_coldstart::Allowance;
-use slatelock::interface::{Action, Event, Outcome, Request};
-use slatelock::settings::Names;
-use slatelock::terms::Terms;
-use slatelock::Gateway;
+use cold_start::CallBudget;
+use gateway_policy::interface::{Action, Event, Outcome, Request};
+use gateway_policy::reload::Terms;
+use gateway_policy::settings::SettingNames;
+use gateway_policy::Gateway;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::interval;
 use tokio_util::time::delay_queue::Expired;
@@ -63,14 +63,14 @@
     /// First connections to backends in slots; none: as requests need them.
     pub ramp: Option<ConnectionRamp>,
     /// Bounds calls to the counter after the start; none: all may be made.
-    pub counter_budget: Option<Allowance>,
+    pub counter_budget: Option<CallBudget>,
 }
 
 /// The event loop and all it owns.
 pub struct EventLoop {
     policy: Gateway,
     clock: Clock,
-    names: Names,
+    names: SettingNames,
     load_fields: Arc<[String]>,
     terms: watch::Sender<Arc<Terms>>,
     /// Since when the class at an index is dropped, Unix time in ms.
@@ -200,7 +200,7 @@
             Input::EndpointUpdate(EndpointUpdate { scope, endpoints, unread }) => {
                 self.update_endpoints(scope, endpoints, &unread)
             }
-            Input::TimerExpired(Due::Policy(token)) => self.handle(Event::Timer { token }),
+            Input::TimerExpired(Due::Policy(token)) => self.handle(Event::TimerExpired { token }),
             Input::TimerExpired(Due::Call(number)) => self.counter_call_timed_out(number),
             Input::TimerExpired(Due::Ramp) => self.ramp_due(),
             Input::AdminRequest { request, reply } => {
@@ -223,21 +223,23 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, backend, begin_by_ms } => self.send(id, backend, begin_by_ms),
-            Action::Cancel { id, attempt } => self.cancel(AttemptKey { request: id, number: attempt }),
-            Action::Refuse { id, retry_after_ms } => {
+            Action::SendAttempt { id, backend, write_deadline_ms } => {
+                self.send(id, backend, write_deadline_ms)
+            }
+            Action::CancelAttempt { id, attempt } => self.cancel(AttemptKey { request: id, number: attempt }),
+            Action::Reject { id, retry_after_ms } => {
                 // Rounded down it would be too early.
                 let after = retry_after_ms.map(|ms| ms.ceil().max(1.0) as u64);
                 self.answer(id, Answer::Rejected(after));
             }
-            Action::Surrender { id } => self.answer(id, Answer::Failed),
+            Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Probe { backend } => self.probe(backend, Purpose::Health),
-            Action::Count { name, amount, forget_after_ms } => {
-                self.count(&NewCall { name, amount, forget_after_ms });
+            Action::IncrementCounter { key, amount, ttl_ms } => {
+                self.count(&NewCall { key, amount, ttl_ms });
             }
-            Action::Timer { token, at_ms } => self.set_policy_timer(token, at_ms),
+            Action::ScheduleTimer { token, at_ms } => self.set_policy_timer(token, at_ms),
             // Gateways have no way to talk to each other here, and discovery is always watched.
-            Action::Tell { .. } | Action::Watch => {}
+            Action::BroadcastToPeers { .. } | Action::PollEndpoints => {}
         }
     }
 
@@ -262,8 +264,8 @@
             plan: call.plan,
             class: call.class,
             units: call.units,
-            width: call.width,
-            expires_ms,
+            fan_out: call.width,
+            deadline_ms,
             retry: call.retry,
         };
         match self.requests.admit(id, call, expires_ms, reply) {
@@ -275,7 +277,7 @@
 
     fn client_disconnected(&mut self, id: u64) {
         if self.requests.take_reply(id).is_some() {
-            self.handle(Event::ClientGone { id });
+            self.handle(Event::ClientDisconnected { id });
             self.release(id);
         }
     }
@@ -301,7 +303,7 @@
         self.answer_by_ms = f64::MIN;
         for id in self.requests.ids() {
             self.answer(id, Answer::Failed);
-            self.handle(Event::ClientGone { id });
+            self.handle(Event::ClientDisconnected { id });
         }
     }
 
@@ -313,13 +315,13 @@
 
     fn counted(&mut self, Counted { number, outcome, total }: Counted) {
         if let Some(name) = self.counter_calls.settle(number, &mut self.timers) {
-            self.handle(Event::Counted { name, outcome, total });
+            self.handle(Event::CounterReplied { key, outcome, total });
         }
     }
 
     fn counter_call_timed_out(&mut self, number: u64) {
         if let Some((name, outcome)) = self.counter_calls.time_out(number) {
-            self.handle(Event::Counted { name, outcome, total: 0.0 });
+            self.handle(Event::CounterReplied { key, outcome, total: 0.0 });
         }
     }
 
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechrudder_fleet::wire::{GatewayAsk, GatewaySay};
+use fleet::wire::{GatewayRequest, GatewayResponse};
 use tokio::sync::oneshot;
 
 use crate::counter::{Counted, Counter};
@@ -47,7 +47,7 @@
     /// A timer has expired.
     TimerExpired(Due),
     /// A request of an operator or the agent at the admin listener.
-    AdminRequest { request: GatewayAsk, reply: oneshot::Sender<GatewaySay> },
+    AdminRequest { request: GatewayRequest, reply: oneshot::Sender<GatewayResponse> },
     /// The gateway is told to end: what comes from now on has to be answered by then, Unix time in ms.
     ShuttingDown { answer_by_ms: f64 },
     /// The gateway is about to end: what is still open fails now, and what comes is rejected.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //!  clients ──┤                         ┌── backends   pools, exchanges
 //!  discovery ┼─ Input ─▶ driver ─ Action ┼── counter    calls
 //!  counter ──┘            │            └── clients    the one final answer
-//!                 slatelock::Gateway
+//!                 gateway_policy::Gateway
 //! ```
 //!
 //! One thread. Tasks on sockets send an `Input` each; the driver owns the decisions and carries out their
@@ -31,7 +31,7 @@
 
 use std::path::{Path, PathBuf};
 
-use beechrudder_operator::Operator;
+use operator_config::OperatorConfig;
 
 use config::Config;
 use error::StartError;
@@ -49,7 +49,7 @@
 fn start(operator: Option<&Path>) -> Result<(), StartError> {
     // Fails only where a log is set up already.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-    let operator = operator.map(Operator::read).transpose().map_err(StartError::Operator)?;
+    let operator = operator.map(OperatorConfig::read).transpose().map_err(StartError::Operator)?;
     let path = PathBuf::from(std::env::var_os("GW_CONFIG").ok_or(StartError::ConfigUnset)?);
     let config = Config::read(&path).map_err(StartError::Config)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -60,6 +60,6 @@
 /// All that is wrong with a configuration's text, each with the key at fault, as in
 /// `configuration.settings.profiles[1].aim-ms`. Nothing is wrong with an empty answer.
 #[must_use]
-pub fn check(text: &[u8]) -> Vec<slatelock::interface::SettingsError> {
+pub fn check(text: &[u8]) -> Vec<gateway_policy::interface::SettingsError> {
     Config::wrong(text)
 }
--- a/crates/gateway/src/maintenance/command.rs
+++ b/crates/gateway/src/maintenance/command.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-use beechrudder_maintenance::{BadCall, Call, Refused, LINE_MOST};
+use beechrudder_maintenance::{BadCall, Call, Refused, MAX_LINE_BYTES};
 use tokio::sync::oneshot;
 
 use super::state_directory::StateError;
@@ -49,7 +49,7 @@
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CommandError::LineTooLong => write!(f, "a line of more than {LINE_MOST} bytes"),
+            CommandError::LineTooLong => write!(f, "a line of more than {MAX_LINE_BYTES} bytes"),
             CommandError::LineCut => f.write_str("the line has no end"),
             CommandError::Malformed(e) => e.fmt(f),
             CommandError::Starting => f.write_str("starting"),
--- a/crates/gateway/src/maintenance/listener.rs
+++ b/crates/gateway/src/maintenance/listener.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_maintenance::{Call, LINE_MOST};
+use beechrudder_maintenance::{Call, MAX_LINE_BYTES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit, Semaphore};
@@ -142,7 +142,7 @@
         let read = &chunk[..n];
         let end = read.iter().position(|b| *b == b'\n');
         line.extend_from_slice(&read[..end.unwrap_or(n)]);
-        if line.len() > LINE_MOST {
+        if line.len() > MAX_LINE_BYTES {
             return Err(Unread::TooLong);
         }
         if end.is_some() {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -9,13 +9,13 @@
 
 use std::path::PathBuf;
 
-use beechrudder_channel::Dialer;
-use beechrudder_operator::{Admin, Operator};
+use operator_config::{AdminConfig, OperatorConfig};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
+use transport::Connector;
 
 use crate::admin;
 use crate::config::Config;
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// A [`StartError`]; once it listens for clients there is none.
-pub async fn serve(config: Config, config_path: PathBuf, operator: Operator) -> Result<(), StartError> {
+pub async fn serve(config: Config, config_path: PathBuf, operator: OperatorConfig) -> Result<(), StartError> {
     let mut terminate = listen_for(SignalKind::terminate(), "SIGTERM")?;
     let hangup = listen_for(SignalKind::hangup(), "SIGHUP")?;
     let Parts { mut event_loop, mut inputs, control, readiness, reload, client_side, shutdown } =
@@ -74,13 +74,13 @@
 }
 
 /// Opens the admin listener, and registers the gateway with the agent if one is named.
-async fn open_admin(admin: Admin, name: &str, inbox: mpsc::Sender<Input>) -> Result<(), StartError> {
+async fn open_admin(admin: AdminConfig, name: &str, inbox: mpsc::Sender<Input>) -> Result<(), StartError> {
     let listener = admin::listen(&admin, name).await.map_err(StartError::AdminBind)?;
     let address = listener.address().map_err(StartError::AdminAddress)?;
     println!("admin on {address}");
     if let Some(agent) = admin.agent {
         let name = name.parse().map_err(|source| StartError::Name { purpose: "to register", source })?;
-        let dialer = Dialer::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
+        let dialer = Connector::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
         tokio::spawn(admin::register(agent, name, address, dialer));
     }
     tokio::spawn(admin::serve(listener, inbox));
--- a/crates/gateway/tests/pins_configuration.rs
+++ b/crates/gateway/tests/pins_configuration.rs
@@ -48,7 +48,7 @@
 /// All that is wrong, as the check of a configuration tells it.
 fn wrong(text: &str) -> String {
     let all: Vec<String> =
-        slatelock_gateway::check(text.as_bytes()).iter().map(ToString::to_string).collect();
+        admission_gateway::check(text.as_bytes()).iter().map(ToString::to_string).collect();
     if all.is_empty() {
         "nothing".to_string()
     } else {
--- a/crates/slatelock/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,6 +1,8 @@
 //! Who is let in: quota, ceiling, room, and how pressed the fleet is.
 
-use super::{Gateway, CALL_LEAST, COUNT_WAIT, FEW, KEEP, LEAST_BEARABLE, PRIOR, UNSEEN_WEIGHT};
+use super::{
+    Policy, COUNT_WAIT, FEW, KEEP, MIN_BEARABLE_SLOWNESS, MIN_CALL_PROBABILITY, PRIOR, UNSEEN_WEIGHT,
+};
 use crate::interface::{Action, Request};
 use crate::state::{roll, Ratio};
 use crate::store::Customer;
@@ -10,31 +12,32 @@
 /// Demand, as a part of the rate, up to which a customer needs no call while the counter is crowded.
 const CALM_DEMAND: f64 = 0.5;
 /// How cheap a request beyond the quota is at the most: 1 and this much less than its worth.
-const CHEAP_MOST: f64 = 1.15;
+const MAX_CHEAPNESS: f64 = 1.15;
 /// Least chance of a call for a calm customer while the counter is well, so that totals tell of it.
-const CALM_LEAST: f64 = 0.2;
+const MIN_CALM_CALL_PROBABILITY: f64 = 0.2;
 /// Times its own charge that a call tells for requests without one, at most.
-const BESIDE_MOST: f64 = 2.0;
+const MAX_EXTRA_REPORT_MULTIPLE: f64 = 2.0;
 /// Part of a class's aim that waiting for the counter may take.
 const COUNT_WAIT_PART: f64 = 0.125;
 /// Part of the requests that is refused for want of room when refusing is no cure.
-const MOSTLY: f64 = 0.75;
+const MOSTLY_REJECTED: f64 = 0.75;
 /// Answers in which the least slowness rises to the present one.
 const CALM_RISE: f64 = 4000.0;
 
-impl Gateway {
+impl Policy {
     /// Decides on a request that just came: quota, ceiling, room; then sends, calls or refuses.
     pub(super) fn admit(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request.clone();
         let (customer, units) = (request.customer, request.units);
-        let width = if request.width >= 1.0 { request.width } else { f64::from(self.settings.gateways) };
-        let prior = self.settings.max_units.max(1.0);
+        let width =
+            if request.fan_out >= 1.0 { request.fan_out } else { f64::from(self.settings.gateway_count) };
+        let prior = self.settings.max_request_units.max(1.0);
         if self.customers.get(customer).is_none() {
             let plan = self.settings.plans.get(request.plan).cloned().unwrap_or_default();
-            let mut new = Customer::new(customer, plan, width, now, self.born, self.settings.counter);
+            let mut new = Customer::new(customer, plan, width, now, self.born, self.settings.shared_counter);
             // Danger: charges of a crowd of newcomers that no total holds, so that none could be forgotten.
             // They are told at once. Harm: each waits for the counter, as far as calls have a chance.
-            new.local = if self.customers.filled() > PRESSED { 0.0 } else { new.local };
+            new.local = if self.customers.fill_ratio() > PRESSED { 0.0 } else { new.local };
             new.shared_by(self.processes);
             if self.customers.insert(now, customer, new).is_err() {
                 return self.give_up(now, id, actions);
@@ -42,8 +45,9 @@
         }
         let c = self.customers.get_mut(customer).expect("just put there");
         c.refill(now);
-        let cap = (f64::from(c.plan.open) * c.share(prior).max(1.0 / c.width) / c.processes).max(1.0);
-        let over_open = c.plan.open > 0 && f64::from(c.open) + 1.0 > cap;
+        let cap =
+            (f64::from(c.plan.max_in_flight) * c.share(prior).max(1.0 / c.width) / c.processes).max(1.0);
+        let over_open = c.plan.max_in_flight > 0 && f64::from(c.open) + 1.0 > cap;
         let scarce = c.plan.ceiling_rate > 0.0 && c.ceiling < units;
         let over_ceiling = scarce && !c.totals_keep;
         // Danger: what is only assumed of others refuses, so that no call is made that would tell better.
@@ -75,20 +79,24 @@
         // Of these the first are of plans whose requests cost least beyond the quota. Danger: an order that
         // leaves all calls where all cost the same, so that a lower chance lessens none. It is relative to
         // the requests that come: on the whole calls fall as fast as if there was no order.
-        let cheap = CHEAP_MOST - c.plan.over_cost.min(1.0);
+        let cheap = MAX_CHEAPNESS - c.plan.over_quota_penalty.min(1.0);
         self.cheap.add(cheap, 1.0, KEEP.1);
         let first = cheap / self.cheap.with_prior(cheap, f64::MIN_POSITIVE);
-        let (room, less, least) = if calm { (1.0, 2.0 * first, CALM_LEAST) } else { (2.0, 2.0, CALL_LEAST) };
+        let (room, less, least) = if calm {
+            (1.0, 2.0 * first, MIN_CALM_CALL_PROBABILITY)
+        } else {
+            (2.0, 2.0, MIN_CALL_PROBABILITY)
+        };
         let chance = (room - (1.0 - self.call_chance) * less).clamp(least.min(self.call_chance), 1.0);
         let kept = c.kept_part(self.mean_units.with_prior(1.0, f64::MIN_POSITIVE));
-        if !self.settings.counter || roll(&mut self.rng) >= chance {
+        if !self.settings.shared_counter || roll(&mut self.rng) >= chance {
             // Danger: what was never charged, given back.
             let passes = self.call_chance >= 1.0 || roll(&mut self.rng) * demand < 1.0;
-            if doubtful || !(passes || self.settings.counter && calm) {
+            if doubtful || !(passes || self.settings.shared_counter && calm) {
                 return self.give_up(now, id, actions);
             }
             held.charge = units;
-            if self.settings.counter && calm {
+            if self.settings.shared_counter && calm {
                 c.spend(units);
                 held.beside = (kept - 1.0) * units;
                 c.unreported += held.beside;
@@ -99,12 +107,12 @@
         c.roll(now);
         c.spend(units);
         (held.charge, held.counting) = (units, true);
-        held.beside = units * (1.0 - kept) * (1.0 / chance - 1.0).min(BESIDE_MOST);
+        held.beside = units * (1.0 - kept) * (1.0 / chance - 1.0).min(MAX_EXTRA_REPORT_MULTIPLE);
         let beside = held.beside;
         self.call(now, id, customer, (0.0, beside), actions);
         let longest = self.settings.counter_timeout_ms;
-        let wait = (self.settings.classes[request.class].aim_ms * COUNT_WAIT_PART).min(longest);
-        actions.push(Action::Timer { token: id << 2 | COUNT_WAIT, at_ms: now + wait });
+        let wait = (self.settings.classes[request.class].latency_objective_ms * COUNT_WAIT_PART).min(longest);
+        actions.push(Action::ScheduleTimer { token: id << 2 | COUNT_WAIT, at_ms: now + wait });
     }
 
     /// Danger: queues no answer comes out of in time (the design's store does not see them), or load
@@ -114,7 +122,7 @@
         let some = self.choose(now, id).filter(|(_, slow)| *slow <= self.fleet.bearable);
         let pressure = self.pressure(now);
         // Danger: clients with little time left. What is not expected to be done by then is not begun.
-        let Request { class, units, expires_ms, .. } = self.requests[&id].request;
+        let Request { class, units, deadline_ms: expires_ms, .. } = self.requests[&id].request;
         let in_time = self.work(class, units) * self.fleet.calm * pressure <= expires_ms - now;
         let room = some.filter(|_| in_time && pressure <= self.fleet.bearable);
         self.fleet.refused += (1.0 - KEEP.1) * (f64::from(u8::from(room.is_none())) - self.fleet.refused);
@@ -128,7 +136,7 @@
         let keep = (-(now - f.at) / self.longest.0).exp().max(f64::EPSILON);
         let prior = f.mean_work * PRIOR / keep;
         // What is usually out counts as well where the gateway is one of many, and sees little else.
-        let few = (FEW / f64::from(self.settings.gateways)).min(1.0);
+        let few = (FEW / f64::from(self.settings.gateway_count)).min(1.0);
         // Danger: a gateway that begins knows no usual load, and takes its first requests for a jam. Until it
         // has some answers, what is out is usual for as long as it may take.
         let unseen = (1.0 - f.answers / UNSEEN_WEIGHT).max(0.0);
@@ -138,7 +146,7 @@
         let time = Ratio { seen: time, ..f.lately };
         let queueing = time.with_prior(f.calm, prior) / f.calm - 1.0;
         // What this gateway has out tells of the whole as far as the others are few.
-        let others = f64::from(self.settings.gateways);
+        let others = f64::from(self.settings.gateway_count);
         1.0 + queueing * (f.out + others) / (or_now(f.out_mean, f.out) + others)
     }
 
@@ -176,7 +184,8 @@
         let fleet = self.fleet.slowness();
         // Danger: an idle fleet slower than was assumed. Where most is refused and it is still slow, it is.
         let f = &self.fleet;
-        let rise = if f.refused > MOSTLY && f.calm < LEAST_BEARABLE { 10.0 } else { 1.0 } / CALM_RISE;
+        let rise = if f.refused > MOSTLY_REJECTED && f.calm < MIN_BEARABLE_SLOWNESS { 10.0 } else { 1.0 }
+            / CALM_RISE;
         let pace = if fleet < f.calm { 1.0 - KEEP.0 } else { rise };
         self.fleet.calm += pace * (fleet - self.fleet.calm);
     }
--- a/crates/slatelock/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -2,21 +2,24 @@
 
 mod support;
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
+use gateway_policy::Policy;
 use support::*;
 
 const MOST: usize = 500;
+/// Bytes that a customer takes in all tables.
+const RECORD_BYTES: usize = 273;
 
 fn rig(counter: bool) -> Rig {
     let mut settings = settings();
-    (settings.customers, settings.counter) = (MOST, counter);
+    (settings.max_customers, settings.shared_counter) = (MOST, counter);
     Rig::new(settings, 4)
 }
 
 /// One request, served at once if it is sent; a counter that works answers at once as well. Gives whether it
 /// was served.
 fn one(rig: &mut Rig, counter: &mut Counter, id: u64, customer: u64, plan: usize, units: f64) -> bool {
-    let asked = Request { customer, expires_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
+    let asked = Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
     let actions = counter.ask(rig, asked);
     let to = sent_to(&actions);
     to.into_iter().for_each(|to| drop(rig.end(id, 0, to, Outcome::Ok)));
@@ -30,9 +33,9 @@
         rig.now += 1.0 / 26.0;
         // Within the local part, which no total holds; a gateway that is pressed for records tells it.
         served += u32::from(one(&mut rig, &mut counter, id, 1_000 + id, 0, 0.5));
-        assert!(rig.gateway.customers() <= MOST, "{} stores", rig.gateway.customers());
+        assert!(rig.gateway.customer_count() <= MOST, "{} stores", rig.gateway.customer_count());
     }
-    let (forgotten, units) = rig.gateway.forgotten();
+    let (forgotten, units) = rig.gateway.evictions();
     // Each lacked what it had, and no more.
     assert!(served > 45_000 && forgotten > 40_000, "{served} served, {forgotten} forgotten");
     assert!(units <= forgotten as f64 * 0.501, "{units} units for {forgotten}");
@@ -50,7 +53,7 @@
     for id in 1_000..11_000 {
         one(&mut rig, &mut counter, id, id, 0, 1.0);
     }
-    assert!(rig.gateway.forgotten().0 > 5_000);
+    assert!(rig.gateway.evictions().0 > 5_000);
     let passed = (20_000..20_100).filter(|id| one(&mut rig, &mut counter, *id, 7, 1, 1.0)).count();
     assert!(passed <= 2, "{passed} pass beyond a ceiling that was forgotten");
 }
@@ -64,7 +67,7 @@
             kept.push(id);
         }
     }
-    assert_eq!((kept.len(), rig.gateway.customers(), rig.gateway.forgotten().0), (MOST, MOST, 0));
+    assert_eq!((kept.len(), rig.gateway.customer_count(), rig.gateway.evictions().0), (MOST, MOST, 0));
     // As their stores fill, room comes back.
     rig.now += 20_000.0;
     let served = (10_000..12_000).filter(|id| one(&mut rig, &mut counter, *id, *id, 0, 1.0)).count();
@@ -83,3 +86,16 @@
     let again = (7_000..7_040).filter(|id| one(&mut rig, &mut counter, *id, 7, 0, 1.0)).count();
     assert!(again <= spent, "{again} after {spent}");
 }
+
+/// The bound that a gateway sets by its memory: a number that operators read, and that follows from the bytes
+/// of one record.
+#[test]
+fn memory_for_customers_is_counted_by_the_bytes_of_a_record() {
+    assert_eq!(Policy::customers_fitting(0), 1);
+    for doubled in [1 << 4, 1 << 12, 1 << 20] {
+        // Half of what a table holds once it has doubled, and the room for both while it does.
+        let just_fits = RECORD_BYTES * doubled * 3 / 2;
+        assert_eq!(Policy::customers_fitting(just_fits), doubled * 7 / 8, "{doubled}");
+        assert_eq!(Policy::customers_fitting(just_fits - 1), doubled / 2 * 7 / 8, "{doubled}");
+    }
+}
--- a/crates/testbed/tests/figures.rs
+++ b/crates/testbed/tests/figures.rs
@@ -1,8 +1,8 @@
 //! The figures of the rules come from the settings: those of two deployments and of a third that is
 //! neither, in simulated time through the same code. And the troubles of a small fleet on its weakest days.
 
-use beechrudder_testbed::rig::{run, Report, Shape, Trouble, What, Who};
-use slatelock::interface::SlowStart;
+use gateway_policy::interface::SlowStart;
+use testbed::rig::{run, Report, Shape, Trouble, What, Who};
 
 /// What a deployment states of its rules and requests.
 struct Figures {
@@ -17,7 +17,12 @@
 }
 
 fn slow_start(start_capacity: f64, warm_up_ms: f64, tip_multiple: f64, overload_for_ms: f64) -> SlowStart {
-    SlowStart { start_capacity, warm_up_ms, tip_multiple, overload_for_ms }
+    SlowStart {
+        initial_capacity: start_capacity,
+        warm_up_ms,
+        overload_multiple: tip_multiple,
+        overload_window_ms: overload_for_ms,
+    }
 }
 
 fn deployments() -> [Figures; 3] {
