--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use fleet::wire::{
-    Ask, Envelope, ErrorCode, Fault, GatewayRequest, GatewayResponse, ToolResponse, MAX_LINE_BYTES,
+    Envelope, ErrorCode, ErrorResponse, GatewayRequest, GatewayResponse, ToolRequest, ToolResponse,
+    MAX_LINE_BYTES,
 };
 use fleet::Name;
 use operator_config::{Address, AdminConfig};
@@ -16,7 +17,7 @@
 use crate::input::Input;
 
 /// Connections at once: they take their descriptors from those that are kept for the runtime.
-const CONNECTIONS_MAX: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 /// How long a connection may say nothing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long a response may take to be written.
@@ -37,7 +38,7 @@
 
 /// Accepts connections until the task ends. Each asks one thing after the other.
 pub async fn serve(listener: Listener, inbox: mpsc::Sender<Input>) {
-    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         // Connections beyond the permits wait in the listener's line until others close.
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
@@ -62,7 +63,7 @@
 enum RegisterError {
     Connect(ConnectError),
     Line(JsonLinesError),
-    Rejected(Fault),
+    Rejected(ErrorResponse),
     Unexpected,
     Closed,
     TimedOut,
@@ -118,7 +119,7 @@
 ) -> Result<(), RegisterError> {
     let connected = dialer.connect(agent, REGISTER_TIMEOUT, MAX_LINE_BYTES).await;
     let mut lines = connected.map_err(RegisterError::Connect)?;
-    let body = Ask::Register { name: name.clone(), address: admin.to_string() };
+    let body = ToolRequest::Register { name: name.clone(), address: admin.to_string() };
     lines.send(&Envelope { request_id: 1, body }).await.map_err(RegisterError::Line)?;
     match lines.next::<Envelope<ToolResponse>>().await.map_err(RegisterError::Line)? {
         Some(Envelope { body: ToolResponse::Done(_), .. }) => Ok(()),
@@ -137,7 +138,7 @@
 impl Response {
     fn fault(code: ErrorCode, message: String, last: bool) -> Response {
         Response {
-            line: Envelope { request_id: 0, body: GatewayResponse::Error(Fault::new(code, message)) },
+            line: Envelope { request_id: 0, body: GatewayResponse::Error(ErrorResponse::new(code, message)) },
             last,
         }
     }
@@ -158,8 +159,9 @@
         Ok(Ok(Some(Envelope { request_id, body: request }))) => {
             let (reply, response) = oneshot::channel();
             inbox.send(Input::AdminRequest { request, reply }).await.ok()?;
-            let ending =
-                || GatewayResponse::Error(Fault::new(ErrorCode::Unavailable, "the gateway is ending"));
+            let ending = || {
+                GatewayResponse::Error(ErrorResponse::new(ErrorCode::Unavailable, "the gateway is ending"))
+            };
             let body = response.await.unwrap_or_else(|_| ending());
             Some(Response { line: Envelope { request_id, body }, last: false })
         }
--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -6,9 +6,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use fleet::{DesiredState, Effect, Subject};
+use fleet::{DesiredState, EffectiveState, Subject};
 use gateway_policy::interface::{BackendEndpoint, EndpointState};
-use maintenance::Book;
+use maintenance::MaintenanceState;
 
 use crate::endpoint_list::{Endpoint, Status};
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Overrides<'a> {
     pub desired: &'a DesiredState,
-    pub book: &'a Book,
+    pub maintenance: &'a MaintenanceState,
 }
 
 /// A backend on the list.
@@ -28,7 +28,7 @@
     /// The last that discovery told.
     pub endpoint: Endpoint,
     /// What orders make of it.
-    pub effect: Effect,
+    pub effect: EffectiveState,
     /// Since when a command bans it, Unix time in ms.
     pub banned_ms: Option<f64>,
     /// When a command gave it back, Unix time in ms; 0 for never.
@@ -36,11 +36,17 @@
 }
 
 impl BackendRow {
+    /// Whether discovery says that it serves.
+    pub fn is_serving(&self) -> bool {
+        matches!(self.endpoint.status, Status::Serving)
+    }
+
     /// Looks anew at what operators want of it; tells whether that is something else.
     fn apply(&mut self, overrides: Overrides<'_>) -> bool {
         let e = &self.endpoint;
         let effect = overrides.desired.effective_state(&e.name, e.group, &e.kind);
-        let (banned, returned) = (overrides.book.banned_ms(&e.name), overrides.book.returned_ms(&e.name));
+        let (banned, returned) =
+            (overrides.maintenance.banned_ms(&e.name), overrides.maintenance.reenabled_ms(&e.name));
         // A return that is forgotten is one of a backend that is warm.
         let other = effect != self.effect || banned != self.banned_ms || returned > self.returned_ms;
         (self.effect, self.banned_ms) = (effect, banned);
@@ -68,7 +74,7 @@
         BackendTable { greatest: 1.0, ..BackendTable::default() }
     }
 
-    /// Takes a line of discovery's in, and gives the one that the policy are to have; `None` for a
+    /// Takes a line of discovery's in, and gives the one that the policy is to have; `None` for a
     /// backend that is gone and was not known.
     pub fn update(
         &mut self,
@@ -86,7 +92,7 @@
             None if matches!(endpoint.status, Status::Deleted) => return None,
             None => {
                 self.last += 1;
-                let (effect, number) = (Effect { drained_by: None, weight: 1.0 }, self.last);
+                let (effect, number) = (EffectiveState { drained_by: None, weight: 1.0 }, self.last);
                 let mut row = BackendRow { number, endpoint, effect, banned_ms: None, returned_ms: 0.0 };
                 row.apply(overrides);
                 self.rows.insert(name.clone(), Box::new(row));
@@ -95,7 +101,7 @@
         self.rows.get(&name).map(|row| self.entry(row, zones))
     }
 
-    /// What the policy have of a backend, with its address.
+    /// What the policy has of a backend, with its address.
     pub fn entry_of(&self, name: &str, zones: &[String]) -> Option<(BackendEndpoint, SocketAddr)> {
         self.rows.get(name).map(|row| (self.entry(row, zones), row.endpoint.address))
     }
@@ -117,7 +123,7 @@
         self.rows.contains_key(name)
     }
 
-    /// Works out anew what operators make of the list. Gives the lines that the policy are to have.
+    /// Works out anew what operators make of the list. Gives the lines that the policy is to have.
     pub fn apply_overrides(
         &mut self,
         overrides: Overrides<'_>,
--- a/crates/gateway/src/backend_table/tests.rs
+++ b/crates/gateway/src/backend_table/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use beechrudder_fleet::{Change, Order, Revision};
+use fleet::{Change, Order, Revision};
 
 fn endpoint(name: &str, status: Status) -> Endpoint {
     let address = "127.0.0.1:1".parse().expect("an address");
@@ -13,8 +13,8 @@
 }
 
 fn only(desired: &DesiredState) -> Overrides<'_> {
-    static NONE: std::sync::OnceLock<Book> = std::sync::OnceLock::new();
-    Overrides { desired, book: NONE.get_or_init(Book::default) }
+    static NONE: std::sync::OnceLock<MaintenanceState> = std::sync::OnceLock::new();
+    Overrides { desired, maintenance: NONE.get_or_init(MaintenanceState::default) }
 }
 
 fn state(table: &BackendTable, name: &str) -> EndpointState {
@@ -69,18 +69,22 @@
 }
 
 #[test]
-fn a_ban_holds_through_another_life_and_a_return_is_cold() {
-    let (mut table, desired, mut book) = (BackendTable::new(), DesiredState::default(), Book::default());
-    let call = |line: &str| beechrudder_maintenance::Call::read(line.as_bytes()).expect("a call");
+fn a_ban_outlasts_a_restart_and_a_reenabled_backend_warms_up() {
+    let (mut table, desired, mut maintenance) =
+        (BackendTable::new(), DesiredState::default(), MaintenanceState::default());
+    let call = |line: &str| maintenance::Command::read(line.as_bytes()).expect("a call");
     table.update(endpoint("a", Status::Serving), only(&desired), &[]);
-    book.carry_out(&call("DISABLE a"), true, 5.0).expect("it is listed");
-    assert_eq!(table.apply_overrides(Overrides { desired: &desired, book: &book }, &[]).len(), 1);
+    maintenance.execute(&call("DISABLE a"), true, 5.0).expect("it is listed");
+    assert_eq!(
+        table.apply_overrides(Overrides { desired: &desired, maintenance: &maintenance }, &[]).len(),
+        1
+    );
     assert_eq!(state(&table, "a"), EndpointState::Draining);
     let again = Endpoint { since_ms: 7.0, ..endpoint("a", Status::Serving) };
-    table.update(again, Overrides { desired: &desired, book: &book }, &[]);
+    table.update(again, Overrides { desired: &desired, maintenance: &maintenance }, &[]);
     assert_eq!(state(&table, "a"), EndpointState::Draining);
-    book.carry_out(&call("ENABLE a"), true, 9.0).expect("it is banned");
-    let changed = table.apply_overrides(Overrides { desired: &desired, book: &book }, &[]);
+    maintenance.execute(&call("ENABLE a"), true, 9.0).expect("it is banned");
+    let changed = table.apply_overrides(Overrides { desired: &desired, maintenance: &maintenance }, &[]);
     assert_eq!(changed[0].0.state, EndpointState::Ready);
-    assert_eq!((changed[0].0.started_ms, changed[0].0.cold_from_ms()), (7.0, 9.0));
+    assert_eq!((changed[0].0.started_ms, changed[0].0.slow_start_from_ms()), (7.0, 9.0));
 }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-use gateway_policy::reload::Terms;
+use gateway_policy::reload::ServiceSettings;
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Clients {
     /// What requests are read by.
-    pub terms: watch::Receiver<Arc<Terms>>,
+    pub service_settings: watch::Receiver<Arc<ServiceSettings>>,
     pub inbox: mpsc::Sender<Input>,
     /// The memory budget of requests and answers, bytes.
     pub memory: Arc<Semaphore>,
--- a/crates/gateway/src/client/admission.rs
+++ b/crates/gateway/src/client/admission.rs
@@ -17,7 +17,7 @@
 /// What [`Activity::idle_ms`] holds while a command is open or half read.
 const BUSY: u64 = u64::MAX;
 /// Bounds the time since a connection was opened, ms, so that it can be added to a moment.
-const IDLE_MAX_MS: u64 = 1 << 40;
+const MAX_IDLE_MS: u64 = 1 << 40;
 
 /// What the listener knows of a connection.
 #[derive(Debug)]
@@ -57,6 +57,7 @@
         self.commands.load(Ordering::Relaxed) > 0
     }
 
+    /// What the connection has been used for so far.
     pub fn usage(&self) -> Usage {
         Usage::of(self.commands.load(Ordering::Relaxed))
     }
@@ -75,7 +76,7 @@
     /// How long nothing has been open or half read; `None` while something is.
     fn idle_for(&self) -> Option<Duration> {
         let idle_ms = self.idle_ms.load(Ordering::Relaxed);
-        let since = self.opened + Duration::from_millis(idle_ms.min(IDLE_MAX_MS));
+        let since = self.opened + Duration::from_millis(idle_ms.min(MAX_IDLE_MS));
         (idle_ms != BUSY).then(|| since.elapsed())
     }
 }
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -16,7 +16,7 @@
 
 use super::admission::Activity;
 use super::idle_policy::Usage;
-use super::shutdown::{State, FIRST_COMMAND_MAX, IDLE_CLOSE_DELAY};
+use super::shutdown::{State, FIRST_COMMAND_TIMEOUT, IDLE_CLOSE_DELAY};
 use super::stream::{ended, forward, linger, write, Disconnected};
 use super::Clients;
 use crate::input::Input;
@@ -24,15 +24,15 @@
 use crate::streaming::StreamedValue;
 
 /// Commands that may wait for their answers; more are not parsed.
-const PIPELINE_MAX: usize = 32;
+const MAX_PIPELINED_COMMANDS: usize = 32;
 /// Bytes behind the commands that wait which are read all the same, so that the client's end shows.
-const READ_AHEAD_MAX: usize = 8 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
 /// How long a command that has begun may take to come whole; clients may take 2 s for a head.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a request may wait for room in the memory budget.
 const MEMORY_TIMEOUT: Duration = Duration::from_millis(250);
 /// Buffers larger than this are not kept, and answers beyond it wait for the next write.
-const BUFFER_MAX: usize = 16 * 1024;
+const MAX_KEPT_BUFFER_BYTES: usize = 16 * 1024;
 
 /// An answer that is owed, in the order of the commands.
 enum Pending {
@@ -71,6 +71,7 @@
 }
 
 impl Connection {
+    /// A connection that was admitted, and has done nothing yet.
     pub fn new(
         clients: Arc<Clients>,
         stream: TcpStream,
@@ -126,9 +127,9 @@
             self.state = State::Draining { since: Instant::now() };
         }
         let may_read = self.state.may_read();
-        let reading = may_read && self.pending.len() < PIPELINE_MAX;
+        let reading = may_read && self.pending.len() < MAX_PIPELINED_COMMANDS;
         // A client that sends many commands and goes must not stay unseen behind those that wait.
-        let reading_ahead = may_read && self.input.len() < READ_AHEAD_MAX;
+        let reading_ahead = may_read && self.input.len() < MAX_READ_AHEAD_BYTES;
         if self.track_activity(reading) {
             timer.as_mut().reset(Instant::now() + COMMAND_TIMEOUT);
         }
@@ -158,7 +159,7 @@
 
     /// Takes the whole commands off the input.
     async fn parse_commands(&mut self) -> Result<(), Disconnected> {
-        while self.state != State::Closing && self.pending.len() < PIPELINE_MAX {
+        while self.state != State::Closing && self.pending.len() < MAX_PIPELINED_COMMANDS {
             let frame = match resp::next_frame(&mut self.input) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
@@ -178,8 +179,8 @@
 
     /// Begins a command.
     async fn begin(&mut self, frame: BytesFrame) -> Result<Pending, Disconnected> {
-        let terms = Arc::clone(&self.clients.terms.borrow());
-        match Command::read(frame, &terms.settings, &terms.names) {
+        let service_settings = Arc::clone(&self.clients.service_settings.borrow());
+        match Command::read(frame, &service_settings.settings, &service_settings.names) {
             Ok(Command::Ping) if *self.clients.drained.borrow() => Ok(Pending::Ready(Answer::Drained)),
             Ok(Command::Ping) => Ok(Pending::Ready(Answer::Pong)),
             Ok(Command::Call(call)) => self.request(call).await,
@@ -229,7 +230,7 @@
     /// Appends the answers that are there to the output. Of a streamed value, the last that is appended, the
     /// head alone.
     fn encode_answers(&mut self) -> Option<StreamedValue> {
-        while self.output.len() < BUFFER_MAX {
+        while self.output.len() < MAX_KEPT_BUFFER_BYTES {
             let answer = match self.pending.pop_front()? {
                 Pending::Ready(answer) => answer,
                 Pending::Later { id, mut answer } => match answer.try_recv() {
@@ -270,14 +271,14 @@
     /// Whether it is to close and may: it owes nothing, and whoever opened it had time for a command, and has
     /// just had an answer or time for one more.
     fn may_close(&self, just_answered: bool) -> bool {
-        let fresh = !self.activity.has_commands() && self.activity.opened().elapsed() < FIRST_COMMAND_MAX;
+        let fresh = !self.activity.has_commands() && self.activity.opened().elapsed() < FIRST_COMMAND_TIMEOUT;
         self.idle_since.is_some() && !fresh && self.state.may_close_idle(just_answered)
     }
 
     /// When the present activity has lasted too long, if it is one that may.
     fn activity_deadline(&self) -> Option<Instant> {
         let idle_max = self.activity.usage().idle_max();
-        let idle_max = if self.state.is_draining() { idle_max.min(FIRST_COMMAND_MAX) } else { idle_max };
+        let idle_max = if self.state.is_draining() { idle_max.min(FIRST_COMMAND_TIMEOUT) } else { idle_max };
         let idle = self.idle_since.map(|since| since + idle_max);
         idle.or(self.command_since.map(|since| since + COMMAND_TIMEOUT))
     }
@@ -329,7 +330,7 @@
 
 /// Empties a buffer, and gives back what it grew by.
 fn clear(buffer: &mut BytesMut) {
-    if buffer.capacity() > BUFFER_MAX {
+    if buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
         *buffer = BytesMut::new();
     }
     buffer.clear();
--- a/crates/gateway/src/client/idle_policy/tests.rs
+++ b/crates/gateway/src/client/idle_policy/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn those_that_ask_once_hold_less_than_half_of_the_places_at_any_pace_they_can_be_served_at() {
+fn connections_used_once_take_less_than_half_of_the_permits() {
     // 45 a second at 176 places is a day on record, whose clients may hold 128; they held all of them.
     for (pace, most) in [(45.0, 176), (200.0, 176), (45.0, 112), (100.0, 496), (5.0, 16)] {
         let held = held(pace, most);
@@ -25,7 +25,7 @@
 
 proptest! {
     #[test]
-    fn the_time_falls_with_each_place_taken_and_by_steps_that_are_small(most in 2usize..2_000) {
+    fn idle_limit_falls_in_small_steps_with_each_permit_taken(most in 2usize..2_000) {
         for kind in Usage::ALL {
             prop_assert!(kind.idle_limit(0, most) <= kind.idle_max());
             for taken in 1..=most + 1 {
--- a/crates/gateway/src/client/listener.rs
+++ b/crates/gateway/src/client/listener.rs
@@ -18,7 +18,7 @@
 /// Pause after a connection could not be accepted, and the longest that a rejection may take to be written.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Rejected connections that linger, at most: they have no permit.
-const LINGERING_MAX: usize = 4;
+const MAX_LINGERING: usize = 4;
 
 impl Clients {
     /// Accepts connections until it is told not to, at most `total` at once. Those of a drained gateway close
@@ -27,7 +27,7 @@
     pub async fn accept(self: Arc<Self>, listener: TcpListener, permits: Arc<Semaphore>, total: usize) {
         let mut acceptor = Acceptor {
             admission: Admission::new(permits, total),
-            lingering: Arc::new(Semaphore::new(LINGERING_MAX)),
+            lingering: Arc::new(Semaphore::new(MAX_LINGERING)),
             closing: self.closing.child_token(),
             clients: self,
         };
--- a/crates/gateway/src/client/shutdown.rs
+++ b/crates/gateway/src/client/shutdown.rs
@@ -13,9 +13,9 @@
 pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(300);
 /// How long a connection that is to close goes on being read while it is never idle: a command that is read
 /// later would find the process ended before its answer. What is not read the client sends elsewhere.
-const READING_MAX: Duration = Duration::from_millis(700);
+const READING_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a connection that is opened late has for its first command.
-pub(super) const FIRST_COMMAND_MAX: Duration = Duration::from_millis(500);
+pub(super) const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How far a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,6 +41,7 @@
         !matches!(self, State::Lingering | State::Closed)
     }
 
+    /// Whether it is to close as soon as it owes nothing.
     pub fn is_draining(self) -> bool {
         matches!(self, State::Draining { .. })
     }
@@ -49,7 +50,7 @@
     pub fn may_read(self) -> bool {
         match self {
             State::Reading => true,
-            State::Draining { since } => since.elapsed() < READING_MAX,
+            State::Draining { since } => since.elapsed() < READING_TIMEOUT,
             State::Closing | State::Lingering | State::Closed => false,
         }
     }
--- a/crates/gateway/src/client/stream.rs
+++ b/crates/gateway/src/client/stream.rs
@@ -14,7 +14,7 @@
 /// How long a client may take to close after the gateway has.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// What it may still send meanwhile, bytes.
-const LINGER_MAX_BYTES: usize = 256 * 1024;
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// How often a client that sends urgent bytes is looked at.
 const URGENT_BACKOFF: Duration = Duration::from_millis(50);
 
@@ -68,7 +68,7 @@
 
 async fn discard(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
-    let (mut unread, mut left) = ([0; 4096], LINGER_MAX_BYTES);
+    let (mut unread, mut left) = ([0; 4096], MAX_LINGER_BYTES);
     while left > 0 {
         match stream.read(&mut unread).await? {
             0 => break,
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -19,6 +19,7 @@
         Clock { unix_ms: unix.as_secs_f64() * 1000.0, origin: Instant::now() }
     }
 
+    /// Unix time now, ms.
     pub fn now_ms(self) -> f64 {
         self.unix_ms + self.origin.elapsed().as_secs_f64() * 1000.0
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use gateway_policy::interface::SettingsError;
-use gateway_policy::reload::{self, Terms};
+use gateway_policy::reload::{self, ServiceSettings};
 use gateway_policy::settings::{self, SettingsReader};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -16,6 +16,8 @@
 
 /// Names the second address, where the configuration does not.
 const MANAGEMENT_VARIABLE: &str = "GW_MANAGEMENT";
+/// What is wrong with a value that is no address.
+const ADDRESS_WANTED: &str = "an address with a port is wanted";
 
 /// Whom the gateway calls; a new configuration may name others.
 #[derive(Clone, Copy, Debug)]
@@ -25,7 +27,7 @@
     pub counter: Option<SocketAddr>,
 }
 
-/// What the configuration tells.
+/// What a configuration says.
 pub struct Config {
     /// Its name, by which operators call it; empty where the configuration has none.
     pub name: String,
@@ -37,9 +39,9 @@
     pub sockets: usize,
     pub memory_mb: usize,
     pub known: EndpointList,
-    pub terms: Terms,
+    pub service_settings: ServiceSettings,
     /// The text of it but for `known`; a later one may lack none of its keys.
-    told: Value,
+    source: Value,
 }
 
 /// Keys that a later configuration may lack.
@@ -66,26 +68,27 @@
 }
 
 impl Config {
+    /// Reads a file; the second address may come from a variable.
+    ///
+    /// # Errors
+    /// What the file system says, or the first key that is wrong.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read(path).map_err(|e| ConfigError::File(path.to_path_buf(), e))?;
         let mut config = Config::parse(&text)?;
         if config.management.is_none() {
-            config.management = match std::env::var(MANAGEMENT_VARIABLE).ok().filter(|told| !told.is_empty())
-            {
-                Some(told) => Some(told.parse().map_err(|_| {
-                    let problem = "an address with a port is wanted";
-                    SettingsError { field: MANAGEMENT_VARIABLE.to_string(), problem }
-                })?),
-                None => None,
-            };
+            config.management = management_of_environment()?;
         }
         Ok(config)
     }
 
+    /// Reads a text.
+    ///
+    /// # Errors
+    /// The first key that is wrong.
     pub fn parse(text: &[u8]) -> Result<Config, SettingsError> {
         let (known, json) = Text::read(text)?;
         let config = Config::from(known, &SettingsReader::new("configuration", &json))?;
-        Ok(Config { told: json, ..config })
+        Ok(Config { source: json, ..config })
     }
 
     /// Whether this configuration has all the keys that one before it has.
@@ -93,14 +96,14 @@
     /// # Errors
     /// The first that it lacks.
     pub fn has_all_of(&self, before: &Config) -> Result<(), SettingsError> {
-        match terms::lacks(&before.told, &self.told, "configuration", &OPTIONAL_KEYS) {
+        match reload::first_missing_key(&before.source, &self.source, "configuration", &OPTIONAL_KEYS) {
             Some(field) => Err(SettingsError { field, problem: "missing; the file before has it" }),
             None => Ok(()),
         }
     }
 
     /// All that is wrong with a configuration, not the first alone.
-    pub fn wrong(text: &[u8]) -> Vec<SettingsError> {
+    pub fn problems(text: &[u8]) -> Vec<SettingsError> {
         let (known, json) = match Text::read(text) {
             Ok(read) => read,
             Err(e) => return vec![e],
@@ -114,58 +117,76 @@
         }
         // A gateway starts without these lines; whoever checks wants to know.
         let listed = known.and_then(|text| EndpointList::read(text.get().as_bytes()).ok());
-        all.extend(listed.into_iter().flat_map(|list| list.rejected).map(|wrong| SettingsError {
-            field: format!("configuration.known.endpoints[{}]", wrong.index),
+        all.extend(listed.into_iter().flat_map(|list| list.rejected).map(|endpoint| SettingsError {
+            field: format!("configuration.known.endpoints[{}]", endpoint.index),
             problem: "a backend is wanted, each name once; the gateway leaves this line out",
         }));
         all
     }
 
     fn from(known: Option<&RawValue>, top: &SettingsReader<'_>) -> Result<Config, SettingsError> {
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let address = |key: &str| {
-            let parsed = top.get(key).and_then(|value| {
-                let parsed = value.as_str().and_then(|text| text.parse().ok());
-                parsed.ok_or_else(|| top.invalid(key, "an address with a port is wanted"))
-            });
-            top.recover(parsed, nowhere)
-        };
-        let told = top.section("settings")?;
-        let settings = settings::read(&told)?;
+        let section = top.section("settings")?;
+        let settings = settings::read_settings(&section)?;
         // What stands in for a value that is wrong may fit no other.
         if top.is_valid() {
-            top.recover(settings.check(), ())?;
+            top.recover(settings.validate(), ())?;
         }
-        let seed = top.get("seed").and_then(|value| {
-            let seed = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-            seed.ok_or_else(|| top.invalid("seed", "a hex number is wanted"))
-        });
-        let known = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
-            EndpointList::read(text.get().as_bytes())
-                .map_err(|_| top.invalid("known", "a list of backends is wanted"))
-        });
         Ok(Config {
             name: top.get("name").ok().and_then(|name| name.as_str()).unwrap_or_default().to_string(),
-            listen: address("listen")?,
-            management: top.value("management").map(|_| address("management")).transpose()?,
+            listen: read_address(top, "listen")?,
+            management: top.value("management").map(|_| read_address(top, "management")).transpose()?,
             peers: Peers {
-                discovery: address("discovery")?,
-                counter: if settings.counter { Some(address("counter")?) } else { None },
+                discovery: read_address(top, "discovery")?,
+                counter: settings.shared_counter.then(|| read_address(top, "counter")).transpose()?,
             },
-            seed: top.recover(seed, 0)?,
+            seed: read_seed(top)?,
             sockets: top.section("limits")?.integer("sockets")? as usize,
             memory_mb: top.section("limits")?.integer("memory_mb")? as usize,
-            known: top.recover(known, EndpointList::empty())?,
-            terms: Terms { names: settings::read_names(&told)?, settings },
-            told: Value::Null,
+            known: read_known(top, known)?,
+            service_settings: ServiceSettings { names: settings::read_names(&section)?, settings },
+            source: Value::Null,
         })
     }
 }
 
+fn read_address(top: &SettingsReader<'_>, key: &str) -> Result<SocketAddr, SettingsError> {
+    let stand_in = SocketAddr::from(([127, 0, 0, 1], 0));
+    let address = top.get(key).and_then(|value| {
+        let address = value.as_str().and_then(|text| text.parse().ok());
+        address.ok_or_else(|| top.invalid(key, ADDRESS_WANTED))
+    });
+    top.recover(address, stand_in)
+}
+
+fn read_seed(top: &SettingsReader<'_>) -> Result<u64, SettingsError> {
+    let seed = top.get("seed").and_then(|value| {
+        let seed = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
+        seed.ok_or_else(|| top.invalid("seed", "a hex number is wanted"))
+    });
+    top.recover(seed, 0)
+}
+
+fn read_known(top: &SettingsReader<'_>, known: Option<&RawValue>) -> Result<EndpointList, SettingsError> {
+    let known = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
+        let list = EndpointList::read(text.get().as_bytes());
+        list.map_err(|_| top.invalid("known", "a list of backends is wanted"))
+    });
+    top.recover(known, EndpointList::empty())
+}
+
+/// The second address, as the variable names it.
+fn management_of_environment() -> Result<Option<SocketAddr>, SettingsError> {
+    let value = std::env::var(MANAGEMENT_VARIABLE).ok().filter(|value| !value.is_empty());
+    let address = value.map(|value| value.parse()).transpose();
+    address.map_err(|_| SettingsError { field: MANAGEMENT_VARIABLE.to_string(), problem: ADDRESS_WANTED })
+}
+
 /// Why a configuration can't be had.
 #[derive(Debug)]
 pub enum ConfigError {
+    /// The file can't be read.
     File(PathBuf, std::io::Error),
+    /// A key is missing or wrong.
     Settings(SettingsError),
 }
 
--- a/crates/gateway/src/counter/activity.rs
+++ b/crates/gateway/src/counter/activity.rs
@@ -20,6 +20,7 @@
 }
 
 impl ConnectionActivity {
+    /// Of connections on which nothing has happened.
     pub fn new() -> Self {
         ConnectionActivity { started: Instant::now(), heard_us: Arc::default(), written: Arc::default() }
     }
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -5,22 +5,22 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use slatelock::interface::Outcome;
+use gateway_policy::interface::Outcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
 use super::activity::ConnectionActivity;
-use super::{Call, Counted, CALLS_MAX};
+use super::{Call, Counted, MAX_CALLS_PER_CONNECTION};
 
 /// Backoff after a connection on which the counter was never heard: the first, and the longest.
-const BACKOFF_MIN: Duration = Duration::from_millis(50);
-const BACKOFF_MAX: Duration = Duration::from_millis(500);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// The longest line of an answer, bytes.
-const LINE_MAX: usize = 128;
+const MAX_LINE_BYTES: usize = 128;
 /// The counter keeps no name longer, ms.
-const LIFE_MAX_MS: f64 = 60_000.0;
+const MAX_KEY_TTL_MS: f64 = 60_000.0;
 /// Room for answers that come together, bytes.
 const BUFFER_BYTES: usize = 512;
 
@@ -32,7 +32,7 @@
     call_timeout: Duration,
     queue: mpsc::Receiver<Call>,
     inbox: mpsc::Sender<T>,
-    /// Calls that were written and not answered.
+    /// PollSchedule that were written and not answered.
     in_flight: VecDeque<Written>,
     activity: ConnectionActivity,
 }
@@ -55,6 +55,7 @@
 struct Unusable;
 
 impl<T: From<Counted>> CounterConnection<T> {
+    /// A connection that is opened with its first call.
     pub fn new(
         index: usize,
         address: SocketAddr,
@@ -69,7 +70,7 @@
 
     /// Makes calls until nobody can make any more.
     pub async fn run(mut self) {
-        let mut backoff = BACKOFF_MIN;
+        let mut backoff = MIN_BACKOFF;
         let mut next = self.queue.recv().await;
         while let Some(first) = next {
             let connected = timeout(self.call_timeout, TcpStream::connect(self.address)).await;
@@ -82,7 +83,7 @@
                 self.report(call.number, Outcome::Reset, 0.0).await;
             }
             if heard {
-                backoff = BACKOFF_MIN;
+                backoff = MIN_BACKOFF;
                 next = match unwritten {
                     Some(call) => Some(call),
                     None => self.queue.recv().await,
@@ -93,7 +94,7 @@
                 self.report(call.number, Outcome::ConnectFailed, 0.0).await;
             }
             self.back_off(backoff).await;
-            backoff = (backoff * 2).min(BACKOFF_MAX);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
             next = self.queue.recv().await;
         }
     }
@@ -158,8 +159,8 @@
             return Some(Ended { heard, unwritten: Some(call) });
         }
         // With so many that no call is taken any more, nobody would look at the connection again.
-        if self.in_flight.len() >= CALLS_MAX {
-            self.report(call.number, Outcome::Full, 0.0).await;
+        if self.in_flight.len() >= MAX_CALLS_PER_CONNECTION {
+            self.report(call.number, Outcome::Rejected, 0.0).await;
             return None;
         }
         let unwritten = self.write(stream, call).await.err()?;
@@ -175,7 +176,7 @@
             self.report(number, Outcome::ConnectFailed, 0.0).await;
             return Ok(());
         }
-        let life = life_ms.ceil().clamp(1.0, LIFE_MAX_MS);
+        let life = life_ms.ceil().clamp(1.0, MAX_KEY_TTL_MS);
         let text = format!("bump {name:016x} {amount} {life}\r\n");
         match timeout_at(at + self.call_timeout, stream.write_all(text.as_bytes())).await {
             Ok(Ok(())) => {
@@ -196,7 +197,7 @@
             let call = self.in_flight.pop_front().ok_or(Unusable)?;
             self.report(call.number, outcome, total).await;
         }
-        if buffer.len() > LINE_MAX {
+        if buffer.len() > MAX_LINE_BYTES {
             return Err(self.spoilt_answer().await);
         }
         Ok(())
@@ -227,7 +228,7 @@
     fn read(line: &str) -> Option<Answer> {
         let (outcome, total) = match line.split_once(' ') {
             Some(("ok", total)) => (Outcome::Ok, total.parse().ok().filter(|t: &f64| t.is_finite())?),
-            _ if line == "busy" => (Outcome::Full, 0.0),
+            _ if line == "busy" => (Outcome::Rejected, 0.0),
             _ if line == "error" => (Outcome::Error, 0.0),
             _ => return None,
         };
--- a/crates/gateway/src/counter/silence/tests.rs
+++ b/crates/gateway/src/counter/silence/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn one_silent_connection_is_told_from_a_counter_that_is_slow_or_gone() {
+fn distinguishes_a_silent_connection_from_a_slow_or_lost_counter() {
     // Others were answered since; it alone is silent, and is replaced with the time-out of its first
     // call.
     assert!(line(80, None, Some(10)).is_alone(WAIT) && line(80, Some(500), Some(10)).is_lost(WAIT));
@@ -26,7 +26,7 @@
 
 proptest! {
     #[test]
-    fn a_connection_heard_within_its_time_is_kept_and_a_longer_silence_never_speaks_for_it(
+    fn keeps_a_connection_heard_in_time_and_no_longer_silence_clears_it(
         out in 0u64..2_000, heard in proptest::option::of(0u64..2_000),
         others in proptest::option::of(0u64..2_000), more in 0u64..500,
     ) {
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -14,7 +14,7 @@
     let call = |number| Call { number, name: 0, amount: 1.0, life_ms: 100.0, at: Instant::now() };
     // More than may be out on it and wait for it; what is taken in is let go on before the next.
     let taken = async {
-        for number in 1..=2 * CALLS_MAX as u64 {
+        for number in 1..=2 * MAX_CALLS_PER_CONNECTION as u64 {
             if !counter.call(call(number)) {
                 sleep(Duration::from_millis(1)).await;
             }
@@ -47,7 +47,7 @@
 /// A call that was never written was not counted; and one on a connection that is silent alone is no sign that
 /// the counter is crowded.
 #[tokio::test]
-async fn a_call_without_an_answer_is_told_by_whether_it_was_written_and_whether_others_are_heard() {
+async fn an_unanswered_call_is_judged_by_its_write_and_by_other_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (inbox, mut outcomes) = mpsc::channel::<Counted>(16);
     let counter = Counter::start(listener.local_addr().expect("bound"), WAIT * 100, &inbox);
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -17,9 +17,9 @@
 use crate::endpoint_list::EndpointList;
 
 /// The longest answer, bytes.
-const BODY_MAX_BYTES: usize = 4 << 20;
-/// Calls into a silent discovery that are in flight at once, at most.
-const CALLS_MAX: u32 = 4;
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// PollSchedule into a silent discovery that are in flight at once, at most.
+const MAX_CALLS_IN_FLIGHT: u32 = 4;
 
 /// A connection to discovery.
 pub struct ListConnection {
@@ -70,7 +70,7 @@
                 response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.trim().parse().ok());
             return ListResponse::Rejected(retry_after.map(Duration::from_secs));
         }
-        let Ok(body) = Limited::new(response.into_body(), BODY_MAX_BYTES).collect().await else {
+        let Ok(body) = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await else {
             return ListResponse::Lost;
         };
         match EndpointList::read(&body.to_bytes()) {
@@ -93,7 +93,7 @@
     within: Duration,
 ) -> Option<(ListConnection, ListResponse)> {
     let mut calls = JoinSet::new();
-    let mut next = interval(apart.max(within / CALLS_MAX));
+    let mut next = interval(apart.max(within / MAX_CALLS_IN_FLIGHT));
     // A gateway that was stopped must not make all the calls of that time when it goes on.
     next.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/crates/gateway/src/discovery/start_order.rs
+++ b/crates/gateway/src/discovery/start_order.rs
@@ -3,16 +3,17 @@
 use std::fmt;
 use std::time::Duration;
 
-use beechrudder_channel::{ConnectError, Dialer, LineError};
-use beechrudder_coldstart::Came;
-use beechrudder_fleet::wire::{
-    Ask, Fault, FirstCall, FirstCame, Numbered, Say, Starting, MAX_LINE_BYTES, MAX_START_LIST_BYTES,
+use cold_start::PollOutcome;
+use fleet::wire::{
+    Envelope, ErrorResponse, FirstCallOutcome, FirstCallReport, StartInstructions, ToolRequest, ToolResponse,
+    MAX_LINE_BYTES, MAX_START_LIST_BYTES,
 };
-use beechrudder_fleet::Name;
-use beechrudder_operator::Address;
+use fleet::Name;
+use operator_config::Address;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
+use transport::{ConnectError, Connector, JsonLinesError};
 
 use crate::endpoint_list::EndpointList;
 
@@ -20,13 +21,13 @@
 /// slots go on meanwhile.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest that a slot or the next request may lie ahead, ms.
-const AHEAD_MAX_MS: f64 = 10_000.0;
+const MAX_CALL_DELAY_MS: f64 = 10_000.0;
 
 /// Who orders the start, and of whom.
 #[derive(Clone)]
 pub struct StartOrder {
     pub agent: Address,
-    pub dialer: Dialer,
+    pub dialer: Connector,
     pub name: Name,
     /// The gateway's process.
     pub incarnation: u64,
@@ -42,8 +43,8 @@
 }
 
 /// What came of the first call, after so long, and the list where it was to be fetched.
-pub struct FirstCallReport {
-    pub result: Came,
+pub struct FirstCallResult {
+    pub result: PollOutcome,
     pub took: Duration,
     pub fetched: Option<(u64, String)>,
 }
@@ -52,7 +53,7 @@
 pub struct SlotRequest {
     /// What the agent gives; ended when there is no more.
     pub messages: mpsc::Receiver<AgentMessage>,
-    report: Option<oneshot::Sender<FirstCallReport>>,
+    report: Option<oneshot::Sender<FirstCallResult>>,
     _task: AbortOnDropHandle<()>,
 }
 
@@ -71,7 +72,7 @@
     }
 
     /// Reports the first call.
-    pub fn report(&mut self, report: FirstCallReport) {
+    pub fn report(&mut self, report: FirstCallResult) {
         // Fails only where nothing could be asked of the agent.
         let _ = self.report.take().map(|sender| sender.send(report));
     }
@@ -81,7 +82,7 @@
     order: StartOrder,
     held: Option<u64>,
     messages: mpsc::Sender<AgentMessage>,
-    mut reported: oneshot::Receiver<FirstCallReport>,
+    mut reported: oneshot::Receiver<FirstCallResult>,
 ) {
     let report = tokio::select! {
         report = &mut reported => report,
@@ -93,18 +94,18 @@
             }
         },
     };
-    let Ok(FirstCallReport { result, took, fetched }) = report else { return };
-    let came = match result {
-        Came::News | Came::Same => FirstCame::Told,
-        Came::TurnedAway(_) => FirstCame::TurnedAway,
-        Came::Silent => FirstCame::Silent,
-        Came::Older | Came::Broken => FirstCame::Failed,
+    let Ok(FirstCallResult { result, took, fetched }) = report else { return };
+    let outcome = match result {
+        PollOutcome::Updated | PollOutcome::Unchanged => FirstCallOutcome::Answered,
+        PollOutcome::Rejected(_) => FirstCallOutcome::Rejected,
+        PollOutcome::TimedOut => FirstCallOutcome::TimedOut,
+        PollOutcome::OlderVersion | PollOutcome::Failed => FirstCallOutcome::Failed,
     };
     let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
-    let call = FirstCall { came, took_ms: took.as_secs_f64() * 1_000.0, list };
-    let StartOrder { name, incarnation: boot, .. } = order.clone();
+    let call = FirstCallReport { outcome, took_ms: took.as_secs_f64() * 1_000.0, list };
+    let StartOrder { name, incarnation, .. } = order.clone();
     // Without it the agent goes by what others tell it.
-    let _ = request(&order, Ask::Started { name, boot, call }).await;
+    let _ = request(&order, ToolRequest::Started { name, incarnation, call }).await;
 }
 
 /// Asks until there is a slot, or nothing to wait for.
@@ -114,9 +115,11 @@
     messages: mpsc::Sender<AgentMessage>,
 ) -> Result<(), AgentError> {
     loop {
-        let StartOrder { name, incarnation: boot, gateways, .. } = order.clone();
-        let response = request(order, Ask::Start { name, boot, gateways, held }).await?;
-        let Say::Starting(Starting { call_in_ms, fetch, ask_in_ms, list }) = response else {
+        let StartOrder { name, incarnation, gateways, .. } = order.clone();
+        let response =
+            request(order, ToolRequest::Start { name, incarnation, gateways, held_version: held }).await?;
+        let ToolResponse::Starting(StartInstructions { call_in_ms, fetch, ask_in_ms, list }) = response
+        else {
             return Err(AgentError::Unexpected);
         };
         let list =
@@ -126,7 +129,7 @@
             // Fails only when the gateway ends, as below.
             let _ = messages.send(AgentMessage::List(list)).await;
         }
-        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, AHEAD_MAX_MS) / 1_000.0);
+        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, MAX_CALL_DELAY_MS) / 1_000.0);
         match (call_in_ms, ask_in_ms) {
             (Some(ms), _) => {
                 sleep(time(ms)).await;
@@ -139,13 +142,13 @@
     }
 }
 
-async fn request(order: &StartOrder, body: Ask) -> Result<Say, AgentError> {
+async fn request(order: &StartOrder, body: ToolRequest) -> Result<ToolResponse, AgentError> {
     let responded = async {
         let lines = order.dialer.connect(&order.agent, RESPONSE_TIMEOUT, MAX_LINE_BYTES).await;
         let mut lines = lines.map_err(AgentError::Connect)?;
-        lines.send(&Numbered { n: 1, body }).await.map_err(AgentError::Line)?;
-        match lines.next::<Numbered<Say>>().await.map_err(AgentError::Line)? {
-            Some(Numbered { body: Say::Fault(fault), .. }) => Err(AgentError::Rejected(fault)),
+        lines.send(&Envelope { request_id: 1, body }).await.map_err(AgentError::Line)?;
+        match lines.next::<Envelope<ToolResponse>>().await.map_err(AgentError::Line)? {
+            Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(AgentError::Rejected(fault)),
             Some(response) => Ok(response.body),
             None => Err(AgentError::Closed),
         }
@@ -157,8 +160,8 @@
 #[derive(Debug)]
 enum AgentError {
     Connect(ConnectError),
-    Line(LineError),
-    Rejected(Fault),
+    Line(JsonLinesError),
+    Rejected(ErrorResponse),
     Unexpected,
     Closed,
     TimedOut,
--- a/crates/gateway/src/endpoint_list/tests.rs
+++ b/crates/gateway/src/endpoint_list/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_line_that_is_wrong_is_named_and_the_others_hold() {
+fn names_an_invalid_line_and_keeps_the_others() {
     let mut lines = vec![line("a", 1), line("b", 2), line("c", 3), line("d", 4), line("e", 5)];
     lines[1]["address"] = "till:80".into();
     lines[2]["status"] = "RESTING".into();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn ten_thousand_lines_are_read_and_a_part_of_them_is_not() {
+fn reads_ten_thousand_lines_but_no_truncated_list() {
     let lines: Vec<Value> = (0..10_000).map(|n| line(&format!("till-{n}"), 80)).collect();
     let text = json!({"index": 7, "snapshot": true, "endpoints": lines}).to_string();
     assert_eq!(EndpointList::read(text.as_bytes()).expect("a list").endpoints.len(), 10_000);
@@ -62,7 +62,7 @@
 proptest! {
     /// Nothing that comes stops it, and every line is held or named.
     #[test]
-    fn each_line_is_held_or_named(lines in prop::collection::vec((0u8..4, 0u16..5), 0..40)) {
+    fn each_line_is_kept_or_named(lines in prop::collection::vec((0u8..4, 0u16..5), 0..40)) {
         let lines: Vec<Value> = lines.into_iter().map(|(what, n)| {
             let mut line = line(&format!("n{n}"), n);
             match what {
@@ -77,7 +77,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_read_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = EndpointList::read(&bytes);
     }
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -18,10 +18,10 @@
     /// `GW_CONFIG` names no configuration.
     ConfigUnset,
     /// The operator's file can't be used.
-    Operator(OperatorConfigError),
+    OperatorConfig(OperatorConfigError),
     /// The configuration can't be used.
     Config(ConfigError),
-    /// The decisions do not accept the settings.
+    /// The policy does not accept the settings.
     Settings(SettingsError),
     /// The asynchronous runtime does not start.
     Runtime(io::Error),
@@ -62,7 +62,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StartError::ConfigUnset => f.write_str("GW_CONFIG: missing"),
-            StartError::Operator(e) => e.fmt(f),
+            StartError::OperatorConfig(e) => e.fmt(f),
             StartError::Config(e) => e.fmt(f),
             StartError::Settings(e) => e.fmt(f),
             StartError::Runtime(e) => write!(f, "runtime: {e}"),
@@ -82,7 +82,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             StartError::ConfigUnset => None,
-            StartError::Operator(e) => Some(e),
+            StartError::OperatorConfig(e) => Some(e),
             StartError::Config(e) => Some(e),
             StartError::Settings(e) => Some(e),
             StartError::Runtime(e) | StartError::Listen(e) | StartError::AdminAddress(e) => Some(e),
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -16,9 +16,9 @@
 
 use cold_start::CallBudget;
 use gateway_policy::interface::{Action, Event, Outcome, Request};
-use gateway_policy::reload::Terms;
+use gateway_policy::reload::ServiceSettings;
 use gateway_policy::settings::SettingNames;
-use gateway_policy::Gateway;
+use gateway_policy::Policy;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::interval;
 use tokio_util::time::delay_queue::Expired;
@@ -37,14 +37,14 @@
 use timers::Timers;
 
 pub use oversight::Oversight;
-pub use ramp::ConnectionRamp;
+pub use ramp::StartRamp;
 
 /// What a client's waiting time loses on the way here and back, ms.
 const TRAVEL_MARGIN_MS: f64 = 5.0;
 /// How often idle connections are looked over.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Inputs taken in at once.
-const BATCH_MAX: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// What the event loop works with beside the policy.
 pub struct Resources {
@@ -57,28 +57,28 @@
     pub streaming_memory: Arc<Semaphore>,
     pub oversight: Oversight,
     /// What requests are read by.
-    pub terms: watch::Sender<Arc<Terms>>,
+    pub service_settings: watch::Sender<Arc<ServiceSettings>>,
     /// What other processes of this gateway have a part of.
     pub partitions: Vec<Partition>,
     /// First connections to backends in slots; none: as requests need them.
-    pub ramp: Option<ConnectionRamp>,
+    pub ramp: Option<StartRamp>,
     /// Bounds calls to the counter after the start; none: all may be made.
     pub counter_budget: Option<CallBudget>,
 }
 
 /// The event loop and all it owns.
 pub struct EventLoop {
-    policy: Gateway,
+    policy: Policy,
     clock: Clock,
     names: SettingNames,
     load_fields: Arc<[String]>,
-    terms: watch::Sender<Arc<Terms>>,
+    service_settings: watch::Sender<Arc<ServiceSettings>>,
     /// Since when the class at an index is dropped, Unix time in ms.
     dropped_classes: HashMap<usize, f64>,
     partitions: Vec<Partition>,
     pool: ConnectionPool,
     table: BackendTable,
-    ramp: Option<ConnectionRamp>,
+    ramp: Option<StartRamp>,
     oversight: Oversight,
     requests: Requests,
     attempts: Attempts,
@@ -96,14 +96,15 @@
 }
 
 impl EventLoop {
-    pub fn new(policy: Gateway, clock: Clock, resources: Resources) -> Self {
-        let names = resources.terms.borrow().names.clone();
+    /// An event loop over a policy, with nothing in flight.
+    pub fn new(policy: Policy, clock: Clock, resources: Resources) -> Self {
+        let names = resources.service_settings.borrow().names.clone();
         EventLoop {
             policy,
             clock,
             load_fields: names.load_fields.clone().into(),
             names,
-            terms: resources.terms,
+            service_settings: resources.service_settings,
             dropped_classes: HashMap::new(),
             partitions: resources.partitions,
             pool: resources.pool,
@@ -130,14 +131,14 @@
         mut control: mpsc::Receiver<ControlRequest>,
     ) {
         let mut idle_check = interval(IDLE_CHECK_INTERVAL);
-        let mut batch = Vec::with_capacity(BATCH_MAX);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
             tokio::select! {
                 biased;
                 // First, so that no operator's command waits behind a flood of requests. There are few, one
                 // after another.
                 Some(request) = control.recv() => self.control(request),
-                n = inputs.recv_many(&mut batch, BATCH_MAX) => {
+                n = inputs.recv_many(&mut batch, MAX_BATCH) => {
                     if n == 0 {
                         return;
                     }
@@ -158,7 +159,7 @@
     /// Forgets the key of a timer that has expired.
     fn forget_timer(&mut self, timer: &Expired<Due>) {
         let Due::Policy(token) = timer.get_ref() else { return };
-        if let Some(request) = Gateway::timer_request(*token) {
+        if let Some(request) = Policy::request_of_timer(*token) {
             self.requests.forget_timer(request, timer.key());
         }
     }
@@ -245,7 +246,7 @@
 
     /// Sets a timer of the policy, unless it is for a request that is over.
     fn set_policy_timer(&mut self, token: u64, at_ms: f64) {
-        let request = Gateway::timer_request(token);
+        let request = Policy::request_of_timer(token);
         if request.is_some_and(|id| !self.requests.contains(id)) {
             return;
         }
@@ -265,7 +266,7 @@
             class: call.class,
             units: call.units,
             fan_out: call.width,
-            deadline_ms,
+            deadline_ms: expires_ms,
             retry: call.retry,
         };
         match self.requests.admit(id, call, expires_ms, reply) {
@@ -314,18 +315,18 @@
     }
 
     fn counted(&mut self, Counted { number, outcome, total }: Counted) {
-        if let Some(name) = self.counter_calls.settle(number, &mut self.timers) {
+        if let Some(key) = self.counter_calls.settle(number, &mut self.timers) {
             self.handle(Event::CounterReplied { key, outcome, total });
         }
     }
 
     fn counter_call_timed_out(&mut self, number: u64) {
-        if let Some((name, outcome)) = self.counter_calls.time_out(number) {
+        if let Some((key, outcome)) = self.counter_calls.time_out(number) {
             self.handle(Event::CounterReplied { key, outcome, total: 0.0 });
         }
     }
 
-    /// Goes over to another counter. Calls that are in flight at the old one are settled at once, so that
+    /// Goes over to another counter. PollSchedule that are in flight at the old one are settled at once, so that
     /// none of its answers comes after one of the new.
     fn move_counter(&mut self, counter: Counter) {
         let in_flight = self.counter_calls.replace(counter);
--- a/crates/gateway/src/event_loop/attempts.rs
+++ b/crates/gateway/src/event_loop/attempts.rs
@@ -38,26 +38,32 @@
 }
 
 impl Attempts {
+    /// Adds an attempt that begins.
     pub fn insert(&mut self, key: AttemptKey, attempt: Attempt) {
         self.in_flight.insert(key, attempt);
     }
 
+    /// An attempt in flight.
     pub fn get(&self, key: AttemptKey) -> Option<&Attempt> {
         self.in_flight.get(&key)
     }
 
+    /// An attempt in flight, to be changed.
     pub fn get_mut(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
         self.in_flight.get_mut(&key)
     }
 
+    /// Takes out an attempt that has ended.
     pub fn remove(&mut self, key: AttemptKey) -> Option<Attempt> {
         self.in_flight.remove(&key)
     }
 
+    /// Whether an attempt is in flight.
     pub fn contains(&self, key: AttemptKey) -> bool {
         self.in_flight.contains_key(&key)
     }
 
+    /// Attempts in flight.
     pub fn len(&self) -> usize {
         self.in_flight.len()
     }
--- a/crates/gateway/src/event_loop/endpoints.rs
+++ b/crates/gateway/src/event_loop/endpoints.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use slatelock::interface::{BackendEntry, Event, ListScope, Readiness};
+use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, UpdateScope};
 
 use super::EventLoop;
 use crate::backend_table::Overrides;
@@ -12,8 +12,13 @@
 impl EventLoop {
     /// Takes an update of discovery's in. Of the backends that are `unread` no line could be read: they stay
     /// as they are.
-    pub(super) fn update_endpoints(&mut self, scope: ListScope, endpoints: Vec<Endpoint>, unread: &[String]) {
-        if scope != ListScope::Cached {
+    pub(super) fn update_endpoints(
+        &mut self,
+        scope: UpdateScope,
+        endpoints: Vec<Endpoint>,
+        unread: &[String],
+    ) {
+        if scope != UpdateScope::Cached {
             let now_ms = self.clock.now_ms();
             if let Some(ramp) = &mut self.ramp {
                 ramp.confirm(now_ms);
@@ -23,7 +28,8 @@
         for endpoint in endpoints {
             let removed = matches!(endpoint.status, Status::Deleted).then(|| endpoint.name.clone());
             let address = endpoint.address;
-            let overrides = Overrides { desired: &self.oversight.desired, book: &self.oversight.book };
+            let overrides =
+                Overrides { desired: &self.oversight.desired, maintenance: &self.oversight.maintenance };
             let Some(entry) = self.table.update(endpoint, overrides, &self.names.zones) else { continue };
             if let Some(name) = removed {
                 self.table.remove(&name);
@@ -34,23 +40,27 @@
         self.apply_lines(scope, lines);
         let reshared = self.table.update_shares(&self.names.zones);
         if !reshared.is_empty() {
-            self.apply_lines(ListScope::Delta, reshared);
+            self.apply_lines(UpdateScope::Delta, reshared);
         }
     }
 
     /// Applies lines of the list, as discovery and operators make them together.
-    pub(super) fn apply_lines(&mut self, scope: ListScope, lines: Vec<(BackendEntry, SocketAddr)>) {
+    pub(super) fn apply_lines(&mut self, scope: UpdateScope, lines: Vec<(BackendEndpoint, SocketAddr)>) {
         let mut entries = Vec::with_capacity(lines.len());
         for (entry, address) in lines {
             // A request for a backend that is no more must not go to the one that has its address now.
             let replaced = self.pool.update(&entry, address);
             entries.push(entry);
             for id in replaced {
-                entries.retain(|e: &BackendEntry| e.id != id);
-                entries.push(BackendEntry { id, state: Readiness::Gone, ..BackendEntry::default() });
+                entries.retain(|e: &BackendEndpoint| e.id != id);
+                entries.push(BackendEndpoint {
+                    id,
+                    state: EndpointState::Removed,
+                    ..BackendEndpoint::default()
+                });
             }
         }
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
             self.pool.retain(|id| named.contains(&id));
         }
@@ -58,7 +68,7 @@
         let pool = &self.pool;
         self.table.retain(|id| pool.contains(id));
         self.hold_back(scope, &mut entries);
-        self.handle(Event::Backends { scope, entries: &entries });
+        self.handle(Event::EndpointsUpdated { scope, endpoints: &entries });
         self.settle_ramp();
     }
 }
--- a/crates/gateway/src/event_loop/oversight.rs
+++ b/crates/gateway/src/event_loop/oversight.rs
@@ -4,32 +4,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_fleet::wire::{
-    Applied, BackendState, Code, Fault, Figures, GatewayAsk, GatewaySay, GatewayState, Verdict,
-    MAX_ORDERS_PER_REQUEST,
+use fleet::wire::{
+    Applied, BackendState, ErrorCode, ErrorResponse, GatewayRequest, GatewayResponse, GatewayState,
+    GatewayStatistics, OrderResult, MAX_ORDERS_PER_REQUEST,
 };
-use beechrudder_fleet::{Desired, OrderId, Subject};
-use beechrudder_maintenance::Book;
-use slatelock::interface::SettingsError;
-use slatelock::terms::Terms;
-use slatelock::BackendView;
+use fleet::{DesiredState, OrderId, Subject};
+use gateway_policy::interface::SettingsError;
+use gateway_policy::reload::ServiceSettings;
+use gateway_policy::BackendView;
+use maintenance::MaintenanceState;
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
 use super::EventLoop;
-use crate::backend_table::Overrides;
-use crate::endpoint_list::Status;
+use crate::backend_table::{BackendRow, Overrides};
 use crate::maintenance::ControlRequest;
 
 /// How long a request may be on its way from its reading to the policy, ms.
-const READING_MAX_MS: f64 = 1_000.0;
+const MAX_READING_MS: f64 = 1_000.0;
 
 /// What operators want of this gateway, and what only the rest of the program knows of it.
 #[derive(Debug)]
 pub struct Oversight {
-    pub desired: Desired,
+    pub desired: DesiredState,
     /// What commands at the second address left in force.
-    pub book: Book,
+    pub maintenance: MaintenanceState,
     name: String,
     /// New with each start, below 2^53.
     incarnation: u64,
@@ -41,35 +40,36 @@
 }
 
 impl Oversight {
+    /// Of a gateway that nobody has given an order yet.
     pub fn new(name: String, incarnation: u64, clients: TaskTracker, drained: watch::Sender<bool>) -> Self {
-        let (desired, book, last_order) = (Desired::default(), Book::default(), None);
-        Oversight { desired, book, name, incarnation, last_order, clients, drained }
+        let (desired, maintenance, last_order) = (DesiredState::default(), MaintenanceState::default(), None);
+        Oversight { desired, maintenance, name, incarnation, last_order, clients, drained }
     }
 }
 
 impl EventLoop {
     /// Answers a request of the admin listener.
-    pub(super) fn admin_request(&mut self, request: GatewayAsk) -> GatewaySay {
+    pub(super) fn admin_request(&mut self, request: GatewayRequest) -> GatewayResponse {
         match request {
-            GatewayAsk::State { backends } => GatewaySay::State(self.state(backends)),
-            GatewayAsk::Inflight { subject } => GatewaySay::Inflight(self.in_flight(&subject)),
-            GatewayAsk::Apply { orders } if orders.len() > MAX_ORDERS_PER_REQUEST => {
+            GatewayRequest::State { backends } => GatewayResponse::State(self.state(backends)),
+            GatewayRequest::Inflight { subject } => GatewayResponse::Inflight(self.in_flight(&subject)),
+            GatewayRequest::Apply { orders } if orders.len() > MAX_ORDERS_PER_REQUEST => {
                 let message = format!("{} orders at once; {MAX_ORDERS_PER_REQUEST} at most", orders.len());
-                GatewaySay::Fault(Fault::new(Code::BadRequest, message))
+                GatewayResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, message))
             }
-            GatewayAsk::Apply { orders } => {
-                let mut verdicts = Vec::with_capacity(orders.len());
+            GatewayRequest::Apply { orders } => {
+                let mut results = Vec::with_capacity(orders.len());
                 for order in &orders {
                     let outcome = self.oversight.desired.apply(order);
                     self.oversight.last_order = Some(order.id.clone());
                     let matched = self.matched(&order.subject);
-                    verdicts.push(Verdict { id: order.id.clone(), outcome, matched });
+                    results.push(OrderResult { id: order.id.clone(), outcome, matched });
                 }
-                self.ordered(verdicts)
+                self.applied(results)
             }
-            GatewayAsk::Adopt { snapshot } => {
+            GatewayRequest::Adopt { snapshot } => {
                 self.oversight.desired.adopt(&snapshot);
-                self.ordered(Vec::new())
+                self.applied(Vec::new())
             }
         }
     }
@@ -83,12 +83,16 @@
                 self.share_with(other_processes);
                 let _ = reply.send(());
             }
-            ControlRequest::TakeUnreported { reply } => drop(reply.send(self.policy.untold())),
+            ControlRequest::TakeUnreported { reply } => {
+                drop(reply.send(self.policy.take_unreported_charges()))
+            }
             ControlRequest::AddUnreported { unreported, reply } => {
-                self.policy.take_over(self.clock.now_ms(), &unreported);
+                self.policy.adopt_unreported_charges(self.clock.now_ms(), &unreported);
                 let _ = reply.send(());
             }
-            ControlRequest::ChangeSettings { terms, reply } => drop(reply.send(self.change(&terms))),
+            ControlRequest::ChangeSettings { service_settings, reply } => {
+                drop(reply.send(self.change_settings(&service_settings)))
+            }
             ControlRequest::Adopt { state, reply } => {
                 self.adopt(state);
                 let _ = reply.send(());
@@ -99,60 +103,69 @@
     /// Leaves other processes of this gateway their shares.
     pub fn share_with(&mut self, other_processes: usize) {
         let processes = u32::try_from(other_processes).unwrap_or(u32::MAX).saturating_add(1);
-        self.policy.share_with(self.clock.now_ms(), processes);
+        self.policy.set_process_count(self.clock.now_ms(), processes);
         self.partitions.iter_mut().for_each(|partition| partition.share(processes as usize));
     }
 
     /// Goes by new settings, as far as they may change in service.
-    fn change(&mut self, new: &Terms) -> Result<(), SettingsError> {
-        let (now, held) = (self.clock.now_ms(), Arc::clone(&self.terms.borrow()));
-        let longest = held.settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        // A request that was read, and did not come here yet, may hold a class that was dropped: its index is
+    fn change_settings(&mut self, new: &ServiceSettings) -> Result<(), SettingsError> {
+        let now_ms = self.clock.now_ms();
+        let before = Arc::clone(&self.service_settings.borrow());
+        let longest_ms = before.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        // A request that was read, and did not come here yet, may have a class that was dropped: its index is
         // not free before that.
-        let free = |place: usize| {
-            let since = self.dropped_classes.get(&place).copied().unwrap_or(now);
-            now - since > longest + READING_MAX_MS && !self.policy.holds_class(place)
+        let is_free = |index: usize| {
+            let since_ms = self.dropped_classes.get(&index).copied().unwrap_or(now_ms);
+            now_ms - since_ms > longest_ms + MAX_READING_MS && !self.policy.has_request_of_class(index)
         };
-        let terms = held.changed(new, free)?;
-        let name = |place: usize| terms.names.classes.get(place)?.as_ref();
-        let before = |place| held.names.classes.iter().position(|n| n.is_some() && n.as_ref() == name(place));
-        self.policy.change(terms.settings.clone(), before);
-        self.dropped_classes.retain(|place, _| terms.settings.classes[*place].dropped);
-        for (place, _) in terms.settings.classes.iter().enumerate().filter(|(_, c)| c.dropped) {
-            self.dropped_classes.entry(place).or_insert(now);
+        let after = before.reloaded(new, is_free)?;
+        let name_at = |index: usize| after.names.classes.get(index)?.as_ref();
+        let index_before = |index| {
+            let mut names = before.names.classes.iter();
+            names.position(|name| name.is_some() && name.as_ref() == name_at(index))
+        };
+        self.policy.update_settings(after.settings.clone(), index_before);
+        let classes = &after.settings.classes;
+        self.dropped_classes.retain(|index, _| classes[*index].retired);
+        for (index, _) in classes.iter().enumerate().filter(|(_, class)| class.retired) {
+            self.dropped_classes.entry(index).or_insert(now_ms);
         }
-        let connect = Duration::from_secs_f64(terms.settings.limits.connect_timeout_ms / 1000.0);
-        self.pool.set_limits(terms.names.idle_close_ms, connect);
-        self.terms.send_replace(Arc::new(terms));
+        let connect_timeout = Duration::from_secs_f64(after.settings.limits.connect_timeout_ms / 1000.0);
+        self.pool.set_limits(after.names.idle_close_ms, connect_timeout);
+        self.service_settings.send_replace(Arc::new(after));
         Ok(())
     }
 
-    /// Puts a book in force if it is newer than the one that is.
-    pub fn adopt(&mut self, book: Book) {
-        if book.newer_than(self.oversight.book.revision()) {
-            self.oversight.book = book;
-            self.want();
+    /// Puts a maintenance state in force if it is newer than the one that is.
+    pub fn adopt(&mut self, maintenance: MaintenanceState) {
+        if maintenance.newer_than(self.oversight.maintenance.revision()) {
+            self.oversight.maintenance = maintenance;
+            self.apply_overrides();
         }
     }
 
     /// Carries out what operators want by now: of backends, and of the gateway itself.
-    fn want(&mut self) {
-        let overrides = Overrides { desired: &self.oversight.desired, book: &self.oversight.book };
+    fn apply_overrides(&mut self) {
+        let overrides =
+            Overrides { desired: &self.oversight.desired, maintenance: &self.oversight.maintenance };
         let lines = self.table.apply_overrides(overrides, &self.names.zones);
         if !lines.is_empty() {
-            self.apply_lines(slatelock::interface::ListScope::Delta, lines);
+            self.apply_lines(gateway_policy::interface::UpdateScope::Delta, lines);
         }
         let oversight = &self.oversight;
         let drained = oversight.desired.gateway_drained(&oversight.name).is_some()
-            || oversight.book.drained_ms().is_some();
+            || oversight.maintenance.drained_ms().is_some();
         self.oversight.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
     }
 
-    /// Carries out what the orders have changed, before anybody is told that they were taken in.
-    fn ordered(&mut self, verdicts: Vec<Verdict>) -> GatewaySay {
-        self.want();
-        let (boot, holds) = (self.oversight.incarnation, self.oversight.desired.revision());
-        GatewaySay::Applied(Applied { boot, holds, verdicts })
+    /// Carries out what the orders have changed, before anybody is told that they were applied.
+    fn applied(&mut self, results: Vec<OrderResult>) -> GatewayResponse {
+        self.apply_overrides();
+        GatewayResponse::Applied(Applied {
+            incarnation: self.oversight.incarnation,
+            applied_revision: self.oversight.desired.revision(),
+            results,
+        })
     }
 
     fn matched(&self, subject: &Subject) -> u32 {
@@ -175,62 +188,88 @@
         }
     }
 
-    fn state(&self, backends: bool) -> GatewayState {
-        let seen: HashMap<u32, BackendView> =
-            self.policy.backends(self.clock.now_ms()).map(|b| (b.id, b)).collect();
-        let in_flight = self.attempts.by_backend();
-        let mut rows: Vec<BackendState> = Vec::new();
-        let (forgotten, forgotten_units) = self.policy.forgotten();
-        let mut figures = Figures {
-            waiting: self.ramp.as_ref().map_or(0, |ramp| ramp.waiting() as u32),
-            requests: self.requests.open() as u64,
-            in_flight: self.attempts.len() as u64,
-            idle_connections: self.pool.idle_connections() as u32,
-            client_connections: self.oversight.clients.len() as u32,
-            customers: self.policy.customers() as u64,
-            forgotten,
-            forgotten_units: forgotten_units.ceil() as u64,
-            ..Figures::default()
-        };
-        for row in self.table.rows() {
-            let (e, view) = (&row.endpoint, seen.get(&row.number));
-            let (serving, drained_by) = (matches!(e.status, Status::Serving), row.effect.drained_by.clone());
-            let (ejected, warmth) = view.map_or((false, 1.0), |b| (b.ejected, b.warmth));
-            figures.listed += 1;
-            figures.serving += u32::from(serving);
-            figures.drained += u32::from(drained_by.is_some() || row.banned_ms.is_some());
-            figures.ejected += u32::from(ejected);
-            figures.cold += u32::from(warmth < 1.0);
-            if backends {
-                rows.push(BackendState {
-                    name: e.name.clone(),
-                    address: e.address.to_string(),
-                    group: e.group,
-                    kind: e.kind.clone(),
-                    zone: e.zone.clone(),
-                    serving,
-                    drained_by,
-                    banned_ms: row.banned_ms,
-                    weight: row.effect.weight,
-                    ejected,
-                    warmth,
-                    in_flight: in_flight.get(&row.number).copied().unwrap_or(0),
-                });
-            }
-        }
-        rows.sort_unstable_by(|a, b| a.name.cmp(&b.name));
+    fn state(&self, with_backends: bool) -> GatewayState {
+        let views: HashMap<u32, BackendView> =
+            self.policy.backends(self.clock.now_ms()).map(|view| (view.id, view)).collect();
         let oversight = &self.oversight;
         GatewayState {
             name: oversight.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_string(),
-            boot: oversight.incarnation,
-            holds: oversight.desired.revision(),
+            incarnation: oversight.incarnation,
+            applied_revision: oversight.desired.revision(),
             last_order: oversight.last_order.clone(),
             drained_by: oversight.desired.gateway_drained(&oversight.name).cloned(),
-            drained_ms: oversight.book.drained_ms(),
-            list: self.table.changes(),
-            figures,
-            backends: backends.then_some(rows),
+            drained_ms: oversight.maintenance.drained_ms(),
+            list_version: self.table.changes(),
+            statistics: self.statistics(&views),
+            backends: with_backends.then(|| self.backend_states(&views)),
         }
     }
+
+    fn statistics(&self, views: &HashMap<u32, BackendView>) -> GatewayStatistics {
+        let (evicted_customers, evicted_units) = self.policy.evictions();
+        let mut statistics = GatewayStatistics {
+            awaiting_connection: self.ramp.as_ref().map_or(0, |ramp| ramp.waiting() as u32),
+            requests: self.requests.open() as u64,
+            in_flight: self.attempts.len() as u64,
+            idle_connections: self.pool.idle_connections() as u32,
+            client_connections: self.oversight.clients.len() as u32,
+            customers: self.policy.customer_count() as u64,
+            evicted_customers,
+            evicted_units: evicted_units.ceil() as u64,
+            ..GatewayStatistics::default()
+        };
+        for row in self.table.rows() {
+            let Health { ejected, capacity_fraction } = Health::of(row, views);
+            let drained = row.effect.drained_by.is_some() || row.banned_ms.is_some();
+            statistics.listed += 1;
+            statistics.serving += u32::from(row.is_serving());
+            statistics.drained += u32::from(drained);
+            statistics.ejected += u32::from(ejected);
+            statistics.warming_up += u32::from(capacity_fraction < 1.0);
+        }
+        statistics
+    }
+
+    /// Each backend on the list, by name.
+    fn backend_states(&self, views: &HashMap<u32, BackendView>) -> Vec<BackendState> {
+        let in_flight = self.attempts.by_backend();
+        let state = |row: &BackendRow| {
+            let Health { ejected, capacity_fraction } = Health::of(row, views);
+            let endpoint = &row.endpoint;
+            BackendState {
+                name: endpoint.name.clone(),
+                address: endpoint.address.to_string(),
+                group: endpoint.group,
+                kind: endpoint.kind.clone(),
+                zone: endpoint.zone.clone(),
+                serving: row.is_serving(),
+                drained_by: row.effect.drained_by.clone(),
+                banned_ms: row.banned_ms,
+                weight: row.effect.weight,
+                ejected,
+                capacity_fraction,
+                in_flight: in_flight.get(&row.number).copied().unwrap_or(0),
+            }
+        };
+        let mut states: Vec<BackendState> = self.table.rows().map(state).collect();
+        states.sort_unstable_by(|a, b| a.name.cmp(&b.name));
+        states
+    }
+}
+
+/// What the policy makes of a backend.
+struct Health {
+    ejected: bool,
+    capacity_fraction: f64,
+}
+
+impl Health {
+    /// One that the policy does not have yet counts as healthy.
+    fn of(row: &BackendRow, views: &HashMap<u32, BackendView>) -> Health {
+        views.get(&row.number).map_or(Health { ejected: false, capacity_fraction: 1.0 }, |view| Health {
+            ejected: view.ejected,
+            capacity_fraction: view.capacity_fraction,
+        })
+    }
 }
--- a/crates/gateway/src/event_loop/probing.rs
+++ b/crates/gateway/src/event_loop/probing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use slatelock::interface::{Event, Outcome};
+use gateway_policy::interface::{Event, Outcome};
 use tokio::time::Instant;
 
 use crate::input::{Input, Purpose};
@@ -54,7 +54,7 @@
     }
 
     fn write_probe(&mut self, backend: u32, connection: Connection, purpose: Purpose) {
-        if !self.terms.borrow().settings.limits.probes {
+        if !self.service_settings.borrow().settings.limits.probes {
             let (reply, connection) =
                 (Reply::Served(Bytes::new(), BackendReport::default()), Some(connection));
             self.follow_ups.push_back(Input::Probed { backend, reply, connection, purpose });
@@ -79,7 +79,7 @@
                     Reply::Served(_, report) => (Outcome::Ok, report),
                     Reply::Failed(outcome, report) => (outcome, report),
                 };
-                self.handle(Event::Probed { backend, outcome, load: &report.load });
+                self.handle(Event::ProbeEnded { backend, outcome, load: &report.load });
             }
             Purpose::FirstConnection { started_ms } => self.ramp_tried(backend, started_ms, &reply),
         }
--- a/crates/gateway/src/event_loop/ramp.rs
+++ b/crates/gateway/src/event_loop/ramp.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use beechrudder_coldstart::{Openings, Stage};
-use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
+use cold_start::{ConnectionRamp, RampStage};
+use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, Outcome, UpdateScope};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -15,24 +15,24 @@
 use super::EventLoop;
 
 /// Which backends are open, and the lines of those that wait for their slot.
-pub struct ConnectionRamp {
-    openings: Openings,
+pub struct StartRamp {
+    openings: ConnectionRamp,
     /// The last line of each that waits, as the policy gets it when it is open.
-    held_back: HashMap<u32, BackendEntry>,
+    held_back: HashMap<u32, BackendEndpoint>,
     /// The timer of the next slot, and its moment, Unix time in ms.
     timer: Option<(TimerKey, f64)>,
     /// The stage that was logged last.
-    stage: Stage,
+    stage: RampStage,
     /// Whether there is a backend to send to, or it is sure that the list names none.
     reached: watch::Sender<bool>,
 }
 
-impl ConnectionRamp {
+impl StartRamp {
     /// With whether there is a backend to send to.
-    pub fn new(openings: Openings) -> (ConnectionRamp, watch::Receiver<bool>) {
+    pub fn new(openings: ConnectionRamp) -> (StartRamp, watch::Receiver<bool>) {
         let (reached, receiver) = watch::channel(false);
         (
-            ConnectionRamp { openings, held_back: HashMap::new(), timer: None, stage: Stage::Empty, reached },
+            StartRamp { openings, held_back: HashMap::new(), timer: None, stage: RampStage::Empty, reached },
             receiver,
         )
     }
@@ -44,26 +44,26 @@
 
     /// Backends on the list that the policy may not have yet.
     pub fn waiting(&self) -> usize {
-        self.openings.waiting()
+        self.openings.waiting_count()
     }
 }
 
 impl EventLoop {
     /// Has the policy see backends that wait for their slot as draining.
-    pub(super) fn hold_back(&mut self, scope: ListScope, entries: &mut [BackendEntry]) {
-        let Some(ConnectionRamp { openings, held_back, .. }) = &mut self.ramp else { return };
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+    pub(super) fn hold_back(&mut self, scope: UpdateScope, entries: &mut [BackendEndpoint]) {
+        let Some(StartRamp { openings, held_back, .. }) = &mut self.ramp else { return };
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
-            openings.keep_only(|id| named.contains(&id));
+            openings.retain(|id| named.contains(&id));
             held_back.retain(|id, _| named.contains(id));
         }
         for entry in entries {
-            if entry.state != Readiness::Ready {
-                openings.gone(entry.id);
+            if entry.state != EndpointState::Ready {
+                openings.remove(entry.id);
                 held_back.remove(&entry.id);
-            } else if !openings.listed(entry.id, entry.key, entry.cold_from_ms()) {
+            } else if !openings.add(entry.id, entry.key, entry.slow_start_from_ms()) {
                 held_back.insert(entry.id, entry.clone());
-                entry.state = Readiness::Draining;
+                entry.state = EndpointState::Draining;
             }
         }
     }
@@ -75,16 +75,17 @@
         let Some(ramp) = &mut self.ramp else { return };
         ramp.openings.choose(now, out);
         let released = ramp.openings.release(now);
-        let entries: Vec<BackendEntry> = released.iter().filter_map(|id| ramp.held_back.remove(id)).collect();
+        let entries: Vec<BackendEndpoint> =
+            released.iter().filter_map(|id| ramp.held_back.remove(id)).collect();
         if !entries.is_empty() {
-            self.handle(Event::Backends { scope: ListScope::Delta, entries: &entries });
+            self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
         }
         let Some(ramp) = &mut self.ramp else { return };
         let (stage, open) = (ramp.openings.stage(), ramp.openings.open());
         if std::mem::replace(&mut ramp.stage, stage) != stage {
-            tracing::info!("start: {stage}; {open} backends open, {} wait", ramp.openings.waiting());
+            tracing::info!("start: {stage}; {open} backends open, {} wait", ramp.openings.waiting_count());
         }
-        let none_listed = stage == Stage::Empty && ramp.openings.confirmed();
+        let none_listed = stage == RampStage::Empty && ramp.openings.confirmed();
         if open > 0 || none_listed {
             ramp.reached.send_if_modified(|was| !std::mem::replace(was, true));
         }
@@ -116,7 +117,8 @@
             let now = self.clock.now_ms();
             let Some(ramp) = &mut self.ramp else { return };
             let Some(backend) = ramp.openings.due(now) else { break };
-            let Some(started_ms) = ramp.held_back.get(&backend).map(BackendEntry::cold_from_ms) else {
+            let Some(started_ms) = ramp.held_back.get(&backend).map(BackendEndpoint::slow_start_from_ms)
+            else {
                 continue;
             };
             self.probe(backend, Purpose::FirstConnection { started_ms });
@@ -127,13 +129,13 @@
     /// Takes in what a first connection came to. The policy has a backend from its first answer on.
     pub(super) fn ramp_tried(&mut self, backend: u32, started_ms: f64, reply: &Reply) {
         // One that is full answers.
-        let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Full, _));
+        let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Rejected, _));
         let now = self.clock.now_ms();
         let Some(ramp) = &mut self.ramp else { return };
-        if ramp.openings.tried(now, backend, started_ms, answered) {
+        if ramp.openings.first_connection_ended(now, backend, started_ms, answered) {
             self.pool.first_answered(backend, Instant::now());
             if let Some(entry) = ramp.held_back.remove(&backend) {
-                self.handle(Event::Backends { scope: ListScope::Delta, entries: &[entry] });
+                self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
             }
         }
         self.settle_ramp();
@@ -145,7 +147,7 @@
         match reply {
             Reply::Served(..) => self.pool.answered(backend, Instant::now()),
             Reply::Failed(Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout, _) => {
-                ramp.openings.fault();
+                ramp.openings.record_failure();
                 self.arm_ramp();
             }
             Reply::Failed(..) => {}
--- a/crates/gateway/src/event_loop/requests.rs
+++ b/crates/gateway/src/event_loop/requests.rs
@@ -80,6 +80,7 @@
         self.in_flight.keys().copied().collect()
     }
 
+    /// Whether a request is owed an answer, or has attempts in flight.
     pub fn contains(&self, id: u64) -> bool {
         self.in_flight.contains_key(&id)
     }
--- a/crates/gateway/src/event_loop/sending.rs
+++ b/crates/gateway/src/event_loop/sending.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use slatelock::interface::{Event, Outcome};
+use gateway_policy::interface::{Event, Outcome};
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
                 });
             }
             // Neither the gateway's own want of connections, nor a list that changed, is the backend's fault.
-            Checkout::Exhausted | Checkout::NotReady => self.end_unsent(key, backend, Outcome::Moot),
+            Checkout::Exhausted | Checkout::NotReady => self.end_unsent(key, backend, Outcome::NotSent),
         }
     }
 
@@ -73,13 +73,13 @@
         };
         if !self.pool.is_current(backend, &connection) {
             // The backend drains by now, or another one has its address.
-            self.end_unsent(key, backend, Outcome::Moot);
+            self.end_unsent(key, backend, Outcome::NotSent);
         } else if self.may_be_written(key) {
             self.write(key, connection);
         } else {
             // The connection may still serve others.
             self.pool.check_in(backend, connection);
-            self.end_unsent(key, backend, Outcome::Moot);
+            self.end_unsent(key, backend, Outcome::NotSent);
         }
     }
 
@@ -136,7 +136,7 @@
     pub(super) fn cancel(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(key) else { return };
         let outcome = match &attempt.phase {
-            Phase::Connecting => Outcome::Moot,
+            Phase::Connecting => Outcome::NotSent,
             Phase::Writing(task) => {
                 task.abort();
                 Outcome::Cancelled
@@ -167,15 +167,15 @@
         };
         // A backend that writes its answer for seconds has no queue: the start of the answer counts.
         let latency_ms = attempt.response_started_ms.unwrap_or_else(|| self.clock.now_ms()) - attempt.sent_ms;
-        self.handle(Event::Ended {
+        self.handle(Event::AttemptEnded {
             id,
             attempt: number,
             backend: attempt.backend,
             outcome,
             latency_ms,
-            closed: !self.requests.is_owed(id),
-            metered,
-            charged,
+            answered: !self.requests.is_owed(id),
+            metered_use: metered,
+            actual_units: charged,
             load: &load,
         });
         self.release(id);
--- a/crates/gateway/src/event_loop/timers.rs
+++ b/crates/gateway/src/event_loop/timers.rs
@@ -19,6 +19,7 @@
 }
 
 impl Timers {
+    /// None yet.
     pub fn new(clock: Clock) -> Timers {
         Timers { queue: DelayQueue::new(), clock }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,16 @@
-//! The gateway: serves clients on a socket by the decisions of `slatelock`.
+//! The gateway: serves clients on a socket as `gateway_policy` decides.
 //!
 //! ```text
-//!  management ─ keeper ─ Order ┐ (looked at first)
-//!  admin ────┐                ▼
-//!  clients ──┤                         ┌── backends   pools, exchanges
-//!  discovery ┼─ Input ─▶ driver ─ Action ┼── counter    calls
-//!  counter ──┘            │            └── clients    the one final answer
-//!                 gateway_policy::Gateway
+//!  maintenance ── ControlRequest ──┐ (looked at first)
+//!  admin ─────┐                    ▼
+//!  client ────┤                                   ┌── upstream  pools, exchanges
+//!  discovery ─┼── Input ──▶ event_loop ── Action ─┼── counter   calls
+//!  counter ───┘                  │                └── client    the one final answer
+//!                      gateway_policy::Policy
 //! ```
 //!
-//! One thread. Tasks on sockets send an `Input` each; the driver owns the decisions and carries out their
-//! actions.
+//! One thread. Tasks on sockets send an `Input` each; the event loop owns the policy and carries out its
+//! actions. `server` builds the parts, and has them start, reload and shut down.
 
 mod admin;
 mod backend_table;
@@ -37,7 +37,7 @@
 use error::StartError;
 
 /// Serves by the configuration that `GW_CONFIG` names until SIGTERM has been carried out. Where `operator`
-/// names an operator's file with an `[admin]` section, operators can order and look from there; its
+/// names an operator's file with an `[admin]` section, operators can control and observe it from there; its
 /// `[routing]` section says how many backends are looked at.
 ///
 /// # Errors
@@ -49,7 +49,7 @@
 fn start(operator: Option<&Path>) -> Result<(), StartError> {
     // Fails only where a log is set up already.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-    let operator = operator.map(OperatorConfig::read).transpose().map_err(StartError::Operator)?;
+    let operator = operator.map(OperatorConfig::read).transpose().map_err(StartError::OperatorConfig)?;
     let path = PathBuf::from(std::env::var_os("GW_CONFIG").ok_or(StartError::ConfigUnset)?);
     let config = Config::read(&path).map_err(StartError::Config)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -61,5 +61,5 @@
 /// `configuration.settings.profiles[1].aim-ms`. Nothing is wrong with an empty answer.
 #[must_use]
 pub fn check(text: &[u8]) -> Vec<gateway_policy::interface::SettingsError> {
-    Config::wrong(text)
+    Config::problems(text)
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway: serves clients on a socket by the decisions of the library.
+//! The gateway: serves clients on a socket as the policy decides.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/gateway/src/maintenance.rs
+++ b/crates/gateway/src/maintenance.rs
@@ -16,8 +16,8 @@
 
 pub use command::PendingCommand;
 pub use control::ControlRequest;
-pub use controller::{Controller, PROPAGATION_MAX};
-pub use listener::{serve, CONNECTIONS_MAX};
+pub use controller::{Controller, MAX_PROPAGATION};
+pub use listener::{serve, MAX_CONNECTIONS};
 pub use partition::Partition;
 pub use process::ProcessStatus;
 pub use state_directory::StateDirectory;
--- a/crates/gateway/src/maintenance/command.rs
+++ b/crates/gateway/src/maintenance/command.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-use beechrudder_maintenance::{BadCall, Call, Refused, MAX_LINE_BYTES};
+use maintenance::{Command, CommandError, CommandRejected, MAX_LINE_BYTES};
 use tokio::sync::oneshot;
 
 use super::state_directory::StateError;
@@ -11,23 +11,23 @@
 /// A command, and where its result goes.
 pub struct PendingCommand {
     /// What is to be done.
-    pub command: Call,
+    pub command: Command,
     /// Takes the result.
     pub reply: oneshot::Sender<CommandResult>,
 }
 
 /// What was done, in words for the caller, or why nothing was.
-pub type CommandResult = Result<String, CommandError>;
+pub type CommandResult = Result<String, CommandFailure>;
 
 /// Why a command was not carried out. Its text is what the caller reads.
 #[derive(Debug)]
-pub enum CommandError {
+pub enum CommandFailure {
     /// The line is longer than any command.
     LineTooLong,
     /// The caller ended its sending in the middle of the line.
     LineCut,
     /// The line is no command.
-    Malformed(BadCall),
+    Malformed(CommandError),
     /// The process does not accept clients yet.
     Starting,
     /// The process is shutting down.
@@ -35,7 +35,7 @@
     /// The gateway is drained, so it is not ready.
     Drained,
     /// The maintenance state does not allow it.
-    Rejected(Refused),
+    Rejected(CommandRejected),
     /// Another process did not let go of the maintenance state in time.
     Locked,
     /// The maintenance state can't be locked.
@@ -46,33 +46,33 @@
     TimedOut,
 }
 
-impl fmt::Display for CommandError {
+impl fmt::Display for CommandFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CommandError::LineTooLong => write!(f, "a line of more than {MAX_LINE_BYTES} bytes"),
-            CommandError::LineCut => f.write_str("the line has no end"),
-            CommandError::Malformed(e) => e.fmt(f),
-            CommandError::Starting => f.write_str("starting"),
-            CommandError::ShuttingDown => f.write_str("ending"),
-            CommandError::Drained => f.write_str("drained; UNDRAIN takes clients again"),
-            CommandError::Rejected(e) => e.fmt(f),
-            CommandError::Locked => {
+            CommandFailure::LineTooLong => write!(f, "a line of more than {MAX_LINE_BYTES} bytes"),
+            CommandFailure::LineCut => f.write_str("the line has no end"),
+            CommandFailure::Malformed(e) => e.fmt(f),
+            CommandFailure::Starting => f.write_str("starting"),
+            CommandFailure::ShuttingDown => f.write_str("ending"),
+            CommandFailure::Drained => f.write_str("drained; UNDRAIN takes clients again"),
+            CommandFailure::Rejected(e) => e.fmt(f),
+            CommandFailure::Locked => {
                 f.write_str("another process of this gateway holds the book; nothing is changed")
             }
-            CommandError::LockFailed(e) => write!(f, "the book can't be locked: {e}"),
-            CommandError::NotWritten(e) => write!(f, "not written down, nothing is changed: {e}"),
-            CommandError::TimedOut => f.write_str("no answer in time; whether it is in force is not known"),
+            CommandFailure::LockFailed(e) => write!(f, "the book can't be locked: {e}"),
+            CommandFailure::NotWritten(e) => write!(f, "not written down, nothing is changed: {e}"),
+            CommandFailure::TimedOut => f.write_str("no answer in time; whether it is in force is not known"),
         }
     }
 }
 
-impl std::error::Error for CommandError {
+impl std::error::Error for CommandFailure {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            CommandError::Malformed(e) => Some(e),
-            CommandError::Rejected(e) => Some(e),
-            CommandError::LockFailed(e) => Some(e),
-            CommandError::NotWritten(e) => Some(e),
+            CommandFailure::Malformed(e) => Some(e),
+            CommandFailure::Rejected(e) => Some(e),
+            CommandFailure::LockFailed(e) => Some(e),
+            CommandFailure::NotWritten(e) => Some(e),
             _ => None,
         }
     }
--- a/crates/gateway/src/maintenance/controller.rs
+++ b/crates/gateway/src/maintenance/controller.rs
@@ -4,12 +4,12 @@
 use std::fs::File;
 use std::time::Duration;
 
-use beechrudder_maintenance::{Book, Call, Done};
-use slatelock::interface::Untold;
+use gateway_policy::interface::UnreportedCharge;
+use maintenance::{Command, CommandOutcome, MaintenanceState};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-use super::command::{CommandError, CommandResult, PendingCommand};
+use super::command::{CommandFailure, CommandResult, PendingCommand};
 use super::control::ControlRequest;
 use super::process::{ProcessStatus, Stage};
 use super::state_directory::StateDirectory;
@@ -21,7 +21,7 @@
 /// How often other processes of this gateway are looked for, and their state read.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a change takes at most to be in force in another process that runs: two polls and some.
-pub const PROPAGATION_MAX: Duration = Duration::from_millis(250);
+pub const MAX_PROPAGATION: Duration = Duration::from_millis(250);
 /// How often, and how far apart, the lock on the state is tried before a command is rejected.
 const LOCK_ATTEMPTS: u32 = 40;
 const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
@@ -29,19 +29,19 @@
 /// An unreported charge as it is stored: customer, plan, fan-out and units.
 type StoredCharge = (u64, u64, f64, f64);
 
-fn stored(charge: Untold) -> StoredCharge {
-    (charge.customer, charge.plan as u64, charge.width, charge.units)
+fn stored(charge: UnreportedCharge) -> StoredCharge {
+    (charge.customer, charge.plan as u64, charge.fan_out, charge.units)
 }
 
-fn restored((customer, plan, width, units): StoredCharge) -> Untold {
+fn restored((customer, plan, fan_out, units): StoredCharge) -> UnreportedCharge {
     // A plan that no settings have is passed over by the policy.
-    Untold { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), width, units }
+    UnreportedCharge { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), fan_out, units }
 }
 
 /// Carries out commands, and keeps the maintenance state in step with the other processes of this gateway.
 pub struct Controller {
     directory: Option<StateDirectory>,
-    state: Book,
+    state: MaintenanceState,
     clock: Clock,
     /// For so long after a return a backend may be cold, ms.
     warm_up_ms: f64,
@@ -60,7 +60,7 @@
         status: ProcessStatus,
         event_loop: mpsc::Sender<ControlRequest>,
     ) -> Controller {
-        let (state, read_problem) = (Book::default(), String::new());
+        let (state, read_problem) = (MaintenanceState::default(), String::new());
         let mut controller =
             Controller { directory, state, clock, warm_up_ms, status, event_loop, read_problem };
         controller.read_state();
@@ -76,7 +76,7 @@
     }
 
     /// What is in force now.
-    pub fn state(&self) -> Book {
+    pub fn state(&self) -> MaintenanceState {
         self.state.clone()
     }
 
@@ -130,7 +130,7 @@
     async fn take_over_unreported(&self) {
         let Some(directory) = &self.directory else { return };
         for charges in directory.claim::<Vec<StoredCharge>>(UNREPORTED_FILE) {
-            let unreported: Vec<Untold> = charges.into_iter().map(restored).collect();
+            let unreported: Vec<UnreportedCharge> = charges.into_iter().map(restored).collect();
             tracing::info!("{} customers' charges taken over from a process that ended", unreported.len());
             self.request(|reply| ControlRequest::AddUnreported { unreported, reply }).await;
         }
@@ -155,7 +155,7 @@
     /// so that no ban is forgotten for it.
     fn read_state(&mut self) -> bool {
         let Some(directory) = &self.directory else { return false };
-        match directory.read::<Book>(STATE_FILE) {
+        match directory.read::<MaintenanceState>(STATE_FILE) {
             Ok(Some(state)) if state.newer_than(self.state.revision()) => {
                 self.state = state;
                 self.read_problem.clear();
@@ -193,14 +193,14 @@
 
     async fn handle(&mut self, PendingCommand { command, reply }: PendingCommand) {
         let result = match &command {
-            Call::Ready => self.ready().await,
+            Command::Ready => self.ready().await,
             command => self.change(command).await,
         };
-        let changed = command != Call::Ready && result.is_ok();
+        let changed = command != Command::Ready && result.is_ok();
         if self.others_may_live() && changed {
             // A success is told only when the other processes act by it as well.
             tokio::spawn(async move {
-                sleep(PROPAGATION_MAX).await;
+                sleep(MAX_PROPAGATION).await;
                 let _ = reply.send(result);
             });
             return;
@@ -218,69 +218,71 @@
     async fn ready(&self) -> CommandResult {
         match self.status.stage() {
             Stage::Serving => {}
-            Stage::ShuttingDown => return Err(CommandError::ShuttingDown),
-            Stage::Starting => return Err(CommandError::Starting),
+            Stage::ShuttingDown => return Err(CommandFailure::ShuttingDown),
+            Stage::Starting => return Err(CommandFailure::Starting),
         }
         if !self.adopt().await {
-            return Err(CommandError::ShuttingDown);
+            return Err(CommandFailure::ShuttingDown);
         }
         match self.state.drained_ms() {
-            Some(_) => Err(CommandError::Drained),
+            Some(_) => Err(CommandFailure::Drained),
             None => Ok("ready".to_string()),
         }
     }
 
     /// Changes the state: written first, then put in force, then answered.
-    async fn change(&mut self, command: &Call) -> CommandResult {
+    async fn change(&mut self, command: &Command) -> CommandResult {
         let listed = match command {
-            Call::Disable(id) | Call::Enable(id) => self.is_listed(id).await,
+            Command::Disable(id) | Command::Enable(id) => self.is_listed(id).await,
             _ => true,
         };
         let lock = self.lock().await?;
         self.read_state();
         let now_ms = self.clock.now_ms();
         let mut state = self.state.clone();
-        let done = state.carry_out(command, listed, now_ms).map_err(CommandError::Rejected)?;
-        state.forget_returns(now_ms - self.warm_up_ms);
-        if done == Done::Changed {
+        let done = state.execute(command, listed, now_ms).map_err(CommandFailure::Rejected)?;
+        state.forget_reenabled(now_ms - self.warm_up_ms);
+        if done == CommandOutcome::Changed {
             if let Some(directory) = &self.directory {
-                directory.write(STATE_FILE, &state).map_err(CommandError::NotWritten)?;
+                directory.write(STATE_FILE, &state).map_err(CommandFailure::NotWritten)?;
             }
             self.state = state;
         }
         drop(lock);
         if !self.adopt().await {
-            return Err(CommandError::ShuttingDown);
+            return Err(CommandFailure::ShuttingDown);
         }
         Ok(success_text(command, &done))
     }
 
     /// Locks the state. A process that is stopped while it holds the lock must not hold up this one for good:
     /// the command is rejected instead.
-    async fn lock(&self) -> Result<Option<File>, CommandError> {
+    async fn lock(&self) -> Result<Option<File>, CommandFailure> {
         let Some(directory) = &self.directory else { return Ok(None) };
         for _ in 0..LOCK_ATTEMPTS {
             match directory.try_lock() {
                 Ok(Some(lock)) => return Ok(Some(lock)),
                 Ok(None) => sleep(LOCK_RETRY_DELAY).await,
-                Err(e) => return Err(CommandError::LockFailed(e)),
+                Err(e) => return Err(CommandFailure::LockFailed(e)),
             }
         }
-        Err(CommandError::Locked)
+        Err(CommandFailure::Locked)
     }
 }
 
 /// What the caller of a command reads when it was carried out.
-fn success_text(command: &Call, done: &Done) -> String {
+fn success_text(command: &Command, done: &CommandOutcome) -> String {
     match (command, done) {
-        (Call::Disable(id), Done::Changed) => format!("nothing more goes to {id}"),
-        (Call::Disable(id), Done::Held) => format!("{id} was banned already"),
-        (Call::Enable(id), Done::Changed) => format!("{id} is used again, as one that has just started"),
-        (Call::Enable(id), Done::Held) => format!("{id} was not banned"),
-        (Call::Drain, Done::Changed) => "draining".to_string(),
-        (Call::Drain, Done::Held) => "was drained already".to_string(),
-        (Call::Undrain, Done::Changed) => "clients are taken again".to_string(),
-        (Call::Undrain, Done::Held) => "was not drained".to_string(),
-        (Call::Ready, _) => String::new(),
+        (Command::Disable(id), CommandOutcome::Changed) => format!("nothing more goes to {id}"),
+        (Command::Disable(id), CommandOutcome::AlreadyInForce) => format!("{id} was banned already"),
+        (Command::Enable(id), CommandOutcome::Changed) => {
+            format!("{id} is used again, as one that has just started")
+        }
+        (Command::Enable(id), CommandOutcome::AlreadyInForce) => format!("{id} was not banned"),
+        (Command::Drain, CommandOutcome::Changed) => "draining".to_string(),
+        (Command::Drain, CommandOutcome::AlreadyInForce) => "was drained already".to_string(),
+        (Command::Undrain, CommandOutcome::Changed) => "clients are taken again".to_string(),
+        (Command::Undrain, CommandOutcome::AlreadyInForce) => "was not drained".to_string(),
+        (Command::Ready, _) => String::new(),
     }
 }
--- a/crates/gateway/src/maintenance/listener.rs
+++ b/crates/gateway/src/maintenance/listener.rs
@@ -6,17 +6,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_maintenance::{Call, MAX_LINE_BYTES};
+use maintenance::{Command, MAX_LINE_BYTES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-use super::command::{CommandError, CommandResult, PendingCommand};
+use super::command::{CommandFailure, CommandResult, PendingCommand};
 
 /// Connections at once. Their descriptors are kept for them.
-pub const CONNECTIONS_MAX: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// How long a caller may take for its line where nobody else wants the connection's permit.
 const LINE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a result may take; a little less than callers wait.
@@ -33,7 +33,7 @@
 
 /// Accepts connections until the task ends.
 pub async fn serve(listener: TcpListener, controller: mpsc::Sender<PendingCommand>) {
-    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     // Those that have not sent their line yet, from the first.
     let mut silent: VecDeque<CancellationToken> = VecDeque::new();
     loop {
@@ -73,8 +73,8 @@
     line.cancel();
     let result = match read {
         Some(Ok(text)) => execute(&text, caller, &controller).await,
-        Some(Err(Unread::TooLong)) => Err(CommandError::LineTooLong),
-        Some(Err(Unread::Cut)) => Err(CommandError::LineCut),
+        Some(Err(Unread::TooLong)) => Err(CommandFailure::LineTooLong),
+        Some(Err(Unread::Cut)) => Err(CommandFailure::LineCut),
         // Who said nothing gets nothing: the end of its connection could take long, and keep the permit.
         Some(Err(Unread::Nothing)) | None => return,
     };
@@ -88,16 +88,16 @@
     caller: SocketAddr,
     controller: &mpsc::Sender<PendingCommand>,
 ) -> CommandResult {
-    let command = Call::read(text).map_err(CommandError::Malformed)?;
-    let changes = command != Call::Ready;
+    let command = Command::read(text).map_err(CommandFailure::Malformed)?;
+    let changes = command != Command::Ready;
     let shown = command.to_string();
     let (reply, result) = oneshot::channel();
     let carried_out = async {
         let pending = PendingCommand { command, reply };
-        controller.send(pending).await.map_err(|_| CommandError::ShuttingDown)?;
-        result.await.unwrap_or(Err(CommandError::ShuttingDown))
+        controller.send(pending).await.map_err(|_| CommandFailure::ShuttingDown)?;
+        result.await.unwrap_or(Err(CommandFailure::ShuttingDown))
     };
-    let result = timeout(RESULT_TIMEOUT, carried_out).await.unwrap_or(Err(CommandError::TimedOut));
+    let result = timeout(RESULT_TIMEOUT, carried_out).await.unwrap_or(Err(CommandFailure::TimedOut));
     if changes {
         match &result {
             Ok(done) => tracing::info!(%caller, call = %shown, "done: {done}"),
--- a/crates/gateway/src/maintenance/partition/tests.rs
+++ b/crates/gateway/src/maintenance/partition/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_part_is_left_as_it_falls_free_and_taken_back() {
+fn reserves_permits_as_they_fall_free_and_gives_them_back() {
     let of = Arc::new(Semaphore::new(10));
     let mut partition = Partition::new(Arc::clone(&of), 10);
     let used = Arc::clone(&of).try_acquire_many_owned(8).expect("free");
--- a/crates/gateway/src/maintenance/state_directory.rs
+++ b/crates/gateway/src/maintenance/state_directory.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use beechrudder_maintenance::sealed::{self, Unsealed};
+use maintenance::checksummed::{self, DecodeError};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -22,7 +22,7 @@
 /// The file whose lock a process holds while it changes the maintenance state.
 const LOCK_FILE: &str = "book.lock";
 /// The largest state that is read, bytes.
-const STATE_MAX_BYTES: u64 = 16 << 20;
+const MAX_STATE_BYTES: u64 = 16 << 20;
 
 /// The directory, as one process sees it.
 #[derive(Debug)]
@@ -48,14 +48,14 @@
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        source: Unsealed,
+        source: DecodeError,
     },
     /// The state has no stored form.
-    Unsealable {
+    Unencodable {
         /// The kind of state.
         kind: String,
         /// What is wrong with it.
-        source: Unsealed,
+        source: DecodeError,
     },
 }
 
@@ -64,7 +64,7 @@
         match self {
             StateError::Io { path, source } => write!(f, "{}: {source}", path.display()),
             StateError::Invalid { path, source } => write!(f, "{}: {source}", path.display()),
-            StateError::Unsealable { kind, source } => write!(f, "{kind}: {source}"),
+            StateError::Unencodable { kind, source } => write!(f, "{kind}: {source}"),
         }
     }
 }
@@ -73,7 +73,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             StateError::Io { source, .. } => Some(source),
-            StateError::Invalid { source, .. } | StateError::Unsealable { source, .. } => Some(source),
+            StateError::Invalid { source, .. } | StateError::Unencodable { source, .. } => Some(source),
         }
     }
 }
@@ -127,7 +127,7 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(source) => return Err(StateError::Io { path, source }),
         };
-        match sealed::open(kind, &bytes) {
+        match checksummed::decode(kind, &bytes) {
             Ok(state) => Ok(Some(state)),
             Err(source) => Err(StateError::Invalid { path, source }),
         }
@@ -166,7 +166,7 @@
             }
             let bytes = read_bounded(&mine).unwrap_or_default();
             let _ = fs::remove_file(&mine);
-            match sealed::open(kind, &bytes) {
+            match checksummed::decode(kind, &bytes) {
                 Ok(state) => all.push(state),
                 Err(e) => tracing::warn!("{}: {e}; what it held is lost", file.path().display()),
             }
@@ -201,7 +201,7 @@
 
 /// Reads a file that is no larger than a state may be: it could be another program's, larger than the memory.
 fn read_bounded(path: &Path) -> io::Result<Vec<u8>> {
-    if fs::metadata(path)?.len() > STATE_MAX_BYTES {
+    if fs::metadata(path)?.len() > MAX_STATE_BYTES {
         return Err(io::Error::other("larger than any state"));
     }
     fs::read(path)
@@ -209,8 +209,8 @@
 
 /// Writes a state to a file of this process, which is then renamed.
 fn write_whole<T: Serialize>(kind: &str, state: &T, part: &Path, path: PathBuf) -> Result<(), StateError> {
-    let bytes = sealed::seal(kind, state)
-        .map_err(|source| StateError::Unsealable { kind: kind.to_string(), source })?;
+    let bytes = checksummed::encode(kind, state)
+        .map_err(|source| StateError::Unencodable { kind: kind.to_string(), source })?;
     let written = fs::write(part, bytes).and_then(|()| fs::rename(part, &path));
     written.map_err(|source| StateError::Io { path, source })
 }
--- a/crates/gateway/src/maintenance/state_directory/tests.rs
+++ b/crates/gateway/src/maintenance/state_directory/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_process_that_ended_is_not_counted_and_one_that_lives_is() {
+fn counts_only_processes_that_live() {
     let under = tempfile::tempdir().expect("a folder");
     let (one, two) = (open(under.path(), 1), open(under.path(), 2));
     assert_eq!(
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_left_is_claimed_once_and_garbled_it_is_lost() {
+fn a_left_state_is_claimed_once_and_lost_if_garbled() {
     let under = tempfile::tempdir().expect("a folder");
     let (one, two) = (open(under.path(), 1), open(under.path(), 2));
     one.leave("untold", &vec![(7u64, 1.5f64)]).expect("room");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_state_is_found_whole_or_refused_and_the_lock_has_one_holder() {
+fn a_state_is_read_complete_or_rejected_and_the_lock_has_one_holder() {
     let under = tempfile::tempdir().expect("a folder");
     let (one, two) = (open(under.path(), 1), open(under.path(), 2));
     assert_eq!(one.read::<u64>("book").expect("readable"), None);
--- a/crates/gateway/src/resp/command.rs
+++ b/crates/gateway/src/resp/command.rs
@@ -3,9 +3,9 @@
 use std::ops::RangeInclusive;
 
 use bytes::{Bytes, BytesMut};
+use gateway_policy::interface::{Idempotency, Settings};
+use gateway_policy::settings::SettingNames;
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::{Effect, Settings};
-use slatelock::settings::Names;
 use tokio::sync::OwnedSemaphorePermit;
 
 use super::frame::put;
@@ -13,7 +13,7 @@
 /// What a request takes beside its words, bytes: its records here and in the policy.
 const RECORD_BYTES: usize = 1024;
 /// The longest time that a client can sensibly say it waits, ms: a day.
-const WAIT_MAX_MS: u32 = 86_400_000;
+const MAX_WAIT_MS: u32 = 86_400_000;
 /// Customers' numbers are below this.
 const CUSTOMERS_END: u64 = 1 << 33;
 
@@ -81,7 +81,11 @@
 
 impl Command {
     /// Reads a client's command by the names of the settings.
-    pub fn read(frame: BytesFrame, settings: &Settings, names: &Names) -> Result<Command, InvalidCommand> {
+    pub fn read(
+        frame: BytesFrame,
+        settings: &Settings,
+        names: &SettingNames,
+    ) -> Result<Command, InvalidCommand> {
         let mut words = words_of(frame)?.into_iter();
         let verb = words.next().ok_or(InvalidCommand("empty command"))?;
         let writes = match () {
@@ -103,10 +107,10 @@
             RequestTerms::read(text, settings, names)?;
         let class_settings = &settings.classes[class];
         // A command that says safe of a class that is not might be run twice by a backend.
-        if (class_settings.effect == Effect::Safe) == writes {
+        if (class_settings.idempotency == Idempotency::Idempotent) == writes {
             return Err(InvalidCommand("wrong command for the class"));
         }
-        if class_settings.effect == Effect::Keyed && !keyed {
+        if class_settings.idempotency == Idempotency::Keyed && !keyed {
             return Err(InvalidCommand("no idempotency key"));
         }
         let wait_at = wait.digits.as_ptr() as usize - text.as_ptr() as usize;
@@ -165,7 +169,11 @@
 
 impl<'a> RequestTerms<'a> {
     /// Reads the terms; of one that stands twice the last counts, and others than these are passed over.
-    fn read(text: &'a str, settings: &Settings, names: &Names) -> Result<RequestTerms<'a>, InvalidCommand> {
+    fn read(
+        text: &'a str,
+        settings: &Settings,
+        names: &SettingNames,
+    ) -> Result<RequestTerms<'a>, InvalidCommand> {
         let (mut class, mut plan, mut wait, mut units) = (None, None, None, None);
         let (mut spread, mut first) = (None, None);
         let (mut keyed, mut retry) = (false, false);
@@ -174,12 +182,12 @@
             match name {
                 "c" => class = names.classes.iter().position(|n| n.as_deref() == Some(value)),
                 "t" => plan = names.plans.iter().position(|n| n == value),
-                "d" => wait = whole(value, 1..=WAIT_MAX_MS).map(|ms| Wait { ms, digits: value }),
+                "d" => wait = whole(value, 1..=MAX_WAIT_MS).map(|ms| Wait { ms, digits: value }),
                 "k" => keyed = !value.is_empty(),
                 "r" => retry = value == "1",
-                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_units),
-                "spread" => spread = whole(value, 1..=settings.gateways),
-                "first" => first = whole(value, 0..=settings.gateways - 1),
+                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_request_units),
+                "spread" => spread = whole(value, 1..=settings.gateway_count),
+                "first" => first = whole(value, 0..=settings.gateway_count - 1),
                 _ => {}
             }
         }
--- a/crates/gateway/src/resp/frame.rs
+++ b/crates/gateway/src/resp/frame.rs
@@ -6,13 +6,13 @@
 use redis_protocol::resp2::types::BytesFrame;
 
 /// The longest value or body, bytes.
-pub(super) const VALUE_MAX: usize = 64 * 1024;
+pub(super) const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// The longest line that is no value, bytes.
-pub(super) const LINE_MAX: usize = 4 * 1024;
+pub(super) const MAX_LINE_BYTES: usize = 4 * 1024;
 /// The most elements of an array.
-pub(super) const ELEMENTS_MAX: usize = 16;
+pub(super) const MAX_ARRAY_ELEMENTS: usize = 16;
 /// The most bytes of one message; more than this and one further reading is never buffered.
-const MESSAGE_MAX: usize = VALUE_MAX + 2 * LINE_MAX;
+const MAX_MESSAGE_BYTES: usize = MAX_VALUE_BYTES + 2 * MAX_LINE_BYTES;
 /// Room for one reading: most messages come in one, and so small a buffer costs little to take and to let go.
 const FIRST_READ: usize = 1024 - 32;
 /// Room for each further reading of a message.
@@ -49,20 +49,20 @@
             return Err(Malformed("unexpected type"));
         }
         let Some(line_end) = line_length(rest) else {
-            return if rest.len() > LINE_MAX { Err(Malformed("line too long")) } else { Ok(None) };
+            return if rest.len() > MAX_LINE_BYTES { Err(Malformed("line too long")) } else { Ok(None) };
         };
         let (kind, line) = rest[..line_end].split_first().ok_or(Malformed("empty line"))?;
         let first = at == 0;
         (at, left) = (at + line_end + LINE_END.len(), left - 1);
-        if at > MESSAGE_MAX {
+        if at > MAX_MESSAGE_BYTES {
             return Err(Malformed("too long"));
         }
         match kind {
-            b'*' if first => left = length(line, ELEMENTS_MAX)?.unwrap_or(0),
+            b'*' if first => left = length(line, MAX_ARRAY_ELEMENTS)?.unwrap_or(0),
             b'$' => {
-                let Some(value) = length(line, VALUE_MAX)? else { continue };
+                let Some(value) = length(line, MAX_VALUE_BYTES)? else { continue };
                 match buffer.get(at + value..at + value + LINE_END.len()) {
-                    None if at + value > MESSAGE_MAX => return Err(Malformed("too long")),
+                    None if at + value > MAX_MESSAGE_BYTES => return Err(Malformed("too long")),
                     None => return Ok(None),
                     Some(LINE_END) => at += value + LINE_END.len(),
                     Some(_) => return Err(Malformed("value longer than announced")),
@@ -92,7 +92,7 @@
 /// Length of the line that some bytes begin with, its end left out; `None` if there is none that is short
 /// enough.
 pub(super) fn line_length(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(LINE_END.len()).take(LINE_MAX).position(|window| window == LINE_END)
+    bytes.windows(LINE_END.len()).take(MAX_LINE_BYTES).position(|window| window == LINE_END)
 }
 
 /// Appends a message. Encoding into a buffer that grows can't fail.
--- a/crates/gateway/src/resp/header.rs
+++ b/crates/gateway/src/resp/header.rs
@@ -3,10 +3,10 @@
 #[cfg(test)]
 mod tests;
 
-use super::frame::{length, line_length, ELEMENTS_MAX, LINE_MAX, VALUE_MAX};
+use super::frame::{length, line_length, MAX_ARRAY_ELEMENTS, MAX_LINE_BYTES, MAX_VALUE_BYTES};
 
 /// The longest value that is streamed: the longest that RESP has (Redis, "Protocol").
-const STREAMED_MAX: usize = 512 << 20;
+const MAX_STREAMED_VALUE_BYTES: usize = 512 << 20;
 
 /// How a backend's answer begins.
 #[derive(Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
         return Header::Whole;
     }
     let Some((array, value_at)) = line_at(buffer, 0) else {
-        return incomplete_unless(buffer.len() > LINE_MAX);
+        return incomplete_unless(buffer.len() > MAX_LINE_BYTES);
     };
     match buffer.get(value_at) {
         None => return Header::Incomplete,
@@ -40,11 +40,13 @@
         Some(_) => return Header::Whole,
     }
     let Some((value, header)) = line_at(buffer, value_at) else {
-        return incomplete_unless(buffer.len() > value_at + LINE_MAX);
+        return incomplete_unless(buffer.len() > value_at + MAX_LINE_BYTES);
     };
-    let parts = length(&array[1..], ELEMENTS_MAX).ok().flatten();
-    match (parts, length(&value[1..], STREAMED_MAX)) {
-        (Some(parts), Ok(Some(length))) if length > VALUE_MAX => Header::Streamed { parts, length, header },
+    let parts = length(&array[1..], MAX_ARRAY_ELEMENTS).ok().flatten();
+    match (parts, length(&value[1..], MAX_STREAMED_VALUE_BYTES)) {
+        (Some(parts), Ok(Some(length))) if length > MAX_VALUE_BYTES => {
+            Header::Streamed { parts, length, header }
+        }
         _ => Header::Whole,
     }
 }
--- a/crates/gateway/src/resp/header/tests.rs
+++ b/crates/gateway/src/resp/header/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn a_header_is_told_from_any_cut_and_never_wrongly() {
-    let long = format!("*3\r\n${}\r\nabc", VALUE_MAX + 1);
+fn reads_the_header_from_any_cut() {
+    let long = format!("*3\r\n${}\r\nabc", MAX_VALUE_BYTES + 1);
     let head = long.len() - 3;
     for cut in 0..=long.len() {
         let wanted = match cut {
             _ if cut < head => Header::Incomplete,
-            _ => Header::Streamed { parts: 3, length: VALUE_MAX + 1, header: head },
+            _ => Header::Streamed { parts: 3, length: MAX_VALUE_BYTES + 1, header: head },
         };
         assert_eq!(read_header(&long.as_bytes()[..cut]), wanted, "{cut}");
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -2,7 +2,9 @@
 //! SIGHUP, and shuts down at SIGTERM.
 
 mod builder;
+mod capacity;
 mod clients_socket;
+mod fleet_start;
 mod readiness;
 mod reload;
 mod shutdown;
@@ -44,7 +46,7 @@
     if readiness.wait_for_backend(&mut terminate).await == Wait::Terminated {
         return Ok(());
     }
-    let accepting = open(client_side, shutdown.inbox.clone()).await?;
+    let accepting = open(client_side, shutdown.clients.inbox.clone()).await?;
     shutdown.status.set_serving();
     terminate.recv().await;
     shutdown.status.set_shutting_down();
@@ -64,7 +66,7 @@
     }
     println!("listening on {}", address_of(&listener)?);
     if other_processes > 0 {
-        sleep(maintenance::PROPAGATION_MAX).await;
+        sleep(maintenance::MAX_PROPAGATION).await;
     }
     Ok(tokio::spawn(clients.accept(listener, permits, connections)))
 }
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -6,21 +6,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_channel::Dialer;
-use beechrudder_coldstart::{Allowance, Calendar, Calls, Openings};
-use beechrudder_operator::{Admin, Operator, Start};
-use beechrudder_routing::Subset;
-use slatelock::interface::{ListScope, Routing};
-use slatelock::terms::Terms;
-use slatelock::Gateway;
+use cold_start::{ConnectionRamp, PollSchedule, SlotSchedule};
+use gateway_policy::interface::{Routing, UpdateScope};
+use gateway_policy::reload::ServiceSettings;
+use gateway_policy::Policy;
+use operator_config::{AdminConfig, OperatorConfig, StartConfig};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
+use transport::Connector;
 
+use super::capacity::{Budgets, Capacity};
 use super::clients_socket;
-use super::readiness::{FirstBackend, Readiness};
+use super::fleet_start::{with_first_backend, FleetStart};
+use super::readiness::Readiness;
 use super::reload::Reload;
 use super::shutdown::Shutdown;
 use crate::client::Clients;
@@ -30,31 +31,21 @@
 use crate::discovery::{self, EndpointUpdate, FollowOptions, StartOrder};
 use crate::endpoint_list::EndpointList;
 use crate::error::StartError;
-use crate::event_loop::{ConnectionRamp, EventLoop, Oversight, Resources};
+use crate::event_loop::{EventLoop, Oversight, Resources};
 use crate::input::Input;
-use crate::maintenance::{
-    self, ControlRequest, Controller, Partition, PendingCommand, ProcessStatus, StateDirectory,
-};
+use crate::maintenance::{self, ControlRequest, Controller, PendingCommand, ProcessStatus, StateDirectory};
 use crate::upstream::ConnectionPool;
 
-/// Descriptors for all but clients and backends: the runtime, the log, and the counter and discovery twice,
-/// as the old connections may still stand when a new configuration names others.
-const RESERVED_SOCKETS: usize = 32;
-/// Of the memory, one in so many bytes may be taken by requests and answers, and as many by streamed values:
-/// buffers that are being read and written take about another part.
-const BUFFERS_DIVISOR: usize = 4;
-/// Of the memory, one in so many bytes may be taken by records of customers.
-const CUSTOMERS_DIVISOR: usize = 8;
 /// Inputs that may wait for the event loop; whoever brings more waits.
 const INBOX_CAPACITY: usize = 1024;
 /// Requests of the maintenance controller, and commands, that may wait; there are few, one after another.
 const COMMANDS_CAPACITY: usize = 32;
 /// How long the start waits for the list of backends where none is known.
-const FIRST_LIST_MAX: Duration = Duration::from_millis(500);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the start waits for an update of a list that is known.
-const FIRST_UPDATE_MAX: Duration = Duration::from_millis(50);
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(50);
 /// The longest time that a gateway may go on sending to a backend that was told to stop, s.
-const STOP_SENDING_MAX_S: f64 = 60.0;
+const MAX_STOP_SENDING_S: f64 = 60.0;
 
 /// The parts of a gateway, built but not running. The second address is served already, and says that the
 /// gateway starts.
@@ -72,7 +63,7 @@
 pub(super) struct ClientSide {
     /// The gateway's name.
     pub name: String,
-    pub admin: Option<Admin>,
+    pub admin: Option<AdminConfig>,
     pub clients: Arc<Clients>,
     pub listener: TcpListener,
     /// Permits for connections of clients.
@@ -83,63 +74,9 @@
     pub other_processes: usize,
 }
 
-/// What the limits of a configuration come to.
-#[derive(Clone, Copy)]
-struct Capacity {
-    /// Connections of clients, and as many to backends.
-    connections: usize,
-    /// Bytes of requests and answers, and as many of streamed values.
-    buffer_bytes: usize,
-    /// Bytes of customers' records.
-    customer_bytes: usize,
-}
-
-impl Capacity {
-    fn of(config: &Config) -> Capacity {
-        let commands = if config.management.is_some() { maintenance::CONNECTIONS_MAX } else { 0 };
-        let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).saturating_sub(commands);
-        let memory_bytes = config.memory_mb << 20;
-        Capacity {
-            connections: sockets / 2,
-            buffer_bytes: memory_bytes / BUFFERS_DIVISOR,
-            customer_bytes: memory_bytes / CUSTOMERS_DIVISOR,
-        }
-    }
-}
-
-/// How a fleet shares out what its gateways do when they start; each part is off where operators left it out.
-#[derive(Default)]
-struct FleetStart {
-    /// This gateway's slots for calls for the list.
-    slots: Option<Calendar>,
-    /// First connections to backends.
-    ramp: Option<Openings>,
-    /// Calls to the counter.
-    counter_calls: Option<Allowance>,
-}
-
-impl FleetStart {
-    fn new(start: Option<Start>, terms: &Terms, now_ms: f64) -> FleetStart {
-        let Some(start) = start else { return FleetStart::default() };
-        let settings = &terms.settings;
-        let (me, gateways) = (settings.me, settings.gateways);
-        let Routing { subset, coverage, .. } = settings.routing;
-        let ramp = |per_s| {
-            let subset = Subset::new(me, gateways, subset, coverage);
-            Openings::new(me, gateways, subset, per_s, now_ms)
-        };
-        let counter_calls = |per_s| Allowance::new(me, gateways, per_s, now_ms);
-        FleetStart {
-            slots: Some(Calendar::new(me, gateways, start.list_calls_per_s)),
-            ramp: start.backend_connections_per_s.map(ramp),
-            counter_calls: start.counter_calls_per_s.map(counter_calls),
-        }
-    }
-}
-
 /// Builds all parts. The second address and the clients' socket are opened, the endpoint list of the
 /// configuration and the maintenance state are in force.
-pub(super) async fn build(config: Config, operator: Operator) -> Result<Parts, StartError> {
+pub(super) async fn build(config: Config, operator: OperatorConfig) -> Result<Parts, StartError> {
     let mut builder = Builder::new(config, operator);
     let (control_sender, control) = mpsc::channel(COMMANDS_CAPACITY);
     let (command_sender, commands) = mpsc::channel(COMMANDS_CAPACITY);
@@ -148,11 +85,11 @@
     let (inbox, inputs) = mpsc::channel(INBOX_CAPACITY);
     let counter = builder.counter(&inbox);
 
-    let fleet_start = FleetStart::new(builder.start, &builder.terms, builder.clock.now_ms());
+    let fleet_start = FleetStart::new(builder.start, &builder.service_settings, builder.clock.now_ms());
     let pool = builder.connection_pool(fleet_start.ramp.as_ref());
     let budgets = Budgets::new(builder.capacity);
     let (connections, (drain, drained)) = (TaskTracker::new(), watch::channel(false));
-    let (terms_sender, terms) = watch::channel(Arc::new(builder.terms.clone()));
+    let (settings_sender, service_settings) = watch::channel(Arc::new(builder.service_settings.clone()));
     let (ramp, first_backend) = fleet_start.ramp.map(with_first_backend).unzip();
     let resources = Resources {
         partitions: budgets.partitions(builder.capacity, &pool),
@@ -167,7 +104,7 @@
             connections.clone(),
             drain,
         ),
-        terms: terms_sender,
+        service_settings: settings_sender,
         ramp,
         counter_budget: fleet_start.counter_calls,
     };
@@ -179,16 +116,15 @@
     let known = builder.adopt_known_list(&mut event_loop, fleet_start.slots);
     let start_order = builder.start_order()?;
 
-    let (closing, not_accepting) = (CancellationToken::new(), CancellationToken::new());
     let clients = Arc::new(Clients {
-        terms: terms.clone(),
+        service_settings,
         inbox: inbox.clone(),
         memory: budgets.memory,
         last_request: AtomicU64::new(0),
-        closing: closing.clone(),
-        not_accepting: not_accepting.clone(),
+        closing: CancellationToken::new(),
+        not_accepting: CancellationToken::new(),
         drained,
-        connections: connections.clone(),
+        connections,
     });
     let readiness = Readiness {
         started: builder.started,
@@ -199,7 +135,7 @@
     let client_side = ClientSide {
         name: builder.config.name.clone(),
         admin: builder.admin,
-        clients,
+        clients: Arc::clone(&clients),
         listener,
         permits: budgets.client_permits,
         connections: builder.capacity.connections,
@@ -208,15 +144,11 @@
     let shutdown = Shutdown {
         clock: builder.clock,
         status: builder.status,
-        inbox: inbox.clone(),
-        terms,
-        closing,
-        not_accepting,
-        connections,
+        clients,
         leaving,
         _commands: command_sender,
     };
-    let counter_timeout = millis(builder.terms.settings.counter_timeout_ms);
+    let counter_timeout = millis(builder.service_settings.settings.counter_timeout_ms);
     let reload = Reload {
         config: builder.config,
         counter_timeout,
@@ -231,10 +163,10 @@
 /// What the parts are built from.
 struct Builder {
     config: Config,
-    /// The terms of the configuration, with what the operator's file and the memory add to them.
-    terms: Terms,
-    admin: Option<Admin>,
-    start: Option<Start>,
+    /// The settings of the configuration, with what the operator's file and the memory add to them.
+    service_settings: ServiceSettings,
+    admin: Option<AdminConfig>,
+    start: Option<StartConfig>,
     capacity: Capacity,
     clock: Clock,
     started: Instant,
@@ -243,16 +175,17 @@
 }
 
 impl Builder {
-    fn new(config: Config, operator: Operator) -> Builder {
-        let Operator { admin, routing, start, .. } = operator;
+    fn new(config: Config, operator: OperatorConfig) -> Builder {
+        let OperatorConfig { admin, routing, start, .. } = operator;
         let (clock, capacity) = (Clock::start(), Capacity::of(&config));
-        let mut terms = config.terms.clone();
-        let beechrudder_operator::Routing { whole, choices, subset, coverage } = routing;
-        terms.settings.routing = Routing { whole, choices, subset, coverage };
-        terms.settings.customers = Gateway::customers_in(capacity.customer_bytes);
+        let mut service_settings = config.service_settings.clone();
+        let operator_config::RoutingConfig { whole, choices, subset, coverage } = routing;
+        service_settings.settings.routing =
+            Routing { scan_all_up_to: whole, choices, subset_size: subset, coverage };
+        service_settings.settings.max_customers = Policy::customers_fitting(capacity.customer_bytes);
         Builder {
             config,
-            terms,
+            service_settings,
             admin,
             start,
             capacity,
@@ -274,19 +207,19 @@
         clients_socket::open(self.config.listen).await
     }
 
-    fn policy(&self) -> Result<Gateway, StartError> {
-        let settings = self.terms.settings.clone();
-        Gateway::new(settings, self.config.seed, self.clock.now_ms()).map_err(StartError::Settings)
+    fn policy(&self) -> Result<Policy, StartError> {
+        let settings = self.service_settings.settings.clone();
+        Policy::new(settings, self.config.seed, self.clock.now_ms()).map_err(StartError::Settings)
     }
 
     fn counter(&self, inbox: &mpsc::Sender<Input>) -> Option<Counter> {
-        let timeout = millis(self.terms.settings.counter_timeout_ms);
+        let timeout = millis(self.service_settings.settings.counter_timeout_ms);
         self.config.peers.counter.map(|address| Counter::start(address, timeout, inbox))
     }
 
-    fn connection_pool(&self, ramp: Option<&Openings>) -> ConnectionPool {
-        let connect_timeout = millis(self.terms.settings.limits.connect_timeout_ms);
-        let idle_close_ms = self.terms.names.idle_close_ms;
+    fn connection_pool(&self, ramp: Option<&ConnectionRamp>) -> ConnectionPool {
+        let connect_timeout = millis(self.service_settings.settings.limits.connect_timeout_ms);
+        let idle_close_ms = self.service_settings.names.idle_close_ms;
         let mut pool = ConnectionPool::new(self.capacity.connections, idle_close_ms, connect_timeout);
         if let Some(ramp) = ramp {
             pool.grow_after(ramp.round());
@@ -297,26 +230,26 @@
     fn controller(&self, control: mpsc::Sender<ControlRequest>) -> Controller {
         let directory =
             self.config.management.and_then(|_| state_directory(self.config.listen, self.incarnation));
-        let warm_up_ms = self.terms.settings.slow_start.warm_up_ms;
+        let warm_up_ms = self.service_settings.settings.slow_start.warm_up_ms;
         Controller::new(directory, self.clock, warm_up_ms, self.status.clone(), control)
     }
 
     /// Puts the endpoint list of the configuration in force, and gives what discovery is to be asked for then.
-    fn adopt_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<Calendar>) -> FollowOptions {
+    fn adopt_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<SlotSchedule>) -> FollowOptions {
         let known = std::mem::replace(&mut self.config.known, EndpointList::empty());
         discovery::log_rejected("known", &known);
         // With the list's version the start asks for what has changed since, not for the whole list.
         let index = Some(known.index).filter(|_| !known.endpoints.is_empty());
         event_loop.take(Input::EndpointUpdate(EndpointUpdate {
-            scope: ListScope::Cached,
+            scope: UpdateScope::Cached,
             endpoints: known.endpoints,
             unread: Vec::new(),
         }));
-        let settings = &self.terms.settings;
-        let stop_sending_s = (settings.stop_sending_ms / 1000.0).min(STOP_SENDING_MAX_S);
+        let settings = &self.service_settings.settings;
+        let stop_sending_s = (settings.drain_grace_ms / 1000.0).min(MAX_STOP_SENDING_S);
         FollowOptions {
             index,
-            gateways: settings.gateways,
+            gateways: settings.gateway_count,
             stop_within: Duration::from_secs_f64(stop_sending_s),
             seed: self.config.seed,
             slots: slots.map(|slots| (slots, self.clock)),
@@ -328,51 +261,14 @@
         let ordered = self.start.is_some_and(|start| start.ordered_by_agent);
         let Some(admin) = self.admin.as_ref().filter(|_| ordered) else { return Ok(None) };
         let Some(agent) = admin.agent.clone() else { return Ok(None) };
-        let dialer = Dialer::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
+        let dialer = Connector::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
         let name = self.config.name.parse();
         let name = name.map_err(|source| StartError::Name { purpose: "to ask for a turn", source })?;
-        let gateways = self.terms.settings.gateways;
+        let gateways = self.service_settings.settings.gateway_count;
         Ok(Some(StartOrder { agent, dialer, name, incarnation: self.incarnation, gateways }))
     }
 }
 
-/// What clients and values may take together.
-struct Budgets {
-    /// Bytes of requests and answers.
-    memory: Arc<Semaphore>,
-    /// Bytes of streamed values.
-    streaming_memory: Arc<Semaphore>,
-    /// Connections of clients.
-    client_permits: Arc<Semaphore>,
-}
-
-impl Budgets {
-    fn new(capacity: Capacity) -> Budgets {
-        Budgets {
-            memory: Arc::new(Semaphore::new(capacity.buffer_bytes)),
-            streaming_memory: Arc::new(Semaphore::new(capacity.buffer_bytes)),
-            client_permits: Arc::new(Semaphore::new(capacity.connections)),
-        }
-    }
-
-    /// What other processes of this gateway may have a part of.
-    fn partitions(&self, capacity: Capacity, pool: &ConnectionPool) -> Vec<Partition> {
-        vec![
-            Partition::new(Arc::clone(&self.client_permits), capacity.connections),
-            Partition::new(pool.permits(), capacity.connections),
-            Partition::new(Arc::clone(&self.memory), capacity.buffer_bytes),
-            Partition::new(Arc::clone(&self.streaming_memory), capacity.buffer_bytes),
-        ]
-    }
-}
-
-/// The ramp of first connections, with what the start waits for.
-fn with_first_backend(ramp: Openings) -> (ConnectionRamp, FirstBackend) {
-    let within = ramp.first_within();
-    let (ramp, reached) = ConnectionRamp::new(ramp);
-    (ramp, FirstBackend { reached, within })
-}
-
 /// Puts the state of the processes before in force, before the first request: bans hold from the start, and
 /// other processes are left their shares. Gives how many of those live.
 fn adopt_maintenance_state(controller: &Controller, event_loop: &mut EventLoop) -> usize {
@@ -402,10 +298,10 @@
 
 /// How long to wait for the list as it is now: shortly for an update of one that is known, longer for the
 /// first.
-fn first_list_max(known: Option<u64>, slots: Option<Calendar>) -> Duration {
+fn first_list_max(known: Option<u64>, slots: Option<SlotSchedule>) -> Duration {
     match (known, slots) {
-        (Some(_), _) => FIRST_UPDATE_MAX,
-        (None, None) => FIRST_LIST_MAX,
-        (None, Some(slots)) => Calls::new(slots).first_within(),
+        (Some(_), _) => FIRST_UPDATE_TIMEOUT,
+        (None, None) => FIRST_LIST_TIMEOUT,
+        (None, Some(slots)) => PollSchedule::new(slots).first_timeout(),
     }
 }
--- a/crates/gateway/src/server/readiness.rs
+++ b/crates/gateway/src/server/readiness.rs
@@ -11,7 +11,7 @@
 use crate::input::Input;
 
 /// A gateway is ready after this, whatever it waits for: a platform may give a start 30 s.
-const READY_MAX: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How a wait of the start ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     pub async fn wait_for_backend(self, terminate: &mut Signal) -> Wait {
         let Some(FirstBackend { mut reached, within }) = self.first_backend else { return Wait::Over };
         // The time that the list took counts.
-        let deadline = (self.started + within.max(self.first_list)).min(self.started + READY_MAX);
+        let deadline = (self.started + within.max(self.first_list)).min(self.started + READY_TIMEOUT);
         tokio::select! {
             _ = timeout_at(deadline, reached.wait_for(|reached| *reached)) => Wait::Over,
             // As above.
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -71,7 +71,10 @@
     /// Has the settings changed that may change in service.
     async fn change_settings(&self, config: &Config) -> Result<(), Rejected> {
         let (reply, changed) = oneshot::channel();
-        let change = ControlRequest::ChangeSettings { terms: Box::new(config.terms.clone()), reply };
+        let change = ControlRequest::ChangeSettings {
+            service_settings: Box::new(config.service_settings.clone()),
+            reply,
+        };
         self.control.send(change).await.map_err(|_| Rejected::ShuttingDown)?;
         match changed.await {
             Ok(Err(e)) => Err(Rejected::Settings(e)),
@@ -80,7 +83,7 @@
     }
 
     fn accept(&mut self, config: Config) {
-        let restart = self.config.terms.need_restart(&config.terms);
+        let restart = self.config.service_settings.sections_needing_restart(&config.service_settings);
         tracing::info!("SIGHUP: the new configuration is in force");
         if !restart.is_empty() {
             tracing::warn!("SIGHUP: {} differ and need a restart", restart.join("; "));
@@ -105,7 +108,7 @@
 /// Why new settings are not in force.
 enum Rejected {
     ShuttingDown,
-    Settings(slatelock::interface::SettingsError),
+    Settings(gateway_policy::interface::SettingsError),
 }
 
 /// Reads a configuration that has all that the one in force has: a file that is half written lacks some.
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -3,24 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use slatelock::terms::Terms;
-use tokio::sync::{mpsc, oneshot, watch};
+use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
-use tokio_util::sync::CancellationToken;
-use tokio_util::task::TaskTracker;
 
-use crate::client::IDLE_CLOSE_DELAY;
+use crate::client::{Clients, IDLE_CLOSE_DELAY};
 use crate::clock::Clock;
 use crate::input::Input;
 use crate::maintenance::{PendingCommand, ProcessStatus};
 
 /// A request that is still open so long after SIGTERM fails, or earlier if the deadlines are shorter.
-const OPEN_REQUESTS_MAX_MS: f64 = 3_000.0;
+const MAX_OPEN_REQUESTS_MS: f64 = 3_000.0;
 /// Added to that: part of the 0.7 s that are left until the platform kills the process.
 const MARGIN: Duration = Duration::from_millis(300);
 /// How long new connections go on coming after SIGTERM, at least.
-const ACCEPTING_MIN: Duration = Duration::from_millis(500);
+const MIN_ACCEPTING: Duration = Duration::from_millis(500);
 /// The last part, in which connections close behind an answer, and after [`IDLE_CLOSE_DELAY`] of it as they are idle.
 /// Until then clients that use one go on being served: other gateways may be down as well.
 const CLOSING: Duration = Duration::from_millis(700).saturating_add(IDLE_CLOSE_DELAY);
@@ -39,12 +36,12 @@
 impl Phases {
     /// Those of a gateway whose longest deadline is this.
     fn for_deadline_ms(longest_ms: f64) -> Phases {
-        Phases { total: Duration::from_secs_f64(longest_ms.min(OPEN_REQUESTS_MAX_MS) / 1000.0) + MARGIN }
+        Phases { total: Duration::from_secs_f64(longest_ms.min(MAX_OPEN_REQUESTS_MS) / 1000.0) + MARGIN }
     }
 
     /// Connections are accepted and served as before.
     fn serving(self) -> Duration {
-        self.total.saturating_sub(CLOSING).max(ACCEPTING_MIN.min(self.total))
+        self.total.saturating_sub(CLOSING).max(MIN_ACCEPTING.min(self.total))
     }
 
     /// From SIGTERM on: a request that comes has to be answered within this.
@@ -57,14 +54,7 @@
 pub(super) struct Shutdown {
     pub clock: Clock,
     pub status: ProcessStatus,
-    pub inbox: mpsc::Sender<Input>,
-    pub terms: watch::Receiver<Arc<Terms>>,
-    /// Has connections close as soon as they owe no answer.
-    pub closing: CancellationToken,
-    /// Ends accepting with the connections that have come by then.
-    pub not_accepting: CancellationToken,
-    /// One task for each connection of a client.
-    pub connections: TaskTracker,
+    pub clients: Arc<Clients>,
     /// Has unreported charges left for the processes that go on; answered when they are.
     pub leaving: mpsc::Sender<oneshot::Sender<()>>,
     /// Kept so that the maintenance state is served for as long as the process lives.
@@ -82,37 +72,44 @@
             accepting.abort();
         }
         sleep(phases.serving()).await;
-        self.closing.cancel();
+        self.clients.closing.cancel();
         sleep_until((Instant::now() + IDLE_CLOSE_DELAY).min(end)).await;
-        self.not_accepting.cancel();
+        self.clients.not_accepting.cancel();
         if timeout_at(end, &mut accepting).await.is_err() {
             accepting.abort();
         }
-        self.connections.close();
+        self.clients.connections.close();
         self.finish_connections(end).await;
         self.leave_unreported().await;
     }
 
     fn longest_deadline_ms(&self) -> f64 {
-        self.terms.borrow().settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max)
+        self.clients
+            .service_settings
+            .borrow()
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline_ms)
+            .fold(0.0, f64::max)
     }
 
     /// Requests that come from now on are told no more time than is left.
     async fn bound_new_requests(&self, phases: Phases) {
         let answer_by_ms = self.clock.now_ms() + phases.answering().as_secs_f64() * 1000.0;
-        let _ = self.inbox.send(Input::ShuttingDown { answer_by_ms }).await;
+        let _ = self.clients.inbox.send(Input::ShuttingDown { answer_by_ms }).await;
     }
 
     /// Waits for the connections to end, and fails what is open on those that did not.
     async fn finish_connections(&self, end: Instant) {
         let all_ended = tokio::select! {
-            () = self.connections.wait() => true,
+            () = self.clients.connections.wait() => true,
             () = sleep_until(end) => false,
         };
         if !all_ended {
             // The kill that follows would leave these requests without any answer.
-            let _ = self.inbox.send(Input::FailAll).await;
-            let _ = timeout(LAST_WRITES, self.connections.wait()).await;
+            let _ = self.clients.inbox.send(Input::FailAll).await;
+            let _ = timeout(LAST_WRITES, self.clients.connections.wait()).await;
         }
     }
 
--- a/crates/gateway/src/streaming.rs
+++ b/crates/gateway/src/streaming.rs
@@ -10,9 +10,9 @@
 /// written.
 const MEMORY_BYTES: usize = 32 * 1024;
 /// The longest piece, bytes.
-pub const PIECE_MAX: usize = 8 * 1024;
+pub const MAX_PIECE_BYTES: usize = 8 * 1024;
 /// How long a backend in the middle of a value may say nothing.
-pub const SILENCE_MAX: Duration = Duration::from_secs(10);
+pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A value that has begun to come.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
 
     /// Passes on what is there of the value; tells whether somebody still takes it.
     pub async fn forward(&mut self, buffer: &mut BytesMut) -> bool {
-        let n = buffer.len().min(self.left).min(PIECE_MAX);
+        let n = buffer.len().min(self.left).min(MAX_PIECE_BYTES);
         self.left -= n;
         // The piece alone, not the buffer that it came in.
         let piece = Bytes::copy_from_slice(&buffer.split_to(n));
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
+use gateway_policy::interface::Outcome;
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::Outcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{timeout, timeout_at, Instant};
 
 use super::connection::Connection;
 use super::reply::Reply;
 use crate::resp::{self, Header};
-use crate::streaming::{ValueWriter, PIECE_MAX, SILENCE_MAX};
+use crate::streaming::{ValueWriter, MAX_PIECE_BYTES, STREAM_IDLE_TIMEOUT};
 
 /// How long an answer that has begun may pause. Backends write in pieces, and may take seconds for all of
 /// them.
-const PAUSE_MAX: Duration = Duration::from_millis(250);
+const REPLY_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long what stands behind a streamed value may take.
 const REMAINDER_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -103,8 +103,8 @@
                 return Ok(());
             }
             // A new buffer: this one would grow by what nobody takes yet.
-            self.buffer = BytesMut::with_capacity(PIECE_MAX);
-            match timeout(SILENCE_MAX, self.stream.read_buf(&mut self.buffer)).await {
+            self.buffer = BytesMut::with_capacity(MAX_PIECE_BYTES);
+            match timeout(STREAM_IDLE_TIMEOUT, self.stream.read_buf(&mut self.buffer)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 _ => return Err(Outcome::Reset),
             }
@@ -133,7 +133,7 @@
 
     /// Reads more of an answer that has begun.
     async fn fill_buffer_soon(&mut self) -> Result<(), Outcome> {
-        timeout(PAUSE_MAX, self.fill_buffer()).await.unwrap_or(Err(Outcome::Error))
+        timeout(REPLY_PAUSE_TIMEOUT, self.fill_buffer()).await.unwrap_or(Err(Outcome::Error))
     }
 
     async fn fill_buffer(&mut self) -> Result<(), Outcome> {
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use slatelock::interface::{BackendEntry, Readiness};
+use gateway_policy::interface::{BackendEndpoint, EndpointState};
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
 
@@ -16,13 +16,13 @@
 
 /// Part of the idle time that a backend allows after which a connection is not used again: the backend's
 /// clock began earlier than the gateway's.
-const IDLE_SAFETY: f64 = 0.8;
+const IDLE_SAFETY_FRACTION: f64 = 0.8;
 /// The longest idle time, s, whatever a backend allows.
-const IDLE_MAX_S: f64 = 3600.0;
+const MAX_IDLE_S: f64 = 3600.0;
 /// The most connections to one backend. More requests than that would only wait there.
-const CONNECTIONS_MAX: usize = 160;
+const MAX_CONNECTIONS_PER_BACKEND: usize = 160;
 /// The most at first, where connections follow a ramp.
-const CONNECTIONS_FIRST: usize = 1;
+const INITIAL_CONNECTIONS: usize = 1;
 
 /// How a connection for a request can be had.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
 
 /// How long a connection may be idle and be used again.
 fn idle_max(idle_close_ms: f64) -> Duration {
-    Duration::from_secs_f64((idle_close_ms * IDLE_SAFETY / 1000.0).clamp(0.0, IDLE_MAX_S))
+    Duration::from_secs_f64((idle_close_ms * IDLE_SAFETY_FRACTION / 1000.0).clamp(0.0, MAX_IDLE_S))
 }
 
 impl ConnectionPool {
@@ -113,7 +113,7 @@
             last_idle_number: 0,
             permits: Arc::new(Semaphore::new(connections)),
             idle_max: idle_max(idle_close_ms),
-            initial_limit: InitialLimit { connections: CONNECTIONS_MAX, lasts: Duration::ZERO },
+            initial_limit: InitialLimit { connections: MAX_CONNECTIONS_PER_BACKEND, lasts: Duration::ZERO },
             connect_timeout,
         }
     }
@@ -123,7 +123,7 @@
     /// Without, a backend that has just started gets as many connections from each gateway as a burst there
     /// has requests. The price: that burst goes to other backends, or is rejected.
     pub fn grow_after(&mut self, time: Duration) {
-        self.initial_limit = InitialLimit { connections: CONNECTIONS_FIRST, lasts: time };
+        self.initial_limit = InitialLimit { connections: INITIAL_CONNECTIONS, lasts: time };
     }
 
     /// The first connection to a backend has answered: the time of one connection begins now.
@@ -137,7 +137,7 @@
     pub fn answered(&mut self, backend: u32, now: Instant) {
         let Some(pool) = self.backends.get_mut(&backend) else { return };
         let growth = &mut pool.growth;
-        if growth.total < CONNECTIONS_MAX && growth.grows_from <= now {
+        if growth.total < MAX_CONNECTIONS_PER_BACKEND && growth.grows_from <= now {
             growth.total += 1;
             growth.permits.add_permits(1);
         }
@@ -156,8 +156,8 @@
 
     /// Takes in a line of the list. Gives the backends that are not at its address any more, as one that
     /// started later is; the one of the line may be among them.
-    pub fn update(&mut self, entry: &BackendEntry, address: SocketAddr) -> Vec<u32> {
-        if entry.state == Readiness::Gone {
+    pub fn update(&mut self, entry: &BackendEndpoint, address: SocketAddr) -> Vec<u32> {
+        if entry.state == EndpointState::Removed {
             self.remove(entry.id);
             return Vec::new();
         }
@@ -179,8 +179,8 @@
 
     /// Has a backend as a line says. Where anything is other than before, its connections are stale: they may
     /// lead to a process that is no more, and requests would be reset on them.
-    fn set(&mut self, entry: &BackendEntry, address: SocketAddr) {
-        let (started_ms, ready) = (entry.started_ms, entry.state == Readiness::Ready);
+    fn set(&mut self, entry: &BackendEndpoint, address: SocketAddr) {
+        let (started_ms, ready) = (entry.started_ms, entry.state == EndpointState::Ready);
         let old = self.backends.get(&entry.id);
         if old.is_some_and(|p| p.address == address && p.started_ms == started_ms && p.ready == ready) {
             return;
@@ -188,7 +188,7 @@
         self.generations += 1;
         // One that started anew has answered nothing.
         let keeps_growth = |pool: &&BackendPool| {
-            pool.started_ms == started_ms || self.initial_limit.connections == CONNECTIONS_MAX
+            pool.started_ms == started_ms || self.initial_limit.connections == MAX_CONNECTIONS_PER_BACKEND
         };
         let growth = old.filter(keeps_growth).map(|pool| pool.growth.clone());
         let growth = growth.unwrap_or_else(|| Growth::new(self.initial_limit));
--- a/crates/gateway/src/upstream/pool/tests.rs
+++ b/crates/gateway/src/upstream/pool/tests.rs
@@ -2,14 +2,14 @@
 use tokio::net::TcpListener;
 
 #[tokio::test]
-async fn when_places_run_out_the_connection_idle_for_longest_is_closed_and_no_other() {
+async fn closes_only_the_longest_idle_connection_when_permits_run_out() {
     let limit = Duration::from_secs(20);
     let mut pool = ConnectionPool::new(3, 60_000.0, limit);
     let mut listeners = Vec::new();
     for id in 1..=3 {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let address = listener.local_addr().expect("bound");
-        pool.update(&BackendEntry { id, ..BackendEntry::default() }, address);
+        pool.update(&BackendEndpoint { id, ..BackendEndpoint::default() }, address);
         listeners.push(listener);
     }
     let mut open = Vec::new();
@@ -34,18 +34,18 @@
 }
 
 #[tokio::test]
-async fn idle_connections_of_a_backend_that_is_gone_are_not_counted_and_hold_no_places() {
+async fn idle_connections_of_a_removed_backend_hold_no_permits() {
     let limit = Duration::from_secs(20);
     let mut pool = ConnectionPool::new(1, 60_000.0, limit);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
     let address = listener.local_addr().expect("bound");
-    let entry = |id, state| BackendEntry { id, state, ..BackendEntry::default() };
-    pool.update(&entry(1, Readiness::Ready), address);
+    let entry = |id, state| BackendEndpoint { id, state, ..BackendEndpoint::default() };
+    pool.update(&entry(1, EndpointState::Ready), address);
     let Checkout::Open(pending) = pool.check_out(1, Instant::now()) else { panic!("a new one is wanted") };
     let connection = pending.open(limit).await.expect("it listens");
     pool.check_in(1, connection);
-    pool.update(&entry(1, Readiness::Gone), address);
+    pool.update(&entry(1, EndpointState::Removed), address);
     assert_eq!(pool.idle_connections(), 0);
-    pool.update(&entry(2, Readiness::Ready), address);
+    pool.update(&entry(2, EndpointState::Ready), address);
     assert!(matches!(pool.check_out(2, Instant::now()), Checkout::Open(_)));
 }
--- a/crates/gateway/src/upstream/reply.rs
+++ b/crates/gateway/src/upstream/reply.rs
@@ -4,8 +4,8 @@
 mod tests;
 
 use bytes::Bytes;
+use gateway_policy::interface::Outcome;
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::Outcome;
 
 use crate::resp;
 
@@ -67,7 +67,7 @@
     let BytesFrame::Error(line) = frame else { return None };
     let mut words = line.split(' ');
     let outcome = match words.next() {
-        Some("BUSY") => Outcome::Full,
+        Some("BUSY") => Outcome::Rejected,
         Some("ERR") => Outcome::Error,
         _ => return None,
     };
--- a/crates/gateway/src/upstream/reply/tests.rs
+++ b/crates/gateway/src/upstream/reply/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn use_is_told_in_percent_of_the_rate_and_nothing_is_told_of_what_is_missing() {
+fn reads_use_in_percent_and_reports_nothing_that_is_missing() {
     let report = |words: &str| {
         let line = BytesFrame::Error(format!("ERR failed {words}").into());
         match decode_error(line, &["rps".to_string()]) {
--- a/crates/gateway/tests/pins_configuration.rs
+++ b/crates/gateway/tests/pins_configuration.rs
@@ -103,6 +103,7 @@
         let output = process.wait_with_output().expect("a child");
         assert!(output.stdout.is_empty(), "{name}");
         let said = String::from_utf8(output.stderr).expect("text");
+        let said = recorded::under_recorded_name(&said);
         write!(seen, "{name} ({:?}): {said}", output.status.code()).expect("room");
     }
     recorded::assert_recorded("start_errors.txt", &seen);
--- a/crates/gateway/tests/pins_operators.rs
+++ b/crates/gateway/tests/pins_operators.rs
@@ -167,5 +167,5 @@
     assert!(!output.status.success() && output.stdout.is_empty());
     let text = String::from_utf8(output.stderr).expect("text");
     let text = text.replace(&at.to_string(), "ADDRESS");
-    assert_eq!(text, "slatelock-gateway: management: ADDRESS: Address already in use (os error 98)\n");
+    assert_eq!(text, "admission-gateway: management: ADDRESS: Address already in use (os error 98)\n");
 }
--- a/crates/gateway/tests/support/net.rs
+++ b/crates/gateway/tests/support/net.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub use beechrudder_testbed::scripted::*;
 use serde_json::Value;
+pub use testbed::scripted::*;
 
 #[path = "address.rs"]
 pub mod address;
@@ -30,7 +30,7 @@
 pub fn process_as(config: &str, more: impl FnOnce(&mut Command)) -> (Child, tempfile::NamedTempFile) {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(config.as_bytes()).expect("room");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_slatelock-gateway"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_admission-gateway"));
     command.env("GW_CONFIG", file.path()).stdout(Stdio::piped()).stderr(Stdio::piped());
     more(&mut command);
     (command.spawn().expect("the gateway starts"), file)
--- a/crates/gateway/tests/support/recorded.rs
+++ b/crates/gateway/tests/support/recorded.rs
@@ -31,6 +31,17 @@
     );
 }
 
+/// The program's own name before a message, then and now.
+const RECORDED_PROGRAM: &str = "slatelock-gateway: ";
+const PROGRAM: &str = "admission-gateway: ";
+
+/// A message of the program as it was recorded, when the program had another name. It has to begin with the
+/// present one.
+pub fn under_recorded_name(message: &str) -> String {
+    let rest = message.strip_prefix(PROGRAM).unwrap_or_else(|| panic!("{PROGRAM:?} is missing: {message:?}"));
+    format!("{RECORDED_PROGRAM}{rest}")
+}
+
 /// Replaces the values of JSON keys that differ from run to run by `_`, in a line as it stands.
 pub fn mask(line: &str, keys: &[&str]) -> String {
     let mut masked = line.to_string();
