--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -41,7 +41,7 @@
         matches!(self.endpoint.status, Status::Serving)
     }
 
-    /// Looks anew at what operators want of it; tells whether that is something else.
+    /// Looks anew at what operators want of it; returns whether that is something else.
     fn apply(&mut self, overrides: Overrides<'_>) -> bool {
         let e = &self.endpoint;
         let effect = overrides.desired.effective_state(&e.name, e.group, &e.kind);
@@ -74,8 +74,8 @@
         BackendTable { greatest: 1.0, ..BackendTable::default() }
     }
 
-    /// Takes a line of discovery's in, and gives the one that the policy is to have; `None` for a
-    /// backend that is gone and was not known.
+    /// Applies a line of discovery's, and returns the one that the policy is to have; `None` for a backend
+    /// that is gone and was not known.
     pub fn update(
         &mut self,
         endpoint: Endpoint,
@@ -123,7 +123,7 @@
         self.rows.contains_key(name)
     }
 
-    /// Works out anew what operators make of the list. Gives the lines that the policy is to have.
+    /// Works out anew what operators make of the list. Returns the lines that the policy is to have.
     pub fn apply_overrides(
         &mut self,
         overrides: Overrides<'_>,
@@ -162,7 +162,7 @@
         all
     }
 
-    /// Looks for the greatest weight; tells whether it is another.
+    /// Looks for the greatest weight; returns whether it is another.
     fn update_greatest_weight(&mut self) -> bool {
         let greatest = self.rows.values().map(|row| row.effect.weight).fold(1.0, f64::max);
         let other = greatest != self.greatest;
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -253,7 +253,7 @@
         None
     }
 
-    /// Notes whether anything is open or half read; tells whether a command has begun just now.
+    /// Notes whether anything is open or half read; returns whether a command has begun just now.
     fn track_activity(&mut self, reading: bool) -> bool {
         let half_read = reading && !self.input.is_empty();
         let begins = half_read && self.command_since.is_none();
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Reads a command that came just before the connection closes; tells whether there is one.
+    /// Reads a command that came just before the connection closes; returns whether there is one.
     fn read_more(&mut self) -> bool {
         resp::make_room(&mut self.input);
         let closing = self.state == State::Closing;
--- a/crates/gateway/src/client/listener.rs
+++ b/crates/gateway/src/client/listener.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Gives when the connections are to close.
+    /// Returns when the connections are to close.
     fn drained_changed(&mut self, drained: bool) -> Option<Instant> {
         if drained {
             return Some(Instant::now() + DRAIN_GRACE);
@@ -80,7 +80,7 @@
         None
     }
 
-    /// Gives a connection a permit and a task, or rejects it.
+    /// Admits a connection with a permit and a task, or rejects it.
     async fn accepted(&mut self, stream: TcpStream) {
         // What is in the line when no more are accepted does not wait for a permit: nor would it be served.
         let waited = !self.clients.not_accepting.is_cancelled();
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,4 +1,4 @@
-//! PollSchedule to the shared counter, one behind another on a few connections.
+//! Calls to the shared counter, one behind another on a few connections.
 
 #[cfg(test)]
 mod tests;
@@ -19,7 +19,7 @@
 
 /// Connections; the counter holds 32 of a gateway. A slow call holds up those behind it on its own only.
 const CONNECTIONS: usize = 4;
-/// PollSchedule that may wait on one connection; the counter is long lost when there are more.
+/// Calls that may wait on one connection; the counter is long lost when there are more.
 const MAX_CALLS_PER_CONNECTION: usize = 64;
 /// A call.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
         Counter { timeout, connections: (0..CONNECTIONS).map(open).collect(), activity }
     }
 
-    /// Makes a call; `false` if there is no room for it. PollSchedule of one name share a connection, so that
+    /// Makes a call; `false` if there is no room for it. Calls of one name share a connection, so that
     /// their answers come in order.
     pub fn call(&self, call: Call) -> bool {
         self.connections[connection_of(call.name)].try_send(call).is_ok()
--- a/crates/gateway/src/counter/activity.rs
+++ b/crates/gateway/src/counter/activity.rs
@@ -14,7 +14,7 @@
 pub(super) struct ConnectionActivity {
     started: Instant,
     /// When anything last came on each: microseconds from the start, 0 if never.
-    heard_us: Arc<[AtomicU64; CONNECTIONS]>,
+    received_us: Arc<[AtomicU64; CONNECTIONS]>,
     /// The last call that was written to each; their numbers grow.
     written: Arc<[AtomicU64; CONNECTIONS]>,
 }
@@ -22,13 +22,13 @@
 impl ConnectionActivity {
     /// Of connections on which nothing has happened.
     pub fn new() -> Self {
-        ConnectionActivity { started: Instant::now(), heard_us: Arc::default(), written: Arc::default() }
+        ConnectionActivity { started: Instant::now(), received_us: Arc::default(), written: Arc::default() }
     }
 
     /// Something has come on a connection.
-    pub fn heard(&self, index: usize) {
+    pub fn received(&self, index: usize) {
         let now_us = self.started.elapsed().as_micros() as u64;
-        self.heard_us[index].store(now_us.max(1), Ordering::Relaxed);
+        self.received_us[index].store(now_us.max(1), Ordering::Relaxed);
     }
 
     /// A call was written to a connection.
@@ -42,8 +42,8 @@
     }
 
     /// How long ago something came on a connection.
-    fn heard_ago(&self, index: usize) -> Option<Duration> {
-        let at_us = self.heard_us[index].load(Ordering::Relaxed);
+    fn received_ago(&self, index: usize) -> Option<Duration> {
+        let at_us = self.received_us[index].load(Ordering::Relaxed);
         (at_us > 0).then(|| self.started.elapsed().saturating_sub(Duration::from_micros(at_us)))
     }
 
@@ -52,8 +52,8 @@
         let others = (0..CONNECTIONS).filter(|other| *other != index);
         Silence {
             in_flight: since.elapsed(),
-            heard: self.heard_ago(index),
-            others_heard: others.filter_map(|other| self.heard_ago(other)).min(),
+            received: self.received_ago(index),
+            others_received: others.filter_map(|other| self.received_ago(other)).min(),
         }
     }
 }
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -14,7 +14,7 @@
 use super::activity::ConnectionActivity;
 use super::{Call, Counted, MAX_CALLS_PER_CONNECTION};
 
-/// Backoff after a connection on which the counter was never heard: the first, and the longest.
+/// Backoff after a connection on which the counter never responded: the first, and the longest.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// The longest line of an answer, bytes.
@@ -32,7 +32,7 @@
     call_timeout: Duration,
     queue: mpsc::Receiver<Call>,
     inbox: mpsc::Sender<T>,
-    /// PollSchedule that were written and not answered.
+    /// Calls that were written and not answered.
     in_flight: VecDeque<Written>,
     activity: ConnectionActivity,
 }
@@ -45,8 +45,8 @@
 
 /// How a stream ended.
 struct Ended {
-    /// Whether the counter was heard on it, so that a fresh one may follow at once.
-    heard: bool,
+    /// Whether the counter responded on it, so that a fresh one may follow at once.
+    responded: bool,
     /// The call that could not be written whole, which was not added.
     unwritten: Option<Call>,
 }
@@ -74,15 +74,15 @@
         let mut next = self.queue.recv().await;
         while let Some(first) = next {
             let connected = timeout(self.call_timeout, TcpStream::connect(self.address)).await;
-            let Ended { heard, unwritten } = match connected {
+            let Ended { responded, unwritten } = match connected {
                 Ok(Ok(stream)) => self.serve(stream, first).await,
-                _ => Ended { heard: false, unwritten: Some(first) },
+                _ => Ended { responded: false, unwritten: Some(first) },
             };
             // What was written may have been added.
             while let Some(call) = self.in_flight.pop_front() {
                 self.report(call.number, Outcome::Reset, 0.0).await;
             }
-            if heard {
+            if responded {
                 backoff = MIN_BACKOFF;
                 next = match unwritten {
                     Some(call) => Some(call),
@@ -110,37 +110,37 @@
     /// Makes calls on a stream until it ends.
     async fn serve(&mut self, mut stream: TcpStream, first: Call) -> Ended {
         let mut buffer = BytesMut::with_capacity(BUFFER_BYTES);
-        let mut heard = false;
+        let mut responded = false;
         // When a line that has begun is taken for spoilt.
         let mut line_deadline = None;
         if stream.set_nodelay(true).is_err() {
-            return Ended { heard: false, unwritten: Some(first) };
+            return Ended { responded: false, unwritten: Some(first) };
         }
         if let Err(call) = self.write(&mut stream, first).await {
-            return Ended { heard: false, unwritten: Some(call) };
+            return Ended { responded: false, unwritten: Some(call) };
         }
         loop {
             tokio::select! {
                 read = stream.read_buf(&mut buffer) => match read {
                     // Closed while idle is no fault.
-                    Ok(0) => return Ended { heard: heard || self.in_flight.is_empty(), unwritten: None },
-                    Err(_) => return Ended { heard, unwritten: None },
+                    Ok(0) => return Ended { responded: responded || self.in_flight.is_empty(), unwritten: None },
+                    Err(_) => return Ended { responded, unwritten: None },
                     Ok(_) => {
-                        heard = true;
-                        self.activity.heard(self.index);
+                        responded = true;
+                        self.activity.received(self.index);
                         if self.read_answers(&mut buffer).await.is_err() {
-                            return Ended { heard, unwritten: None };
+                            return Ended { responded, unwritten: None };
                         }
                         line_deadline = (!buffer.is_empty()).then(|| Instant::now() + self.call_timeout);
                     }
                 },
                 () = sleep_until(line_deadline.unwrap_or_else(Instant::now)), if line_deadline.is_some() => {
                     let Unusable = self.spoilt_answer().await;
-                    return Ended { heard: true, unwritten: None };
+                    return Ended { responded: true, unwritten: None };
                 }
                 call = self.queue.recv() => {
-                    let Some(call) = call else { return Ended { heard: true, unwritten: None } };
-                    if let Some(ended) = self.make(call, &mut stream, heard).await {
+                    let Some(call) = call else { return Ended { responded: true, unwritten: None } };
+                    if let Some(ended) = self.make(call, &mut stream, responded).await {
                         return ended;
                     }
                 }
@@ -148,15 +148,15 @@
         }
     }
 
-    /// Makes a call; gives the end of the stream if it ends with that.
-    async fn make(&mut self, call: Call, stream: &mut TcpStream, heard: bool) -> Option<Ended> {
-        // Everything would wait behind a silent connection. Where others are heard, the counter is there, and
+    /// Makes a call; returns the end of the stream if it ends with that.
+    async fn make(&mut self, call: Call, stream: &mut TcpStream, responded: bool) -> Option<Ended> {
+        // Everything would wait behind a silent connection. Where others respond, the counter is there, and
         // a fresh connection may follow at once.
         let first = self.in_flight.front();
         let silence = first.map(|written| self.activity.silence(self.index, written.at));
         if let Some(silence) = silence.filter(|silence| silence.is_lost(self.call_timeout)) {
-            let heard = heard || silence.is_alone(self.call_timeout);
-            return Some(Ended { heard, unwritten: Some(call) });
+            let responded = responded || silence.is_alone(self.call_timeout);
+            return Some(Ended { responded, unwritten: Some(call) });
         }
         // With so many that no call is taken any more, nobody would look at the connection again.
         if self.in_flight.len() >= MAX_CALLS_PER_CONNECTION {
@@ -164,11 +164,11 @@
             return None;
         }
         let unwritten = self.write(stream, call).await.err()?;
-        Some(Ended { heard, unwritten: Some(unwritten) })
+        Some(Ended { responded, unwritten: Some(unwritten) })
     }
 
-    /// Writes a call; gives it back if it could not be written whole, or came too late for that, and was not
-    /// added.
+    /// Writes a call; returns it if it could not be written whole, or came too late for that, and was
+    /// not added.
     async fn write(&mut self, stream: &mut TcpStream, call: Call) -> Result<(), Call> {
         let Call { number, name, amount, life_ms, at } = call;
         // By now the event loop has given it up, and counts it as not reported.
--- a/crates/gateway/src/counter/silence/tests.rs
+++ b/crates/gateway/src/counter/silence/tests.rs
@@ -5,7 +5,7 @@
 
 fn line(out: u64, heard: Option<u64>, others: Option<u64>) -> Silence {
     let span = Duration::from_millis;
-    Silence { in_flight: span(out), heard: heard.map(span), others_heard: others.map(span) }
+    Silence { in_flight: span(out), received: heard.map(span), others_received: others.map(span) }
 }
 
 #[test]
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -39,7 +39,7 @@
 /// What is known of the list by now.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowOptions {
-    /// The version held; none where the next call is to ask for the whole list.
+    /// The cached version; none where the next call is to ask for the whole list.
     pub index: Option<u64>,
     /// Gateways that share discovery, this one among them.
     pub gateways: u32,
@@ -51,8 +51,8 @@
     pub slots: Option<(SlotSchedule, Clock)>,
 }
 
-/// Follows the list for good and tells the event loop of it. `order`: whom it asks for a slot when it starts,
-/// where it has slots.
+/// Follows the list for good and sends updates to the event loop. `order`: whom it asks for a slot when it
+/// starts, where it has slots.
 pub async fn follow<T: From<EndpointUpdate>>(
     agent: SocketAddr,
     options: FollowOptions,
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -18,7 +18,7 @@
 
 /// The longest answer, bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// PollSchedule into a silent discovery that are in flight at once, at most.
+/// Calls into a silent discovery that are in flight at once, at most.
 const MAX_CALLS_IN_FLIGHT: u32 = 4;
 
 /// A connection to discovery.
--- a/crates/gateway/src/discovery/list_state.rs
+++ b/crates/gateway/src/discovery/list_state.rs
@@ -16,12 +16,12 @@
     unreadable: bool,
 }
 
-/// What an answer makes of the list that is held.
+/// What an answer makes of the cached list.
 pub(super) enum Accepted {
     /// Nothing: its version is older. Discovery began anew, and its changes must not be read as those of the
-    /// list held.
+    /// cached list.
     Older,
-    /// The version that is held.
+    /// The cached version.
     Same(EndpointUpdate),
     /// Another version.
     New(EndpointUpdate),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes a list that the agent hands out, if it is newer than what is held.
+    /// Takes a list that the agent hands out, if it is newer than the cached one.
     pub fn adopt(&mut self, list: EndpointList) -> Option<EndpointUpdate> {
         if self.index.is_some_and(|held| held >= list.index) {
             return None;
--- a/crates/gateway/src/discovery/slots.rs
+++ b/crates/gateway/src/discovery/slots.rs
@@ -25,7 +25,7 @@
     connection: Option<ListConnection>,
 }
 
-/// Follows the list for good and tells the event loop of it.
+/// Follows the list for good and sends updates to the event loop.
 pub async fn follow<T: From<EndpointUpdate>>(
     agent: SocketAddr,
     index: Option<u64>,
--- a/crates/gateway/src/discovery/start_order.rs
+++ b/crates/gateway/src/discovery/start_order.rs
@@ -58,7 +58,7 @@
 }
 
 impl SlotRequest {
-    /// Begins to ask; `held` is the version of the list held.
+    /// Begins to ask; `held` is the version of the cached list.
     pub fn start(order: StartOrder, held: Option<u64>) -> SlotRequest {
         let (sender, messages) = mpsc::channel(1);
         let (report, reported) = oneshot::channel();
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -31,7 +31,7 @@
 /// Least time between watches that tell nothing; a watch goes on if the next comes within 200 ms.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the list for good and tells the event loop of it.
+/// Follows the list for good and sends updates to the event loop.
 pub(super) async fn follow<T: From<EndpointUpdate>>(
     agent: SocketAddr,
     options: FollowOptions,
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Makes one call: for what changed since the version held, or for the whole list. `None` if there is no
-    /// answer in time.
+    /// Makes one call: for what changed since the cached version, or for the whole list. `None` if there is
+    /// no answer in time.
     async fn call(&self, connection: &mut ListConnection) -> Option<ListResponse> {
         let since = self.state.index.map(|index| (index, WATCH_TIMEOUT));
         let wait = if since.is_some() { WATCH_TIMEOUT } else { Duration::ZERO };
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -43,7 +43,7 @@
 const TRAVEL_MARGIN_MS: f64 = 5.0;
 /// How often idle connections are looked over.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Inputs taken in at once.
+/// Inputs handled at once.
 const MAX_BATCH: usize = 64;
 
 /// What the event loop works with beside the policy.
@@ -91,7 +91,7 @@
     answer_by_ms: f64,
     /// What follows from actions at once.
     follow_ups: VecDeque<Input>,
-    /// Kept for its room.
+    /// Kept for its capacity.
     actions: Vec<Action>,
 }
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes in what happened, and all that follows from it at once.
+    /// Handles what happened, and all that follows from it at once.
     pub fn take(&mut self, input: Input) {
         self.dispatch(input);
         while let Some(input) = self.follow_ups.pop_front() {
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Gives a request its final answer, if it has none.
+    /// Sends a request its final answer, if it has none.
     fn answer(&mut self, id: u64, answer: Answer) {
         if let Some(reply) = self.requests.take_reply(id) {
             // Fails only if the client has disconnected, which is an input of its own.
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Goes over to another counter. PollSchedule that are in flight at the old one are settled at once, so that
+    /// Goes over to another counter. Calls that are in flight at the old one are settled at once, so that
     /// none of its answers comes after one of the new.
     fn move_counter(&mut self, counter: Counter) {
         let in_flight = self.counter_calls.replace(counter);
--- a/crates/gateway/src/event_loop/counter_calls.rs
+++ b/crates/gateway/src/event_loop/counter_calls.rs
@@ -1,4 +1,4 @@
-//! PollSchedule to the shared counter whose outcome the policy does not have yet.
+//! Calls to the shared counter whose outcome the policy does not have yet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -44,7 +44,7 @@
         CounterCalls { counter, budget, in_flight: HashMap::new(), last_number: 0 }
     }
 
-    /// Makes a call. Gives its outcome where it could not even be queued.
+    /// Makes a call. Returns its outcome where it could not even be queued.
     pub fn start(&mut self, call: &NewCall, now_ms: f64, timers: &mut Timers) -> Option<Counted> {
         self.last_number += 1;
         let (number, made) = (self.last_number, Instant::now());
@@ -70,7 +70,7 @@
         self.budget.as_mut().is_none_or(|budget| budget.try_take(now_ms))
     }
 
-    /// Settles a call that has an outcome; gives its key. The late answer of a call that is out of time is
+    /// Settles a call that has an outcome; returns its key. The late answer of a call that is out of time is
     /// none, so that it is not taken for that of another.
     pub fn settle(&mut self, number: u64, timers: &mut Timers) -> Option<u64> {
         let call = self.in_flight.remove(&number)?;
@@ -78,15 +78,15 @@
         Some(call.key)
     }
 
-    /// Settles a call whose timer has expired; gives its key and outcome.
+    /// Settles a call whose timer has expired; returns its key and outcome.
     pub fn time_out(&mut self, number: u64) -> Option<(u64, Outcome)> {
         let InFlight { key, made, .. } = self.in_flight.remove(&number)?;
         let outcome = self.counter.as_ref().map_or(Outcome::Timeout, |c| c.overdue(number, key, made));
         Some((key, outcome))
     }
 
-    /// Goes over to another counter. Gives the numbers of the calls that are in flight at the old one, which
-    /// may have been added there.
+    /// Goes over to another counter. Returns the numbers of the calls that are in flight at the old one,
+    /// which may have been added there.
     pub fn replace(&mut self, counter: Counter) -> Vec<u64> {
         self.counter = Some(counter);
         let mut in_flight: Vec<u64> = self.in_flight.keys().copied().collect();
--- a/crates/gateway/src/event_loop/endpoints.rs
+++ b/crates/gateway/src/event_loop/endpoints.rs
@@ -10,8 +10,8 @@
 use crate::endpoint_list::{Endpoint, Status};
 
 impl EventLoop {
-    /// Takes an update of discovery's in. Of the backends that are `unread` no line could be read: they stay
-    /// as they are.
+    /// Applies an update of discovery. Of the backends that are `unread` no line could be read: they stay as
+    /// they are.
     pub(super) fn update_endpoints(
         &mut self,
         scope: UpdateScope,
--- a/crates/gateway/src/event_loop/oversight.rs
+++ b/crates/gateway/src/event_loop/oversight.rs
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Attempts out at a subject, from when they were decided on; requests that are owed an answer, where it
-    /// is this gateway.
+    /// Attempts in flight at a subject, from when they were decided on; requests that await an answer, where
+    /// it is this gateway.
     fn in_flight(&self, subject: &Subject) -> u64 {
         match subject {
             Subject::Gateway(name) if name.as_str() == self.oversight.name => self.requests.open() as u64,
--- a/crates/gateway/src/event_loop/probing.rs
+++ b/crates/gateway/src/event_loop/probing.rs
@@ -71,7 +71,7 @@
         });
     }
 
-    /// Takes in what a probe came to.
+    /// Handles the outcome of a probe.
     pub(super) fn probed(&mut self, backend: u32, reply: Reply, purpose: Purpose) {
         match purpose {
             Purpose::Health => {
--- a/crates/gateway/src/event_loop/ramp.rs
+++ b/crates/gateway/src/event_loop/ramp.rs
@@ -37,7 +37,7 @@
         )
     }
 
-    /// The list held is the one that there is.
+    /// The cached list is the one that there is.
     pub fn confirm(&mut self, now_ms: f64) {
         self.openings.confirm(now_ms);
     }
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Gives slots, has the policy use backends that need none, notifies whoever waits for the first that is
-    /// open, and sets the timer of the next slot.
+    /// Assigns slots, has the policy use backends that need none, notifies whoever waits for the first that
+    /// is open, and sets the timer of the next slot.
     pub(super) fn settle_ramp(&mut self) {
         let (now, out) = (self.clock.now_ms(), self.attempts.len());
         let Some(ramp) = &mut self.ramp else { return };
@@ -126,7 +126,7 @@
         self.settle_ramp();
     }
 
-    /// Takes in what a first connection came to. The policy has a backend from its first answer on.
+    /// Handles the outcome of a first connection. The policy has a backend from its first answer on.
     pub(super) fn ramp_tried(&mut self, backend: u32, started_ms: f64, reply: &Reply) {
         // One that is full answers.
         let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Rejected, _));
--- a/crates/gateway/src/event_loop/requests.rs
+++ b/crates/gateway/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients that are owed a final answer, or have attempts in flight.
+//! Requests of clients that await a final answer, or have attempts in flight.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 /// Timers of the policy that a request usually has.
 const USUAL_TIMERS: usize = 3;
 
-/// A request that is owed a final answer, or has attempts in flight.
+/// A request that awaits a final answer, or has attempts in flight.
 struct InFlight {
     call: Arc<Call>,
     expires_ms: f64,
@@ -41,13 +41,13 @@
 #[derive(Default)]
 pub(super) struct Requests {
     in_flight: HashMap<u64, InFlight>,
-    /// The clients' ids of the requests that are owed an answer.
+    /// The clients' ids of the requests that await an answer.
     client_ids: HashSet<u64>,
 }
 
 impl Requests {
-    /// Takes a request in. A second one under an open one's id is turned away: backends may take it for a
-    /// copy of that.
+    /// Admits a request. A second one under an open one's id is turned away: backends may take it for a copy
+    /// of that.
     pub fn admit(
         &mut self,
         id: u64,
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// Requests that are owed an answer.
+    /// Requests that await an answer.
     pub fn open(&self) -> usize {
         self.client_ids.len()
     }
@@ -80,17 +80,17 @@
         self.in_flight.keys().copied().collect()
     }
 
-    /// Whether a request is owed an answer, or has attempts in flight.
+    /// Whether a request awaits an answer, or has attempts in flight.
     pub fn contains(&self, id: u64) -> bool {
         self.in_flight.contains_key(&id)
     }
 
-    /// Whether a request is still owed its answer.
-    pub fn is_owed(&self, id: u64) -> bool {
+    /// Whether a request still awaits its answer.
+    pub fn awaits_answer(&self, id: u64) -> bool {
         self.in_flight.get(&id).is_some_and(|request| request.reply.is_some())
     }
 
-    /// Takes the way to the client of a request that is owed an answer.
+    /// Takes the way to the client of a request that awaits an answer.
     pub fn take_reply(&mut self, id: u64) -> Option<oneshot::Sender<Answer>> {
         let request = self.in_flight.get_mut(&id)?;
         let reply = request.reply.take()?;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Forgets a request that has its answer and no attempt in flight. Gives its timers, which are to be
+    /// Forgets a request that has its answer and no attempt in flight. Returns its timers, which are to be
     /// cancelled.
     pub fn remove_finished(&mut self, id: u64) -> Option<Vec<TimerKey>> {
         let request = self.in_flight.get(&id)?;
--- a/crates/gateway/src/event_loop/sending.rs
+++ b/crates/gateway/src/event_loop/sending.rs
@@ -89,7 +89,7 @@
     fn may_be_written(&self, key: AttemptKey) -> bool {
         let now_ms = self.clock.now_ms();
         let in_time = self.attempts.get(key).is_some_and(|attempt| now_ms < attempt.write_deadline_ms);
-        in_time && self.requests.is_owed(key.request)
+        in_time && self.requests.awaits_answer(key.request)
     }
 
     /// Writes an attempt's request and has its answer sent to the inbox.
@@ -112,8 +112,8 @@
         attempt.phase = Phase::Writing(task.abort_handle());
     }
 
-    /// Notes that an attempt's answer comes, and passes on a value that is too long to be held whole. Where
-    /// nobody is owed it any more, whoever reads it finds that out.
+    /// Notes that an attempt's answer comes, and passes on a value that is too long to be buffered whole.
+    /// Where nobody awaits it any more, whoever reads it finds that out.
     pub(super) fn response_started(
         &mut self,
         key: AttemptKey,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     pub(super) fn cancel(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(key) else { return };
         let outcome = match &attempt.phase {
@@ -151,8 +151,8 @@
         self.follow_ups.push_back(Input::AttemptEnded { key, backend, reply, connection: None });
     }
 
-    /// Takes in the first outcome of an attempt; later ones, as of an answer that crossed a cancel, are
-    /// passed over.
+    /// Handles the first outcome of an attempt; later ones, as of an answer that crossed a cancel, are passed
+    /// over.
     pub(super) fn attempt_ended(&mut self, key: AttemptKey, reply: Reply) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         let AttemptKey { request: id, number } = key;
@@ -173,7 +173,7 @@
             backend: attempt.backend,
             outcome,
             latency_ms,
-            answered: !self.requests.is_owed(id),
+            answered: !self.requests.awaits_answer(id),
             metered_use: metered,
             actual_units: charged,
             load: &load,
@@ -193,7 +193,7 @@
     }
 }
 
-/// Tells the event loop that an answer begins, with the value of that length if it is streamed. Gives where
+/// Tells the event loop that an answer begins, with the value of that length if it is streamed. Returns where
 /// the value is to be written.
 async fn start_response(
     key: AttemptKey,
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -30,7 +30,8 @@
     Connected { key: AttemptKey, backend: u32, connection: Option<Connection> },
     /// The connection that an attempt is to use has cooled down.
     CooledDown { key: AttemptKey, backend: u32, connection: Connection },
-    /// The answer of an attempt has begun to come; a value that is too long to be held whole comes with it.
+    /// The answer of an attempt has begun to come; a value that is too long to be buffered whole comes with
+    /// it.
     ResponseStarted { key: AttemptKey, backend: u32, streamed: Option<StreamedValue> },
     /// An attempt has ended; its connection comes with it if it can be used again.
     AttemptEnded { key: AttemptKey, backend: u32, reply: Reply, connection: Option<Connection> },
@@ -48,7 +49,7 @@
     TimerExpired(Due),
     /// A request of an operator or the agent at the admin listener.
     AdminRequest { request: GatewayRequest, reply: oneshot::Sender<GatewayResponse> },
-    /// The gateway is told to end: what comes from now on has to be answered by then, Unix time in ms.
+    /// The gateway is asked to shut down: what comes from now on has to be answered by then, Unix time in ms.
     ShuttingDown { answer_by_ms: f64 },
     /// The gateway is about to end: what is still open fails now, and what comes is rejected.
     FailAll,
--- a/crates/gateway/src/maintenance/control.rs
+++ b/crates/gateway/src/maintenance/control.rs
@@ -12,7 +12,7 @@
     IsListed { id: String, reply: oneshot::Sender<bool> },
     /// Leaves so many other processes of this gateway their shares.
     ShareWith { other_processes: usize, reply: oneshot::Sender<()> },
-    /// Gives up the unreported charges, for another process to report.
+    /// Takes the unreported charges, for another process to report.
     TakeUnreported { reply: oneshot::Sender<Vec<UnreportedCharge>> },
     /// Reports the charges that another process did not, each with the next call for its customer.
     AddUnreported { unreported: Vec<UnreportedCharge>, reply: oneshot::Sender<()> },
--- a/crates/gateway/src/maintenance/controller.rs
+++ b/crates/gateway/src/maintenance/controller.rs
@@ -1,5 +1,5 @@
 //! Carries out commands one after another, writes the maintenance state before a command is answered, and
-//! takes in what other processes of this gateway wrote.
+//! applies what other processes of this gateway wrote.
 
 use std::fs::File;
 use std::time::Duration;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes in what other processes did since the last look.
+    /// Applies what other processes did since the last look.
     async fn poll(&mut self) {
         if self.read_state() {
             self.adopt().await;
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Takes in the stored state if it is newer; tells whether it was. One that can't be read changes nothing,
-    /// so that no ban is forgotten for it.
+    /// Adopts the stored state if it is newer; returns whether it was. One that can't be read changes
+    /// nothing, so that no ban is forgotten for it.
     fn read_state(&mut self) -> bool {
         let Some(directory) = &self.directory else { return false };
         match directory.read::<MaintenanceState>(STATE_FILE) {
--- a/crates/gateway/src/maintenance/process.rs
+++ b/crates/gateway/src/maintenance/process.rs
@@ -10,7 +10,7 @@
     Starting,
     /// It accepts clients.
     Serving,
-    /// It was told to end.
+    /// It was asked to shut down.
     ShuttingDown,
 }
 
@@ -30,7 +30,7 @@
         self.stage.store(ProcessStatus::SERVING, Ordering::Relaxed);
     }
 
-    /// The process was told to end.
+    /// The process was asked to shut down.
     pub fn set_shutting_down(&self) {
         self.stage.store(ProcessStatus::SHUTTING_DOWN, Ordering::Relaxed);
     }
@@ -49,7 +49,7 @@
         self.other_processes.load(Ordering::Relaxed)
     }
 
-    /// Notes how many live; tells whether that is another number than before.
+    /// Notes how many live; returns whether that is another number than before.
     pub fn set_other_processes(&self, count: usize) -> bool {
         self.other_processes.swap(count, Ordering::Relaxed) != count
     }
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -270,7 +270,7 @@
 }
 
 /// Puts the state of the processes before in force, before the first request: bans hold from the start, and
-/// other processes are left their shares. Gives how many of those live.
+/// other processes are left their shares. Returns how many of those live.
 fn adopt_maintenance_state(controller: &Controller, event_loop: &mut EventLoop) -> usize {
     event_loop.adopt(controller.state());
     let other_processes = controller.other_processes();
--- a/crates/gateway/src/server/fleet_start.rs
+++ b/crates/gateway/src/server/fleet_start.rs
@@ -16,7 +16,7 @@
     pub slots: Option<SlotSchedule>,
     /// First connections to backends.
     pub ramp: Option<ConnectionRamp>,
-    /// PollSchedule to the counter.
+    /// Calls to the counter.
     pub counter_calls: Option<CallBudget>,
 }
 
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -92,7 +92,7 @@
     }
 
     /// Goes over to the counter that the configuration names, if there was one before and it names another.
-    /// Gives the address of the one in use.
+    /// Returns the address of the one in use.
     async fn move_counter(&self, before: Option<SocketAddr>) -> Option<SocketAddr> {
         let named = self.config.peers.counter;
         let moved = named.filter(|_| before.is_some() && named != before);
--- a/crates/gateway/src/streaming.rs
+++ b/crates/gateway/src/streaming.rs
@@ -1,4 +1,4 @@
-//! Streamed values: forwarded as they come, as they are longer than what is held whole.
+//! Streamed values: forwarded as they come, as they are longer than what is buffered whole.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -51,7 +51,7 @@
         self.left
     }
 
-    /// Passes on what is there of the value; tells whether somebody still takes it.
+    /// Passes on what is there of the value; returns whether somebody still takes it.
     pub async fn forward(&mut self, buffer: &mut BytesMut) -> bool {
         let n = buffer.len().min(self.left).min(MAX_PIECE_BYTES);
         self.left -= n;
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -32,7 +32,7 @@
 impl Connection {
     /// Writes a call or a probe, and reads its answer. The connection comes back if it can be used again.
     ///
-    /// `begins` is called when the answer begins, with the length of a value that is too long to be held
+    /// `begins` is called when the answer begins, with the length of a value that is too long to be buffered
     /// whole, which it has to take. `decode` reads the whole answer; `None` if it is none.
     pub async fn exchange<B: Future<Output = Option<ValueWriter>>>(
         mut self,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -154,7 +154,7 @@
         self.connect_timeout = connect_timeout;
     }
 
-    /// Takes in a line of the list. Gives the backends that are not at its address any more, as one that
+    /// Applies a line of the list. Returns the backends that are not at its address any more, as one that
     /// started later is; the one of the line may be among them.
     pub fn update(&mut self, entry: &BackendEndpoint, address: SocketAddr) -> Vec<u32> {
         if entry.state == EndpointState::Removed {
@@ -222,7 +222,7 @@
         self.backends.contains_key(&backend)
     }
 
-    /// Takes in a whole list: backends that it does not name are gone.
+    /// Applies a whole list: backends that it does not name are gone.
     pub fn retain(&mut self, named: impl Fn(u32) -> bool) {
         let gone: Vec<u32> = self.backends.keys().copied().filter(|id| !named(*id)).collect();
         for id in gone {
