--- /dev/null
+++ b/crates/testbed/src/scripted/resp.rs
@@ -0,0 +1,33 @@
+//! RESP and line messages, as the scripted stand-ins read and write them.
+
+use std::io::BufRead;
+
+/// Reads one RESP message: its bytes as text, line ends and lengths left out.
+pub(super) fn message(from: &mut impl BufRead) -> Option<Vec<String>> {
+    let mut line = String::new();
+    if from.read_line(&mut line).ok()? == 0 {
+        return None;
+    }
+    let line = line.trim_end();
+    match line.split_at(1) {
+        ("*", n) => {
+            let n: usize = n.parse().ok()?;
+            let parts = (0..n).map(|_| message(from)).collect::<Option<Vec<_>>>()?;
+            Some(parts.concat())
+        }
+        ("$", n) => {
+            let mut value = vec![0; n.parse::<usize>().ok()? + 2];
+            from.read_exact(&mut value).ok()?;
+            value.truncate(value.len() - 2);
+            Some(vec![String::from_utf8(value).ok()?])
+        }
+        _ => Some(vec![line.to_string()]),
+    }
+}
+
+/// A command as RESP.
+pub fn command(words: &[&str]) -> Vec<u8> {
+    let mut bytes = format!("*{}\r\n", words.len());
+    words.iter().for_each(|w| bytes += &format!("${}\r\n{w}\r\n", w.len()));
+    bytes.into_bytes()
+}
