--- a/crates/agent/src/owner.rs
+++ b/crates/agent/src/control_loop.rs
@@ -16,12 +16,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::book::{self, Book, Verdict, Wish};
-use crate::link::{self, Published, Query, Report, Said, Shared};
-use crate::listing::Listing;
+use crate::backend_catalog::Views;
+use crate::endpoint_list::Listing;
 use crate::log::{Contents, Log, LogError};
-use crate::starts::Starts;
-use crate::views::Views;
+use crate::order_ledger::{self, Book, Verdict, Wish};
+use crate::session::{self, Published, Query, Report, Said, Shared};
+use crate::start_coordinator::Starts;
 
 /// Inputs taken in at once; their orders are written down together.
 const BATCH: usize = 256;
@@ -139,7 +139,7 @@
     fn oversee(&mut self, name: &str, address: Address, fixed: bool) {
         let name: Arc<str> = name.into();
         let (queries, queue) = mpsc::channel(MAX_QUEUED_QUERIES);
-        let link = link::run(Arc::clone(&name), address.clone(), self.shared.clone(), queue);
+        let link = session::run(Arc::clone(&name), address.clone(), self.shared.clone(), queue);
         let task = tokio::spawn(link).abort_handle();
         let (member, told) = (GatewayRecord::default(), Health::Unknown);
         let gateway = Gateway { address, fixed, member, state: None, queries, task, told };
@@ -255,7 +255,7 @@
             answers.filter(|(_, g)| g.member.unreachable_since_ms().is_none()).map(|(name, _)| &**name);
         let named = |name: &str| gateways.contains_key(name);
         let (backends, told) = (views.backends(), !views.unknown());
-        self.book.judge(wish, book::Seen { backends, gateways: answers, told, named: &named }, at_ms)
+        self.book.judge(wish, order_ledger::Seen { backends, gateways: answers, told, named: &named }, at_ms)
     }
 
     /// Tells that an order is written down, and from then on what each gateway does.
@@ -589,7 +589,7 @@
         let did = match said(answered, until).await {
             Err(_) => InstanceOutcome::TimedOut,
             Ok(Ok(GatewayResponse::Inflight(in_flight))) => InstanceOutcome::InFlight { in_flight },
-            Ok(Ok(other)) => InstanceOutcome::Unreachable { reason: link::unexpected(&other) },
+            Ok(Ok(other)) => InstanceOutcome::Unreachable { reason: session::unexpected(&other) },
             Ok(Err(why)) => InstanceOutcome::Unreachable { reason: why },
         };
         all.push(InstanceReport { gateway: name.to_string(), outcome: did });
@@ -604,7 +604,7 @@
         let state = match said(answered, until).await {
             Err(_) => Err("no answer in time".to_string()),
             Ok(Ok(GatewayResponse::State(state))) => Ok(state),
-            Ok(Ok(other)) => Err(link::unexpected(&other)),
+            Ok(Ok(other)) => Err(session::unexpected(&other)),
             Ok(Err(why)) => Err(why),
         };
         done.succeeded += u32::from(state.is_ok());
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -14,14 +14,14 @@
 //! told. A link begins each connection with the whole state, so gateways that were away converge by
 //! themselves. Without an agent, gateways go on with the last state that they had.
 
-mod book;
-mod link;
-mod listing;
+mod backend_catalog;
+mod control_loop;
+mod endpoint_list;
 mod log;
-mod owner;
-mod starts;
-mod tools;
-mod views;
+mod order_ledger;
+mod session;
+mod start_coordinator;
+mod tool_listener;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 use tokio::sync::{broadcast, mpsc, watch, Semaphore};
 use transport::{BindError, Connector, Listener, TlsError};
 
-use tools::Scope;
+use tool_listener::Scope;
 
 pub use log::{Contents, Log, LogError, ORDERS_KEPT};
 
@@ -102,34 +102,36 @@
         }
         None => None,
     };
-    let (published, receiver) = watch::channel(link::Published::default());
+    let (published, receiver) = watch::channel(session::Published::default());
     let (reports, told) = mpsc::channel(INBOX);
     let (inbox, inputs) = mpsc::channel(INBOX);
     let events = broadcast::Sender::new(EVENTS);
-    let shared = link::Shared {
+    let shared = session::Shared {
         dialer,
         heartbeat: config.heartbeat(),
         answer: config.answer(),
         fan_out: Arc::new(Semaphore::new(config.fan_out)),
-        calls: Arc::new(Semaphore::new(link::MAX_CONNECTING)),
+        calls: Arc::new(Semaphore::new(session::MAX_CONNECTING)),
         published: receiver,
         reports,
     };
     let listing = match sources {
-        Some(sources) => Some(listing::Listing::start(sources, &events).await.map_err(AgentError::Sources)?),
+        Some(sources) => {
+            Some(endpoint_list::Listing::start(sources, &events).await.map_err(AgentError::Sources)?)
+        }
         None => None,
     };
     let list = listing.as_ref().map(|listing| listing.address);
     let owner =
-        owner::Owner::new(log, contents, fixed, config.least_ready, published, shared, events.clone());
+        control_loop::Owner::new(log, contents, fixed, config.least_ready, published, shared, events.clone());
     let starts = start.filter(|start| start.ordered_by_agent);
-    let starts = starts.map(|start| starts::Starts::new(start.list_calls_per_s));
+    let starts = starts.map(|start| start_coordinator::Starts::new(start.list_calls_per_s));
     let owner = owner.with_list(listing).with_starts(starts);
     let registering = registers.map(|listener| {
         let (inbox, events) = (inbox.clone(), events.clone());
-        tokio::spawn(tools::serve(listener, Scope::Register, inbox, events))
+        tokio::spawn(tool_listener::serve(listener, Scope::Register, inbox, events))
     });
-    let tools = tokio::spawn(tools::serve(listener, Scope::All, inbox, events));
+    let tools = tokio::spawn(tool_listener::serve(listener, Scope::All, inbox, events));
     ready(list);
     let result = tokio::select! {
         result = owner.run(inputs, told) => result.map_err(AgentError::Log),
--- a/crates/agent/src/tools.rs
+++ b/crates/agent/src/tool_listener.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, timeout};
 use transport::{JsonLines, JsonLinesError, Listener};
 
-use crate::owner::Asked;
+use crate::control_loop::Asked;
 
 /// Connections at once; further ones wait in the listener's line.
 const MAX_CONNECTIONS: usize = 256;
