--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,6 +11,7 @@
 mod connect;
 mod json_lines;
 mod listen;
+mod serve;
 mod tls;
 
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -18,6 +19,7 @@
 pub use connect::{connect, ConnectError, Connector};
 pub use json_lines::{JsonLines, JsonLinesError};
 pub use listen::{BindError, Listener};
+pub use serve::serve;
 pub use tls::{TlsError, TlsFiles};
 
 /// A stream of either kind.
