--- a/crates/fleet/src/gateway_record.rs
+++ b/crates/fleet/src/gateway_record.rs
@@ -1,4 +1,4 @@
-//! What is known of a gateway, from what was heard of it and when.
+//! What is known of a gateway, from observations and when they were made.
 
 use std::fmt;
 
@@ -6,17 +6,17 @@
 
 use crate::order::Revision;
 
-/// Whether a gateway can be relied on to have carried out what was ordered.
+/// Whether a gateway can be relied on to have applied all orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// Not heard yet.
+    /// Not observed yet.
     Unknown,
-    /// Heard lately, and it holds every order.
+    /// It answered lately, and holds every order.
     Ok,
-    /// Heard lately, and orders are on their way to it.
+    /// It answered lately, and orders are on their way to it.
     Behind,
-    /// Not heard in time. What it does is not known; it goes on with the last orders that it had.
+    /// It did not answer in time. What it does is not known; it goes on with the last orders that it had.
     Unreachable {
         /// Why, in a few words.
         #[serde(rename = "why")]
@@ -35,81 +35,92 @@
     }
 }
 
-/// Something that was learned of a gateway.
+/// What a session learned of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// It answered: it runs under this boot id and holds the orders up to this revision.
+    /// It answered.
     Reachable {
-        /// New with each start of its process.
+        /// Its process: new with each start.
         incarnation: u64,
         /// The newest revision that it holds.
         applied_revision: Revision,
     },
-    /// It could not be asked, or did not answer.
+    /// It could not be asked, or did not answer, for this reason.
     Unreachable(String),
 }
 
+/// An outage that lasts.
+#[derive(Clone, Debug)]
+struct Outage {
+    since_ms: f64,
+    /// The latest reason.
+    reason: String,
+}
+
 /// A gateway as the agent knows it.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayRecord {
-    boot: Option<u64>,
+    incarnation: Option<u64>,
     applied_revision: Revision,
     last_seen_ms: Option<f64>,
-    lost: Option<(f64, String)>,
-    /// How often its process was seen to have started anew.
+    outage: Option<Outage>,
+    /// How often its process was seen to have restarted.
     pub restarts: u32,
 }
 
 impl GatewayRecord {
-    /// Takes a sighting in. Tells whether the process is another than before.
-    pub fn observe(&mut self, now_ms: f64, sighting: Observation) -> bool {
-        match sighting {
-            Observation::Reachable { incarnation: boot, applied_revision: holds } => {
-                let anew = self.boot.is_some_and(|b| b != boot);
-                self.restarts += u32::from(anew);
-                (self.boot, self.applied_revision) = (Some(boot), holds);
-                (self.last_seen_ms, self.lost) = (Some(now_ms), None);
-                anew
+    /// Takes in an observation. Returns whether the process is another than before.
+    pub fn observe(&mut self, now_ms: f64, observation: Observation) -> bool {
+        match observation {
+            Observation::Reachable { incarnation, applied_revision } => {
+                let restarted = self.incarnation.is_some_and(|known| known != incarnation);
+                self.restarts += u32::from(restarted);
+                self.incarnation = Some(incarnation);
+                self.applied_revision = applied_revision;
+                self.last_seen_ms = Some(now_ms);
+                self.outage = None;
+                restarted
             }
-            Observation::Unreachable(why) => {
-                // Since when it is lost stays; why is the latest reason.
-                let since = self.lost.take().map_or(now_ms, |(since, _)| since);
-                self.lost = Some((since, why));
+            Observation::Unreachable(reason) => {
+                let since_ms = self.unreachable_since_ms().unwrap_or(now_ms);
+                self.outage = Some(Outage { since_ms, reason });
                 false
             }
         }
     }
 
-    /// Its health, given the newest revision and how long one may be silent, ms.
+    /// Its health, given the newest revision and how long it may be silent, ms.
     #[must_use]
-    pub fn health(&self, now_ms: f64, newest: Revision, silent_most_ms: f64) -> Health {
-        match (&self.lost, self.last_seen_ms) {
-            (Some((_, why)), _) => Health::Unreachable { reason: why.clone() },
-            (None, None) => Health::Unknown,
-            // Danger: one that was heard once, taken for well ever after.
-            (None, Some(heard)) if now_ms - heard > silent_most_ms => {
-                Health::Unreachable { reason: format!("silent for {:.0} ms", now_ms - heard) }
-            }
-            (None, Some(_)) if self.applied_revision < newest => Health::Behind,
-            (None, Some(_)) => Health::Ok,
+    pub fn health(&self, now_ms: f64, newest: Revision, max_silence_ms: f64) -> Health {
+        if let Some(outage) = &self.outage {
+            return Health::Unreachable { reason: outage.reason.clone() };
+        }
+        let Some(last_seen_ms) = self.last_seen_ms else { return Health::Unknown };
+        let silence_ms = now_ms - last_seen_ms;
+        if silence_ms > max_silence_ms {
+            Health::Unreachable { reason: format!("silent for {silence_ms:.0} ms") }
+        } else if self.applied_revision < newest {
+            Health::Behind
+        } else {
+            Health::Ok
         }
     }
 
-    /// The newest revision that it was heard to hold.
+    /// The newest revision that it is known to hold.
     #[must_use]
-    pub fn holds(&self) -> Revision {
+    pub fn applied_revision(&self) -> Revision {
         self.applied_revision
     }
 
-    /// When it was last heard.
+    /// When it last answered.
     #[must_use]
-    pub fn heard_ms(&self) -> Option<f64> {
+    pub fn last_seen_ms(&self) -> Option<f64> {
         self.last_seen_ms
     }
 
-    /// Since when it is lost, if it is.
+    /// Since when it is unreachable, if it is.
     #[must_use]
     pub fn unreachable_since_ms(&self) -> Option<f64> {
-        self.lost.as_ref().map(|(since, _)| *since)
+        self.outage.as_ref().map(|outage| outage.since_ms)
     }
 }
