--- a/crates/agent/src/backend_catalog.rs
+++ b/crates/agent/src/backend_catalog.rs
@@ -1,147 +1,126 @@
-//! What all gateways list, each backend held once. No I/O.
+//! All backends that some gateway lists, each held once. No I/O.
 
 use std::collections::HashMap;
 
 use fleet::wire::BackendState;
 use fleet::Backend;
 
+/// A backend and the gateways that list it.
 #[derive(Debug)]
-struct Row {
+struct CatalogEntry {
     backend: Backend,
-    /// Gateways that list it, and those to which it serves.
-    listed: u32,
-    serving: u32,
+    /// Gateways that list it.
+    listed_by: u32,
+    /// Those of them that say it serves.
+    serving_for: u32,
 }
 
-/// The lists of all gateways. A gateway's list takes four bytes a backend, whatever the names are.
+/// An entry as one gateway lists it: twice the entry's index, plus one if the gateway says that it serves.
+#[derive(Clone, Copy, Debug)]
+struct ListedEntry(u32);
+
+impl ListedEntry {
+    fn new(index: u32, serving: bool) -> ListedEntry {
+        ListedEntry(index << 1 | u32::from(serving))
+    }
+
+    fn index(self) -> usize {
+        (self.0 >> 1) as usize
+    }
+
+    fn is_serving(self) -> bool {
+        self.0 & 1 == 1
+    }
+}
+
+/// The backends of all gateways. The list of one gateway takes four bytes a backend, however long names are.
 #[derive(Debug, Default)]
-pub struct Views {
-    numbers: HashMap<Box<str>, u32>,
-    rows: Vec<Option<Row>>,
-    free: Vec<u32>,
-    /// For each gateway, twice the number of each backend, plus one where it serves.
-    lists: HashMap<Box<str>, Box<[u32]>>,
+pub struct BackendCatalog {
+    indices: HashMap<Box<str>, u32>,
+    entries: Vec<Option<CatalogEntry>>,
+    free_indices: Vec<u32>,
+    lists: HashMap<Box<str>, Box<[ListedEntry]>>,
 }
 
-impl Views {
-    /// Takes a gateway's whole list in.
-    pub fn update(&mut self, gateway: &str, list: &[BackendState]) {
-        let mut marks = Vec::with_capacity(list.len());
-        for state in list {
-            let number = self.number(state);
-            if let Some(row) = self.rows.get_mut(number as usize).and_then(Option::as_mut) {
-                row.listed += 1;
-                row.serving += u32::from(state.serving);
-                // Danger: gateways that tell of another group or type. The last one counts, as each has the
-                // same source.
-                (row.backend.group, row.backend.kind) = (state.group, state.kind.clone());
-                row.backend.serving = row.serving > 0;
-                marks.push(number << 1 | u32::from(state.serving));
+impl BackendCatalog {
+    /// Replaces the list of a gateway.
+    pub fn update(&mut self, gateway: &str, backends: &[BackendState]) {
+        let mut list = Vec::with_capacity(backends.len());
+        for state in backends {
+            let index = self.index_of(state);
+            if let Some(entry) = self.entries.get_mut(index as usize).and_then(Option::as_mut) {
+                entry.listed_by += 1;
+                entry.serving_for += u32::from(state.serving);
+                // Gateways may differ in group or type for a while; the last one counts, as all of them have
+                // the same source.
+                entry.backend.group = state.group;
+                entry.backend.kind = state.kind.clone();
+                entry.backend.serving = entry.serving_for > 0;
+                list.push(ListedEntry::new(index, state.serving));
             }
         }
-        let old = self.lists.insert(gateway.into(), marks.into());
-        self.let_go(old);
+        let replaced = self.lists.insert(gateway.into(), list.into());
+        self.release(replaced);
     }
 
-    /// Forgets a gateway.
+    /// Forgets the list of a gateway.
     pub fn remove(&mut self, gateway: &str) {
-        let old = self.lists.remove(gateway);
-        self.let_go(old);
+        let removed = self.lists.remove(gateway);
+        self.release(removed);
     }
 
-    fn number(&mut self, state: &BackendState) -> u32 {
-        if let Some(number) = self.numbers.get(state.name.as_str()) {
-            return *number;
+    /// The index of a backend, which gets a free one if it is new.
+    fn index_of(&mut self, state: &BackendState) -> u32 {
+        if let Some(index) = self.indices.get(state.name.as_str()) {
+            return *index;
         }
-        let (name, group, kind) = (state.name.clone(), state.group, state.kind.clone());
-        let backend = Backend { name, group, kind, serving: false };
-        let row = Some(Row { backend, listed: 0, serving: 0 });
-        let number = match self.free.pop() {
-            Some(number) => {
-                self.rows[number as usize] = row;
-                number
+        let backend = Backend {
+            name: state.name.clone(),
+            group: state.group,
+            kind: state.kind.clone(),
+            serving: false,
+        };
+        let entry = Some(CatalogEntry { backend, listed_by: 0, serving_for: 0 });
+        let index = match self.free_indices.pop() {
+            Some(index) => {
+                self.entries[index as usize] = entry;
+                index
             }
             None => {
-                self.rows.push(row);
-                self.rows.len() as u32 - 1
+                self.entries.push(entry);
+                self.entries.len() as u32 - 1
             }
         };
-        self.numbers.insert(state.name.as_str().into(), number);
-        number
+        self.indices.insert(state.name.as_str().into(), index);
+        index
     }
 
-    fn let_go(&mut self, marks: Option<Box<[u32]>>) {
-        for mark in marks.unwrap_or_default() {
-            let place = (mark >> 1) as usize;
-            let Some(row) = self.rows.get_mut(place).and_then(Option::as_mut) else { continue };
-            row.listed -= 1;
-            row.serving -= mark & 1;
-            row.backend.serving = row.serving > 0;
-            if row.listed == 0 {
-                self.numbers.remove(row.backend.name.as_str());
-                self.rows[place] = None;
-                self.free.push(place as u32);
+    /// Takes a list back, and frees entries that no gateway lists any more.
+    fn release(&mut self, list: Option<Box<[ListedEntry]>>) {
+        for listed in list.unwrap_or_default() {
+            let index = listed.index();
+            let Some(entry) = self.entries.get_mut(index).and_then(Option::as_mut) else { continue };
+            entry.listed_by -= 1;
+            entry.serving_for -= u32::from(listed.is_serving());
+            entry.backend.serving = entry.serving_for > 0;
+            if entry.listed_by == 0 {
+                self.indices.remove(entry.backend.name.as_str());
+                self.entries[index] = None;
+                self.free_indices.push(index as u32);
             }
         }
     }
 
     /// All backends that some gateway lists.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
-        self.rows.iter().flatten().map(|row| &row.backend)
+        self.entries.iter().flatten().map(|entry| &entry.backend)
     }
 
-    /// Whether no gateway has told its list.
-    pub fn unknown(&self) -> bool {
+    /// Whether no gateway has listed its backends.
+    pub fn is_empty(&self) -> bool {
         self.lists.is_empty()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn state(name: &str, serving: bool) -> BackendState {
-        BackendState {
-            name: name.to_string(),
-            address: String::new(),
-            group: 1,
-            kind: "m".to_string(),
-            zone: String::new(),
-            serving,
-            drained_by: None,
-            banned_ms: None,
-            weight: 1.0,
-            ejected: false,
-            capacity_fraction: 1.0,
-            in_flight: 0,
-        }
-    }
-
-    fn seen(views: &Views) -> Vec<(String, bool)> {
-        let mut all: Vec<_> = views.backends().map(|b| (b.name.clone(), b.serving)).collect();
-        all.sort();
-        all
-    }
-
-    #[test]
-    fn a_backend_is_there_while_some_gateway_lists_it_and_serves_while_some_says_so() {
-        let mut views = Views::default();
-        assert!(views.unknown());
-        views.update("n0", &[state("a", true), state("b", true)]);
-        views.update("n1", &[state("a", false), state("c", true)]);
-        let expected = |all: &[(&str, bool)]| -> Vec<(String, bool)> {
-            all.iter().map(|(n, s)| (n.to_string(), *s)).collect()
-        };
-        assert_eq!(seen(&views), expected(&[("a", true), ("b", true), ("c", true)]));
-        views.update("n0", &[state("b", true)]);
-        assert_eq!(seen(&views), expected(&[("a", false), ("b", true), ("c", true)]));
-        views.remove("n1");
-        assert_eq!(seen(&views), expected(&[("b", true)]));
-        // Places are used again, so that what comes and goes for good takes no more.
-        for i in 0..1_000 {
-            views.update("n1", &[state(&format!("x{i}"), true)]);
-        }
-        assert!(views.rows.len() <= 5, "{}", views.rows.len());
-        assert_eq!(seen(&views), expected(&[("b", true), ("x999", true)]));
-    }
-}
+mod tests;
--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -1,5 +1,7 @@
-//! The server list that gateways take from the agent: its source, its listener, and what is told of it.
+//! The endpoint list that gateways fetch from the agent: its DNS-SD source, and its listener.
 
+use std::fmt;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,72 +11,126 @@
 use fleet::wire::EndpointListStatus;
 use operator_config::SourcesConfig;
 use tokio::net::TcpListener;
-use tokio::sync::{broadcast, mpsc, oneshot, watch};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
 
-/// Questions of tools that may wait.
+use crate::responder::EventSender;
+
+/// Status requests that may wait.
 const MAX_QUEUED_REQUESTS: usize = 16;
 
-/// A list that is followed and served. It ends with the value.
+/// Why the endpoint list can't be served.
+#[derive(Debug)]
+pub enum EndpointListError {
+    /// A service has a name that DNS can't hold.
+    ServiceName {
+        /// The name.
+        service: String,
+        /// What is wrong with it.
+        source: Box<dyn std::error::Error + Send + Sync>,
+    },
+    /// The socket can't be opened.
+    Listen {
+        /// Its address.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+impl fmt::Display for EndpointListError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            EndpointListError::ServiceName { service, source } => write!(f, "{service}: {source}"),
+            EndpointListError::Listen { address, source } => write!(f, "{address}: {source}"),
+        }
+    }
+}
+
+impl std::error::Error for EndpointListError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            EndpointListError::ServiceName { source, .. } => Some(&**source),
+            EndpointListError::Listen { source, .. } => Some(source),
+        }
+    }
+}
+
+/// An endpoint list that is followed and served until it is dropped.
 #[derive(Debug)]
-pub struct Listing {
-    /// Where gateways read it.
+pub struct EndpointList {
+    /// Where gateways fetch it.
     pub address: SocketAddr,
-    asks: mpsc::Sender<StatusRequest>,
+    status_requests: mpsc::Sender<StatusRequest>,
     tasks: [JoinHandle<()>; 2],
 }
 
-impl Listing {
+impl EndpointList {
     /// Begins to follow the services, and to serve what is known of them.
+    ///
+    /// # Errors
+    /// An [`EndpointListError`].
     pub async fn start(
         config: &SourcesConfig,
-        events: &broadcast::Sender<String>,
-    ) -> Result<Listing, String> {
-        let name = |s: &String| Name::from_ascii(s).map_err(|e| format!("{s}: {e}"));
-        let services = config.services.iter().map(name).collect::<Result<Vec<_>, _>>()?;
-        let ms = |s: u32| f64::from(s) * 1_000.0;
-        let (life_least, life_most) = (ms(config.ttl_least_s), ms(config.ttl_most_s));
-        let plain = CacheLimits::default();
-        let bounds = CacheLimits {
-            min_ttl_ms: life_least,
-            max_ttl_ms: life_most,
-            max_negative_ttl_ms: plain.max_negative_ttl_ms.clamp(life_least, life_most),
-            max_stale_ms: ms(config.stale_most_s),
-            max_queries_in_flight: config.questions,
-            ..plain
-        };
+        events: EventSender,
+    ) -> Result<EndpointList, EndpointListError> {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let seed = started.as_nanos() as u64 ^ u64::from(std::process::id());
-        let settings = Settings { services, bounds, shrink_most: config.shrink_most, seed };
+        let settings = Settings {
+            services: services(config)?,
+            bounds: cache_limits(config),
+            shrink_most: config.shrink_most,
+            seed: started.as_nanos() as u64 ^ u64::from(std::process::id()),
+        };
         let resolver = Resolver::new(config.resolvers.clone(), Duration::from_millis(config.answer_ms));
-        let failed = |e: std::io::Error| format!("{}: {e}", config.listen);
+        let failed = |source| EndpointListError::Listen { address: config.listen, source };
         let listener = TcpListener::bind(config.listen).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
-        // Versions go on where an earlier life of the agent can't have come to.
-        let (table, tables) = watch::channel(Arc::new(EndpointTable::new(started.as_millis() as u64)));
-        let (asks, asked) = mpsc::channel(MAX_QUEUED_REQUESTS);
-        let events = events.clone();
-        let say = move |line: String| {
-            let line = format!("list: {line}");
-            eprintln!("agent: {line}");
-            // Fails only where nobody watches.
-            let _ = events.send(line);
-        };
-        let following = tokio::spawn(follow(settings, resolver, table, asked, say));
-        let tasks = [following, tokio::spawn(serve(listener, tables))];
-        Ok(Listing { address, asks, tasks })
+        // Versions begin above all that an earlier process can have come to.
+        let first_table = EndpointTable::new(started.as_millis() as u64);
+        let (table, tables) = watch::channel(Arc::new(first_table));
+        let (status_requests, requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
+        let announce = move |line: String| events.emit(format!("list: {line}"));
+        let following = tokio::spawn(follow(settings, resolver, table, requests, announce));
+        let serving = tokio::spawn(serve(listener, tables));
+        Ok(EndpointList { address, status_requests, tasks: [following, serving] })
     }
 
-    /// Asks how the list stands. The answer comes at once, but for a reading that is under way; none, if too
-    /// many ask already.
-    pub fn ask(&self, records: bool) -> Option<oneshot::Receiver<EndpointListStatus>> {
-        let (answer, told) = oneshot::channel();
-        self.asks.try_send(StatusRequest { records, answer }).ok().map(|()| told)
+    /// Requests the status of the list. It arrives as soon as an update in progress is done. None if too many
+    /// requests wait already.
+    pub fn request_status(&self, records: bool) -> Option<oneshot::Receiver<EndpointListStatus>> {
+        let (answer, status) = oneshot::channel();
+        self.status_requests.try_send(StatusRequest { records, answer }).ok()?;
+        Some(status)
     }
 }
 
-impl Drop for Listing {
+impl Drop for EndpointList {
     fn drop(&mut self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
+
+fn services(config: &SourcesConfig) -> Result<Vec<Name>, EndpointListError> {
+    let parse = |service: &String| {
+        Name::from_ascii(service).map_err(|error| EndpointListError::ServiceName {
+            service: service.clone(),
+            source: error.into(),
+        })
+    };
+    config.services.iter().map(parse).collect()
+}
+
+fn cache_limits(config: &SourcesConfig) -> CacheLimits {
+    let milliseconds = |seconds: u32| f64::from(seconds) * 1_000.0;
+    let min_ttl_ms = milliseconds(config.ttl_least_s);
+    let max_ttl_ms = milliseconds(config.ttl_most_s);
+    let defaults = CacheLimits::default();
+    CacheLimits {
+        min_ttl_ms,
+        max_ttl_ms,
+        max_negative_ttl_ms: defaults.max_negative_ttl_ms.clamp(min_ttl_ms, max_ttl_ms),
+        max_stale_ms: milliseconds(config.stale_most_s),
+        max_queries_in_flight: config.questions,
+        ..defaults
+    }
+}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,80 +1,106 @@
-//! The agent: holds what operators want, and has every gateway carry it out.
+//! The agent: holds the state that operators want in a durable log, and has every gateway apply it.
 //!
 //! ```text
-//!  tools ── tools.rs ─ Asked ─▶ owner.rs ─ append ─▶ log.rs (redb, on the disk before anybody is told)
-//!                ◀──── Say ──────────     │  book.rs: repeat, refuse or write   views.rs: what gateways list
-//!                                         ▼ watch: Published
-//!                       link.rs, one for each gateway ── adopt, apply, state ──▶ admin listener
-//!                                         └─ Report ─▶ owner.rs
-//!  gateways ◀─ GET /discovery/hosts ─ listing.rs ◀─ resolvers
+//!  tools ── tool_listener ─ IncomingRequest ─▶ control_loop ─ append ─▶ log (redb, on the disk first)
+//!                 ◀─── ToolResponse ───         │  order_ledger: repeat, reject or write
+//!                                               │  gateways, backend_catalog, pending_orders
+//!                                               ▼ watch: PublishedState
+//!                      session, one for each gateway ── adopt, apply, state ──▶ admin listener
+//!                                               └─ SessionReport ─▶ control_loop
+//!  gateways ◀─ GET /discovery/hosts ─ endpoint_list ◀─ resolvers
 //! ```
 //!
-//! An order is acknowledged once it is on the disk, and only then published to the links. An agent that is
-//! killed begins again with the log: what was acknowledged is in it, and what is not in it no gateway was
-//! told. A link begins each connection with the whole state, so gateways that were away converge by
-//! themselves. Without an agent, gateways go on with the last state that they had.
+//! An order is acknowledged once it is on the disk, and only then published to the sessions. An agent that is
+//! killed continues from its log: what was acknowledged is in it, and no gateway was sent what is not in it.
+//! A session begins each connection with the whole state, so gateways that were away converge by themselves.
+//! Without an agent, gateways go on with the last state that they had.
 
 mod backend_catalog;
 mod control_loop;
 mod endpoint_list;
+mod gateway_queries;
+mod gateways;
 mod log;
 mod order_ledger;
+mod pending_orders;
+mod publication;
+mod responder;
 mod session;
+mod session_error;
 mod start_coordinator;
 mod tool_listener;
 
 use std::fmt;
+use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use fleet::wire::{MAX_LINE_BYTES, MAX_TOOL_LINE_BYTES};
-use fleet::{InvalidName, Name};
+use fleet::InvalidName;
 use operator_config::{AgentConfig, GatewayConfig, SourcesConfig, StartConfig};
-use tokio::sync::{broadcast, mpsc, watch, Semaphore};
+use tokio::sync::{mpsc, watch, Semaphore};
 use transport::{BindError, Connector, Listener, TlsError};
 
+use control_loop::{ConfiguredGateway, ControlLoop, ControlLoopConfig};
+use endpoint_list::EndpointList;
+use publication::PublishedState;
+use responder::EventSender;
+use session::{SessionContext, MAX_CONNECTING};
+use start_coordinator::StartCoordinator;
 use tool_listener::Scope;
 
+pub use endpoint_list::EndpointListError;
 pub use log::{Contents, Log, LogError, ORDERS_KEPT};
 
-/// Inputs that may wait for the owner; who brings more waits.
-const INBOX: usize = 4_096;
-/// Events that a watcher may be behind before it misses some.
-const EVENTS: usize = 1_024;
+/// Requests, and reports, that may wait for the control loop; whoever brings more waits.
+const MAX_QUEUED_INPUTS: usize = 4_096;
+/// Events that a watcher may lag behind before it misses some.
+const MAX_WATCHER_LAG: usize = 1_024;
 
 /// Why an agent can't run.
 #[derive(Debug)]
 pub enum AgentError {
     /// Its log can't be used.
     Log(LogError),
-    /// Its socket can't be had.
+    /// Its socket can't be opened.
     Bind(BindError),
     /// Its certificates can't be used.
     Tls(TlsError),
-    /// The list can't be served: the socket, or a service.
-    Sources(String),
-    /// A gateway in the operator's file has a name that can't be one.
+    /// The endpoint list can't be served.
+    Sources(EndpointListError),
+    /// A gateway in the operator's file has an invalid name.
     Name(InvalidName),
 }
 
 impl fmt::Display for AgentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AgentError::Log(e) => e.fmt(f),
-            AgentError::Bind(e) => e.fmt(f),
-            AgentError::Tls(e) => e.fmt(f),
-            AgentError::Sources(e) => write!(f, "sources: {e}"),
-            AgentError::Name(e) => write!(f, "gateway: {e}"),
+            AgentError::Log(error) => error.fmt(f),
+            AgentError::Bind(error) => error.fmt(f),
+            AgentError::Tls(error) => error.fmt(f),
+            AgentError::Sources(error) => write!(f, "sources: {error}"),
+            AgentError::Name(error) => write!(f, "gateway: {error}"),
         }
     }
 }
 
-impl std::error::Error for AgentError {}
+impl std::error::Error for AgentError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            AgentError::Log(error) => Some(error),
+            AgentError::Bind(error) => Some(error),
+            AgentError::Tls(error) => Some(error),
+            AgentError::Sources(error) => Some(error),
+            AgentError::Name(error) => Some(error),
+        }
+    }
+}
 
-/// Oversees gateways until `end` is over, and serves them the list of `sources`, if there are any. `ready` is
-/// told where. Those that start get turns for their first call where `start` says so.
+/// Oversees gateways until `shutdown` completes, and serves them the endpoint list of `sources`, if there are
+/// any; `ready` is called with its address. Gateways that start get turns for their first call if `start`
+/// says so.
 ///
-/// Cancelling ends it as a kill would: nothing that was acknowledged is lost.
+/// Cancelling has the effect of a kill: nothing that was acknowledged is lost.
 ///
 /// # Errors
 /// An [`AgentError`], at the start or once the log can't be written.
@@ -84,60 +110,88 @@
     sources: Option<&SourcesConfig>,
     start: Option<&StartConfig>,
     ready: impl FnOnce(Option<SocketAddr>),
-    end: impl std::future::Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> Result<(), AgentError> {
-    let dialer = Connector::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
-    let named = |g: &GatewayConfig| Ok((g.name.parse::<Name>()?, g.admin.clone()));
-    let fixed =
-        gateways.iter().map(named).collect::<Result<Vec<_>, InvalidName>>().map_err(AgentError::Name)?;
-    // The log first: two agents on one log end here, before either speaks.
+    let connector = Connector::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
+    let gateways = configured_gateways(gateways).map_err(AgentError::Name)?;
+    // The log first: a second agent on the same log ends here, before it says anything to a gateway.
     let (log, contents) = Log::open(&config.log).map_err(AgentError::Log)?;
-    let listener =
-        Listener::bind(&config.listen, None, MAX_TOOL_LINE_BYTES).await.map_err(AgentError::Bind)?;
-    let registers = match &config.register {
-        Some(at) => {
-            // A list that a gateway has fetched fits.
-            let listener = Listener::bind(at, config.tls.as_ref(), MAX_LINE_BYTES).await;
-            Some(listener.map_err(AgentError::Bind)?)
-        }
-        None => None,
-    };
-    let (published, receiver) = watch::channel(session::Published::default());
-    let (reports, told) = mpsc::channel(INBOX);
-    let (inbox, inputs) = mpsc::channel(INBOX);
-    let events = broadcast::Sender::new(EVENTS);
-    let shared = session::Shared {
-        dialer,
+    let listeners = Listeners::bind(config).await.map_err(AgentError::Bind)?;
+    let (published, receiver) = watch::channel(PublishedState::default());
+    let (report_sender, reports) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let (request_sender, requests) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let events = EventSender::new(MAX_WATCHER_LAG);
+    let context = SessionContext {
+        connector,
         heartbeat: config.heartbeat(),
-        answer: config.answer(),
-        fan_out: Arc::new(Semaphore::new(config.fan_out)),
-        calls: Arc::new(Semaphore::new(session::MAX_CONNECTING)),
+        response_timeout: config.answer(),
+        request_permits: Arc::new(Semaphore::new(config.fan_out)),
+        connect_permits: Arc::new(Semaphore::new(MAX_CONNECTING)),
         published: receiver,
-        reports,
+        reports: report_sender,
     };
-    let listing = match sources {
+    let endpoint_list = match sources {
         Some(sources) => {
-            Some(endpoint_list::Listing::start(sources, &events).await.map_err(AgentError::Sources)?)
+            let started = EndpointList::start(sources, events.clone()).await;
+            Some(started.map_err(AgentError::Sources)?)
         }
         None => None,
     };
-    let list = listing.as_ref().map(|listing| listing.address);
-    let owner =
-        control_loop::Owner::new(log, contents, fixed, config.least_ready, published, shared, events.clone());
-    let starts = start.filter(|start| start.ordered_by_agent);
-    let starts = starts.map(|start| start_coordinator::Starts::new(start.list_calls_per_s));
-    let owner = owner.with_list(listing).with_starts(starts);
-    let registering = registers.map(|listener| {
-        let (inbox, events) = (inbox.clone(), events.clone());
-        tokio::spawn(tool_listener::serve(listener, Scope::Register, inbox, events))
-    });
-    let tools = tokio::spawn(tool_listener::serve(listener, Scope::All, inbox, events));
-    ready(list);
+    let list_address = endpoint_list.as_ref().map(|list| list.address);
+    let coordinated_start = start.filter(|start| start.ordered_by_agent);
+    let config = ControlLoopConfig {
+        gateways,
+        min_ready_fraction: config.least_ready,
+        endpoint_list,
+        start_coordinator: coordinated_start.map(|start| StartCoordinator::new(start.list_calls_per_s)),
+    };
+    let control_loop = ControlLoop::new(config, log, contents, published, context, events.clone());
+    let serving = listeners.serve(request_sender, events);
+    ready(list_address);
     let result = tokio::select! {
-        result = owner.run(inputs, told) => result.map_err(AgentError::Log),
-        () = end => Ok(()),
+        result = control_loop.run(requests, reports) => result.map_err(AgentError::Log),
+        () = shutdown => Ok(()),
     };
-    tools.abort();
-    registering.into_iter().for_each(|task| task.abort());
+    serving.iter().for_each(tokio::task::JoinHandle::abort);
     result
 }
+
+fn configured_gateways(gateways: &[GatewayConfig]) -> Result<Vec<ConfiguredGateway>, InvalidName> {
+    let parse = |gateway: &GatewayConfig| {
+        Ok(ConfiguredGateway { name: gateway.name.parse()?, address: gateway.admin.clone() })
+    };
+    gateways.iter().map(parse).collect()
+}
+
+/// The agent's listeners.
+struct Listeners {
+    tools: Listener,
+    /// For gateways that register.
+    gateways: Option<Listener>,
+}
+
+impl Listeners {
+    async fn bind(config: &AgentConfig) -> Result<Listeners, BindError> {
+        let tools = Listener::bind(&config.listen, None, MAX_TOOL_LINE_BYTES).await?;
+        let gateways = match &config.register {
+            // A line has room for an endpoint list that a gateway has fetched.
+            Some(address) => Some(Listener::bind(address, config.tls.as_ref(), MAX_LINE_BYTES).await?),
+            None => None,
+        };
+        Ok(Listeners { tools, gateways })
+    }
+
+    fn serve(
+        self,
+        requests: mpsc::Sender<control_loop::IncomingRequest>,
+        events: EventSender,
+    ) -> Vec<tokio::task::JoinHandle<()>> {
+        let mut tasks = Vec::new();
+        if let Some(listener) = self.gateways {
+            let serving = tool_listener::serve(listener, Scope::Gateways, requests.clone(), events.clone());
+            tasks.push(tokio::spawn(serving));
+        }
+        tasks.push(tokio::spawn(tool_listener::serve(self.tools, Scope::All, requests, events)));
+        tasks
+    }
+}
--- a/crates/agent/src/order_ledger.rs
+++ b/crates/agent/src/order_ledger.rs
@@ -1,172 +1,221 @@
-//! What the agent settles: whether an order is a repeat, is refused or is to be written down. No I/O, no
-//! clock.
+//! The ledger of orders: decides whether an order is a repetition, is rejected, or is to be logged. No I/O
+//! and no clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use fleet::wire::{ErrorCode, ErrorResponse, LoggedOrder};
-use fleet::{guard, Backend, Change, DesiredState, GuardCounts, Order, OrderId, Revision, Subject};
+use fleet::{
+    guard, ApplyOutcome, Backend, Change, DesiredState, GuardCounts, Order, OrderId, Revision, Subject,
+};
 
 use crate::log::ORDERS_KEPT;
 
-/// Orders after which what they settled is put down as one state.
-const SETTLE_AFTER: u64 = 256;
+/// Orders after which their state is logged as one snapshot.
+const ORDERS_PER_SNAPSHOT: u64 = 256;
 
-/// An order as somebody asks for it.
+/// An order as a tool requests it.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct OrderRequest {
+    /// Chosen by the tool.
     pub id: OrderId,
+    /// What it is about.
     pub subject: Subject,
+    /// What it changes.
     pub change: Change,
+    /// Whether the guard and unknown subjects are passed over.
     pub forced: bool,
 }
 
-/// What the agent knows of the fleet when it judges an order.
-pub struct Seen<'a, B, G> {
+/// What the agent knows of the fleet when it decides on an order.
+pub struct FleetView<'a, B, G> {
     /// Backends that some gateway lists.
     pub backends: B,
     /// Gateways that answer.
-    pub gateways: G,
-    /// Whether any gateway has told its list.
-    pub told: bool,
-    /// Names of all gateways, whether they answer or not.
-    pub named: &'a dyn Fn(&str) -> bool,
+    pub reachable_gateways: G,
+    /// Whether any gateway has listed its backends.
+    pub has_backend_lists: bool,
+    /// Whether a gateway of this name is overseen, reachable or not.
+    pub is_overseen: &'a dyn Fn(&str) -> bool,
 }
 
-/// What becomes of a wish.
+/// The decision on an order.
 #[derive(Debug)]
-pub enum Verdict {
-    /// It was written down before.
+pub enum Decision {
+    /// It was logged before, as this.
     Repeated(LoggedOrder),
-    /// It is to be written down.
+    /// It is to be logged as this.
     Write(LoggedOrder),
-    /// It is not.
-    Refused(ErrorResponse),
+    /// It is rejected.
+    Rejected(ErrorResponse),
 }
 
-/// All orders.
+/// All orders and the state that they make.
 #[derive(Debug)]
-pub struct Book {
+pub struct OrderLedger {
     desired: DesiredState,
     newest: Revision,
+    /// Oldest first.
     orders: VecDeque<LoggedOrder>,
-    by_id: BTreeMap<OrderId, Revision>,
-    unsettled: u64,
-    least_ready: f64,
+    revisions: BTreeMap<OrderId, Revision>,
+    orders_since_snapshot: u64,
+    min_ready_fraction: f64,
 }
 
-impl Book {
-    pub fn new(desired: DesiredState, newest: Revision, orders: Vec<LoggedOrder>, least_ready: f64) -> Book {
-        let by_id = orders.iter().map(|l| (l.order.id.clone(), l.order.revision)).collect();
-        Book { desired, newest, orders: orders.into(), by_id, unsettled: 0, least_ready }
+impl OrderLedger {
+    /// A ledger with the contents of the log.
+    pub fn new(
+        desired: DesiredState,
+        newest: Revision,
+        orders: Vec<LoggedOrder>,
+        min_ready_fraction: f64,
+    ) -> OrderLedger {
+        let revisions =
+            orders.iter().map(|logged| (logged.order.id.clone(), logged.order.revision)).collect();
+        OrderLedger {
+            desired,
+            newest,
+            orders: orders.into(),
+            revisions,
+            orders_since_snapshot: 0,
+            min_ready_fraction,
+        }
     }
 
-    /// Judges a wish. One that is to be written counts for the next; whoever can't write it down must not go
-    /// on with this book.
-    pub fn judge<'a, B, G>(&mut self, wish: Wish, seen: Seen<'_, B, G>, at_ms: u64) -> Verdict
+    /// Decides on an order. One that is to be logged counts in further decisions, so a ledger whose order
+    /// could not be logged must not be used any more.
+    pub fn decide<'a, B, G>(
+        &mut self,
+        request: OrderRequest,
+        view: FleetView<'_, B, G>,
+        at_ms: u64,
+    ) -> Decision
     where
         B: Iterator<Item = &'a Backend>,
         G: Iterator<Item = &'a str>,
     {
-        let Wish { id, subject, change, forced } = wish;
-        if let Some(first) = self.logged(&id) {
-            // Danger: an id that two people came upon. The second would hear that all is well.
-            return if (&first.order.subject, first.order.change) == (&subject, change) {
-                Verdict::Repeated(first.clone())
-            } else {
-                let message = format!("id {id} was given to {} {}", first.order.change, first.order.subject);
-                Verdict::Refused(ErrorResponse::new(ErrorCode::IdReused, message))
-            };
+        if let Some(first) = self.find(&request.id) {
+            return repeated(first, &request);
         }
+        let OrderRequest { id, subject, change, forced } = request;
         let order = Order { id, revision: self.newest.next(), subject, change };
-        if let Err(bad) = order.check() {
-            return Verdict::Refused(ErrorResponse::new(ErrorCode::BadRequest, bad.to_string()));
-        }
-        let least = if forced { 0.0 } else { self.least_ready };
-        let counts = match guard(&self.desired, &order, seen.backends, seen.gateways, least) {
-            Ok(counts) => counts,
-            Err(few) => {
-                let message = format!("{few}; --force orders it all the same");
-                return Verdict::Refused(ErrorResponse::new(ErrorCode::TooFew, message));
+        match self.check(&order, forced, view) {
+            Ok(counts) => {
+                let logged = LoggedOrder { order, forced, at_ms, counts };
+                self.add(logged.clone());
+                Decision::Write(logged)
             }
-        };
-        if let Some(fault) = self.unknown(&order, counts, seen.told, seen.named).filter(|_| !forced) {
-            return Verdict::Refused(fault);
+            Err(error) => Decision::Rejected(error),
         }
-        if let fleet::ApplyOutcome::Rejected(why) = self.desired.apply(&order) {
-            return Verdict::Refused(ErrorResponse::new(ErrorCode::Unavailable, why));
+    }
+
+    /// Checks an order, and applies it to the desired state if nothing speaks against it.
+    fn check<'a, B, G>(
+        &mut self,
+        order: &Order,
+        forced: bool,
+        view: FleetView<'_, B, G>,
+    ) -> Result<GuardCounts, ErrorResponse>
+    where
+        B: Iterator<Item = &'a Backend>,
+        G: Iterator<Item = &'a str>,
+    {
+        order.check().map_err(|error| ErrorResponse::new(ErrorCode::BadRequest, error.to_string()))?;
+        let min_ready_fraction = if forced { 0.0 } else { self.min_ready_fraction };
+        let counts = guard(&self.desired, order, view.backends, view.reachable_gateways, min_ready_fraction)
+            .map_err(|too_few| {
+                let message = format!("{too_few}; --force orders it all the same");
+                ErrorResponse::new(ErrorCode::TooFew, message)
+            })?;
+        if !forced {
+            self.check_subject(&order.subject, counts, view.has_backend_lists, view.is_overseen)?;
         }
-        self.newest = order.revision;
-        self.unsettled += 1;
-        let logged = LoggedOrder { order, forced, at_ms, counts };
-        self.by_id.insert(logged.order.id.clone(), logged.order.revision);
-        self.orders.push_back(logged.clone());
-        if self.orders.len() > ORDERS_KEPT {
-            if let Some(oldest) = self.orders.pop_front() {
-                self.by_id.remove(&oldest.order.id);
-            }
+        match self.desired.apply(order) {
+            ApplyOutcome::Rejected(reason) => Err(ErrorResponse::new(ErrorCode::Unavailable, reason)),
+            ApplyOutcome::Applied | ApplyOutcome::Superseded(_) => Ok(counts),
         }
-        Verdict::Write(logged)
     }
 
-    /// Whether nobody knows the subject, and why that may be.
-    fn unknown(
+    /// Rejects a subject that nobody knows. What was ordered on it already can always be reversed.
+    fn check_subject(
         &self,
-        order: &Order,
+        subject: &Subject,
         counts: GuardCounts,
-        told: bool,
-        named: &dyn Fn(&str) -> bool,
-    ) -> Option<ErrorResponse> {
-        let subject = &order.subject;
-        // What is ordered already can always be taken back.
-        let ordered = self.desired.registers().any(|r| r.subject == *subject);
-        match subject {
-            _ if ordered => None,
-            Subject::Gateway(name) if named(name.as_str()) => None,
-            Subject::Gateway(_) => Some(ErrorResponse::new(
-                ErrorCode::UnknownSubject,
-                format!("{subject}: no gateway of that name is overseen"),
-            )),
-            _ if counts.covered > 0 => None,
-            _ if !told => {
-                let message = "no gateway has told its backends yet; --force orders it all the same";
-                Some(ErrorResponse::new(ErrorCode::Unavailable, message))
+        has_backend_lists: bool,
+        is_overseen: &dyn Fn(&str) -> bool,
+    ) -> Result<(), ErrorResponse> {
+        if self.desired.registers().any(|register| register.subject == *subject) {
+            return Ok(());
+        }
+        if let Subject::Gateway(name) = subject {
+            if is_overseen(name.as_str()) {
+                return Ok(());
             }
-            _ => {
-                let message =
-                    format!("{subject}: no gateway lists such a backend; --force orders it all the same");
-                Some(ErrorResponse::new(ErrorCode::UnknownSubject, message))
+            let message = format!("{subject}: no gateway of that name is overseen");
+            return Err(ErrorResponse::new(ErrorCode::UnknownSubject, message));
+        }
+        if counts.covered > 0 {
+            return Ok(());
+        }
+        if !has_backend_lists {
+            let message = "no gateway has told its backends yet; --force orders it all the same";
+            return Err(ErrorResponse::new(ErrorCode::Unavailable, message));
+        }
+        let message = format!("{subject}: no gateway lists such a backend; --force orders it all the same");
+        Err(ErrorResponse::new(ErrorCode::UnknownSubject, message))
+    }
+
+    fn add(&mut self, logged: LoggedOrder) {
+        self.newest = logged.order.revision;
+        self.orders_since_snapshot += 1;
+        self.revisions.insert(logged.order.id.clone(), logged.order.revision);
+        self.orders.push_back(logged);
+        if self.orders.len() > ORDERS_KEPT {
+            if let Some(oldest) = self.orders.pop_front() {
+                self.revisions.remove(&oldest.order.id);
             }
         }
     }
 
-    fn logged(&self, id: &OrderId) -> Option<&LoggedOrder> {
-        let revision = self.by_id.get(id)?;
-        let place = self.orders.binary_search_by_key(revision, |l| l.order.revision).ok()?;
-        self.orders.get(place)
+    fn find(&self, id: &OrderId) -> Option<&LoggedOrder> {
+        let revision = self.revisions.get(id)?;
+        let index = self.orders.binary_search_by_key(revision, |logged| logged.order.revision).ok()?;
+        self.orders.get(index)
     }
 
-    /// Settles what is due; tells whether the state is to be written down with the next orders.
+    /// Settles all orders if a snapshot is due. Returns whether it is, and so has to be logged along with the
+    /// next orders.
     pub fn settle(&mut self) -> bool {
-        let due = self.unsettled >= SETTLE_AFTER;
-        if due {
+        let is_due = self.orders_since_snapshot >= ORDERS_PER_SNAPSHOT;
+        if is_due {
             self.desired.compact();
-            self.unsettled = 0;
+            self.orders_since_snapshot = 0;
         }
-        due
+        is_due
     }
 
-    /// The newest revision given.
+    /// The newest revision.
     pub fn newest(&self) -> Revision {
         self.newest
     }
 
-    /// What is ordered.
+    /// The state that the orders make.
     pub fn desired(&self) -> &DesiredState {
         &self.desired
     }
 
-    /// The newest orders, newest first.
+    /// The orders that are retained, newest first.
     pub fn latest(&self) -> impl Iterator<Item = &LoggedOrder> {
         self.orders.iter().rev()
     }
 }
+
+/// The decision on an order whose id is known. Another order with the same id is rejected, or whoever made it
+/// would be told that it was applied.
+fn repeated(first: &LoggedOrder, request: &OrderRequest) -> Decision {
+    if first.order.subject == request.subject && first.order.change == request.change {
+        return Decision::Repeated(first.clone());
+    }
+    let OrderRequest { id, .. } = request;
+    let message = format!("id {id} was given to {} {}", first.order.change, first.order.subject);
+    Decision::Rejected(ErrorResponse::new(ErrorCode::IdReused, message))
+}
--- a/crates/agent/src/start_coordinator.rs
+++ b/crates/agent/src/start_coordinator.rs
@@ -1,67 +1,89 @@
-//! Gateways that start: their turns for the first call to the list service, and the list.
+//! Gateways that start: their turns for the first call to the list service, and the endpoint list.
 
 use std::sync::Arc;
 
 use cold_start::{PollOutcome, StartBatches, StartTurn};
-use fleet::wire::{FirstCallOutcome, FirstCallReport, StartInstructions, ToolResponse, MAX_START_LIST_BYTES};
+use fleet::wire::{FirstCallOutcome, FirstCallReport, StartInstructions, MAX_START_LIST_BYTES};
 use fleet::Name;
 
-/// One that knows no list asks again so soon, ms, while there is none to hand out.
-const EMPTY_ASK_MS: f64 = 500.0;
+/// A gateway without any list asks again so soon, ms, while there is none to hand out.
+const RETRY_WITHOUT_LIST_MS: f64 = 500.0;
 
-/// Those that start, and the list that the last of them fetched whole.
-pub struct Starts {
-    waves: StartBatches,
-    list: Option<(u64, Arc<str>)>,
+/// A gateway that starts asks what to do.
+pub struct StartRequest {
+    /// Its name.
+    pub name: Name,
+    /// Its process.
+    pub incarnation: u64,
+    /// Gateways in its fleet.
+    pub gateways: u32,
+    /// The version of the list that it holds, if it holds one.
+    pub held_version: Option<u64>,
 }
 
-impl Starts {
-    /// For a list service that bears so many calls a second from all gateways.
-    pub fn new(calls_per_s: f64) -> Starts {
-        Starts { waves: StartBatches::new(calls_per_s), list: None }
+/// An endpoint list that a gateway has fetched.
+struct FetchedList {
+    version: u64,
+    text: Arc<str>,
+}
+
+/// Gives turns to gateways that start, and hands out the list that one of them has fetched.
+pub struct StartCoordinator {
+    batches: StartBatches,
+    list: Option<FetchedList>,
+}
+
+impl StartCoordinator {
+    /// For a list service that takes so many calls a second from all gateways.
+    pub fn new(list_calls_per_s: f64) -> StartCoordinator {
+        StartCoordinator { batches: StartBatches::new(list_calls_per_s), list: None }
     }
 
-    /// A gateway starts, or asks again; `held` is the version that it holds.
-    pub fn ask(
-        &mut self,
-        now_ms: f64,
-        name: &Name,
-        boot: u64,
-        gateways: u32,
-        held: Option<u64>,
-    ) -> ToolResponse {
-        let turn = self.waves.request_turn(now_ms, name.as_str(), boot, gateways);
-        let newer = self.list.as_ref().filter(|(index, _)| held.is_none_or(|held| *index > held));
-        let mut starting = StartInstructions {
-            list: newer.map(|(_, text)| text.to_string()),
+    /// What a gateway that starts, or asks again, is to do.
+    pub fn instruct(&mut self, now_ms: f64, request: &StartRequest) -> StartInstructions {
+        let StartRequest { name, incarnation, gateways, held_version } = request;
+        let turn = self.batches.request_turn(now_ms, name.as_str(), *incarnation, *gateways);
+        let is_newer = |list: &&FetchedList| held_version.is_none_or(|held| list.version > held);
+        let newer_list = self.list.as_ref().filter(is_newer);
+        let mut instructions = StartInstructions {
+            list: newer_list.map(|list| list.text.to_string()),
             ..StartInstructions::default()
         };
         match turn {
             StartTurn::Call { at_ms, fetch } => {
-                (starting.call_in_ms, starting.fetch) = (Some((at_ms - now_ms).max(0.0)), fetch);
+                instructions.call_in_ms = Some((at_ms - now_ms).max(0.0));
+                instructions.fetch = fetch;
             }
-            // Danger: those in line that can't serve, and hear of the list when they ask in two seconds.
-            StartTurn::AskAgain { after_ms } if held.is_none() && self.list.is_none() => {
-                starting.ask_in_ms = Some(after_ms.min(EMPTY_ASK_MS));
+            // Without a list it can't serve, so it has to learn soon of one that another has fetched.
+            StartTurn::AskAgain { after_ms } if held_version.is_none() && self.list.is_none() => {
+                instructions.ask_in_ms = Some(after_ms.min(RETRY_WITHOUT_LIST_MS));
             }
-            StartTurn::AskAgain { after_ms } => starting.ask_in_ms = Some(after_ms),
+            StartTurn::AskAgain { after_ms } => instructions.ask_in_ms = Some(after_ms),
             StartTurn::UseSlots => {}
         }
-        ToolResponse::Starting(starting)
+        instructions
     }
 
-    /// What the first call of a gateway came to. Gives what is to be told of it.
-    pub fn came(&mut self, now_ms: f64, name: &Name, boot: u64, call: FirstCallReport) -> Option<String> {
-        let came = match call.outcome {
+    /// Takes in the outcome of a gateway's first call. Returns the version of the list that it has fetched,
+    /// if it has.
+    pub fn first_call_ended(
+        &mut self,
+        now_ms: f64,
+        name: &Name,
+        incarnation: u64,
+        call: FirstCallReport,
+    ) -> Option<u64> {
+        let outcome = match call.outcome {
             FirstCallOutcome::Answered => PollOutcome::Unchanged,
             FirstCallOutcome::Rejected => PollOutcome::Rejected(None),
             FirstCallOutcome::TimedOut => PollOutcome::TimedOut,
             FirstCallOutcome::Failed => PollOutcome::Failed,
         };
         let list = call.list.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
-        self.waves.call_ended(now_ms, name.as_str(), boot, came, call.took_ms, list.is_some());
-        let (index, text) = list?;
-        self.list = Some((index, text.into()));
-        Some(format!("gateway {name} has fetched the list, version {index}, for those that start"))
+        let has_list = list.is_some();
+        self.batches.call_ended(now_ms, name.as_str(), incarnation, outcome, call.took_ms, has_list);
+        let (version, text) = list?;
+        self.list = Some(FetchedList { version, text: text.into() });
+        Some(version)
     }
 }
