--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -1,4 +1,4 @@
-//! The state that operators want, as orders and snapshots build it up.
+//! The state that operators want, built up from orders and snapshots.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,12 +8,12 @@
 use crate::name::OrderId;
 use crate::order::{ApplyOutcome, Change, Order, Revision, Subject};
 
-/// The most registers that a state holds. An order for one more is refused.
+/// The most registers that a state holds; an order for one more is rejected, which bounds the memory.
 pub const MAX_REGISTERS: usize = 5_000;
-/// Orders whose first result is remembered. Older ones are still told by their revision.
-const MAX_REMEMBERED_RESULTS: usize = 4_096;
+/// Orders whose first outcome is remembered. Repetitions of older ones are still known by their revision.
+const MAX_REMEMBERED_OUTCOMES: usize = 4_096;
 
-/// What of a subject a register holds.
+/// The aspect of a subject that a register is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Aspect {
@@ -23,7 +23,7 @@
     Weight,
 }
 
-/// What a register holds.
+/// The value of a register.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Value {
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Whether it is what holds without any order.
-    fn neutral(self) -> bool {
+    /// Whether it has the same effect as no order at all.
+    fn is_neutral(self) -> bool {
         match self {
             Value::Drained(drained) => !drained,
             Value::Weight(weight) => weight == 1.0,
@@ -63,36 +63,40 @@
 /// The newest order on an aspect of a subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Register {
-    /// Whom it is about.
+    /// What it is about.
     pub subject: Subject,
     /// The order's revision.
     pub revision: Revision,
     /// The order's id.
     pub id: OrderId,
-    /// What holds.
+    /// The value.
     pub value: Value,
 }
 
 impl Register {
-    /// Danger: two writers that gave the same revision. The id decides, alike everywhere.
-    fn newer(&self, than: &Register) -> bool {
-        (self.revision, &self.id) > (than.revision, &than.id)
+    fn key(&self) -> (Subject, Aspect) {
+        (self.subject.clone(), self.value.aspect())
+    }
+
+    /// Should two writers ever give the same revision, the id decides, alike everywhere.
+    fn is_newer_than(&self, other: &Register) -> bool {
+        (self.revision, &self.id) > (other.revision, &other.id)
     }
 }
 
-/// A whole state: every order up to the floor is settled in it, and those after it as far as they are named.
+/// A whole state. All orders up to the floor are settled in it; of later ones it holds those that it names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The first revision that its writer knows of. It says nothing about orders before that.
     #[serde(default)]
     pub since: Revision,
-    /// Orders up to this revision that no register names were superseded or hold nothing.
+    /// Orders up to this revision that no register names were superseded, or have no effect.
     pub floor: Revision,
-    /// What is ordered.
+    /// The registers.
     pub registers: Vec<Register>,
 }
 
-/// What orders make of a backend.
+/// The effect of all orders on a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveState {
     /// The first order that drains it, if any does.
@@ -101,115 +105,131 @@
     pub weight: f64,
 }
 
-/// The state that operators want.
+/// The state that operators want: a register for each subject and aspect, in which the newest revision wins.
 #[derive(Clone, Debug, Default)]
 pub struct DesiredState {
     since: Revision,
     floor: Revision,
     registers: BTreeMap<(Subject, Aspect), Register>,
-    /// First results by order, and the orders from the oldest.
-    results: BTreeMap<OrderId, ApplyOutcome>,
-    recent: VecDeque<OrderId>,
+    /// First outcomes of orders, and the ids of these orders, oldest first.
+    outcomes: BTreeMap<OrderId, ApplyOutcome>,
+    recent_ids: VecDeque<OrderId>,
 }
 
 impl DesiredState {
     /// A state whose writer knows of no order before `since`.
     ///
-    /// Danger: a writer that begins anew, as its log is lost, and whose empty state takes back every drain.
-    /// What gateways hold from before stays until an order on the same subject comes. Harm: whoever lost the
-    /// log has to look for such drains.
+    /// It says nothing about earlier orders, so a writer that has lost its log does not take back every drain
+    /// of before: gateways keep them until an order on the same subject arrives. Whoever has lost the log
+    /// has to look for such drains.
     #[must_use]
     pub fn since(since: Revision) -> DesiredState {
         DesiredState { since, ..DesiredState::default() }
     }
 
-    /// Takes an order in. The same id again gives the first result and does nothing.
+    /// Applies an order. A repetition, by its id, has the first outcome and changes nothing.
     pub fn apply(&mut self, order: &Order) -> ApplyOutcome {
-        if let Some(first) = self.results.get(&order.id) {
+        if let Some(first) = self.outcomes.get(&order.id) {
             return first.clone();
         }
-        let outcome = self.settle(order);
-        if self.recent.len() >= MAX_REMEMBERED_RESULTS {
-            self.recent.pop_front().into_iter().for_each(|id| drop(self.results.remove(&id)));
+        let outcome = self.apply_first(order);
+        if self.recent_ids.len() >= MAX_REMEMBERED_OUTCOMES {
+            if let Some(oldest) = self.recent_ids.pop_front() {
+                self.outcomes.remove(&oldest);
+            }
         }
-        self.recent.push_back(order.id.clone());
-        self.results.insert(order.id.clone(), outcome.clone());
+        self.recent_ids.push_back(order.id.clone());
+        self.outcomes.insert(order.id.clone(), outcome.clone());
         outcome
     }
 
-    fn settle(&mut self, order: &Order) -> ApplyOutcome {
-        if let Err(bad) = order.check() {
-            return ApplyOutcome::Rejected(bad.to_string());
+    fn apply_first(&mut self, order: &Order) -> ApplyOutcome {
+        if let Err(invalid) = order.check() {
+            return ApplyOutcome::Rejected(invalid.to_string());
         }
-        let (subject, revision, id) = (order.subject.clone(), order.revision, order.id.clone());
-        let register = Register { subject: subject.clone(), revision, id, value: order.change.into() };
-        let room = self.registers.len() < MAX_REGISTERS;
-        match self.registers.entry((subject, register.value.aspect())) {
-            Entry::Occupied(held) if *held.get() == register => ApplyOutcome::Applied,
-            Entry::Occupied(held) if !register.newer(held.get()) => {
-                ApplyOutcome::Superseded(held.get().revision)
+        let register = Register {
+            subject: order.subject.clone(),
+            revision: order.revision,
+            id: order.id.clone(),
+            value: order.change.into(),
+        };
+        let is_full = self.registers.len() >= MAX_REGISTERS;
+        match self.registers.entry(register.key()) {
+            Entry::Occupied(current) if *current.get() == register => ApplyOutcome::Applied,
+            Entry::Occupied(current) if !register.is_newer_than(current.get()) => {
+                ApplyOutcome::Superseded(current.get().revision)
             }
-            // Danger: an order that was superseded by one that left no register behind.
-            _ if revision <= self.floor => ApplyOutcome::Superseded(self.floor),
-            Entry::Occupied(mut held) => {
-                held.insert(register);
+            // What superseded it may have left no register behind.
+            _ if register.revision <= self.floor => ApplyOutcome::Superseded(self.floor),
+            Entry::Occupied(mut current) => {
+                current.insert(register);
                 ApplyOutcome::Applied
             }
-            // Danger: orders for ever new names that fill the memory.
-            Entry::Vacant(_) if !room => {
+            Entry::Vacant(_) if is_full => {
                 ApplyOutcome::Rejected(format!("{MAX_REGISTERS} subjects are ordered already"))
             }
-            Entry::Vacant(free) => {
-                free.insert(register);
+            Entry::Vacant(vacant) => {
+                vacant.insert(register);
                 ApplyOutcome::Applied
             }
         }
     }
 
-    /// Takes a whole state in: of both, what is newer holds. Tells whether anything changed.
+    /// Merges a whole state: of both, the newer register wins. Returns whether anything changed.
     ///
-    /// What one side holds and the other settled below its floor without naming it is over. More than
-    /// [`MAX_REGISTERS`] are cut off from the oldest revision, which no honest writer makes.
+    /// A register that the other side has settled, by its floor, without naming it is removed. Beyond
+    /// [`MAX_REGISTERS`], which no honest writer exceeds, the oldest are removed.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
-        let (before, floor) = (self.snapshot(), self.floor);
-        let theirs: BTreeMap<(Subject, Aspect), &Register> =
-            snapshot.registers.iter().map(|r| ((r.subject.clone(), r.value.aspect()), r)).collect();
-        self.registers.retain(|key, held| {
-            let settled = (snapshot.since..=snapshot.floor).contains(&held.revision);
-            !settled || theirs.get(key) == Some(&&*held)
+        let before = self.snapshot();
+        let adopted: BTreeMap<(Subject, Aspect), &Register> =
+            snapshot.registers.iter().map(|register| (register.key(), register)).collect();
+        self.registers.retain(|key, register| {
+            let is_settled = (snapshot.since..=snapshot.floor).contains(&register.revision);
+            !is_settled || adopted.get(key) == Some(&&*register)
         });
-        for (key, register) in theirs {
+        for (key, register) in adopted {
+            if register.revision <= self.floor {
+                continue;
+            }
             match self.registers.entry(key) {
-                Entry::Occupied(mut held) if register.revision > floor && register.newer(held.get()) => {
-                    held.insert(register.clone());
+                Entry::Occupied(mut current) => {
+                    if register.is_newer_than(current.get()) {
+                        current.insert(register.clone());
+                    }
                 }
-                Entry::Vacant(free) if register.revision > floor => {
-                    free.insert(register.clone());
+                Entry::Vacant(vacant) => {
+                    vacant.insert(register.clone());
                 }
-                _ => {}
             }
         }
-        (self.since, self.floor) = (self.since.max(snapshot.since), floor.max(snapshot.floor));
-        if self.registers.len() > MAX_REGISTERS {
-            let mut revisions: Vec<Revision> = self.registers.values().map(|r| r.revision).collect();
-            revisions.sort_unstable();
-            let least = revisions[revisions.len() - MAX_REGISTERS];
-            self.registers.retain(|_, r| r.revision >= least);
-        }
+        self.since = self.since.max(snapshot.since);
+        self.floor = self.floor.max(snapshot.floor);
+        self.remove_excess();
         self.snapshot() != before
     }
 
-    /// Settles all orders so far: what holds nothing is forgotten, and only whoever has written all orders
-    /// up to [`Desired::revision`] may say so.
+    fn remove_excess(&mut self) {
+        if self.registers.len() <= MAX_REGISTERS {
+            return;
+        }
+        let mut revisions: Vec<Revision> =
+            self.registers.values().map(|register| register.revision).collect();
+        revisions.sort_unstable();
+        let oldest_retained = revisions[revisions.len() - MAX_REGISTERS];
+        self.registers.retain(|_, register| register.revision >= oldest_retained);
+    }
+
+    /// Settles all orders so far, and forgets registers that have no effect. Only a writer that has logged
+    /// all orders up to [`DesiredState::revision`] may do so.
     pub fn compact(&mut self) {
         self.floor = self.revision();
-        self.registers.retain(|_, r| !r.value.neutral());
+        self.registers.retain(|_, register| !register.value.is_neutral());
     }
 
-    /// The newest revision seen; before any, the one that its writer began at.
+    /// The newest revision seen; before any, the one at which its writer began.
     #[must_use]
     pub fn revision(&self) -> Revision {
-        let newest = self.registers.values().map(|r| r.revision).max().unwrap_or_default();
+        let newest = self.registers.values().map(|register| register.revision).max().unwrap_or_default();
         newest.max(self.floor).max(self.since)
     }
 
@@ -223,50 +243,53 @@
         }
     }
 
-    /// What orders make of a backend: drained if any order drains it, its group or its type.
+    /// The effect of all orders on a backend: it is drained if any order drains it, its cell or its type.
     ///
-    /// Danger: a backend that one person drained for a fault, put back by another's undrain of its group.
-    /// Harm: whoever drained both has to undrain both.
+    /// A backend that was drained for a fault thus stays drained when its cell is undrained. Whoever drained
+    /// both has to undrain both.
     #[must_use]
     pub fn effective_state(&self, name: &str, group: u32, kind: &str) -> EffectiveState {
-        let mut effect = EffectiveState { drained_by: None, weight: 1.0 };
-        // A name that no order can hold has none.
-        let backend = name.parse().ok().map(Subject::Backend);
-        let subjects = [backend, Some(Subject::Group(group)), kind.parse().ok().map(Subject::Type)];
-        for subject in subjects.into_iter().flatten() {
-            let drain = (subject, Aspect::Drain);
-            if let Some(r) = self.registers.get(&drain).filter(|r| r.value == Value::Drained(true)) {
-                effect.drained_by.get_or_insert_with(|| r.id.clone());
+        let mut effective = EffectiveState { drained_by: None, weight: 1.0 };
+        for subject in covering_subjects(name, group, kind) {
+            if effective.drained_by.is_none() {
+                effective.drained_by = self.drain(&subject).map(|register| register.id.clone());
             }
-            if let Some(Value::Weight(weight)) =
-                self.registers.get(&(drain.0, Aspect::Weight)).map(|r| r.value)
-            {
-                effect.weight = weight;
+            let weight = self.registers.get(&(subject, Aspect::Weight)).map(|register| register.value);
+            if let Some(Value::Weight(weight)) = weight {
+                effective.weight = weight;
             }
         }
-        effect
+        effective
     }
 
     /// Whether a backend is drained by any order but those on one subject.
-    pub(crate) fn drained_elsewhere(&self, name: &str, group: u32, kind: &str, but: &Subject) -> bool {
-        let backend = name.parse().ok().map(Subject::Backend);
-        let subjects = [backend, Some(Subject::Group(group)), kind.parse().ok().map(Subject::Type)];
-        let mut others = subjects.into_iter().flatten().filter(|subject| subject != but);
-        others.any(|subject| {
-            let held = self.registers.get(&(subject, Aspect::Drain));
-            held.is_some_and(|r| r.value == Value::Drained(true))
-        })
+    pub(crate) fn is_drained_elsewhere(&self, name: &str, group: u32, kind: &str, except: &Subject) -> bool {
+        let mut others = covering_subjects(name, group, kind).filter(|subject| subject != except);
+        others.any(|subject| self.drain(&subject).is_some())
     }
 
     /// The order that drains a gateway, if any does.
     #[must_use]
     pub fn gateway_drained(&self, name: &str) -> Option<&OrderId> {
-        let key = (Subject::Gateway(name.parse().ok()?), Aspect::Drain);
-        self.registers.get(&key).filter(|r| r.value == Value::Drained(true)).map(|r| &r.id)
+        let subject = Subject::Gateway(name.parse().ok()?);
+        self.drain(&subject).map(|register| &register.id)
+    }
+
+    /// The register that drains exactly this subject, if one does.
+    fn drain(&self, subject: &Subject) -> Option<&Register> {
+        let register = self.registers.get(&(subject.clone(), Aspect::Drain))?;
+        (register.value == Value::Drained(true)).then_some(register)
     }
 
-    /// What is ordered, by subject.
+    /// All registers, by subject.
     pub fn registers(&self) -> impl Iterator<Item = &Register> {
         self.registers.values()
     }
 }
+
+/// The subjects that cover a backend. A name that no order can hold has no subject.
+fn covering_subjects(name: &str, group: u32, kind: &str) -> impl Iterator<Item = Subject> {
+    let backend = name.parse().ok().map(Subject::Backend);
+    let instance_type = kind.parse().ok().map(Subject::Type);
+    [backend, Some(Subject::Group(group)), instance_type].into_iter().flatten()
+}
--- a/crates/fleet/src/guard.rs
+++ b/crates/fleet/src/guard.rs
@@ -1,10 +1,11 @@
-//! The guard: refuses an order that would take too much of a fleet out of service.
+//! The guard: rejects an order that would take too much of a fleet out of service.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 use crate::desired::DesiredState;
+use crate::name::Name;
 use crate::order::{Change, Order, Subject};
 
 /// A backend as some gateway lists it.
@@ -12,12 +13,12 @@
 pub struct Backend {
     /// Its name.
     pub name: String,
-    /// Its group.
+    /// Its cell.
     pub group: u32,
-    /// Its type.
+    /// Its instance type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Whether discovery says that it serves.
+    /// Whether it is serving by the endpoint list.
     pub serving: bool,
 }
 
@@ -25,23 +26,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Counts", expecting = "struct Counts")]
 pub struct GuardCounts {
-    /// Those that the order's subject covers.
+    /// Backends, or gateways, that the order's subject covers.
     pub covered: u32,
-    /// Those that discovery says serve, or the gateways that answer.
+    /// Backends that are serving, or gateways that answer.
     pub serving: u32,
-    /// Those of them that no order drains now.
+    /// Those of them that no order drains.
     pub ready: u32,
-    /// Those that none would drain after the order.
+    /// Those of them that no order would drain after this one.
     #[serde(rename = "left")]
     pub ready_after: u32,
 }
 
-/// An order that would leave too few.
+/// An order would leave too few ready.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TooFewReady {
     /// What was counted.
     pub counts: GuardCounts,
-    /// How many have to be left.
+    /// How many have to be left ready.
     pub minimum: u32,
     /// `backends` or `gateways`.
     pub of: &'static str,
@@ -49,65 +50,101 @@
 
 impl fmt::Display for TooFewReady {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let GuardCounts { serving, ready, ready_after: left, .. } = self.counts;
-        let (least, of) = (self.minimum, self.of);
-        write!(f, "would leave {left} of {serving} {of} ready ({ready} are now); {least} are to be left")
+        let GuardCounts { serving, ready, ready_after, .. } = self.counts;
+        let TooFewReady { minimum, of, .. } = self;
+        write!(
+            f,
+            "would leave {ready_after} of {serving} {of} ready ({ready} are now); {minimum} are to be left"
+        )
     }
 }
 
 impl std::error::Error for TooFewReady {}
 
-/// Counts what an order would leave. `gateways` are the names of those that answer; `least` is the part, from
-/// 0 to 1, of the serving ones that has to be left, rounded up.
+/// What is counted is backends, or gateways where the order is on one.
+const BACKENDS: &str = "backends";
+const GATEWAYS: &str = "gateways";
+
+/// Counts what an order would leave ready. `gateways` are the names of those that answer; `min_ready_fraction`
+/// is the part of those serving, from 0 to 1, that has to be left ready, rounded up.
 ///
-/// Only a drain is ever refused, and one that changes nothing never is. Danger: a slip of the pen that drains
-/// a whole type in the evening. Harm: in an emergency the order has to be forced.
+/// Only a drain is ever rejected, and one that changes nothing never is. The guard is there for a drain of a
+/// whole instance type by mistake; in an emergency such an order has to be forced.
 ///
 /// # Errors
-/// [`TooFew`], with the counts.
+/// [`TooFewReady`], with the counts.
 pub fn guard<'a>(
     desired: &DesiredState,
     order: &Order,
     backends: impl Iterator<Item = &'a Backend>,
     gateways: impl Iterator<Item = &'a str>,
-    least: f64,
+    min_ready_fraction: f64,
 ) -> Result<GuardCounts, TooFewReady> {
-    let (mut counts, drain) = (GuardCounts::default(), order.change == Change::Drain);
-    // What is left is worked out backend by backend. Danger: a copy of the whole state for each order.
-    let mut count = |covered: bool, ready: bool, elsewhere: bool| {
-        counts.serving += 1;
-        counts.ready += u32::from(ready);
-        let left = match order.change {
-            Change::Undrain if covered => !elsewhere,
-            _ => ready && !(covered && drain),
-        };
-        counts.ready_after += u32::from(left);
-    };
-    let mut covers = 0;
-    let of = if let Subject::Gateway(named) = &order.subject {
-        for name in gateways {
-            let covered = name == named.as_str();
-            covers += u32::from(covered);
-            count(covered, desired.gateway_drained(name).is_none(), false);
-        }
-        "gateways"
-    } else {
-        for b in backends {
-            let covered = order.subject.covers(&b.name, b.group, &b.kind);
-            covers += u32::from(covered);
-            if b.serving {
-                let ready = desired.effective_state(&b.name, b.group, &b.kind).drained_by.is_none();
-                let elsewhere =
-                    covered && desired.drained_elsewhere(&b.name, b.group, &b.kind, &order.subject);
-                count(covered, ready, elsewhere);
-            }
-        }
-        "backends"
+    let (counts, of) = match &order.subject {
+        Subject::Gateway(name) => (count_gateways(desired, order, name, gateways), GATEWAYS),
+        _ => (count_backends(desired, order, backends), BACKENDS),
     };
-    counts.covered = covers;
-    let least = (f64::from(counts.serving) * least.clamp(0.0, 1.0)).ceil() as u32;
-    if drain && counts.ready_after < counts.ready && counts.ready_after < least {
-        return Err(TooFewReady { counts, minimum: least, of });
+    let minimum = (f64::from(counts.serving) * min_ready_fraction.clamp(0.0, 1.0)).ceil() as u32;
+    let is_drain = order.change == Change::Drain;
+    if is_drain && counts.ready_after < counts.ready && counts.ready_after < minimum {
+        return Err(TooFewReady { counts, minimum, of });
     }
     Ok(counts)
 }
+
+fn count_gateways<'a>(
+    desired: &DesiredState,
+    order: &Order,
+    subject: &Name,
+    gateways: impl Iterator<Item = &'a str>,
+) -> GuardCounts {
+    let mut counts = GuardCounts::default();
+    for name in gateways {
+        let covered = name == subject.as_str();
+        counts.covered += u32::from(covered);
+        let is_ready = desired.gateway_drained(name).is_none();
+        counts.add_serving(order.change, Serving { covered, is_ready, drained_elsewhere: false });
+    }
+    counts
+}
+
+fn count_backends<'a>(
+    desired: &DesiredState,
+    order: &Order,
+    backends: impl Iterator<Item = &'a Backend>,
+) -> GuardCounts {
+    let mut counts = GuardCounts::default();
+    for Backend { name, group, kind, serving } in backends {
+        let covered = order.subject.covers(name, *group, kind);
+        counts.covered += u32::from(covered);
+        if *serving {
+            let is_ready = desired.effective_state(name, *group, kind).drained_by.is_none();
+            let drained_elsewhere =
+                covered && desired.is_drained_elsewhere(name, *group, kind, &order.subject);
+            counts.add_serving(order.change, Serving { covered, is_ready, drained_elsewhere });
+        }
+    }
+    counts
+}
+
+/// A backend that is serving, or a gateway that answers.
+struct Serving {
+    covered: bool,
+    is_ready: bool,
+    /// Whether an order on another subject drains it.
+    drained_elsewhere: bool,
+}
+
+impl GuardCounts {
+    /// What is ready after the order is derived for each alone, which needs no copy of the whole state.
+    fn add_serving(&mut self, change: Change, serving: Serving) {
+        let ready_after = match change {
+            Change::Undrain if serving.covered => !serving.drained_elsewhere,
+            Change::Drain if serving.covered => false,
+            _ => serving.is_ready,
+        };
+        self.serving += 1;
+        self.ready += u32::from(serving.is_ready);
+        self.ready_after += u32::from(ready_after);
+    }
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! Orders to a fleet of gateways: what they are, how they merge, which of them the guard refuses, and what
-//! is known of each gateway. Nothing here does input or output, reads a clock or starts a task.
+//! Orders to a fleet of gateways: what they are, how they merge, which of them the guard rejects, and what
+//! is known of each gateway. No I/O, no clock, no tasks.
 //!
 //! ```text
-//!   order ──▶ guard ──▶ Desired (agent) ──▶ Snapshot / Order ──▶ Desired (each gateway) ──▶ Effect
-//!              ▲                                                        │
-//!              └──── Backend, as gateways list them ◀───────────────────┘        Member: ok, unreachable
+//!  Order ─▶ guard ─▶ DesiredState (agent) ─▶ Snapshot, Order ─▶ DesiredState (each gateway) ─▶ EffectiveState
+//!             ▲                                                          │
+//!             └───── Backend, as gateways list them ◀────────────────────┘    GatewayRecord: ok, unreachable
 //! ```
 //!
-//! [`Desired`] is a state-based replicated data type: a register for each subject and aspect, in which the
-//! newest revision wins, with a floor below which all is settled. Orders and snapshots may come in any order
-//! and any number of times; whoever has seen the same ones holds the same state.
+//! [`DesiredState`] is a state-based replicated data type: a register for each subject and aspect, in which the
+//! newest revision wins, with a floor below which all is settled. Orders and snapshots may arrive in any
+//! sequence and any number of times; whoever has received the same ones holds the same state.
 
 mod desired;
 mod gateway_record;
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -1,4 +1,4 @@
-//! Names that come from outside, bounded before anything is done with them.
+//! Names that come from outside, checked before anything is done with them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 /// The longest id of an order, bytes.
 pub const MAX_ORDER_ID_BYTES: usize = 64;
 
-/// A name that can't be one.
+/// A text that is no valid name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidName {
     what: &'static str,
@@ -25,19 +25,25 @@
 
 impl std::error::Error for InvalidName {}
 
-fn check(what: &'static str, text: &str, most: usize, fits: fn(char) -> bool) -> Result<(), InvalidName> {
-    // Danger: a name of megabytes, or one that writes to a terminal, quoted in a message or a log.
-    let problem = match text.chars().find(|c| !fits(*c)) {
+fn check(
+    what: &'static str,
+    text: &str,
+    max_bytes: usize,
+    is_allowed: fn(char) -> bool,
+) -> Result<(), InvalidName> {
+    // Valid names may be quoted in messages and logs: they are short, and write nothing else to a terminal.
+    let problem = match text.chars().find(|c| !is_allowed(*c)) {
         _ if text.is_empty() => "is empty".to_string(),
-        _ if text.len() > most => format!("has {} bytes; {most} at most", text.len()),
+        _ if text.len() > max_bytes => format!("has {} bytes; {max_bytes} at most", text.len()),
         Some(odd) => format!("holds {odd:?}, which no name holds"),
         None => return Ok(()),
     };
     Err(InvalidName { what, problem })
 }
 
-macro_rules! text {
-    ($(#[$doc:meta])* $name:ident, $what:literal, $most:ident, $fits:expr) => {
+/// A type for texts that are short and hold only some characters.
+macro_rules! bounded_text {
+    ($(#[$doc:meta])* $name:ident, $what:literal, $max_bytes:ident, $is_allowed:expr) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(try_from = "String", into = "String")]
@@ -55,7 +61,7 @@
             type Err = InvalidName;
 
             fn from_str(text: &str) -> Result<Self, InvalidName> {
-                check($what, text, $most, $fits).map(|()| $name(text.into()))
+                check($what, text, $max_bytes, $is_allowed).map(|()| $name(text.into()))
             }
         }
 
@@ -81,12 +87,12 @@
     };
 }
 
-text!(
+bounded_text!(
     /// Name of a backend, an instance type or a gateway: 1 to [`MAX_NAME_BYTES`] bytes, no white space and no
     /// control characters.
     Name, "name", MAX_NAME_BYTES, |c| !c.is_whitespace() && !c.is_control()
 );
-text!(
+bounded_text!(
     /// Id of an order, given by its author: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
     OrderId, "order id", MAX_ORDER_ID_BYTES, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
 );
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -7,7 +7,7 @@
 
 use crate::name::{InvalidName, Name, OrderId};
 
-/// The least weight. Less is a drain, and is to be ordered as one.
+/// The least weight; less is a drain, and is to be ordered as one.
 pub const MIN_WEIGHT: f64 = 0.01;
 /// The most weight.
 pub const MAX_WEIGHT: f64 = 100.0;
@@ -36,22 +36,22 @@
     }
 }
 
-/// Whom an order is about.
+/// What an order is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
-    /// A backend, by its name on the list.
+    /// A backend, by its name on the endpoint list.
     Backend(Name),
-    /// All backends of a group.
+    /// All backends in a cell.
     Group(u32),
-    /// All backends of a type.
+    /// All backends of an instance type.
     Type(Name),
     /// A gateway.
     Gateway(Name),
 }
 
 impl Subject {
-    /// Whether a backend falls under it.
+    /// Whether it covers a backend.
     #[must_use]
     pub fn covers(&self, name: &str, group: u32, kind: &str) -> bool {
         match self {
@@ -94,11 +94,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// Nothing new goes there; what is in flight ends as it would have.
+    /// Nothing new is sent there; what is in flight is completed.
     Drain,
-    /// Takes the subject's own drain back.
+    /// Reverses a drain of the same subject.
     Undrain,
-    /// Share of new work against other backends of weight 1: [`MIN_WEIGHT`] to [`MAX_WEIGHT`].
+    /// Share of new work relative to backends of weight 1: [`MIN_WEIGHT`] to [`MAX_WEIGHT`].
     Weight(f64),
 }
 
@@ -115,60 +115,60 @@
 /// An order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// Given by whoever made it. The same id again is the same order.
+    /// Chosen by whoever makes it. The same id again is a repetition.
     pub id: OrderId,
-    /// Given by the one that writes orders down.
+    /// Given by whoever logs orders.
     pub revision: Revision,
-    /// Whom it is about.
+    /// What it is about.
     pub subject: Subject,
     /// What it changes.
     pub change: Change,
 }
 
 impl Order {
-    /// Whether the order can be carried out at all.
+    /// Checks whether the order can be applied at all.
     ///
     /// # Errors
-    /// A [`BadOrder`] that says why not.
+    /// An [`InvalidOrder`] that says why not.
     pub fn check(&self) -> Result<(), InvalidOrder> {
         InvalidOrder::of(&self.subject, self.change)
     }
 }
 
-/// What became of an order at a gateway.
+/// The outcome of an order at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[serde(rename = "Outcome", expecting = "enum Outcome")]
 pub enum ApplyOutcome {
-    /// It holds.
+    /// It is in effect.
     Applied,
-    /// A newer order of this revision holds, or did; nothing was changed.
+    /// A newer order, of this revision, is or was in effect; nothing was changed.
     Superseded(Revision),
-    /// Not taken, for this reason; nothing was changed.
+    /// It was not applied, for this reason; nothing was changed.
     #[serde(rename = "refused")]
     Rejected(String),
 }
 
-/// An order that can't be one.
+/// What is wrong with an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidOrder {
-    /// A name is none.
+    /// A name is invalid.
     Name(InvalidName),
-    /// The group is no number.
+    /// The cell is no number.
     Group,
     /// The subject is of no known kind.
     Subject,
-    /// A weight out of range.
+    /// The weight is out of range.
     Weight(f64),
-    /// A weight of something that is no backend.
+    /// A weight is ordered for something that is no backend.
     WeightOf(Subject),
 }
 
 impl InvalidOrder {
-    /// Looks for what is wrong with an order.
+    /// Checks an order that has no id or revision yet.
     ///
     /// # Errors
-    /// What is wrong, if anything is.
+    /// An [`InvalidOrder`].
     pub fn of(subject: &Subject, change: Change) -> Result<(), InvalidOrder> {
         let Change::Weight(weight) = change else { return Ok(()) };
         if !matches!(subject, Subject::Backend(_)) {
@@ -183,25 +183,32 @@
 }
 
 impl From<InvalidName> for InvalidOrder {
-    fn from(e: InvalidName) -> Self {
-        InvalidOrder::Name(e)
+    fn from(error: InvalidName) -> Self {
+        InvalidOrder::Name(error)
     }
 }
 
 impl fmt::Display for InvalidOrder {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidOrder::Name(e) => e.fmt(f),
+            InvalidOrder::Name(error) => error.fmt(f),
             InvalidOrder::Group => write!(f, "a group is a whole number, as in group/3"),
             InvalidOrder::Subject => {
                 write!(f, "a subject is NAME, backend/NAME, group/NUMBER, type/NAME or gateway/NAME")
             }
-            InvalidOrder::Weight(w) => {
-                write!(f, "weight {w}: {MIN_WEIGHT} to {MAX_WEIGHT} is wanted; for none, drain")
+            InvalidOrder::Weight(weight) => {
+                write!(f, "weight {weight}: {MIN_WEIGHT} to {MAX_WEIGHT} is wanted; for none, drain")
             }
             InvalidOrder::WeightOf(subject) => write!(f, "{subject} has no weight; a backend has"),
         }
     }
 }
 
-impl std::error::Error for InvalidOrder {}
+impl std::error::Error for InvalidOrder {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            InvalidOrder::Name(error) => Some(error),
+            _ => None,
+        }
+    }
+}
--- a/crates/fleet/src/wire/gateway.rs
+++ b/crates/fleet/src/wire/gateway.rs
@@ -7,51 +7,51 @@
 use crate::name::OrderId;
 use crate::order::{ApplyOutcome, Order, Revision, Subject};
 
-/// What a gateway can be asked.
+/// A request to a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 #[serde(rename = "GatewayAsk", expecting = "internally tagged enum GatewayAsk")]
 pub enum GatewayRequest {
-    /// Its state, and that of each backend if wanted.
+    /// Report the state.
     State {
-        /// Whether each backend is wanted.
+        /// Whether to include each backend.
         #[serde(default)]
         backends: bool,
     },
-    /// To take orders in, at most [`MAX_ORDERS_PER_REQUEST`].
+    /// Apply orders, at most [`MAX_ORDERS_PER_REQUEST`](super::MAX_ORDERS_PER_REQUEST).
     Apply {
-        /// The orders.
+        /// The orders, oldest first.
         orders: Vec<Order>,
     },
-    /// To take a whole state in.
+    /// Adopt a whole state.
     Adopt {
         /// The state.
         snapshot: Snapshot,
     },
-    /// How many attempts are in flight at the subject.
+    /// Count what is in flight at a subject.
     Inflight {
-        /// A backend, a group, a type, or the gateway itself.
+        /// A backend, a cell, an instance type, or the gateway itself.
         subject: Subject,
     },
 }
 
-/// What a gateway answers.
+/// A response of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[serde(rename = "GatewaySay", expecting = "enum GatewaySay")]
 pub enum GatewayResponse {
-    /// Its state.
+    /// The state.
     State(GatewayState),
-    /// What became of orders or a whole state.
+    /// The results of orders, or of a whole state.
     Applied(Applied),
-    /// Attempts in flight; requests, where the subject is a gateway.
+    /// Attempts in flight, or requests where the subject is a gateway.
     Inflight(u64),
     /// Nothing was done.
     #[serde(rename = "fault")]
     Error(ErrorResponse),
 }
 
-/// What became of orders at a gateway.
+/// The results of orders at a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Applied {
     /// The gateway's process: new with each start, below 2^53.
@@ -60,19 +60,19 @@
     /// The newest revision that it holds.
     #[serde(rename = "holds")]
     pub applied_revision: Revision,
-    /// For each order, in their order.
+    /// One for each order, in the same sequence.
     #[serde(rename = "verdicts")]
     pub results: Vec<OrderResult>,
 }
 
-/// What became of an order at a gateway.
+/// The result of an order at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Verdict", expecting = "struct Verdict")]
 pub struct OrderResult {
-    /// The order.
+    /// The order's id.
     pub id: OrderId,
-    /// What became of it.
+    /// The result.
     pub outcome: ApplyOutcome,
-    /// Backends on the gateway's list that the subject covers; 1 for the gateway itself.
+    /// Backends on the gateway's endpoint list that the subject covers; 1 for the gateway itself.
     pub matched: u32,
 }
--- a/crates/fleet/src/wire/gateway_state.rs
+++ b/crates/fleet/src/wire/gateway_state.rs
@@ -18,58 +18,58 @@
     /// The newest revision that it holds.
     #[serde(rename = "holds")]
     pub applied_revision: Revision,
-    /// The order that was taken in last, if any was.
+    /// The order that was applied last, if any was.
     pub last_order: Option<OrderId>,
     /// The order that drains the gateway itself, if any does.
     pub drained_by: Option<OrderId>,
-    /// Since when a call at its second address drains it, Unix time in ms, if one does.
+    /// Since when a command at its second address drains it, Unix time in ms, if one does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drained_ms: Option<f64>,
-    /// Grows with each change of a line that a backend's row below is made of, but for what is in flight.
+    /// Version of `backends`: grows with each change but those of what is in flight.
     #[serde(rename = "list")]
     pub list_version: u64,
-    /// Figures.
+    /// Counts and gauges.
     #[serde(rename = "figures")]
     pub statistics: GatewayStatistics,
-    /// Its backends, where they were asked for.
+    /// Its backends, if they were requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backends: Option<Vec<BackendState>>,
 }
 
-/// Figures of a gateway.
+/// Counts and gauges of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Figures", expecting = "struct Figures")]
 pub struct GatewayStatistics {
-    /// Backends on the list.
+    /// Backends on the endpoint list.
     pub listed: u32,
     /// Those that discovery says serve.
     pub serving: u32,
     /// Those that an order drains.
     pub drained: u32,
-    /// Those that get no work as they failed or fell silent.
+    /// Those that are ejected as outliers.
     pub ejected: u32,
-    /// Those that are still warming up.
+    /// Those that are warming up.
     #[serde(rename = "cold")]
     pub warming_up: u32,
-    /// Those that wait for their turn for a first connection.
+    /// Those that wait for their slot for a first connection.
     #[serde(default)]
     #[serde(rename = "waiting")]
     pub awaiting_connection: u32,
-    /// Requests that are owed an answer.
+    /// Requests in flight.
     pub requests: u64,
     /// Attempts in flight.
     pub in_flight: u64,
-    /// Connections to backends on which nothing is in flight.
+    /// Idle connections to backends.
     pub idle_connections: u32,
     /// Connections of clients.
     pub client_connections: u32,
-    /// Customers whose store is held.
+    /// Customers whose token bucket is in memory.
     pub customers: u64,
-    /// Stores that were dropped to make room for others.
+    /// Customers whose token bucket was evicted to make room for others.
     #[serde(default)]
     #[serde(rename = "forgotten")]
     pub evicted_customers: u64,
-    /// Units that the customers of those may pass beyond their quotas.
+    /// Units that these customers may use beyond their quotas.
     #[serde(default)]
     #[serde(rename = "forgotten_units")]
     pub evicted_units: u64,
@@ -82,25 +82,25 @@
     pub name: String,
     /// Where it listens.
     pub address: String,
-    /// Its group.
+    /// Its cell.
     pub group: u32,
-    /// Its type.
+    /// Its instance type.
     #[serde(rename = "type")]
     pub kind: String,
     /// Its zone.
     pub zone: String,
-    /// Whether discovery says that it serves; else it drains.
+    /// Whether it is serving by the endpoint list; otherwise it is draining.
     pub serving: bool,
     /// The order that drains it, if any does.
     pub drained_by: Option<OrderId>,
-    /// Since when a call at the gateway's second address bans it, Unix time in ms, if one does.
+    /// Since when a command at the gateway's second address bans it, Unix time in ms, if one does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub banned_ms: Option<f64>,
-    /// The weight that is ordered; 1 without.
+    /// The weight that is ordered; 1 without an order.
     pub weight: f64,
-    /// Whether it gets no work as it failed or fell silent.
+    /// Whether it is ejected as an outlier.
     pub ejected: bool,
-    /// Part of its capacity that it is taken to have, 0 to 1.
+    /// The part of its capacity that it is assumed to have while it warms up, 0 to 1.
     #[serde(rename = "warmth")]
     pub capacity_fraction: f64,
     /// Attempts in flight there.
--- a/crates/fleet/src/wire/order.rs
+++ b/crates/fleet/src/wire/order.rs
@@ -5,21 +5,21 @@
 use crate::guard::GuardCounts;
 use crate::order::{ApplyOutcome, Order, Revision};
 
-/// An order that is written down.
+/// The acknowledgement of an order that is in the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Accepted", expecting = "struct Accepted")]
 pub struct OrderAccepted {
-    /// Its place among all orders.
+    /// The order's revision.
     pub revision: Revision,
-    /// The id was known: this is the first result, and nothing was done.
+    /// Whether the id was known, so that nothing new was logged.
     pub repeated: bool,
     /// What the guard counted.
     pub counts: GuardCounts,
-    /// Gateways that are to carry it out.
+    /// Gateways that are to apply it.
     pub instances: u32,
 }
 
-/// An order as it was written down.
+/// An order as it is in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Logged", expecting = "struct Logged")]
 pub struct LoggedOrder {
@@ -28,46 +28,47 @@
     pub order: Order,
     /// Whether it passed over the guard.
     pub forced: bool,
-    /// When, Unix time in ms.
+    /// When it was accepted, Unix time in ms.
     pub at_ms: u64,
     /// What the guard counted.
     pub counts: GuardCounts,
 }
 
-/// What one gateway did.
+/// The outcome at one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Instance", expecting = "struct Instance")]
 pub struct InstanceReport {
     /// Its name.
     pub gateway: String,
-    /// What it did.
+    /// The outcome.
     #[serde(flatten)]
     pub outcome: InstanceOutcome,
 }
 
-/// What a gateway did with an order.
+/// The outcome of an order, or of a count, at one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "did", rename_all = "lowercase")]
 #[serde(rename = "Did", expecting = "internally tagged enum Did")]
 pub enum InstanceOutcome {
     /// It answered.
     Answered {
-        /// What became of the order there; none for a gateway that caught up by the whole state.
+        /// The result there.
         outcome: ApplyOutcome,
-        /// Backends on its list that the subject covers, where it said so.
+        /// Backends on its endpoint list that the subject covers; none for a gateway that holds the order as
+        /// part of the whole state.
         matched: Option<u32>,
-        /// From the writing down to its answer, ms.
+        /// Time from the acknowledgement to its answer, ms.
         took_ms: f64,
     },
-    /// It answered how much is in flight.
+    /// It counted what is in flight.
     #[serde(rename = "counted")]
     InFlight {
         /// Attempts, or requests where the subject is a gateway.
         in_flight: u64,
     },
-    /// It can't be reached. It goes on with its last orders, and gets the whole state when it is back.
+    /// It is unreachable. It goes on with its last orders, and gets the whole state when it is back.
     Unreachable {
-        /// Why.
+        /// The reason.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -77,7 +78,7 @@
 }
 
 impl InstanceOutcome {
-    /// Whether the gateway is known to have done it.
+    /// Whether the gateway is known to have applied the order, or to have counted.
     #[must_use]
     pub fn succeeded(&self) -> bool {
         match self {
@@ -88,13 +89,13 @@
     }
 }
 
-/// The end of what is said about an order.
+/// The summary over all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Done", expecting = "struct Done")]
 pub struct OrderSummary {
-    /// Gateways that did it.
+    /// Gateways that have succeeded.
     #[serde(rename = "done")]
     pub succeeded: u32,
-    /// Gateways that are not known to have done it.
+    /// Gateways that are not known to have succeeded.
     pub failed: u32,
 }
--- a/crates/fleet/src/wire/tool.rs
+++ b/crates/fleet/src/wire/tool.rs
@@ -11,16 +11,16 @@
 use crate::name::{Name, OrderId};
 use crate::order::{Change, Revision, Subject};
 
-/// What an agent can be asked.
+/// A request to the agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 #[serde(rename = "Ask", expecting = "internally tagged enum Ask")]
 pub enum ToolRequest {
-    /// To write an order down and have every gateway carry it out.
+    /// Log an order and have every gateway apply it.
     Order {
-        /// Given by whoever makes it. The same id again gives the first result.
+        /// Chosen by the requester. An order with the same id is a repetition, and not applied again.
         id: OrderId,
-        /// Whom it is about.
+        /// What it is about.
         subject: Subject,
         /// What it changes.
         change: Change,
@@ -30,111 +30,112 @@
         /// How long to wait for the gateways, ms.
         deadline_ms: u64,
     },
-    /// All gateways; and each one's backends, asked afresh, if wanted.
+    /// Report the status of all gateways.
     Status {
-        /// Whether backends are wanted. Then [`Say::Backends`] follows for each gateway, and [`Say::Done`].
+        /// Whether each gateway is to be polled for its backends. [`ToolResponse::Backends`] follows for each
+        /// gateway then, and [`ToolResponse::Done`].
         #[serde(default)]
         backends: bool,
     },
-    /// The orders written down, newest first.
+    /// List the logged orders, newest first.
     Orders {
-        /// How many.
+        /// How many at most.
         #[serde(rename = "most")]
         limit: usize,
     },
-    /// What is in flight at a subject, gateway by gateway, asked afresh.
+    /// Poll each gateway for what is in flight at a subject.
     Inflight {
         /// The subject.
         subject: Subject,
         /// How long to wait for the gateways, ms.
         deadline_ms: u64,
     },
-    /// The server list that the agent makes from its sources.
+    /// Report the status of the endpoint list that the agent makes from its sources.
     Sources {
-        /// Whether each record is wanted.
+        /// Whether to include each record.
         #[serde(default)]
         records: bool,
     },
-    /// Every change from now on, until the line is closed.
+    /// Report each event from now on, until the connection is closed.
     Watch,
-    /// To oversee a gateway from now on.
+    /// Oversee a gateway from now on.
     Register {
         /// Its name.
         name: Name,
         /// Its admin listener.
         address: String,
     },
-    /// What to do, by a gateway that starts.
+    /// Instruct a gateway that starts.
     Start {
         /// Its name.
         name: Name,
         /// Its process: new with each start, below 2^53.
         #[serde(rename = "boot")]
         incarnation: u64,
-        /// Gateways of its fleet.
+        /// Gateways in its fleet.
         gateways: u32,
-        /// The version of the list that it holds.
+        /// The version of the endpoint list that it holds, if it holds one.
         #[serde(rename = "held")]
         held_version: Option<u64>,
     },
-    /// To hear what the first call for the list of one that starts came to.
+    /// Take in the outcome of the first call of a gateway that starts.
     Started {
         /// Its name.
         name: Name,
         /// Its process.
         #[serde(rename = "boot")]
         incarnation: u64,
-        /// What it came to.
+        /// The outcome.
         call: FirstCallReport,
     },
-    /// To oversee a gateway no more.
+    /// Oversee a gateway no more.
     Deregister {
         /// Its name.
         name: Name,
     },
 }
 
-/// What an agent says.
+/// A response of the agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[serde(rename = "Say", expecting = "enum Say")]
 pub enum ToolResponse {
-    /// The order is written down for good.
+    /// The order is in the log.
     Accepted(OrderAccepted),
-    /// What one gateway did.
+    /// The outcome at one gateway.
     Instance(InstanceReport),
-    /// All has been said about the order.
+    /// The summary, after which no response follows.
     Done(OrderSummary),
-    /// All gateways.
+    /// The status of all gateways.
     Status(FleetStatus),
     /// The backends of one gateway.
     Backends(GatewayBackends),
-    /// Orders, newest first.
+    /// Logged orders, newest first.
     Orders(Vec<LoggedOrder>),
     /// What is in flight, by gateway.
     Inflight(Vec<InstanceReport>),
-    /// The server list from sources.
+    /// The status of the endpoint list.
     Sources(Box<EndpointListStatus>),
-    /// What a gateway that starts is to do.
+    /// Instructions for a gateway that starts.
     Starting(StartInstructions),
-    /// Something changed.
+    /// An event.
     Event(String),
     /// Nothing was done.
     #[serde(rename = "fault")]
     Error(ErrorResponse),
 }
 
-/// The backends of one gateway, as it saw them just now.
+/// The backends of one gateway, polled just now.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Seen", expecting = "struct Seen")]
 pub struct GatewayBackends {
     /// The gateway.
     pub gateway: String,
-    /// Its state with its backends, or why it could not be asked.
+    /// Its state with its backends, or why it could not be polled.
     pub state: Result<GatewayState, String>,
 }
 
-/// All gateways.
+/// The status of all gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Status", expecting = "struct Status")]
 pub struct FleetStatus {
@@ -142,11 +143,11 @@
     pub revision: Revision,
     /// Each gateway, by name.
     pub gateways: Vec<GatewayStatus>,
-    /// What is ordered.
+    /// What is ordered, by subject.
     pub ordered: Vec<Register>,
 }
 
-/// A gateway as the agent knows it.
+/// The status of one gateway, as the agent knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "MemberState", expecting = "struct MemberState")]
 pub struct GatewayStatus {
@@ -154,16 +155,16 @@
     pub name: String,
     /// Its admin listener.
     pub address: String,
-    /// Whether it can be relied on.
+    /// Whether it can be relied on to have applied all orders.
     pub health: Health,
-    /// The newest revision that it was heard to hold.
+    /// The newest revision that it is known to hold.
     #[serde(rename = "holds")]
     pub applied_revision: Revision,
-    /// When it was last heard, ms ago.
+    /// How long ago it last answered, ms.
     #[serde(rename = "heard_ms_ago")]
     pub last_seen_ms_ago: Option<u64>,
-    /// How often it was seen to have started anew.
+    /// How often its process was seen to have restarted.
     pub restarts: u32,
-    /// What it last told.
+    /// The state that it last reported.
     pub state: Option<GatewayState>,
 }
