--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -1,8 +1,9 @@
-//! The calling side.
+//! The connecting side.
 
 use std::fmt;
 use std::fs;
 use std::io;
+use std::net::SocketAddr;
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 use std::sync::Arc;
@@ -17,24 +18,25 @@
 
 use crate::json_lines::JsonLines;
 use crate::tls::{TlsError, TlsFiles};
+use crate::{Stream, ROOT_USER};
 
-/// Why the other side can't be spoken to.
+/// Why there is no connection.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// Nobody listens, or it can't be reached.
+    /// Nobody listens, or the peer can't be reached.
     Io(Address, io::Error),
-    /// It did not come up in time.
+    /// The connection did not come up in time.
     TimedOut(Address),
     /// The socket belongs to another user, who may be anybody.
     Owner(Address, u32),
-    /// TCP, and no certificates to show.
+    /// The address is TCP, and there are no certificates to show.
     NoCertificate(Address),
 }
 
 impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConnectError::Io(address, e) => write!(f, "{address}: {e}"),
+            ConnectError::Io(address, error) => write!(f, "{address}: {error}"),
             ConnectError::TimedOut(address) => write!(f, "{address}: no connection in time"),
             ConnectError::Owner(address, user) => {
                 write!(f, "{address}: the socket belongs to user {user}, who is neither root nor you")
@@ -44,7 +46,14 @@
     }
 }
 
-impl std::error::Error for ConnectError {}
+impl std::error::Error for ConnectError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ConnectError::Io(_, error) => Some(error),
+            _ => None,
+        }
+    }
+}
 
 /// Opens connections with one set of certificates.
 #[derive(Clone, Default)]
@@ -54,21 +63,21 @@
 
 impl fmt::Debug for Connector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Dialer").field("tls", &self.tls.is_some()).finish()
+        f.debug_struct("Connector").field("tls", &self.tls.is_some()).finish()
     }
 }
 
 impl Connector {
-    /// Reads the certificates, if any are named.
+    /// Reads the certificates, if any are configured.
     ///
     /// # Errors
     /// A [`TlsError`] that names the file.
     pub fn new(tls: Option<&TlsConfig>) -> Result<Connector, TlsError> {
-        let client = |files: &TlsConfig| TlsFiles::read(files).and_then(|f| f.client());
-        Ok(Connector { tls: tls.map(client).transpose()? })
+        let client_config = |config: &TlsConfig| TlsFiles::read(config)?.client();
+        Ok(Connector { tls: tls.map(client_config).transpose()? })
     }
 
-    /// Connects within a time, for lines of at most so many bytes.
+    /// Connects within `limit`, for lines of at most `max_line_bytes`.
     ///
     /// # Errors
     /// A [`ConnectError`].
@@ -76,49 +85,58 @@
         &self,
         address: &Address,
         limit: Duration,
-        most: usize,
+        max_line_bytes: usize,
     ) -> Result<JsonLines, ConnectError> {
-        let opening = async {
-            match address {
-                Address::Unix(path) => {
-                    foreign(path, address)?;
-                    let stream = UnixStream::connect(path).await;
-                    let stream = stream.map_err(|e| ConnectError::Io(address.clone(), e))?;
-                    Ok(JsonLines::new(Box::new(stream), most))
-                }
-                Address::Tcp(at) => {
-                    let tls = self.tls.clone().ok_or_else(|| ConnectError::NoCertificate(address.clone()))?;
-                    let failed = |e| ConnectError::Io(address.clone(), e);
-                    let stream = TcpStream::connect(at).await.map_err(failed)?;
-                    stream.set_nodelay(true).map_err(failed)?;
-                    let name = ServerName::IpAddress(at.ip().into());
-                    let stream = TlsConnector::from(tls).connect(name, stream).await.map_err(failed)?;
-                    Ok(JsonLines::new(Box::new(stream), most))
-                }
-            }
+        let connecting = async {
+            let stream = match address {
+                Address::Unix(path) => connect_unix(path, address).await?,
+                Address::Tcp(socket_address) => self.connect_tls(*socket_address, address).await?,
+            };
+            Ok(JsonLines::new(stream, max_line_bytes))
         };
-        match timeout(limit, opening).await {
-            Ok(result) => result,
-            Err(_) => Err(ConnectError::TimedOut(address.clone())),
-        }
+        timeout(limit, connecting).await.unwrap_or_else(|_| Err(ConnectError::TimedOut(address.clone())))
+    }
+
+    async fn connect_tls(
+        &self,
+        socket_address: SocketAddr,
+        address: &Address,
+    ) -> Result<Box<dyn Stream>, ConnectError> {
+        let tls = self.tls.clone().ok_or_else(|| ConnectError::NoCertificate(address.clone()))?;
+        let failed = |error| ConnectError::Io(address.clone(), error);
+        let stream = TcpStream::connect(socket_address).await.map_err(failed)?;
+        stream.set_nodelay(true).map_err(failed)?;
+        let name = ServerName::IpAddress(socket_address.ip().into());
+        let stream = TlsConnector::from(tls).connect(name, stream).await.map_err(failed)?;
+        Ok(Box::new(stream))
     }
 }
 
-/// Connects to a Unix socket, or by TCP without any certificate, which every listener here refuses.
+/// Connects to a Unix socket, or by TCP without any certificate, which every listener here rejects.
 ///
 /// # Errors
 /// A [`ConnectError`].
-pub async fn connect(address: &Address, limit: Duration, most: usize) -> Result<JsonLines, ConnectError> {
-    Connector::default().connect(address, limit, most).await
+pub async fn connect(
+    address: &Address,
+    limit: Duration,
+    max_line_bytes: usize,
+) -> Result<JsonLines, ConnectError> {
+    Connector::default().connect(address, limit, max_line_bytes).await
+}
+
+async fn connect_unix(path: &Path, address: &Address) -> Result<Box<dyn Stream>, ConnectError> {
+    check_owner(path, address)?;
+    let stream = UnixStream::connect(path).await.map_err(|error| ConnectError::Io(address.clone(), error))?;
+    Ok(Box::new(stream))
 }
 
-/// Danger: a socket that another user put where ours was to be, who then is told every order and answers as
-/// it likes.
-fn foreign(path: &Path, address: &Address) -> Result<(), ConnectError> {
-    let owner = fs::metadata(path).map_err(|e| ConnectError::Io(address.clone(), e))?.uid();
-    // Whose process this is: files in /proc/self belong to the effective user.
-    let me = fs::metadata("/proc/self").map(|m| m.uid()).unwrap_or(owner);
-    if owner == me || owner == 0 {
+/// Rejects a socket that another user has put in the place of ours, who would receive every order and could
+/// respond at will.
+fn check_owner(path: &Path, address: &Address) -> Result<(), ConnectError> {
+    let owner = fs::metadata(path).map_err(|error| ConnectError::Io(address.clone(), error))?.uid();
+    // The effective user of this process: files in /proc/self belong to it.
+    let user = fs::metadata("/proc/self").map(|metadata| metadata.uid()).unwrap_or(owner);
+    if owner == user || owner == ROOT_USER {
         Ok(())
     } else {
         Err(ConnectError::Owner(address.clone(), owner))
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,12 +1,12 @@
 //! Lines of JSON between tools, agent and gateways.
 //!
 //! ```text
-//!  Listener::bind ─ accept ─▶ Lines ◀─ connect
+//!  Listener::bind ─ accept ─▶ JsonLines ◀─ connect
 //!       │ unix: mode 0600, the peer's user checked      owner of the socket checked │
 //!       └ tcp:  certificates of both sides (tls)  ──────────────────────────────────┘
 //! ```
 //!
-//! Whoever can't show that it may speak here is turned away before a byte of it is read as a message.
+//! A peer that can't prove that it may speak is rejected before a byte of it is read as a message.
 
 mod connect;
 mod json_lines;
@@ -18,10 +18,13 @@
 
 pub use connect::{connect, ConnectError, Connector};
 pub use json_lines::{JsonLines, JsonLinesError};
-pub use listen::{BindError, Listener};
+pub use listen::{BindError, IncomingConnection, Listener, TakenBy};
 pub use serve::serve;
 pub use tls::{TlsError, TlsFiles};
 
+/// The user id of root.
+pub(crate) const ROOT_USER: u32 = 0;
+
 /// A stream of either kind.
 pub(crate) trait Stream: AsyncRead + AsyncWrite + Send + Unpin {}
 
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -3,186 +3,214 @@
 use std::fmt;
 use std::fs;
 use std::io;
-use std::os::unix::fs::{MetadataExt, PermissionsExt};
+use std::os::unix::fs::{FileTypeExt, MetadataExt, PermissionsExt};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use operator_config::{Address, TlsConfig};
-use tokio::net::{TcpListener, UnixListener, UnixStream};
+use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 
 use crate::json_lines::JsonLines;
 use crate::tls::{TlsError, TlsFiles};
+use crate::{Stream, ROOT_USER};
 
-/// How long a handshake may take. Danger: one that connects and says nothing holds up no one but itself, but
-/// it holds a place.
+/// How long a handshake may take: a silent peer holds one of a bounded number of connections.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The mode of a Unix socket: only its owner may connect.
+const SOCKET_MODE: u32 = 0o600;
 
-/// A listener that can't be had.
+/// Why a listener can't be opened.
 #[derive(Debug)]
 pub enum BindError {
-    /// Something else listens there, or the path is no socket.
-    Taken(PathBuf, &'static str),
-    /// The system refuses.
+    /// The path of a Unix socket is taken.
+    Taken(PathBuf, TakenBy),
+    /// The system's error.
     Io(Address, io::Error),
-    /// Certificates that can't be used.
+    /// The certificates can't be used.
     Tls(TlsError),
 }
 
+/// What a path is taken by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TakenBy {
+    /// A file that is no socket.
+    File,
+    /// A socket that a process listens on.
+    Listener,
+}
+
+impl fmt::Display for TakenBy {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            TakenBy::File => "is there and no socket",
+            TakenBy::Listener => "something listens there already",
+        })
+    }
+}
+
 impl fmt::Display for BindError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BindError::Taken(path, why) => write!(f, "unix:{}: {why}", path.display()),
-            BindError::Io(address, e) => write!(f, "{address}: {e}"),
-            BindError::Tls(e) => e.fmt(f),
+            BindError::Taken(path, taken_by) => write!(f, "unix:{}: {taken_by}", path.display()),
+            BindError::Io(address, error) => write!(f, "{address}: {error}"),
+            BindError::Tls(error) => error.fmt(f),
         }
     }
 }
 
-impl std::error::Error for BindError {}
+impl std::error::Error for BindError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            BindError::Taken(..) => None,
+            BindError::Io(_, error) => Some(error),
+            BindError::Tls(error) => Some(error),
+        }
+    }
+}
 
-enum Kind {
+enum ListenerKind {
     Unix { listener: UnixListener, path: PathBuf, owner: u32 },
     Tls { listener: TcpListener, acceptor: TlsAcceptor },
 }
 
-/// A listener. A Unix socket is taken away with it.
+/// A listener. Dropping it removes its Unix socket.
 pub struct Listener {
-    kind: Kind,
-    most: usize,
+    kind: ListenerKind,
+    max_line_bytes: usize,
 }
 
 impl fmt::Debug for Listener {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Listener").field("most", &self.most).finish_non_exhaustive()
+        f.debug_struct("Listener").field("max_line_bytes", &self.max_line_bytes).finish_non_exhaustive()
     }
 }
 
-/// A connection that came, and may not be allowed to speak.
-pub struct IncomingConnection {
-    kind: ArrivalKind,
-    most: usize,
+enum IncomingKind {
+    Unix { stream: UnixStream, owner: u32 },
+    Tls { stream: TcpStream, acceptor: TlsAcceptor },
 }
 
-enum ArrivalKind {
-    Unix(UnixStream, u32),
-    Tls(tokio::net::TcpStream, TlsAcceptor),
+/// A connection whose peer may not be allowed to speak.
+pub struct IncomingConnection {
+    kind: IncomingKind,
+    max_line_bytes: usize,
 }
 
 impl Listener {
-    /// Listens at an address for lines of at most so many bytes. TCP needs certificates. A socket that
-    /// nobody listens on any more is replaced.
+    /// Listens at an address for lines of at most `max_line_bytes`. TCP needs certificates. A socket that no
+    /// process listens on any more is replaced.
     ///
     /// # Errors
     /// A [`BindError`].
     pub async fn bind(
         address: &Address,
         tls: Option<&TlsConfig>,
-        most: usize,
+        max_line_bytes: usize,
     ) -> Result<Listener, BindError> {
-        let failed = |e| BindError::Io(address.clone(), e);
+        let failed = |error| BindError::Io(address.clone(), error);
         let kind = match address {
             Address::Unix(path) => {
-                let listener = private_socket(path).await?;
+                let listener = bind_private_socket(path).await?;
                 let owner = fs::metadata(path).map_err(failed)?.uid();
-                Kind::Unix { listener, path: path.clone(), owner }
+                ListenerKind::Unix { listener, path: path.clone(), owner }
             }
-            Address::Tcp(at) => {
-                let missing = || TlsError::Unfit("TCP needs them, and none are named".to_string());
-                let files = tls.ok_or_else(|| BindError::Tls(missing()))?;
-                let server = TlsFiles::read(files).and_then(|f| f.server()).map_err(BindError::Tls)?;
-                let listener = TcpListener::bind(at).await.map_err(failed)?;
-                Kind::Tls { listener, acceptor: TlsAcceptor::from(server) }
+            Address::Tcp(socket_address) => {
+                let acceptor = tls_acceptor(tls).map_err(BindError::Tls)?;
+                let listener = TcpListener::bind(socket_address).await.map_err(failed)?;
+                ListenerKind::Tls { listener, acceptor }
             }
         };
-        Ok(Listener { kind, most })
+        Ok(Listener { kind, max_line_bytes })
     }
 
-    /// Where it listens, with the port that the system gave.
+    /// Where it listens, with the port that the system has chosen.
     ///
     /// # Errors
     /// The system's.
     pub fn address(&self) -> io::Result<Address> {
         Ok(match &self.kind {
-            Kind::Unix { path, .. } => Address::Unix(path.clone()),
-            Kind::Tls { listener, .. } => Address::Tcp(listener.local_addr()?),
+            ListenerKind::Unix { path, .. } => Address::Unix(path.clone()),
+            ListenerKind::Tls { listener, .. } => Address::Tcp(listener.local_addr()?),
         })
     }
 
     /// The next connection. Cancelling loses none.
     ///
     /// # Errors
-    /// The system's; worth another try after a pause.
+    /// The system's; a retry after a pause may succeed.
     pub async fn accept(&self) -> io::Result<IncomingConnection> {
         let kind = match &self.kind {
-            Kind::Unix { listener, owner, .. } => ArrivalKind::Unix(listener.accept().await?.0, *owner),
-            Kind::Tls { listener, acceptor } => {
-                ArrivalKind::Tls(listener.accept().await?.0, acceptor.clone())
+            ListenerKind::Unix { listener, owner, .. } => {
+                let (stream, _) = listener.accept().await?;
+                IncomingKind::Unix { stream, owner: *owner }
+            }
+            ListenerKind::Tls { listener, acceptor } => {
+                let (stream, _) = listener.accept().await?;
+                IncomingKind::Tls { stream, acceptor: acceptor.clone() }
             }
         };
-        Ok(IncomingConnection { kind, most: self.most })
+        Ok(IncomingConnection { kind, max_line_bytes: self.max_line_bytes })
     }
 }
 
 impl IncomingConnection {
-    /// Finds out whether it may speak. This waits for the other side and so belongs in a task of its own.
+    /// Checks whether the peer may speak. This waits for the peer, and so belongs in a task of its own.
     ///
     /// # Errors
-    /// `PermissionDenied` for another user's process, the handshake's own error for a certificate that is
-    /// missing or that no authority signed, `TimedOut` for one that says nothing.
+    /// `PermissionDenied` for a process of another user, the error of the handshake for a certificate that is
+    /// missing or that no authority has signed, `TimedOut` for a silent peer.
     pub async fn open(self) -> io::Result<JsonLines> {
-        match self.kind {
-            ArrivalKind::Unix(stream, owner) => {
-                let user = stream.peer_cred()?.uid();
-                // The socket's mode says the same; this also holds where a file system knows no modes.
-                if user != owner && user != 0 {
-                    let text = format!("user {user} is not the owner, {owner}");
-                    return Err(io::Error::new(io::ErrorKind::PermissionDenied, text));
-                }
-                Ok(JsonLines::new(Box::new(stream), self.most))
+        let stream: Box<dyn Stream> = match self.kind {
+            IncomingKind::Unix { stream, owner } => {
+                check_peer(&stream, owner)?;
+                Box::new(stream)
             }
-            ArrivalKind::Tls(stream, acceptor) => {
+            IncomingKind::Tls { stream, acceptor } => {
                 stream.set_nodelay(true)?;
-                let stream = timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await??;
-                Ok(JsonLines::new(Box::new(stream), self.most))
+                Box::new(timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await??)
             }
-        }
+        };
+        Ok(JsonLines::new(stream, self.max_line_bytes))
     }
 }
 
 impl Drop for Listener {
     fn drop(&mut self) {
-        if let Kind::Unix { path, .. } = &self.kind {
+        if let ListenerKind::Unix { path, .. } = &self.kind {
             let _ = fs::remove_file(path);
         }
     }
 }
 
-/// A Unix socket that only its owner can connect to. Danger: a moment in which it stands there for all. It
-/// gets its mode under another name, and then the name.
-async fn private_socket(path: &Path) -> Result<UnixListener, BindError> {
-    let failed = |e| BindError::Io(Address::Unix(path.to_path_buf()), e);
-    match fs::symlink_metadata(path) {
-        Ok(there) => {
-            use std::os::unix::fs::FileTypeExt;
-            // Danger: a file of somebody's, deleted as its name was mistaken for a socket's.
-            if !there.file_type().is_socket() {
-                return Err(BindError::Taken(path.to_path_buf(), "is there and no socket"));
-            }
-            if UnixStream::connect(path).await.is_ok() {
-                return Err(BindError::Taken(path.to_path_buf(), "something listens there already"));
-            }
-        }
-        Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-        Err(e) => return Err(failed(e)),
+fn tls_acceptor(tls: Option<&TlsConfig>) -> Result<TlsAcceptor, TlsError> {
+    let config = tls.ok_or_else(|| TlsError::Unfit("TCP needs them, and none are named".into()))?;
+    let server_config = TlsFiles::read(config)?.server()?;
+    Ok(TlsAcceptor::from(server_config))
+}
+
+/// Rejects processes of other users. The mode of the socket does so too, but not on every file system.
+fn check_peer(stream: &UnixStream, owner: u32) -> io::Result<()> {
+    let user = stream.peer_cred()?.uid();
+    if user == owner || user == ROOT_USER {
+        return Ok(());
     }
+    let message = format!("user {user} is not the owner, {owner}");
+    Err(io::Error::new(io::ErrorKind::PermissionDenied, message))
+}
+
+/// Binds a Unix socket that only its owner can connect to. It gets its mode under another name, and then its
+/// own one, so that it is never open to others.
+async fn bind_private_socket(path: &Path) -> Result<UnixListener, BindError> {
+    check_free(path).await?;
+    let failed = |error| BindError::Io(Address::Unix(path.to_path_buf()), error);
     let mut hidden = path.as_os_str().to_os_string();
     hidden.push(format!(".{}", std::process::id()));
     let hidden = PathBuf::from(hidden);
     let _ = fs::remove_file(&hidden);
     let listener = UnixListener::bind(&hidden).map_err(failed)?;
-    let named = fs::set_permissions(&hidden, fs::Permissions::from_mode(0o600))
+    let named = fs::set_permissions(&hidden, fs::Permissions::from_mode(SOCKET_MODE))
         .and_then(|()| fs::rename(&hidden, path));
     if named.is_err() {
         let _ = fs::remove_file(&hidden);
@@ -190,3 +218,19 @@
     named.map_err(failed)?;
     Ok(listener)
 }
+
+/// Checks that nothing is lost if the path is replaced: it must be free, or a socket without a listener.
+async fn check_free(path: &Path) -> Result<(), BindError> {
+    let metadata = match fs::symlink_metadata(path) {
+        Ok(metadata) => metadata,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
+        Err(error) => return Err(BindError::Io(Address::Unix(path.to_path_buf()), error)),
+    };
+    if !metadata.file_type().is_socket() {
+        return Err(BindError::Taken(path.to_path_buf(), TakenBy::File));
+    }
+    if UnixStream::connect(path).await.is_ok() {
+        return Err(BindError::Taken(path.to_path_buf(), TakenBy::Listener));
+    }
+    Ok(())
+}
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates of both sides, from the files that the operator names.
+//! Certificates of both sides, from the files in the operator's configuration.
 
 use std::fmt;
 use std::fs;
@@ -11,37 +11,36 @@
 use rustls::server::WebPkiClientVerifier;
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 
-/// Certificates that can't be used.
+/// What lies behind an error.
+type Cause = Box<dyn std::error::Error + Send + Sync>;
+
+/// Why certificates can't be used.
 #[derive(Debug)]
 pub enum TlsError {
-    /// A file that can't be read, or holds nothing of the kind.
-    File(PathBuf, String),
-    /// They don't fit together.
-    Unfit(String),
+    /// A file can't be read, or does not hold what it should.
+    File(PathBuf, Cause),
+    /// Certificate, key and authorities don't fit together.
+    Unfit(Cause),
 }
 
 impl fmt::Display for TlsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TlsError::File(path, why) => write!(f, "{}: {why}", path.display()),
-            TlsError::Unfit(why) => write!(f, "certificate and key: {why}"),
+            TlsError::File(path, cause) => write!(f, "{}: {cause}", path.display()),
+            TlsError::Unfit(cause) => write!(f, "certificate and key: {cause}"),
         }
     }
 }
 
-impl std::error::Error for TlsError {}
-
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let bad = |why: String| TlsError::File(path.to_path_buf(), why);
-    let text = fs::read(path).map_err(|e| bad(e.to_string()))?;
-    let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&text).collect();
-    match all {
-        Ok(all) if !all.is_empty() => Ok(all),
-        _ => Err(bad("holds no PEM certificate".to_string())),
+impl std::error::Error for TlsError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            TlsError::File(_, cause) | TlsError::Unfit(cause) => Some(&**cause),
+        }
     }
 }
 
-/// What is read from the files of one side.
+/// The contents of the files of one side.
 #[derive(Debug)]
 pub struct TlsFiles {
     chain: Vec<CertificateDer<'static>>,
@@ -50,49 +49,78 @@
 }
 
 impl TlsFiles {
-    /// Reads the files. Nothing of a key is ever part of an error.
+    /// Reads the files. No part of a key is ever part of an error.
     ///
     /// # Errors
     /// A [`TlsError`] that names the file.
-    pub fn read(tls: &TlsConfig) -> Result<TlsFiles, TlsError> {
-        let chain = certificates(&tls.certificate)?;
-        let bad = |why: &str| TlsError::File(tls.key.clone(), why.to_string());
-        let text = fs::read(&tls.key).map_err(|e| bad(&e.to_string()))?;
-        let key = PrivateKeyDer::from_pem_slice(&text).map_err(|_| bad("holds no PEM key"))?;
-        let mut store = RootCertStore::empty();
-        for authority in certificates(&tls.authorities)? {
-            let unfit = |e: rustls::Error| TlsError::File(tls.authorities.clone(), e.to_string());
-            store.add(authority).map_err(unfit)?;
+    pub fn read(config: &TlsConfig) -> Result<TlsFiles, TlsError> {
+        let chain = read_certificates(&config.certificate)?;
+        let key = read_key(&config.key)?;
+        let mut authorities = RootCertStore::empty();
+        for authority in read_certificates(&config.authorities)? {
+            let added = authorities.add(authority);
+            added.map_err(|error| TlsError::File(config.authorities.clone(), error.into()))?;
         }
-        Ok(TlsFiles { chain, key, authorities: Arc::new(store) })
+        Ok(TlsFiles { chain, key, authorities: Arc::new(authorities) })
     }
 
-    /// A server's side, which takes nobody without a certificate that one of the authorities signed.
+    /// The configuration of a server, which rejects clients without a certificate that one of the authorities
+    /// has signed.
     ///
     /// # Errors
     /// [`TlsError::Unfit`].
     pub fn server(&self) -> Result<Arc<ServerConfig>, TlsError> {
-        let unfit = |e: &dyn fmt::Display| TlsError::Unfit(e.to_string());
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let authorities = Arc::clone(&self.authorities);
-        let verifier = WebPkiClientVerifier::builder_with_provider(authorities, Arc::clone(&provider));
-        let verifier = verifier.build().map_err(|e| unfit(&e))?;
-        let config = ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-        let config = config.map_err(|e| unfit(&e))?.with_client_cert_verifier(verifier);
-        let config = config.with_single_cert(self.chain.clone(), self.key.clone_key());
-        Ok(Arc::new(config.map_err(|e| unfit(&e))?))
+        let verifier = WebPkiClientVerifier::builder_with_provider(authorities, Arc::clone(&provider))
+            .build()
+            .map_err(|error| TlsError::Unfit(error.into()))?;
+        let config = ServerConfig::builder_with_provider(provider)
+            .with_safe_default_protocol_versions()
+            .map_err(unfit)?
+            .with_client_cert_verifier(verifier)
+            .with_single_cert(self.chain.clone(), self.key.clone_key())
+            .map_err(unfit)?;
+        Ok(Arc::new(config))
     }
 
-    /// A client's side, which shows its certificate and takes a server that one of the authorities signed.
+    /// The configuration of a client, which shows its certificate and rejects servers without one that one of
+    /// the authorities has signed.
     ///
     /// # Errors
     /// [`TlsError::Unfit`].
     pub fn client(&self) -> Result<Arc<ClientConfig>, TlsError> {
-        let unfit = |e: rustls::Error| TlsError::Unfit(e.to_string());
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-        let config = config.map_err(unfit)?.with_root_certificates(Arc::clone(&self.authorities));
-        let config = config.with_client_auth_cert(self.chain.clone(), self.key.clone_key());
-        Ok(Arc::new(config.map_err(unfit)?))
+        let config = ClientConfig::builder_with_provider(provider)
+            .with_safe_default_protocol_versions()
+            .map_err(unfit)?
+            .with_root_certificates(Arc::clone(&self.authorities))
+            .with_client_auth_cert(self.chain.clone(), self.key.clone_key())
+            .map_err(unfit)?;
+        Ok(Arc::new(config))
     }
 }
+
+fn unfit(error: rustls::Error) -> TlsError {
+    TlsError::Unfit(error.into())
+}
+
+fn read_file(path: &Path) -> Result<Vec<u8>, TlsError> {
+    fs::read(path).map_err(|error| TlsError::File(path.to_path_buf(), error.into()))
+}
+
+fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
+    let text = read_file(path)?;
+    let certificates: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&text).collect();
+    match certificates {
+        Ok(certificates) if !certificates.is_empty() => Ok(certificates),
+        _ => Err(TlsError::File(path.to_path_buf(), "holds no PEM certificate".into())),
+    }
+}
+
+fn read_key(path: &Path) -> Result<PrivateKeyDer<'static>, TlsError> {
+    let text = read_file(path)?;
+    // The cause is dropped, as it might quote the key.
+    PrivateKeyDer::from_pem_slice(&text)
+        .map_err(|_| TlsError::File(path.to_path_buf(), "holds no PEM key".into()))
+}
