--- a/crates/operator-config/src/address.rs
+++ b/crates/operator-config/src/address.rs
@@ -1,4 +1,4 @@
-//! Where an admin listener or an agent is.
+//! Where an admin listener or an agent listens.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Address {
-    /// A socket in the file system. Its mode, 0600, keeps others out.
+    /// A socket in the file system, which only its owner can connect to.
     Unix(PathBuf),
-    /// TCP, where certificates keep others out.
+    /// TCP, with certificates of both sides.
     Tcp(SocketAddr),
 }
 
@@ -27,8 +27,8 @@
         matches!(self, Address::Tcp(_))
     }
 
-    /// The address of a gateway of this name. Danger: a name with a slash, which leads elsewhere; it becomes
-    /// an underscore.
+    /// The address of a gateway of this name. A slash in the name becomes an underscore, so that the path
+    /// can't lead elsewhere.
     #[must_use]
     pub fn for_gateway(&self, name: &str) -> Address {
         match self {
@@ -41,7 +41,7 @@
     }
 }
 
-/// A text that is no address.
+/// The error for a text that is no address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidAddress;
 
--- /dev/null
+++ b/crates/operator-config/src/agent.rs
@@ -0,0 +1,108 @@
+//! `[agent]` and `[[gateway]]`: the agent, and the gateways that it oversees from its start.
+
+use std::collections::BTreeSet;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use serde::Deserialize;
+
+use crate::problems::Problems;
+use crate::{Address, TlsConfig, MAX_GATEWAYS};
+
+/// The agent.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+#[serde(rename = "Agent", expecting = "struct Agent")]
+pub struct AgentConfig {
+    /// Where it listens for tools: a Unix socket.
+    pub listen: Address,
+    /// Where gateways register, and can do nothing else. Over TCP only with `tls`. None: they can't.
+    pub register: Option<Address>,
+    /// Its log of orders, a file of its own.
+    pub log: PathBuf,
+    /// The part of the serving backends, and of the gateways that answer, that an order has to leave ready
+    /// unless it is forced: 0 to 1.
+    #[serde(default = "default_least_ready")]
+    pub least_ready: f64,
+    /// How often each gateway is polled for its state, ms: 50 to 60,000.
+    #[serde(default = "default_heartbeat_ms")]
+    pub heartbeat_ms: u64,
+    /// How long a gateway may take to connect and to respond, ms: 10 to 60,000.
+    #[serde(default = "default_answer_ms")]
+    pub answer_ms: u64,
+    /// Requests to gateways that may be in flight at once: 1 to 4,096.
+    #[serde(default = "default_fan_out")]
+    pub fan_out: usize,
+    /// Certificates, for gateways whose admin listener is on TCP.
+    pub tls: Option<TlsConfig>,
+}
+
+fn default_least_ready() -> f64 {
+    0.5
+}
+
+fn default_heartbeat_ms() -> u64 {
+    1_000
+}
+
+fn default_answer_ms() -> u64 {
+    1_000
+}
+
+fn default_fan_out() -> usize {
+    256
+}
+
+impl AgentConfig {
+    /// [`AgentConfig::heartbeat_ms`] as a duration.
+    #[must_use]
+    pub fn heartbeat(&self) -> Duration {
+        Duration::from_millis(self.heartbeat_ms)
+    }
+
+    /// [`AgentConfig::answer_ms`] as a duration.
+    #[must_use]
+    pub fn answer(&self) -> Duration {
+        Duration::from_millis(self.answer_ms)
+    }
+
+    pub(crate) fn validate(&self, problems: &mut Problems) {
+        if self.tls.is_none() && self.register.as_ref().is_some_and(Address::is_tcp) {
+            problems.add("agent.register", "TCP needs [agent.tls]");
+        }
+        if self.listen.is_tcp() {
+            problems.add("agent.listen", "a Unix socket is wanted, as in unix:/run/agent.sock");
+        }
+        problems.check_range("agent.least_ready", self.least_ready, 0.0..=1.0);
+        problems.check_range("agent.heartbeat_ms", self.heartbeat_ms, 50..=60_000);
+        problems.check_range("agent.answer_ms", self.answer_ms, 10..=60_000);
+        problems.check_range("agent.fan_out", self.fan_out, 1..=4_096);
+    }
+}
+
+/// A gateway that the agent oversees.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+#[serde(rename = "Gateway", expecting = "struct Gateway")]
+pub struct GatewayConfig {
+    /// Its name.
+    pub name: String,
+    /// Its admin listener.
+    pub admin: Address,
+}
+
+/// `has_tls` tells whether the agent has certificates.
+pub(crate) fn validate_gateways(gateways: &[GatewayConfig], has_tls: bool, problems: &mut Problems) {
+    if gateways.len() > MAX_GATEWAYS {
+        problems.add("gateway", format!("too many; {MAX_GATEWAYS} at most"));
+    }
+    let mut names = BTreeSet::new();
+    for (index, gateway) in gateways.iter().enumerate() {
+        if !names.insert(&gateway.name) {
+            problems.add(format!("gateway[{index}].name"), "named twice");
+        }
+        if gateway.admin.is_tcp() && !has_tls {
+            problems.add(format!("gateway[{index}].admin"), "TCP needs [agent.tls]");
+        }
+    }
+}
