--- a/crates/agent/src/control_loop.rs
+++ b/crates/agent/src/control_loop.rs
@@ -105,10 +105,10 @@
         for gateway in config.gateways {
             control_loop.gateways.add(gateway.name.as_str(), gateway.address, true);
         }
-        for (name, address) in members {
-            let Ok(address) = address.parse() else { continue };
-            if control_loop.gateways.get(&name).is_none() {
-                control_loop.gateways.add(&name, address, false);
+        for member in members {
+            let Ok(address) = member.address.parse() else { continue };
+            if control_loop.gateways.get(&member.name).is_none() {
+                control_loop.gateways.add(&member.name, address, false);
             }
         }
         control_loop
--- a/crates/agent/src/control_loop/registration.rs
+++ b/crates/agent/src/control_loop/registration.rs
@@ -32,7 +32,7 @@
                 responder.fail(ErrorCode::BadRequest, reason);
                 return Ok(());
             }
-            self.log.member(name.as_str(), Some(address))?;
+            self.log.add_member(name.as_str(), address)?;
             self.gateways.add(name.as_str(), parsed, false);
             self.events.emit(format!("gateway {name} is overseen, at {address}"));
         }
@@ -64,7 +64,7 @@
             responder.fail(code, message);
             return Ok(());
         }
-        self.log.member(name.as_str(), None)?;
+        self.log.remove_member(name.as_str())?;
         self.gateways.remove(name.as_str());
         self.catalog.remove(name.as_str());
         self.pending_orders.gateway_removed(name.as_str());
--- a/crates/agent/src/gateway_queries.rs
+++ b/crates/agent/src/gateway_queries.rs
@@ -75,7 +75,7 @@
         reports.push(InstanceReport { gateway: name.to_string(), outcome });
     }
     // Fails only when the tool has disconnected.
-    let _ = responder.respond_with_room(ToolResponse::Inflight(reports)).await;
+    let _ = responder.respond_when_free(ToolResponse::Inflight(reports)).await;
 }
 
 /// Responds with the state of each gateway, and then with a summary.
@@ -89,11 +89,11 @@
             Err(_) => summary.failed += 1,
         }
         let backends = GatewayBackends { gateway: name.to_string(), state };
-        if responder.respond_with_room(ToolResponse::Backends(backends)).await.is_err() {
+        if responder.respond_when_free(ToolResponse::Backends(backends)).await.is_err() {
             return;
         }
     }
-    let _ = responder.respond_with_room(ToolResponse::Done(summary)).await;
+    let _ = responder.respond_when_free(ToolResponse::Done(summary)).await;
 }
 
 async fn in_flight(
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -74,6 +74,15 @@
     }
 }
 
+/// A gateway that has registered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RegisteredGateway {
+    /// Its name.
+    pub name: String,
+    /// Its admin listener.
+    pub address: String,
+}
+
 /// What the log holds.
 #[derive(Debug, Default)]
 pub struct Contents {
@@ -83,8 +92,8 @@
     pub newest: Revision,
     /// The orders that are kept, oldest first.
     pub orders: Vec<LoggedOrder>,
-    /// Gateways that were registered: name and admin listener.
-    pub members: Vec<(String, String)>,
+    /// Gateways that have registered, by name.
+    pub members: Vec<RegisteredGateway>,
 }
 
 /// The log.
@@ -196,7 +205,8 @@
         let Ok(table) = transaction.open_table(MEMBERS) else { return Ok(()) };
         for row in table.iter().map_err(|error| self.damaged(error))? {
             let (name, address) = row.map_err(|error| self.damaged(error))?;
-            contents.members.push((name.value().to_string(), address.value().to_string()));
+            let (name, address) = (name.value().to_string(), address.value().to_string());
+            contents.members.push(RegisteredGateway { name, address });
         }
         Ok(())
     }
@@ -231,17 +241,24 @@
         })
     }
 
-    /// Logs a gateway, or removes it where `address` is none.
+    /// Logs that a gateway has registered.
     ///
     /// # Errors
     /// [`LogError::Io`].
-    pub fn member(&self, name: &str, address: Option<&str>) -> Result<(), LogError> {
+    pub fn add_member(&self, name: &str, address: &str) -> Result<(), LogError> {
         self.write(|transaction| {
-            let mut table = transaction.open_table(MEMBERS)?;
-            match address {
-                Some(address) => drop(table.insert(name, address)?),
-                None => drop(table.remove(name)?),
-            }
+            transaction.open_table(MEMBERS)?.insert(name, address)?;
+            Ok(())
+        })
+    }
+
+    /// Removes a gateway that had registered.
+    ///
+    /// # Errors
+    /// [`LogError::Io`].
+    pub fn remove_member(&self, name: &str) -> Result<(), LogError> {
+        self.write(|transaction| {
+            transaction.open_table(MEMBERS)?.remove(name)?;
             Ok(())
         })
     }
--- a/crates/agent/src/responder.rs
+++ b/crates/agent/src/responder.rs
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// [`Disconnected`].
-    pub async fn respond_with_room(&self, response: ToolResponse) -> Result<(), Disconnected> {
+    pub async fn respond_when_free(&self, response: ToolResponse) -> Result<(), Disconnected> {
         self.queue.send(response).await.map_err(|_| Disconnected)
     }
 
--- /dev/null
+++ b/crates/agent/tests/conversation/support.rs
@@ -0,0 +1,133 @@
+//! An agent in this process, and connections to it that carry a JSON value a line.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use operator_config::{AgentConfig, OperatorConfig};
+use serde_json::{json, Value};
+use tempfile::TempDir;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::oneshot;
+use tokio::time::timeout;
+
+pub const PATIENCE: Duration = Duration::from_secs(20);
+
+/// One side of a connection, a JSON value a line.
+pub struct Connection {
+    read: BufReader<OwnedReadHalf>,
+    write: OwnedWriteHalf,
+}
+
+impl Connection {
+    pub fn new(stream: UnixStream) -> Connection {
+        let (read, write) = stream.into_split();
+        Connection { read: BufReader::new(read), write }
+    }
+
+    pub async fn connect(path: &Path) -> Connection {
+        Connection::new(UnixStream::connect(path).await.expect("it listens"))
+    }
+
+    pub async fn send(&mut self, value: Value) {
+        self.send_text(&value.to_string()).await;
+    }
+
+    pub async fn send_text(&mut self, text: &str) {
+        self.write.write_all(format!("{text}\n").as_bytes()).await.expect("it reads");
+    }
+
+    pub async fn receive(&mut self) -> Value {
+        let mut line = String::new();
+        timeout(PATIENCE, self.read.read_line(&mut line)).await.expect("in time").expect("a line");
+        serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line}: {e}"))
+    }
+
+    /// Ends this side of the connection; the other side can still write.
+    pub async fn shut_down(&mut self) {
+        self.write.shutdown().await.expect("it can end");
+    }
+
+    pub async fn event(&mut self) -> String {
+        let line = self.receive().await;
+        line["event"].as_str().expect("an event").to_string()
+    }
+}
+
+/// A running agent and the folder with its sockets.
+pub struct Fixture {
+    folder: TempDir,
+    end: oneshot::Sender<()>,
+    agent: tokio::task::JoinHandle<()>,
+}
+
+impl Fixture {
+    pub async fn start(answer_ms: u64) -> Fixture {
+        let folder = tempfile::tempdir().expect("a folder");
+        let at = folder.path().display();
+        let text = format!(
+            "[agent]\nlisten = \"unix:{at}/agent.sock\"\nregister = \"unix:{at}/register.sock\"\n\
+             log = \"{at}/log\"\nheartbeat_ms = 60000\nanswer_ms = {answer_ms}"
+        );
+        let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("a good file");
+        let config: AgentConfig = file.agent.expect("an agent");
+        let (end, ended) = oneshot::channel();
+        let (ready, is_ready) = oneshot::channel();
+        let agent = tokio::spawn(async move {
+            let ready = move |list| ready.send(list).expect("somebody waits");
+            let end = async { drop(ended.await) };
+            agent::run(&config, &[], None, None, ready, end).await.expect("it runs");
+        });
+        assert_eq!(timeout(PATIENCE, is_ready).await.expect("in time"), Ok(None));
+        Fixture { folder, end, agent }
+    }
+
+    pub fn path(&self, name: &str) -> PathBuf {
+        self.folder.path().join(name)
+    }
+
+    pub async fn end(self) {
+        self.end.send(()).expect("it runs");
+        timeout(PATIENCE, self.agent).await.expect("in time").expect("it ended well");
+    }
+}
+
+/// Listens for the agent as a gateway. Returns the listener and its address.
+pub fn listen_as_gateway(agent: &Fixture, name: &str) -> (UnixListener, String) {
+    let socket = agent.path(&format!("{name}.sock"));
+    let listener = UnixListener::bind(&socket).expect("it is free");
+    (listener, format!("unix:{}", socket.display()))
+}
+
+/// The next connection of the agent to a gateway.
+pub async fn accept(listener: &UnixListener) -> Connection {
+    let (stream, _) = timeout(PATIENCE, listener.accept()).await.expect("in time").expect("a connection");
+    Connection::new(stream)
+}
+
+/// The state of gateway n1, as it reports it.
+pub fn gateway_state(boot: u64, seq: u64, term: u64, backends: bool) -> Value {
+    let mut state = json!({
+        "name": "n1", "version": "0.1.0", "boot": boot, "holds": {"term": term, "seq": seq},
+        "last_order": null, "drained_by": null, "list": 1,
+        "figures": {"listed": 4, "serving": 4, "drained": 0, "ejected": 0, "cold": 0, "waiting": 0,
+            "requests": 1, "in_flight": 2, "idle_connections": 3, "client_connections": 4, "customers": 5,
+            "forgotten": 6, "forgotten_units": 7},
+    });
+    if backends {
+        let backend = |i: u32| {
+            json!({"name": format!("s-{i}"), "address": "10.0.0.1:7", "group": i % 2, "type": "m2",
+                "zone": "z", "serving": true, "drained_by": null, "weight": 1.0, "ejected": false,
+                "warmth": 1.0, "in_flight": 0})
+        };
+        state["backends"] = (0..4).map(backend).collect();
+    }
+    state
+}
+
+/// Sends a request, and returns the first response.
+pub async fn ask(tool: &mut Connection, question: Value) -> Value {
+    tool.send(question).await;
+    tool.receive().await
+}
--- a/crates/agent/tests/log_form.rs
+++ b/crates/agent/tests/log_form.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use agent::{Contents, Log};
+use agent::{Contents, Log, RegisteredGateway};
 use fleet::wire::LoggedOrder;
 use fleet::{Change, GuardCounts, Order, Revision, Snapshot, Subject, Value};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -62,10 +62,10 @@
     let (settled, later) = orders();
     log.append(&settled, Some(&snapshot())).expect("room");
     log.append(&later, None).expect("room");
-    log.member("n1", Some("unix:/run/n1.sock")).expect("room");
-    log.member("n2", Some("tcp:127.0.0.1:7001")).expect("room");
-    log.member("n3", Some("unix:/run/n3.sock")).expect("room");
-    log.member("n3", None).expect("room");
+    log.add_member("n1", "unix:/run/n1.sock").expect("room");
+    log.add_member("n2", "tcp:127.0.0.1:7001").expect("room");
+    log.add_member("n3", "unix:/run/n3.sock").expect("room");
+    log.remove_member("n3").expect("room");
 }
 
 /// Every row of a log, as in [`ROWS`], with the names of all tables.
@@ -114,7 +114,10 @@
     expected.extend(later);
     assert_eq!(read, expected);
     assert_eq!(newest, Revision { term: TERM, seq: 7 });
-    let member = |name: &str, address: &str| (name.to_string(), address.to_string());
+    let member = |name: &str, address: &str| RegisteredGateway {
+        name: name.to_string(),
+        address: address.to_string(),
+    };
     assert_eq!(members, [member("n1", "unix:/run/n1.sock"), member("n2", "tcp:127.0.0.1:7001")]);
     let state = desired.snapshot();
     assert_eq!(state.since, Revision { term: TERM, seq: 0 });
@@ -158,7 +161,7 @@
     let path = recorded_copy(folder.path());
     let (log, _) = Log::open(&path).expect("a good log");
     log.append(&[logged(8, Subject::Group(4), Change::Drain, false)], None).expect("room");
-    log.member("n2", None).expect("room");
+    log.remove_member("n2").expect("room");
     drop(log);
     let (_, contents) = Log::open(&path).expect("a good log");
     assert_eq!(contents.newest, Revision { term: TERM, seq: 8 });
