--- a/crates/agent/tests/conversation/orders.rs
+++ b/crates/agent/tests/conversation/orders.rs
@@ -1,6 +1,7 @@
 //! One gateway from its registration to its removal, with orders and queries; and requests that are rejected.
 
 use serde_json::{json, Value};
+use tokio::net::UnixListener;
 
 use crate::support::{accept, ask, gateway_state, listen_as_gateway, Connection, Fixture};
 
@@ -24,143 +25,209 @@
     value
 }
 
-#[tokio::test]
-async fn a_gateway_is_registered_ordered_lost_and_removed_in_the_recorded_words() {
-    let agent = Fixture::start(20_000).await;
-    let mut watcher = Connection::connect(&agent.path("agent.sock")).await;
-    assert_eq!(ask(&mut watcher, json!({"n": 9, "op": "watch"})).await, json!({"n": 9, "event": "watching"}));
-    let mut tool = Connection::connect(&agent.path("agent.sock")).await;
-    let status = ask(&mut tool, json!({"n": 1, "op": "status"})).await;
-    let term = status["status"]["revision"]["term"].as_u64().expect("a term");
-    let revision = |seq: u64| json!({"term": term, "seq": seq});
-    let none = json!({"n": 1, "status": {"revision": revision(0), "gateways": [], "ordered": []}});
-    assert_eq!(status, none);
-
-    let (listener, address) = listen_as_gateway(&agent, "n1");
-    let register = json!({"n": 2, "op": "register", "name": "n1", "address": address});
-    assert_eq!(ask(&mut tool, register.clone()).await, json!({"n": 2, "done": {"done": 1, "failed": 0}}));
-    assert_eq!(watcher.event().await, format!("gateway n1 is overseen, at {address}"));
-    let mut gateway = accept(&listener).await;
-    let empty = json!({"since": revision(0), "floor": {"term": 0, "seq": 0}, "registers": []});
-    welcome(&mut gateway, 7, term, &empty).await;
-    assert_eq!(watcher.event().await, "gateway n1 is ok");
-
-    // An order: the gateway is told, and the tool and whoever watches are told what came of it.
-    let order = json!({"n": 3, "op": "order", "id": "o-1", "subject": {"backend": "s-1"}, "change": "drain",
-        "deadline_ms": 20_000});
-    let counts = json!({"covered": 1, "serving": 4, "ready": 4, "left": 3});
-    let accepted =
-        json!({"revision": revision(1), "repeated": false, "counts": counts.clone(), "instances": 1});
-    assert_eq!(ask(&mut tool, order.clone()).await, json!({"n": 3, "accepted": accepted}));
-    assert_eq!(watcher.event().await, format!("order o-1 drain backend/s-1 at revision {term}.1"));
-    let told =
-        json!({"id": "o-1", "revision": revision(1), "subject": {"backend": "s-1"}, "change": "drain"});
-    assert_eq!(gateway.receive().await, json!({"n": 4, "op": "apply", "orders": [told]}));
-    let verdict = json!({"id": "o-1", "outcome": "applied", "matched": 1});
-    let applied = json!({"boot": 7, "holds": revision(1), "verdicts": [verdict]});
-    gateway.send(json!({"n": 4, "applied": applied})).await;
-    let instance = json!({"gateway": "n1", "did": "answered", "outcome": "applied", "matched": 1});
-    let answered = without(tool.receive().await, "instance", "took_ms");
-    assert_eq!(answered, json!({"n": 3, "instance": instance}));
-    assert_eq!(tool.receive().await, json!({"n": 3, "done": {"done": 1, "failed": 0}}));
-    assert_eq!(gateway.receive().await, json!({"n": 5, "op": "state", "backends": false}));
-    gateway.send(json!({"n": 5, "state": gateway_state(7, 1, term, false)})).await;
-
-    // The same again, and others that are refused.
-    let again = ask(&mut tool, order).await;
-    let repeated = json!({"revision": revision(1), "repeated": true, "counts": counts, "instances": 1});
-    assert_eq!(again, json!({"n": 3, "accepted": repeated}));
-    let instance = json!({"gateway": "n1", "did": "answered", "outcome": "applied", "matched": null});
-    let answered = without(tool.receive().await, "instance", "took_ms");
-    assert_eq!(answered, json!({"n": 3, "instance": instance}));
-    assert_eq!(tool.receive().await, json!({"n": 3, "done": {"done": 1, "failed": 0}}));
-    let refusals = [
-        (
-            json!({"id": "o-1", "subject": {"backend": "s-2"}, "change": "drain"}),
-            "id-reused",
-            "id o-1 was given to drain backend/s-1",
-        ),
-        (
-            json!({"id": "o-2", "subject": {"type": "m2"}, "change": "drain"}),
-            "too-few",
-            "would leave 0 of 4 backends ready (3 are now); 2 are to be left; --force orders it all the same",
-        ),
-        (
-            json!({"id": "o-2", "subject": {"backend": "x"}, "change": "drain"}),
-            "unknown-subject",
-            "backend/x: no gateway lists such a backend; --force orders it all the same",
-        ),
-        (
-            json!({"id": "o-2", "subject": {"gateway": "x"}, "change": "drain"}),
-            "unknown-subject",
-            "gateway/x: no gateway of that name is overseen",
-        ),
-        (
-            json!({"id": "o-2", "subject": {"group": 1}, "change": {"weight": 2.0}}),
-            "bad-request",
-            "group/1 has no weight; a backend has",
-        ),
-    ];
-    for (mut order, code, message) in refusals {
-        order["n"] = json!(4);
-        order["op"] = json!("order");
-        order["deadline_ms"] = json!(20_000);
-        let fault = json!({"n": 4, "fault": {"code": code, "message": message}});
-        assert_eq!(ask(&mut tool, order).await, fault);
+/// An agent with one gateway, a tool and a watcher.
+struct Scenario {
+    agent: Fixture,
+    watcher: Connection,
+    tool: Connection,
+    listener: UnixListener,
+    gateway: Connection,
+    term: u64,
+}
+
+impl Scenario {
+    /// Starts an agent, and registers a gateway.
+    async fn start() -> Scenario {
+        let agent = Fixture::start(20_000).await;
+        let mut watcher = Connection::connect(&agent.path("agent.sock")).await;
+        assert_eq!(
+            ask(&mut watcher, json!({"n": 9, "op": "watch"})).await,
+            json!({"n": 9, "event": "watching"})
+        );
+        let mut tool = Connection::connect(&agent.path("agent.sock")).await;
+        let status = ask(&mut tool, json!({"n": 1, "op": "status"})).await;
+        let term = status["status"]["revision"]["term"].as_u64().expect("a term");
+        let revision = |seq: u64| json!({"term": term, "seq": seq});
+        let none = json!({"n": 1, "status": {"revision": revision(0), "gateways": [], "ordered": []}});
+        assert_eq!(status, none);
+
+        let (listener, address) = listen_as_gateway(&agent, "n1");
+        let register = json!({"n": 2, "op": "register", "name": "n1", "address": address});
+        assert_eq!(ask(&mut tool, register.clone()).await, json!({"n": 2, "done": {"done": 1, "failed": 0}}));
+        assert_eq!(watcher.event().await, format!("gateway n1 is overseen, at {address}"));
+        let mut gateway = accept(&listener).await;
+        let empty = json!({"since": revision(0), "floor": {"term": 0, "seq": 0}, "registers": []});
+        welcome(&mut gateway, 7, term, &empty).await;
+        assert_eq!(watcher.event().await, "gateway n1 is ok");
+        Scenario { agent, watcher, tool, listener, gateway, term }
     }
 
-    // Questions that are passed on to the gateway.
-    tool.send(json!({"n": 5, "op": "inflight", "subject": {"group": 1}, "deadline_ms": 20_000})).await;
-    let asked = json!({"n": 6, "op": "inflight", "subject": {"group": 1}});
-    assert_eq!(gateway.receive().await, asked);
-    gateway.send(json!({"n": 6, "inflight": 3})).await;
-    let counted = json!([{"gateway": "n1", "did": "counted", "in_flight": 3}]);
-    assert_eq!(tool.receive().await, json!({"n": 5, "inflight": counted}));
-    tool.send(json!({"n": 6, "op": "status", "backends": true})).await;
-    let status = tool.receive().await;
-    let member = &status["status"]["gateways"][0];
-    assert_eq!((&member["health"], &member["holds"]), (&json!("ok"), &revision(1)));
-    assert_eq!(member["state"], gateway_state(7, 1, term, false));
-    assert_eq!(gateway.receive().await, json!({"n": 7, "op": "state", "backends": true}));
-    gateway.send(json!({"n": 7, "fault": {"code": "unavailable", "message": "not now"}})).await;
-    let backends = json!({"gateway": "n1", "state": {"Err": "it says: not now"}});
-    assert_eq!(tool.receive().await, json!({"n": 6, "backends": backends}));
-    assert_eq!(tool.receive().await, json!({"n": 6, "done": {"done": 0, "failed": 1}}));
-    tool.send(json!({"n": 7, "op": "inflight", "subject": {"group": 1}, "deadline_ms": 20_000})).await;
-    gateway.receive().await;
-    gateway.send(json!({"n": 8, "applied": {"boot": 7, "holds": revision(1), "verdicts": []}})).await;
-    let counted = json!([{"gateway": "n1", "did": "unreachable", "why": "it answered something else"}]);
-    assert_eq!(tool.receive().await, json!({"n": 7, "inflight": counted}));
-
-    // The gateway ends, and comes back as another process.
-    gateway.shut_down().await;
-    tool.send(json!({"n": 7, "op": "inflight", "subject": {"group": 1}, "deadline_ms": 20_000})).await;
-    let counted = json!([{"gateway": "n1", "did": "unreachable", "why": "it ended the connection"}]);
-    assert_eq!(tool.receive().await, json!({"n": 7, "inflight": counted}));
-    assert_eq!(watcher.event().await, "gateway n1 is unreachable: it ended the connection");
-    let mut gateway = accept(&listener).await;
-    let drained = json!({"subject": {"backend": "s-1"}, "revision": revision(1), "id": "o-1",
-        "value": {"drained": true}});
-    let held = json!({"since": revision(0), "floor": {"term": 0, "seq": 0}, "registers": [drained]});
-    welcome(&mut gateway, 8, term, &held).await;
-    assert_eq!(watcher.event().await, "gateway n1 has started anew");
-
-    // An order while the gateway says nothing, and its removal.
-    let order = json!({"n": 8, "op": "order", "id": "o-2", "subject": {"backend": "s-2"}, "change": "drain",
-        "forced": true, "deadline_ms": 20_000});
-    ask(&mut tool, order).await;
-    assert_eq!(watcher.event().await, format!("order o-2 drain backend/s-2 at revision {term}.2, forced"));
-    let mut other = Connection::connect(&agent.path("agent.sock")).await;
-    let removed = ask(&mut other, json!({"n": 1, "op": "deregister", "name": "n1"})).await;
-    assert_eq!(removed, json!({"n": 1, "done": {"done": 1, "failed": 0}}));
-    let instance = json!({"gateway": "n1", "did": "unreachable", "why": "no longer overseen"});
-    assert_eq!(tool.receive().await, json!({"n": 8, "instance": instance}));
-    assert_eq!(tool.receive().await, json!({"n": 8, "done": {"done": 0, "failed": 1}}));
-    assert_eq!(watcher.event().await, "gateway n1 is overseen no more");
-    let removed = ask(&mut other, json!({"n": 2, "op": "deregister", "name": "n1"})).await;
-    let fault = json!({"code": "unknown-subject", "message": "no gateway n1 is overseen"});
-    assert_eq!(removed, json!({"n": 2, "fault": fault}));
-    agent.end().await;
+    fn revision(&self, seq: u64) -> Value {
+        json!({"term": self.term, "seq": seq})
+    }
+
+    /// The order of this scenario, and what the guard counts for it.
+    fn first_order() -> (Value, Value) {
+        let order = json!({"n": 3, "op": "order", "id": "o-1", "subject": {"backend": "s-1"},
+            "change": "drain", "deadline_ms": 20_000});
+        let counts = json!({"covered": 1, "serving": 4, "ready": 4, "left": 3});
+        (order, counts)
+    }
+
+    /// An order: the gateway receives it, and tool and watcher learn its outcome.
+    async fn order(&mut self) {
+        let (order, counts) = Scenario::first_order();
+        let accepted =
+            json!({"revision": self.revision(1), "repeated": false, "counts": counts, "instances": 1});
+        assert_eq!(ask(&mut self.tool, order).await, json!({"n": 3, "accepted": accepted}));
+        assert_eq!(
+            self.watcher.event().await,
+            format!("order o-1 drain backend/s-1 at revision {}.1", self.term)
+        );
+        let told = json!({"id": "o-1", "revision": self.revision(1), "subject": {"backend": "s-1"}, "change": "drain"});
+        assert_eq!(self.gateway.receive().await, json!({"n": 4, "op": "apply", "orders": [told]}));
+        let verdict = json!({"id": "o-1", "outcome": "applied", "matched": 1});
+        let applied = json!({"boot": 7, "holds": self.revision(1), "verdicts": [verdict]});
+        self.gateway.send(json!({"n": 4, "applied": applied})).await;
+        let instance = json!({"gateway": "n1", "did": "answered", "outcome": "applied", "matched": 1});
+        let answered = without(self.tool.receive().await, "instance", "took_ms");
+        assert_eq!(answered, json!({"n": 3, "instance": instance}));
+        assert_eq!(self.tool.receive().await, json!({"n": 3, "done": {"done": 1, "failed": 0}}));
+        assert_eq!(self.gateway.receive().await, json!({"n": 5, "op": "state", "backends": false}));
+        self.gateway.send(json!({"n": 5, "state": gateway_state(7, 1, self.term, false)})).await;
+    }
+
+    /// The same order again: nothing is sent to the gateway.
+    async fn repeat_order(&mut self) {
+        let (order, counts) = Scenario::first_order();
+        let again = ask(&mut self.tool, order).await;
+        let repeated =
+            json!({"revision": self.revision(1), "repeated": true, "counts": counts, "instances": 1});
+        assert_eq!(again, json!({"n": 3, "accepted": repeated}));
+        let instance = json!({"gateway": "n1", "did": "answered", "outcome": "applied", "matched": null});
+        let answered = without(self.tool.receive().await, "instance", "took_ms");
+        assert_eq!(answered, json!({"n": 3, "instance": instance}));
+        assert_eq!(self.tool.receive().await, json!({"n": 3, "done": {"done": 1, "failed": 0}}));
+    }
+
+    /// Orders that are rejected.
+    async fn order_what_is_rejected(&mut self) {
+        let refusals = [
+            (
+                json!({"id": "o-1", "subject": {"backend": "s-2"}, "change": "drain"}),
+                "id-reused",
+                "id o-1 was given to drain backend/s-1",
+            ),
+            (
+                json!({"id": "o-2", "subject": {"type": "m2"}, "change": "drain"}),
+                "too-few",
+                "would leave 0 of 4 backends ready (3 are now); 2 are to be left; --force orders it all the same",
+            ),
+            (
+                json!({"id": "o-2", "subject": {"backend": "x"}, "change": "drain"}),
+                "unknown-subject",
+                "backend/x: no gateway lists such a backend; --force orders it all the same",
+            ),
+            (
+                json!({"id": "o-2", "subject": {"gateway": "x"}, "change": "drain"}),
+                "unknown-subject",
+                "gateway/x: no gateway of that name is overseen",
+            ),
+            (
+                json!({"id": "o-2", "subject": {"group": 1}, "change": {"weight": 2.0}}),
+                "bad-request",
+                "group/1 has no weight; a backend has",
+            ),
+        ];
+        for (mut order, code, message) in refusals {
+            order["n"] = json!(4);
+            order["op"] = json!("order");
+            order["deadline_ms"] = json!(20_000);
+            let fault = json!({"n": 4, "fault": {"code": code, "message": message}});
+            assert_eq!(ask(&mut self.tool, order).await, fault);
+        }
+    }
+
+    /// Requests that are passed on to the gateway.
+    async fn query(&mut self) {
+        self.tool
+            .send(json!({"n": 5, "op": "inflight", "subject": {"group": 1}, "deadline_ms": 20_000}))
+            .await;
+        let asked = json!({"n": 6, "op": "inflight", "subject": {"group": 1}});
+        assert_eq!(self.gateway.receive().await, asked);
+        self.gateway.send(json!({"n": 6, "inflight": 3})).await;
+        let counted = json!([{"gateway": "n1", "did": "counted", "in_flight": 3}]);
+        assert_eq!(self.tool.receive().await, json!({"n": 5, "inflight": counted}));
+        self.tool.send(json!({"n": 6, "op": "status", "backends": true})).await;
+        let status = self.tool.receive().await;
+        let member = &status["status"]["gateways"][0];
+        assert_eq!((&member["health"], &member["holds"]), (&json!("ok"), &self.revision(1)));
+        assert_eq!(member["state"], gateway_state(7, 1, self.term, false));
+        assert_eq!(self.gateway.receive().await, json!({"n": 7, "op": "state", "backends": true}));
+        self.gateway.send(json!({"n": 7, "fault": {"code": "unavailable", "message": "not now"}})).await;
+        let backends = json!({"gateway": "n1", "state": {"Err": "it says: not now"}});
+        assert_eq!(self.tool.receive().await, json!({"n": 6, "backends": backends}));
+        assert_eq!(self.tool.receive().await, json!({"n": 6, "done": {"done": 0, "failed": 1}}));
+        self.tool
+            .send(json!({"n": 7, "op": "inflight", "subject": {"group": 1}, "deadline_ms": 20_000}))
+            .await;
+        self.gateway.receive().await;
+        self.gateway
+            .send(json!({"n": 8, "applied": {"boot": 7, "holds": self.revision(1), "verdicts": []}}))
+            .await;
+        let counted = json!([{"gateway": "n1", "did": "unreachable", "why": "it answered something else"}]);
+        assert_eq!(self.tool.receive().await, json!({"n": 7, "inflight": counted}));
+    }
+
+    /// The gateway shuts down, and comes back as another process.
+    async fn restart_gateway(&mut self) {
+        self.gateway.shut_down().await;
+        self.tool
+            .send(json!({"n": 7, "op": "inflight", "subject": {"group": 1}, "deadline_ms": 20_000}))
+            .await;
+        let counted = json!([{"gateway": "n1", "did": "unreachable", "why": "it ended the connection"}]);
+        assert_eq!(self.tool.receive().await, json!({"n": 7, "inflight": counted}));
+        assert_eq!(self.watcher.event().await, "gateway n1 is unreachable: it ended the connection");
+        self.gateway = accept(&self.listener).await;
+        let drained = json!({"subject": {"backend": "s-1"}, "revision": self.revision(1), "id": "o-1",
+            "value": {"drained": true}});
+        let held = json!({"since": self.revision(0), "floor": {"term": 0, "seq": 0}, "registers": [drained]});
+        welcome(&mut self.gateway, 8, self.term, &held).await;
+        assert_eq!(self.watcher.event().await, "gateway n1 has started anew");
+    }
+
+    /// An order while the gateway is silent, and its removal.
+    async fn remove_gateway(&mut self) {
+        let order = json!({"n": 8, "op": "order", "id": "o-2", "subject": {"backend": "s-2"}, "change": "drain",
+            "forced": true, "deadline_ms": 20_000});
+        ask(&mut self.tool, order).await;
+        assert_eq!(
+            self.watcher.event().await,
+            format!("order o-2 drain backend/s-2 at revision {}.2, forced", self.term)
+        );
+        let mut other = Connection::connect(&self.agent.path("agent.sock")).await;
+        let removed = ask(&mut other, json!({"n": 1, "op": "deregister", "name": "n1"})).await;
+        assert_eq!(removed, json!({"n": 1, "done": {"done": 1, "failed": 0}}));
+        let instance = json!({"gateway": "n1", "did": "unreachable", "why": "no longer overseen"});
+        assert_eq!(self.tool.receive().await, json!({"n": 8, "instance": instance}));
+        assert_eq!(self.tool.receive().await, json!({"n": 8, "done": {"done": 0, "failed": 1}}));
+        assert_eq!(self.watcher.event().await, "gateway n1 is overseen no more");
+        let removed = ask(&mut other, json!({"n": 2, "op": "deregister", "name": "n1"})).await;
+        let fault = json!({"code": "unknown-subject", "message": "no gateway n1 is overseen"});
+        assert_eq!(removed, json!({"n": 2, "fault": fault}));
+    }
+}
+
+#[tokio::test]
+async fn a_gateway_is_registered_ordered_lost_and_removed_in_the_recorded_words() {
+    let mut scenario = Scenario::start().await;
+    scenario.order().await;
+    scenario.repeat_order().await;
+    scenario.order_what_is_rejected().await;
+    scenario.query().await;
+    scenario.restart_gateway().await;
+    scenario.remove_gateway().await;
+    scenario.agent.end().await;
 }
 
 #[tokio::test]
