--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -3,16 +3,16 @@
 //! A bound is cut into slots, one for each number of the fleet. Each slot has its own gateway, the owner, and
 //! keepers that give their word on who has it. What passes between members is [`Message`].
 
-mod desk;
+mod coordinator;
+mod grantor;
 mod holder;
-mod keeper;
 mod terms;
 
 use serde::{Deserialize, Serialize};
 
-pub use desk::{Believed, Desk, Out};
+pub use coordinator::{Believed, Desk, Out};
+pub use grantor::Keeper;
 pub use holder::{Holder, Part, MAX_PENDING_REQUESTS};
-pub use keeper::Keeper;
 pub use terms::{Terms, KEPT_UNITS, LENT_UNITS, MAX_GRANTORS, SLOT_UNITS};
 
 /// A member in one life of it.
