--- a/crates/cold-start/src/adaptive_share.rs
+++ b/crates/cold-start/src/adaptive_share.rs
@@ -1,75 +1,81 @@
-//! The part of its rounds that a gateway takes, by what the service does.
+//! The part of its rounds that a gateway uses, by what the service does.
 
-/// The least part. Danger: a service that was away for long, and a fleet that asks no more. Harm: a service
-/// that bears less than this part of what operators say is called more than it bears.
+/// The least share: a fleet goes on asking, however long a service was away. A service with less than this
+/// part of its stated capacity is called more than it can take.
 pub const MIN_SHARE: f64 = 1.0 / 16.0;
-/// What an answer adds, of the whole.
-const RISE: f64 = 1.0 / 128.0;
-/// What one that came at once leaves, of the part: the service has room.
-const QUICK: f64 = 2.0;
-/// What is left after a call that was too much.
-const FALL: f64 = 0.5;
-/// An answer that took so long, ms, came at once, and one that took longer than this stood in a queue.
-const QUEUE_MS: (f64, f64) = (100.0, 1_000.0);
+/// What a response adds, as a part of the whole.
+const ADDITIVE_INCREASE: f64 = 1.0 / 128.0;
+/// Factor of the share after a response that came at once: the service has capacity left.
+const FAST_INCREASE_FACTOR: f64 = 2.0;
+/// Factor of the share after a call that was too much.
+const DECREASE_FACTOR: f64 = 0.5;
+/// A response that was queued for less than this, ms, came at once.
+const FAST_RESPONSE_MS: f64 = 100.0;
+/// A response that was queued for longer than this, ms, counts as a rejection.
+const QUEUED_RESPONSE_MS: f64 = 1_000.0;
 
-/// The part of its rounds that a gateway takes, from [`MIN_SHARE`] to 1. Additive rise and multiplicative
-/// fall come to rest at what is borne, evenly, without anybody's being told (Chiu and Jain, 1989); where an
-/// answer's time tells more, the part follows sooner.
+/// The part of its rounds that a gateway uses, from [`MIN_SHARE`] to 1.
+///
+/// Additive increase and multiplicative decrease settle at the service's capacity, evenly among gateways that
+/// do not know of each other (Chiu and Jain, 1989). Where a response time tells more, the share follows
+/// sooner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdaptiveShare {
     fraction: f64,
-    /// The least time that an answer took, ms: what the way there and back takes.
-    least_ms: Option<f64>,
-    /// Calls in a row that were too much.
-    record_rejection: u32,
+    /// The least response time, ms: what the network takes.
+    min_response_ms: Option<f64>,
+    consecutive_rejections: u32,
 }
 
 impl Default for AdaptiveShare {
     fn default() -> Self {
-        AdaptiveShare { fraction: 1.0, least_ms: None, record_rejection: 0 }
+        AdaptiveShare { fraction: 1.0, min_response_ms: None, consecutive_rejections: 0 }
     }
 }
 
 impl AdaptiveShare {
-    /// One that begins with a part, [`MIN_SHARE`] to 1.
+    /// A share that begins with a fraction of [`MIN_SHARE`] to 1.
     #[must_use]
-    pub fn starting_at(part: f64) -> AdaptiveShare {
-        AdaptiveShare { fraction: part.clamp(MIN_SHARE, 1.0), ..AdaptiveShare::default() }
+    pub fn starting_at(fraction: f64) -> AdaptiveShare {
+        AdaptiveShare { fraction: fraction.clamp(MIN_SHARE, 1.0), ..AdaptiveShare::default() }
     }
 
-    /// The part now.
+    /// The share now.
     #[must_use]
-    pub fn part(&self) -> f64 {
+    pub fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// A call was answered, so long after it was made, ms, where it was to be answered at once.
-    pub fn record_response(&mut self, took_ms: Option<f64>) {
-        self.record_rejection = 0;
-        let Some(took_ms) = took_ms else {
-            self.fraction = (self.fraction + RISE).min(1.0);
+    /// Records a response, and the response time, ms, of a call that was to be answered at once.
+    pub fn record_response(&mut self, response_ms: Option<f64>) {
+        self.consecutive_rejections = 0;
+        let Some(response_ms) = response_ms else {
+            self.fraction = (self.fraction + ADDITIVE_INCREASE).min(1.0);
             return;
         };
-        let least = self.least_ms.map_or(0.0, |least| least.min(took_ms));
-        self.least_ms = Some(self.least_ms.map_or(took_ms, |least| least.min(took_ms)));
-        let stood = took_ms - least;
-        if stood < QUEUE_MS.0 {
-            self.fraction = (self.fraction * QUICK + RISE).min(1.0);
-        } else if stood > QUEUE_MS.1 {
-            self.fall();
+        // The first response tells nothing of the network yet.
+        let network_ms = self.min_response_ms.map_or(0.0, |least| least.min(response_ms));
+        self.min_response_ms = Some(self.min_response_ms.map_or(response_ms, |least| least.min(response_ms)));
+        let queued_ms = response_ms - network_ms;
+        if queued_ms < FAST_RESPONSE_MS {
+            self.fraction = (self.fraction * FAST_INCREASE_FACTOR + ADDITIVE_INCREASE).min(1.0);
+        } else if queued_ms > QUEUED_RESPONSE_MS {
+            self.decrease();
         }
     }
 
-    /// A call was turned away, or not answered in time. The first in a row changes nothing for one that was
-    /// never told: a service that was away for less than a round turns everybody away once.
-    pub fn refused(&mut self, told: bool) {
-        self.record_rejection = self.record_rejection.saturating_add(1);
-        if told || self.record_rejection > 1 {
-            self.fall();
+    /// Records a call that was rejected or timed out.
+    ///
+    /// The first in a row changes nothing for a gateway that has no list confirmed yet: a service that was
+    /// away for less than a round rejects every gateway once.
+    pub fn record_rejection(&mut self, list_confirmed: bool) {
+        self.consecutive_rejections = self.consecutive_rejections.saturating_add(1);
+        if list_confirmed || self.consecutive_rejections > 1 {
+            self.decrease();
         }
     }
 
-    fn fall(&mut self) {
-        self.fraction = (self.fraction * FALL).max(MIN_SHARE);
+    fn decrease(&mut self) {
+        self.fraction = (self.fraction * DECREASE_FACTOR).max(MIN_SHARE);
     }
 }
--- a/crates/cold-start/src/connection_ramp.rs
+++ b/crates/cold-start/src/connection_ramp.rs
@@ -1,4 +1,4 @@
-//! When a gateway opens its first connection to each backend, and when its decisions hear of one.
+//! When a gateway opens its first connection to each backend, and when the backend may be selected.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -8,32 +8,37 @@
 
 use crate::SlotSchedule;
 
-/// So many backends are opened while the list is unconfirmed, in the first round; twice as many in the next.
-const FEW: usize = MIN_SUBSET_SIZE;
-/// Attempts that are out at once for each further backend that is opened.
-const BUSY: usize = 2;
-/// The rounds after which `FEW` is doubled no more.
+/// Backends that are opened in the first round while the list is unconfirmed; twice as many in each further
+/// one.
+const INITIAL_BACKENDS: usize = MIN_SUBSET_SIZE;
+/// Rounds after which that number doubles no more.
 const MAX_DOUBLINGS: u64 = 20;
-/// After so many rounds with a list that was confirmed all of it is told, whatever is not open by then.
-const RELEASED_ROUNDS: f64 = 2.0;
-/// Pause after a first try that failed, ms: the least, and the most where a round is shorter.
-const PAUSE_MS: (f64, f64) = (200.0, 20_000.0);
-/// A slot that has passed for so long, ms, is left out. Danger: some hundred gateways that were stopped
-/// together, and go on together.
-const LATE_MS: f64 = 100.0;
-/// How long a gateway with backends on its list waits for the first that answers, beside two rounds.
-const FIRST: Duration = Duration::from_millis(500);
+/// Attempts in flight for each further backend that is opened.
+const ATTEMPTS_PER_BACKEND: usize = 2;
+/// Rounds after the list was confirmed in which backends of the subset may be waited for.
+const RELEASE_ROUNDS: f64 = 2.0;
+/// The least backoff after a first connection that failed, ms. It doubles with each failure in a row.
+const MIN_BACKOFF_MS: f64 = 200.0;
+/// The longest backoff, ms, where a round is shorter.
+const MAX_BACKOFF_MS: f64 = 20_000.0;
+/// Failures in a row after which the backoff doubles no more.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// A slot that has passed for this long, ms, is skipped: gateways that were stopped together and go on
+/// together would connect together.
+const MAX_LATENESS_MS: f64 = 100.0;
+/// How long a gateway waits for its first backend, beside two rounds.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How far a gateway has come since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RampStage {
     /// It knows no backend that takes work.
     Empty,
-    /// It knows some by a list that nobody confirmed since.
+    /// It knows backends by a list that was not confirmed since the start.
     Known,
-    /// The list was confirmed; some backends on it are not open.
+    /// The list was confirmed; some of its backends are not open.
     Confirmed,
-    /// All backends on a list that was confirmed are open.
+    /// All backends of a confirmed list are open.
     Warm,
 }
 
@@ -49,136 +54,178 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Door {
-    /// It is not this gateway's own, and was not needed yet.
-    Aside,
-    /// It has its turn at this moment, Unix time in µs.
-    Waits { at_us: u64 },
-    /// A first connection is being opened.
-    Tried,
-    /// The decisions have it.
+enum ConnectionState {
+    /// It is outside the subset, or was not needed yet.
+    Deferred,
+    /// It has a slot at this moment, Unix time in µs.
+    Queued { at_us: u64 },
+    /// The first connection is being opened.
+    Connecting,
+    /// The backend may be selected.
     Open,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Backend {
     key: u64,
-    /// From when it is cold, Unix time in ms: tells its lives apart.
-    life_ms: f64,
-    /// Its rank among all for this gateway, as the bits of [`Subset::threshold`], which sort as it does.
+    /// From when it is warming up, Unix time in ms: tells its incarnations apart.
+    warming_from_ms: f64,
+    /// Rank among all backends for this gateway: the bits of [`Subset::threshold`], which sort as it does.
     rank: u64,
-    door: Door,
-    /// First tries in a row that failed.
-    failed: u32,
+    state: ConnectionState,
+    /// First connections in a row that failed.
+    failures: u32,
 }
 
-/// The backends of one gateway that take work by the list: those that are open, and those that wait for their
-/// turn.
+impl Backend {
+    /// Whether its first connection is to come and none has failed yet.
+    fn is_pending(&self) -> bool {
+        let has_turn = matches!(self.state, ConnectionState::Queued { .. } | ConnectionState::Connecting);
+        has_turn && self.failures == 0
+    }
+}
+
+/// A deferred backend, by its rank.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RankedBackend {
+    rank: u64,
+    id: u32,
+}
+
+/// A deferred backend, by the slot that this gateway has for it in a round.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SlottedBackend {
+    slot_index: u32,
+    id: u32,
+}
+
+/// A backend in the queue, by its moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedBackend {
+    at_us: u64,
+    id: u32,
+}
+
+/// The backends of one gateway that take work by the list: which of them are open, and when the others get
+/// their first connection.
 ///
-/// Of all gateways together each backend gets one first connection a slot, as gateway `g` has the slot
-/// `(g + key) mod N` of the round for it. A gateway takes turns for its home, those that it is to keep to by
-/// rendezvous hashing, and for as many more as its work wants. The others are told to the decisions once the
-/// home was tried: what is sent there is spilt over, with a connection when it is needed.
+/// Without it, hundreds of gateways would each find out by requests of their own which backends are gone, and
+/// all would connect at once to one that is back. So each backend gets one first connection a slot from the
+/// whole fleet: gateway `g` has the slot `(g + key) mod N` of a round for it. In return a backend gets its
+/// first work from a gateway up to a round after it was listed.
 ///
-/// Danger: hundreds of gateways that each find out by requests of their own which backends are gone, and that
-/// all open connections to one that is back. Harm: a backend gets its first work from a gateway up to a round
-/// after it was listed.
+/// A gateway uses slots for its subset, the backends that it prefers by rendezvous hashing, and for as many
+/// more as its work needs. The others may be selected once the subset was tried: what overflows to them opens
+/// a connection when it needs one.
 #[derive(Clone, Debug)]
 pub struct ConnectionRamp {
     subset: Subset,
-    place: u32,
+    gateway_index: u32,
     gateways: u32,
-    per_s: f64,
+    connections_per_s: f64,
     round_ms: f64,
-    begun_ms: f64,
+    started_ms: f64,
     backends: HashMap<u32, Backend>,
-    /// Those that are aside, by rank, and by the place of their slot in a round.
-    aside: BTreeSet<(u64, u32)>,
-    by_place: BTreeSet<(u32, u32)>,
-    /// Those that wait, by their moments.
-    queue: BTreeSet<(u64, u32)>,
+    deferred_by_rank: BTreeSet<RankedBackend>,
+    deferred_by_slot: BTreeSet<SlottedBackend>,
+    queue: BTreeSet<QueuedBackend>,
     open_count: usize,
-    /// Those that had no failure yet and are not open, of those that got a turn.
-    pending: usize,
+    /// How many backends are [pending](Backend::is_pending).
+    pending_count: usize,
     /// When the list was confirmed, Unix time in ms.
     confirmed_ms: Option<f64>,
-    /// Whether those aside are told.
+    /// Whether deferred backends may be selected.
     released: bool,
     /// Attempts that failed before that.
-    faults: usize,
+    failed_attempts: usize,
 }
 
 impl ConnectionRamp {
-    /// Those of gateway `place`, from 0, of `gateways` (0 counts as 1) with homes by `subset`, that starts at
-    /// `now_ms`, Unix time, where a backend takes `per_s` first connections a second from all of them, 0.001
-    /// at least.
+    /// The ramp of gateway `gateway_index`, from 0, of `gateways` (0 counts as 1) that starts at `now_ms`,
+    /// Unix time, where a backend takes `connections_per_s` first connections a second from all of them, at
+    /// least 0.001.
     #[must_use]
-    pub fn new(place: u32, gateways: u32, subset: Subset, per_s: f64, now_ms: f64) -> ConnectionRamp {
-        let round_ms = SlotSchedule::new(0, gateways, per_s).round().as_secs_f64() * 1_000.0;
+    pub fn new(
+        gateway_index: u32,
+        gateways: u32,
+        subset: Subset,
+        connections_per_s: f64,
+        now_ms: f64,
+    ) -> ConnectionRamp {
+        let round = SlotSchedule::new(0, gateways, connections_per_s).round();
         ConnectionRamp {
             subset,
-            place,
+            gateway_index,
             gateways: gateways.max(1),
-            per_s,
-            round_ms,
-            begun_ms: now_ms,
+            connections_per_s,
+            round_ms: round.as_secs_f64() * 1_000.0,
+            started_ms: now_ms,
             backends: HashMap::new(),
-            aside: BTreeSet::new(),
-            by_place: BTreeSet::new(),
+            deferred_by_rank: BTreeSet::new(),
+            deferred_by_slot: BTreeSet::new(),
             queue: BTreeSet::new(),
             open_count: 0,
-            pending: 0,
+            pending_count: 0,
             confirmed_ms: None,
             released: false,
-            faults: 0,
+            failed_attempts: 0,
         }
     }
 
-    /// This gateway's slots for a backend.
-    fn calendar(&self, key: u64) -> SlotSchedule {
-        let n = u64::from(self.gateways);
-        SlotSchedule::new(((u64::from(self.place) + key % n) % n) as u32, self.gateways, self.per_s)
+    /// This gateway's slots for the backend with that key.
+    fn slots_for(&self, key: u64) -> SlotSchedule {
+        let gateways = u64::from(self.gateways);
+        let index = (u64::from(self.gateway_index) + key % gateways) % gateways;
+        SlotSchedule::new(index as u32, self.gateways, self.connections_per_s)
     }
 
-    /// The list names a backend that takes work: its number here, what it is known by at all gateways, and
-    /// from when it is cold, Unix time in ms. Whether the decisions may have it now; where not,
-    /// [`Openings::choose`] and [`Openings::release`] are to follow once the whole list was taken in.
+    /// The list names a backend that takes work: its id at this gateway, its key at all gateways, and from
+    /// when it is warming up, Unix time in ms. Returns whether it may be selected now; if not,
+    /// [`ConnectionRamp::choose`] and [`ConnectionRamp::release`] are to follow once the whole list was added.
     ///
-    /// Danger: one that started anew and is empty, to which all gateways hear at once that they may send. A
-    /// later life waits for its turn as a new backend does.
-    pub fn add(&mut self, id: u32, key: u64, life_ms: f64) -> bool {
-        let held = self.backends.get(&id).filter(|b| b.life_ms >= life_ms);
-        if let Some(held) = held {
-            return held.door == Door::Open;
+    /// A later incarnation is empty, so it waits for its slot as a new backend does.
+    pub fn add(&mut self, id: u32, key: u64, warming_from_ms: f64) -> bool {
+        let known = self.backends.get(&id).filter(|backend| backend.warming_from_ms >= warming_from_ms);
+        if let Some(known) = known {
+            return known.state == ConnectionState::Open;
         }
         self.remove(id);
         let rank = self.subset.threshold(key).to_bits();
-        self.aside.insert((rank, id));
-        self.by_place.insert((self.calendar(key).place(), id));
-        self.backends.insert(id, Backend { key, life_ms, rank, door: Door::Aside, failed: 0 });
+        let state = ConnectionState::Deferred;
+        self.backends.insert(id, Backend { key, warming_from_ms, rank, state, failures: 0 });
+        self.deferred_by_rank.insert(RankedBackend { rank, id });
+        self.deferred_by_slot.insert(SlottedBackend { slot_index: self.slots_for(key).slot_index(), id });
         false
     }
 
-    /// A backend drains, or is gone. When it takes work again it waits for its turn.
+    /// A backend drains or was removed from the list. When it takes work again it waits for a slot.
     pub fn remove(&mut self, id: u32) {
-        let Some(b) = self.backends.remove(&id) else { return };
-        match b.door {
-            Door::Aside => self.no_longer_aside(id, b.rank, b.key),
-            Door::Waits { at_us } => drop(self.queue.remove(&(at_us, id))),
-            Door::Tried => {}
-            Door::Open => self.open_count -= 1,
+        let Some(backend) = self.backends.remove(&id) else { return };
+        match backend.state {
+            ConnectionState::Deferred => self.remove_deferred(id, backend.rank, backend.key),
+            ConnectionState::Queued { at_us } => {
+                self.queue.remove(&QueuedBackend { at_us, id });
+            }
+            ConnectionState::Connecting => {}
+            ConnectionState::Open => self.open_count -= 1,
         }
-        let turn = matches!(b.door, Door::Waits { .. } | Door::Tried);
-        self.pending -= usize::from(turn && b.failed == 0);
+        self.pending_count -= usize::from(backend.is_pending());
+    }
+
+    fn remove_deferred(&mut self, id: u32, rank: u64, key: u64) {
+        self.deferred_by_rank.remove(&RankedBackend { rank, id });
+        self.deferred_by_slot.remove(&SlottedBackend { slot_index: self.slots_for(key).slot_index(), id });
     }
 
-    /// A whole list was told: backends that it does not name are gone.
-    pub fn retain(&mut self, named: impl Fn(u32) -> bool) {
-        let gone: Vec<u32> = self.backends.keys().copied().filter(|id| !named(*id)).collect();
-        gone.into_iter().for_each(|id| self.remove(id));
+    /// Removes all backends that a whole list does not name.
+    pub fn retain(&mut self, is_listed: impl Fn(u32) -> bool) {
+        let removed: Vec<u32> = self.backends.keys().copied().filter(|id| !is_listed(*id)).collect();
+        for id in removed {
+            self.remove(id);
+        }
     }
 
-    /// The list held is the one that there is, at `now_ms`.
+    /// The cached list was confirmed, at `now_ms`.
     pub fn confirm(&mut self, now_ms: f64) {
         self.confirmed_ms.get_or_insert(now_ms);
     }
@@ -189,170 +236,187 @@
         self.confirmed_ms.is_some()
     }
 
-    /// An attempt at a backend that was open has failed. Danger: few are open, and they fail one by one.
+    /// An attempt at an open backend failed. While few are open, another is opened in its place.
     pub fn record_failure(&mut self) {
         if !self.released {
-            self.faults = self.faults.saturating_add(1).min(self.backends.len());
+            self.failed_attempts = self.failed_attempts.saturating_add(1).min(self.backends.len());
         }
     }
 
-    /// How far it has come.
+    /// How far the gateway has come.
     #[must_use]
     pub fn stage(&self) -> RampStage {
-        match (self.backends.is_empty(), self.confirmed(), self.released && self.pending == 0) {
-            (true, ..) => RampStage::Empty,
-            (_, false, _) => RampStage::Known,
-            (_, true, true) => RampStage::Warm,
-            _ => RampStage::Confirmed,
+        if self.backends.is_empty() {
+            RampStage::Empty
+        } else if !self.confirmed() {
+            RampStage::Known
+        } else if self.released && self.pending_count == 0 {
+            RampStage::Warm
+        } else {
+            RampStage::Confirmed
         }
     }
 
-    /// Backends that the decisions know.
+    /// How many backends may be selected.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open_count
     }
 
-    /// Backends on the list that they do not know yet.
+    /// How many backends on the list may not be selected yet.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.backends.len() - self.open_count
     }
 
-    /// How many are to be open or have their turn at `now_ms`, with so many attempts out.
+    /// How many backends are to be open or to have a slot at `now_ms`.
     ///
-    /// Danger: while a list is unconfirmed, a fleet whose gateways each try all that is on it: half of it may
-    /// be gone. Harm: a gateway keeps to few backends until then, all of them if that takes ten rounds.
-    fn wanted(&self, now_ms: f64, out: usize) -> usize {
-        let until = self.confirmed_ms.unwrap_or(now_ms);
-        let rounds = ((until - self.begun_ms).max(0.0) / self.round_ms) as u64;
-        let few = FEW.saturating_mul(1 << rounds.min(MAX_DOUBLINGS));
-        few.saturating_add(out / BUSY).saturating_add(self.faults)
+    /// Half of an unconfirmed list may be gone, and a fleet whose gateways all tried all of it would only find
+    /// that out. So a gateway keeps to few backends until then; all of them if that takes ten rounds.
+    fn wanted_count(&self, now_ms: f64, attempts_in_flight: usize) -> usize {
+        let until_ms = self.confirmed_ms.unwrap_or(now_ms);
+        let rounds = ((until_ms - self.started_ms).max(0.0) / self.round_ms) as u64;
+        let by_time = INITIAL_BACKENDS.saturating_mul(1 << rounds.min(MAX_DOUBLINGS));
+        by_time.saturating_add(attempts_in_flight / ATTEMPTS_PER_BACKEND).saturating_add(self.failed_attempts)
     }
 
-    fn no_longer_aside(&mut self, id: u32, rank: u64, key: u64) {
-        self.aside.remove(&(rank, id));
-        self.by_place.remove(&(self.calendar(key).place(), id));
+    /// Gives slots to as many deferred backends as are wanted, those whose slots come first; once the list was
+    /// confirmed, to the whole subset. A backend whose first connection failed does not count: another is
+    /// tried in its place.
+    pub fn choose(&mut self, now_ms: f64, attempts_in_flight: usize) {
+        let wanted = if self.released { 0 } else { self.wanted_count(now_ms, attempts_in_flight) };
+        let subset_degree = self.subset.degree(self.backends.len());
+        loop {
+            let mut chosen = self.next_of_subset(subset_degree);
+            if chosen.is_none() && self.open_count + self.pending_count < wanted {
+                chosen = self.next_by_slot(now_ms);
+            }
+            let Some(id) = chosen else { return };
+            let Some(Backend { rank, key, .. }) = self.backends.get(&id).copied() else { return };
+            self.remove_deferred(id, rank, key);
+            self.pending_count += 1;
+            self.enqueue(id, now_ms);
+        }
     }
 
-    /// The one aside whose slot comes first.
-    fn soonest(&self, now_ms: f64) -> Option<u32> {
-        let place = self.calendar(0).slot_index_at(now_ms);
-        let soonest = self.by_place.range((place + 1, 0)..).next().or(self.by_place.first());
-        soonest.map(|(_, id)| *id)
+    /// The first deferred backend of the subset, once the list was confirmed.
+    fn next_of_subset(&self, subset_degree: f64) -> Option<u32> {
+        let first = self.deferred_by_rank.first().filter(|_| self.confirmed())?;
+        (f64::from_bits(first.rank) < subset_degree).then_some(first.id)
     }
 
-    /// Gives turns to as many as are wanted, those whose slots come first; once the list was confirmed, to
-    /// all of the home. One whose first try failed is not counted: another comes for it.
-    pub fn choose(&mut self, now_ms: f64, out: usize) {
-        let degree = self.subset.degree(self.backends.len());
-        let more = if self.released { 0 } else { self.wanted(now_ms, out) };
-        loop {
-            let of_home = self.aside.first().filter(|(rank, _)| f64::from_bits(*rank) < degree);
-            let id = match of_home.filter(|_| self.confirmed()) {
-                Some((_, id)) => *id,
-                None if self.open_count + self.pending >= more => return,
-                None => match self.soonest(now_ms) {
-                    Some(id) => id,
-                    None => return,
-                },
-            };
-            let Some(Backend { rank, key, .. }) = self.backends.get(&id).copied() else { return };
-            self.no_longer_aside(id, rank, key);
-            self.pending += 1;
-            self.turn(id, now_ms);
-        }
+    /// The deferred backend whose slot comes first.
+    fn next_by_slot(&self, now_ms: f64) -> Option<u32> {
+        let present = self.slots_for(0).slot_index_at(now_ms);
+        let later = self.deferred_by_slot.range(SlottedBackend { slot_index: present + 1, id: 0 }..).next();
+        later.or(self.deferred_by_slot.first()).map(|backend| backend.id)
     }
 
-    /// Those aside, which the decisions may have from now on: once the list was confirmed, and all that have
-    /// a turn were tried, or had two rounds for it.
+    /// Opens the deferred backends, once the list was confirmed and all that have a slot were tried or had two
+    /// rounds for it. Returns those that may be selected from now on.
     pub fn release(&mut self, now_ms: f64) -> Vec<u32> {
         let Some(confirmed_ms) = self.confirmed_ms else { return Vec::new() };
-        let over = self.pending == 0 || now_ms - confirmed_ms > RELEASED_ROUNDS * self.round_ms;
-        self.released |= over && !self.backends.is_empty();
+        let waited_enough = self.pending_count == 0 || now_ms - confirmed_ms > RELEASE_ROUNDS * self.round_ms;
+        self.released |= waited_enough && !self.backends.is_empty();
         if !self.released {
             return Vec::new();
         }
-        self.by_place.clear();
-        let ids: Vec<u32> = std::mem::take(&mut self.aside).into_iter().map(|(_, id)| id).collect();
+        self.deferred_by_slot.clear();
+        let deferred = std::mem::take(&mut self.deferred_by_rank);
+        let ids: Vec<u32> = deferred.into_iter().map(|backend| backend.id).collect();
         for id in &ids {
-            self.backends.get_mut(id).into_iter().for_each(|b| b.door = Door::Open);
+            self.set_state(*id, ConnectionState::Open);
         }
         self.open_count += ids.len();
         ids
     }
 
-    /// When to look again, Unix time in ms: at the next turn, or when more are wanted. None: only news change
-    /// anything.
+    /// When to look again, Unix time in ms: at the next slot, or when more backends are wanted. None if only
+    /// an update of the list changes anything.
     #[must_use]
     pub fn next(&self, now_ms: f64) -> Option<f64> {
-        let turn = self.queue.first().map(|(at_us, _)| *at_us as f64 / 1_000.0);
-        if self.aside.is_empty() {
-            return turn;
+        let next_slot_ms = self.queue.first().map(|queued| queued.at_us as f64 / 1_000.0);
+        if self.deferred_by_rank.is_empty() {
+            return next_slot_ms;
         }
-        let round = ((now_ms - self.begun_ms).max(0.0) / self.round_ms).floor() + 1.0;
-        let more = self.begun_ms + round * self.round_ms;
-        Some(turn.map_or(more, |turn| turn.min(more)))
+        let next_round = ((now_ms - self.started_ms).max(0.0) / self.round_ms).floor() + 1.0;
+        let next_round_ms = self.started_ms + next_round * self.round_ms;
+        Some(next_slot_ms.map_or(next_round_ms, |slot_ms| slot_ms.min(next_round_ms)))
     }
 
-    /// The backend to which a first connection is to be opened now, if there is one; [`Openings::tried`] is
-    /// to follow. To be asked again until there is none.
+    /// A backend to which the first connection is to be opened now;
+    /// [`ConnectionRamp::first_connection_ended`] is to follow. To be called until there is none.
     pub fn due(&mut self, now_ms: f64) -> Option<u32> {
         loop {
-            let (at_us, id) = *self.queue.first()?;
-            let late_ms = now_ms - at_us as f64 / 1_000.0;
-            if late_ms < 0.0 {
+            let QueuedBackend { at_us, id } = *self.queue.first()?;
+            let lateness_ms = now_ms - at_us as f64 / 1_000.0;
+            if lateness_ms < 0.0 {
                 return None;
             }
             self.queue.pop_first();
-            if late_ms < LATE_MS {
-                self.backends.get_mut(&id)?.door = Door::Tried;
+            if lateness_ms < MAX_LATENESS_MS {
+                self.backends.get_mut(&id)?.state = ConnectionState::Connecting;
                 return Some(id);
             }
-            // Its next turn lies ahead, so this ends.
-            self.turn(id, now_ms);
+            // Its next slot lies ahead, so this ends.
+            self.enqueue(id, now_ms);
         }
     }
 
-    /// What the first connection came to, and of which life it was. Whether the decisions may have the
-    /// backend from now on.
-    pub fn first_connection_ended(&mut self, now_ms: f64, id: u32, life_ms: f64, answered: bool) -> bool {
-        let of_life = |b: &&mut Backend| b.life_ms == life_ms && b.door == Door::Tried;
-        let Some(b) = self.backends.get_mut(&id).filter(of_life) else { return false };
-        self.pending -= usize::from(b.failed == 0);
-        if answered {
-            (b.door, b.failed) = (Door::Open, 0);
+    /// The first connection to a backend was opened or has failed; `warming_from_ms` tells to which
+    /// incarnation. Returns whether the backend may be selected from now on.
+    pub fn first_connection_ended(
+        &mut self,
+        now_ms: f64,
+        id: u32,
+        warming_from_ms: f64,
+        succeeded: bool,
+    ) -> bool {
+        let is_current = |backend: &&mut Backend| {
+            backend.warming_from_ms == warming_from_ms && backend.state == ConnectionState::Connecting
+        };
+        let Some(backend) = self.backends.get_mut(&id).filter(is_current) else { return false };
+        self.pending_count -= usize::from(backend.is_pending());
+        if succeeded {
+            backend.state = ConnectionState::Open;
+            backend.failures = 0;
             self.open_count += 1;
             return true;
         }
-        b.failed = b.failed.saturating_add(1);
-        let rounds = self.round_ms.max(PAUSE_MS.0) * f64::from(1u32 << b.failed.min(8));
-        // Danger: one that is gone for good, tried by all in each round.
-        self.turn(id, now_ms + rounds.min(PAUSE_MS.1.max(self.round_ms)));
+        backend.failures = backend.failures.saturating_add(1);
+        // A backend that is gone for good is tried less and less.
+        let doublings = backend.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_ms = self.round_ms.max(MIN_BACKOFF_MS) * f64::from(1u32 << doublings);
+        self.enqueue(id, now_ms + backoff_ms.min(MAX_BACKOFF_MS.max(self.round_ms)));
         false
     }
 
-    /// It has its turn in the first slot from a moment on. One that had a slot has it no more in that round,
-    /// as this is asked for after its moment.
-    fn turn(&mut self, id: u32, from_ms: f64) {
-        let Some(key) = self.backends.get(&id).map(|b| b.key) else { return };
-        let (_, at_ms) = self.calendar(key).next(from_ms, None);
-        let at_us = (at_ms * 1_000.0) as u64;
-        self.queue.insert((at_us, id));
-        self.backends.get_mut(&id).into_iter().for_each(|b| b.door = Door::Waits { at_us });
+    /// Gives a backend this gateway's first slot for it from a moment on. It is called after the moment of the
+    /// last slot, so that no round has two.
+    fn enqueue(&mut self, id: u32, from_ms: f64) {
+        let Some(key) = self.backends.get(&id).map(|backend| backend.key) else { return };
+        let slot = self.slots_for(key).next_slot(from_ms, None);
+        let at_us = (slot.start_ms * 1_000.0) as u64;
+        self.queue.insert(QueuedBackend { at_us, id });
+        self.set_state(id, ConnectionState::Queued { at_us });
+    }
+
+    fn set_state(&mut self, id: u32, state: ConnectionState) {
+        if let Some(backend) = self.backends.get_mut(&id) {
+            backend.state = state;
+        }
     }
 
-    /// How long a round lasts: time for a first connection of each gateway to one backend.
+    /// Length of a round: time for a first connection of each gateway to one backend.
     #[must_use]
     pub fn round(&self) -> Duration {
         Duration::from_secs_f64(self.round_ms / 1_000.0)
     }
 
-    /// How long a gateway with backends on its list waits for the first that answers before it says that it
-    /// is ready: two rounds and an answer. Danger: clients that are refused by one that has nobody to send
-    /// to.
+    /// How long a gateway with backends on its list waits for the first that is open before it is ready: two
+    /// rounds and a response. Before, it would reject every client.
     #[must_use]
     pub fn first_timeout(&self) -> Duration {
-        Duration::from_secs_f64(2.0 * self.round_ms / 1_000.0) + FIRST
+        Duration::from_secs_f64(2.0 * self.round_ms / 1_000.0) + FIRST_RESPONSE_TIMEOUT
     }
 }
--- a/crates/cold-start/src/poll_schedule.rs
+++ b/crates/cold-start/src/poll_schedule.rs
@@ -1,240 +1,295 @@
-//! When a gateway asks for the list, how long that call waits, and when it is given up.
+//! When a gateway polls discovery for the endpoint list, how long a poll waits, and when it times out.
 
 use std::time::Duration;
 
-use crate::{AdaptiveShare, SlotSchedule};
-
-/// A watch lasts so long at least, ms, and so long at most: the protocol knows no longer ones.
-const WATCH_MS: (f64, f64) = (4_000.0, 60_000.0);
-/// A watch lasts so many rounds: calls at rest are half of what the service bears.
-const ROUNDS: f64 = 2.0;
-/// A watch ends so long before the gateway's slot, ms, and as many answer times: the next begins in it.
-const EARLY_MS: f64 = 50.0;
-const EARLY_ANSWERS: f64 = 1.5;
-/// How long an answer may take at first, ms, and at most, whatever answers took before.
-const PATIENCE_MS: (f64, f64) = (5_000.0, 32_000.0);
-/// So many usual answer times may pass.
-const PATIENCE_ANSWERS: f64 = 4.0;
-/// Pause after a call that failed, ms: it doubles from the first to the second. Of a few gateways a round is
-/// shorter than that.
-const PAUSE_MS: (f64, f64) = (50.0, 1_000.0);
-/// The longest time that a service may ask a gateway to stay away, ms.
+use crate::{AdaptiveShare, Slot, SlotSchedule};
+
+/// The shortest watch, ms.
+const MIN_WATCH_MS: f64 = 4_000.0;
+/// The longest watch, ms, as the protocol has it.
+const MAX_WATCH_MS: f64 = 60_000.0;
+/// Rounds that a watch lasts: while nothing changes, half of the service's capacity is used.
+const WATCH_ROUNDS: f64 = 2.0;
+/// A watch ends this long before the gateway's slot, ms, so that the next one begins in it.
+const WATCH_MARGIN_MS: f64 = 50.0;
+/// Usual response times that are added to that margin.
+const WATCH_MARGIN_RESPONSES: f64 = 1.5;
+/// The shortest timeout of a response, ms. It doubles with each poll in a row that timed out.
+const MIN_TIMEOUT_MS: f64 = 5_000.0;
+/// The longest timeout of a response, ms.
+const MAX_TIMEOUT_MS: f64 = 32_000.0;
+/// The timeout is at least this many usual response times.
+const TIMEOUT_RESPONSES: f64 = 4.0;
+/// The first backoff after a failure, ms. It doubles with each failure in a row.
+const MIN_BACKOFF_MS: f64 = 50.0;
+/// The longest backoff, ms. It matters where a round is shorter: in a small fleet.
+const MAX_BACKOFF_MS: f64 = 1_000.0;
+/// Failures in a row after which a timeout or a backoff doubles no more.
+const MAX_DOUBLINGS: u32 = 8;
+/// The longest Retry-After that is observed, ms.
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
-/// How long a gateway that knows no list waits for one beside two rounds, and at most.
-const FIRST: Duration = Duration::from_millis(500);
-const MAX_FIRST_WAIT: Duration = Duration::from_secs(20);
-/// Weight of the last answer time in the usual one.
-const GAIN: f64 = 0.25;
-/// A gateway that wakes so late for its slot, ms, still takes it. Danger: some hundred that were stopped
-/// together and go on together.
-const LATE_MS: f64 = 100.0;
-
-/// A call for the list.
+/// How long a gateway without a list waits for one, beside two rounds.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest wait for a first list: platforms give a start 30 s.
+const MAX_FIRST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Weight of the last response time in the usual one.
+const RESPONSE_TIME_GAIN: f64 = 0.25;
+/// A gateway that is at most this late for its slot, ms, still uses it. Later ones would call together if
+/// they were stopped together.
+const MAX_LATENESS_MS: f64 = 100.0;
+
+/// A poll of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Poll {
     /// When it is made, Unix time in ms.
     pub at_ms: f64,
-    /// For how long it waits for news; nothing: it is answered at once. Only where a version is held.
+    /// How long it waits for updates; 0: it is answered at once.
     pub wait: Duration,
-    /// When it is given up, Unix time in ms.
+    /// When it times out, Unix time in ms.
     pub timeout_at_ms: f64,
 }
 
-/// What a call came to.
+/// How a poll ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PollOutcome {
-    /// The list, or changes of it.
+    /// With the endpoint list, or changes of it.
     Updated,
-    /// Nothing new.
+    /// With no change.
     Unchanged,
-    /// Changes of versions before the one held: another service is there. The whole list is asked for next.
+    /// With a version before the cached one: another service answered. The whole list is requested next.
     OlderVersion,
-    /// The service said that it won't, and perhaps for how long.
+    /// The service rejected it, perhaps with a Retry-After.
     Rejected(Option<Duration>),
-    /// No connection, one that broke, or an answer that can't be read.
+    /// No connection, one that broke, or a response that cannot be decoded.
     Failed,
-    /// Nothing came until it was given up.
+    /// There was no response in time.
     TimedOut,
 }
 
-/// The calls of one gateway.
+/// The polls of one gateway, at most one in flight and one a round.
 #[derive(Clone, Copy, Debug)]
 pub struct PollSchedule {
-    calendar: SlotSchedule,
+    slots: SlotSchedule,
     share: AdaptiveShare,
-    /// The round of the last call.
-    last: Option<u64>,
-    /// The call that is out.
-    out: Option<Poll>,
-    /// The round and the moment in which that call ends if it brings nothing: the next one's.
-    due: (u64, f64),
-    /// The same of the slot in which it is given up.
-    gives_up: (u64, f64),
-    /// None earlier than this.
+    /// The round of the last poll.
+    last_round: Option<u64>,
+    in_flight: Option<Poll>,
+    /// The slot in which the poll in flight ends if nothing changes, and the next one is made.
+    next_slot: Slot,
+    /// The slot in which the poll in flight times out.
+    timeout_slot: Slot,
+    /// No poll is made before, Unix time in ms.
     not_before_ms: f64,
-    /// Whether it was told of the list since its start.
+    /// Whether the list was confirmed since the start.
     confirmed: bool,
-    /// Whether a watch may follow: the last call was a watch, or there was one in a slot before.
+    /// Whether the next poll is a watch: the last one was answered.
     watching: bool,
-    /// Calls in a row that failed, and that were given up.
-    failed: u32,
-    silent: u32,
-    /// The usual time of an answer, ms.
-    answer_ms: Option<f64>,
+    consecutive_failures: u32,
+    consecutive_timeouts: u32,
+    /// The usual response time, ms.
+    response_ms: Option<f64>,
 }
 
+const NO_SLOT: Slot = Slot { round: 0, start_ms: 0.0 };
+
 impl PollSchedule {
-    /// For a gateway that has just started.
+    /// The schedule of a gateway that has just started.
     #[must_use]
-    pub fn new(calendar: SlotSchedule) -> PollSchedule {
+    pub fn new(slots: SlotSchedule) -> PollSchedule {
         PollSchedule {
-            calendar,
+            slots,
             share: AdaptiveShare::default(),
-            last: None,
-            out: None,
-            due: (0, 0.0),
-            gives_up: (0, 0.0),
+            last_round: None,
+            in_flight: None,
+            next_slot: NO_SLOT,
+            timeout_slot: NO_SLOT,
             not_before_ms: 0.0,
             confirmed: false,
             watching: false,
-            failed: 0,
-            silent: 0,
-            answer_ms: None,
+            consecutive_failures: 0,
+            consecutive_timeouts: 0,
+            response_ms: None,
         }
     }
 
-    /// Whether the moment of a call has passed so that it is not to be made any more.
-    ///
-    /// Danger: gateways that were stopped between their slot and the call, and go on together.
+    /// Whether a poll is too late to be made: gateways that were stopped together and go on together would
+    /// call together.
     #[must_use]
-    pub fn missed(&self, call: Poll, now_ms: f64) -> bool {
-        now_ms - call.at_ms >= LATE_MS
+    pub fn missed(&self, poll: Poll, now_ms: f64) -> bool {
+        now_ms - poll.at_ms >= MAX_LATENESS_MS
     }
 
-    /// Whether it was told of the list since its start.
+    /// Whether the list was confirmed since the start.
     #[must_use]
     pub fn confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// The part of its rounds that it takes.
+    /// The part of its rounds that the gateway uses, 1/16 to 1.
     #[must_use]
     pub fn share(&self) -> f64 {
-        self.share.part()
+        self.share.fraction()
     }
 
-    /// How long a gateway that knows no list waits for one before it says that it is ready: two rounds and an
-    /// answer, as one call may fail. Danger: clients that are refused by one that has nobody to send to.
-    /// Never longer than 20 s. Danger: a platform that gives a start 30 s.
+    /// How long a gateway without a list waits for one before it is ready: two rounds and a response, as one
+    /// poll may fail, and 20 s at most. Without a list it would reject every client.
     #[must_use]
     pub fn first_timeout(&self) -> Duration {
-        (self.calendar.round() * 2 + FIRST).min(MAX_FIRST_WAIT)
+        (self.slots.round() * 2 + FIRST_RESPONSE_TIMEOUT).min(MAX_FIRST_TIMEOUT)
     }
 
-    /// The next call, made in a slot of this gateway's own, one in each round at most.
+    /// The next poll, made in a slot of this gateway's own.
     ///
-    /// The first one, and the one after a failure, is to be answered at once: that tells whether the list
-    /// held is the one there is. Danger: a watch that says nothing of it until it ends.
+    /// The first one, and the one after a failure, is to be answered at once, as a watch would not tell until
+    /// its end whether the cached list is still the present one.
     pub fn next(&mut self, now_ms: f64) -> Poll {
-        let from = now_ms.max(self.not_before_ms);
-        let (due, due_ms) = self.due;
-        let late = self.not_before_ms <= due_ms && (0.0..LATE_MS).contains(&(now_ms - due_ms));
-        let (round, at_ms) = if late { (due, now_ms) } else { self.calendar.next(from, self.last) };
-        self.last = Some(round);
-        let mut call = Poll { at_ms, wait: Duration::ZERO, timeout_at_ms: 0.0 };
-        if self.watching {
-            let rest = (ROUNDS * self.round_ms()).max(WATCH_MS.0) / self.share.part();
-            self.due = self.calendar.next(at_ms + rest - self.slot_ms(), self.last);
-            let early = EARLY_MS + EARLY_ANSWERS * self.answer_ms.unwrap_or(0.0);
-            let wait = (self.due.1 - at_ms - early).max(rest / 2.0).min(WATCH_MS.1);
-            call.wait = Duration::from_millis(wait as u64);
+        let slot = self.slot_for_next_poll(now_ms);
+        self.last_round = Some(slot.round);
+        let wait = if self.watching { self.plan_watch(slot.start_ms) } else { Duration::ZERO };
+        // It times out in a slot too, so that the next one is made then.
+        let timeout_ms = slot.start_ms + millis(wait) + self.response_timeout_ms();
+        self.timeout_slot = self.slots.next_slot(timeout_ms, self.last_round);
+        let poll = Poll { at_ms: slot.start_ms, wait, timeout_at_ms: self.timeout_slot.start_ms };
+        self.in_flight = Some(poll);
+        poll
+    }
+
+    /// The slot that was planned if it has just begun, else the next one.
+    fn slot_for_next_poll(&self, now_ms: f64) -> Slot {
+        let planned = self.next_slot;
+        let lateness_ms = now_ms - planned.start_ms;
+        if self.not_before_ms <= planned.start_ms && (0.0..MAX_LATENESS_MS).contains(&lateness_ms) {
+            return Slot { round: planned.round, start_ms: now_ms };
         }
-        // It is given up in a slot too, so that the next one is made then.
-        let usual = PATIENCE_ANSWERS * self.answer_ms.unwrap_or(0.0);
-        let doubled = PATIENCE_MS.0 * f64::from(1u32 << self.silent.min(8));
-        let patience = doubled.max(usual).min(PATIENCE_MS.1);
-        let ends = at_ms + call.wait.as_secs_f64() * 1_000.0 + patience;
-        self.gives_up = self.calendar.next(ends, self.last);
-        call.timeout_at_ms = self.gives_up.1;
-        self.out = Some(call);
-        call
-    }
-
-    /// A first call now, by a turn that the fleet's agent gave; none once one was made.
+        self.slots.next_slot(now_ms.max(self.not_before_ms), self.last_round)
+    }
+
+    /// Plans the slot that follows a watch from `at_ms`. Returns the length of the watch.
+    fn plan_watch(&mut self, at_ms: f64) -> Duration {
+        let watch_ms = (WATCH_ROUNDS * self.round_ms()).max(MIN_WATCH_MS) / self.share.fraction();
+        self.next_slot = self.slots.next_slot(at_ms + watch_ms - self.slot_ms(), self.last_round);
+        let margin_ms = WATCH_MARGIN_MS + WATCH_MARGIN_RESPONSES * self.response_ms.unwrap_or(0.0);
+        let until_slot_ms = self.next_slot.start_ms - at_ms - margin_ms;
+        let wait_ms = until_slot_ms.max(watch_ms / 2.0).min(MAX_WATCH_MS);
+        Duration::from_millis(wait_ms as u64)
+    }
+
+    fn response_timeout_ms(&self) -> f64 {
+        let usual_ms = TIMEOUT_RESPONSES * self.response_ms.unwrap_or(0.0);
+        let doubled_ms = MIN_TIMEOUT_MS * doublings(self.consecutive_timeouts);
+        doubled_ms.max(usual_ms).min(MAX_TIMEOUT_MS)
+    }
+
+    /// The first poll, made now: the fleet's agent gave the gateway a turn. None once a poll has ended.
     pub fn start_now(&mut self, now_ms: f64) -> Option<Poll> {
-        if self.confirmed || self.failed > 0 {
+        if self.confirmed || self.consecutive_failures > 0 {
             return None;
         }
-        let until_ms = self.calendar.next(now_ms + PATIENCE_MS.0, None).1;
-        let call = Poll { at_ms: now_ms, wait: Duration::ZERO, timeout_at_ms: until_ms };
-        self.gives_up = (self.calendar.round_at(until_ms), until_ms);
+        let timeout_at_ms = self.slots.next_slot(now_ms + MIN_TIMEOUT_MS, None).start_ms;
+        self.timeout_slot = Slot { round: self.slots.round_at(timeout_at_ms), start_ms: timeout_at_ms };
+        let poll = Poll { at_ms: now_ms, wait: Duration::ZERO, timeout_at_ms };
         // The slot that it does not wait for is still to come.
-        (self.last, self.out) = (None, Some(call));
-        Some(call)
+        self.last_round = None;
+        self.in_flight = Some(poll);
+        Some(poll)
     }
 
-    /// The part of its rounds in which it asks again after a failure: all of them until it was told.
+    /// The poll in flight has ended. Without one nothing changes.
+    pub fn poll_ended(&mut self, now_ms: f64, outcome: PollOutcome) {
+        let Some(poll) = self.in_flight.take() else { return };
+        match outcome {
+            PollOutcome::Updated => self.answered(now_ms, poll, true),
+            PollOutcome::Unchanged => self.answered(now_ms, poll, poll.wait.is_zero()),
+            PollOutcome::OlderVersion => {
+                self.watching = false;
+                self.not_before_ms = now_ms;
+            }
+            PollOutcome::Failed => {
+                self.back_off(now_ms);
+            }
+            PollOutcome::Rejected(retry_after) => self.rejected(now_ms, poll, retry_after),
+            PollOutcome::TimedOut => self.timed_out(now_ms, poll),
+        }
+    }
+
+    /// `before_its_slot`: the poll ended before the slot that follows it.
+    fn answered(&mut self, now_ms: f64, poll: Poll, before_its_slot: bool) {
+        let response_ms = now_ms - poll.at_ms - millis(poll.wait);
+        // An update that ends a watch tells nothing of the response time.
+        if response_ms >= 0.0 {
+            let smoothed = |usual: f64| usual + RESPONSE_TIME_GAIN * (response_ms - usual);
+            self.response_ms = Some(self.response_ms.map_or(response_ms, smoothed));
+        }
+        self.confirmed = true;
+        self.watching = true;
+        self.consecutive_failures = 0;
+        self.consecutive_timeouts = 0;
+        self.share.record_response(poll.wait.is_zero().then_some(response_ms));
+        self.not_before_ms = if before_its_slot {
+            // A change ends the watches of all gateways at once; each polls again in its next slot.
+            let next_round_ms = poll.at_ms + self.round_ms() / self.share.fraction() - self.slot_ms();
+            now_ms.max(next_round_ms)
+        } else {
+            self.next_slot.start_ms
+        };
+    }
+
+    /// Notes a failure. Returns the backoff, ms.
+    fn back_off(&mut self, now_ms: f64) -> f64 {
+        self.watching = false;
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let backoff_ms = (MIN_BACKOFF_MS * doublings(self.consecutive_failures - 1)).min(MAX_BACKOFF_MS);
+        self.not_before_ms = now_ms + backoff_ms;
+        backoff_ms
+    }
+
+    fn rejected(&mut self, now_ms: f64, poll: Poll, retry_after: Option<Duration>) {
+        let backoff_ms = self.back_off(now_ms);
+        self.share.record_rejection(self.confirmed);
+        let retry_after_ms = retry_after.map_or(0.0, |after| millis(after).min(MAX_RETRY_AFTER_MS));
+        let next_round_ms =
+            poll.at_ms + self.round_ms().max(backoff_ms) / self.retry_share() - self.slot_ms();
+        self.not_before_ms = self.not_before_ms.max(now_ms + retry_after_ms).max(next_round_ms);
+    }
+
+    fn timed_out(&mut self, now_ms: f64, poll: Poll) {
+        self.back_off(now_ms);
+        self.share.record_rejection(self.confirmed);
+        self.consecutive_timeouts = self.consecutive_timeouts.saturating_add(1);
+        let next_round_ms = poll.at_ms + self.round_ms() / self.retry_share() - self.slot_ms();
+        // It timed out in the slot that the next one is made in, if it may be made by then.
+        self.next_slot = self.timeout_slot;
+        self.not_before_ms = poll.timeout_at_ms.max(next_round_ms);
+    }
+
+    /// The part of its rounds that the gateway uses after a failure: all of them until its list is confirmed.
     ///
-    /// Danger: those that were never told, pressed out by those that were. Who was told gives way. Harm: a
-    /// service that turns all away is called by each gateway once a round, nine tenths of what it is said to
-    /// bear, until it answers. One that was told hears of the end of an absence about as long after it as it
-    /// lasted, 16 rounds at most.
-    fn again(&self) -> f64 {
+    /// Gateways with a confirmed list give way, so that those without are not crowded out. A service that
+    /// rejects everyone is called by each gateway without a list once a round, nine tenths of its stated
+    /// capacity. A gateway with a list learns of the end of an outage about as long after it as it lasted, 16
+    /// rounds at most.
+    fn retry_share(&self) -> f64 {
         if self.confirmed {
-            self.share.part()
+            self.share.fraction()
         } else {
             1.0
         }
     }
 
     fn round_ms(&self) -> f64 {
-        self.calendar.round().as_secs_f64() * 1_000.0
+        millis(self.slots.round())
     }
 
     fn slot_ms(&self) -> f64 {
-        self.calendar.slot().as_secs_f64() * 1_000.0
+        millis(self.slots.slot())
     }
+}
 
-    /// What the call that is out came to.
-    pub fn poll_ended(&mut self, now_ms: f64, came: PollOutcome) {
-        let Some(call) = self.out.take() else { return };
-        let wait_ms = call.wait.as_secs_f64() * 1_000.0;
-        if came == PollOutcome::OlderVersion {
-            (self.watching, self.not_before_ms) = (false, now_ms);
-            return;
-        }
-        if matches!(came, PollOutcome::Updated | PollOutcome::Unchanged) {
-            let took = now_ms - call.at_ms - wait_ms;
-            // News that ends a watch tells nothing of how long an answer takes.
-            if took >= 0.0 {
-                self.answer_ms = Some(self.answer_ms.map_or(took, |usual| usual + GAIN * (took - usual)));
-            }
-            (self.confirmed, self.watching, self.failed, self.silent) = (true, true, 0, 0);
-            self.share.record_response(call.wait.is_zero().then_some(took));
-            // Danger: a change, and all who watch ask again at once. Each does in its next slot.
-            let told = came == PollOutcome::Updated || call.wait.is_zero();
-            let later = call.at_ms + self.round_ms() / self.share.part() - self.slot_ms();
-            self.not_before_ms = if told { now_ms.max(later) } else { self.due.1 };
-            return;
-        }
-        (self.watching, self.failed) = (false, self.failed.saturating_add(1));
-        let pause = (PAUSE_MS.0 * f64::from(1u32 << (self.failed - 1).min(8))).min(PAUSE_MS.1);
-        self.not_before_ms = now_ms + pause;
-        match came {
-            PollOutcome::Rejected(told) => {
-                self.share.refused(self.confirmed);
-                let told = told.map_or(0.0, |t| (t.as_secs_f64() * 1_000.0).min(MAX_RETRY_AFTER_MS));
-                let away = call.at_ms + self.round_ms().max(pause) / self.again() - self.slot_ms();
-                self.not_before_ms = self.not_before_ms.max(now_ms + told).max(away);
-            }
-            PollOutcome::TimedOut => {
-                self.share.refused(self.confirmed);
-                self.silent = self.silent.saturating_add(1);
-                let away = call.at_ms + self.round_ms() / self.again() - self.slot_ms();
-                // It was given up in the slot that the next one is made in, if it may be made by then.
-                (self.due, self.not_before_ms) = (self.gives_up, call.timeout_at_ms.max(away));
-            }
-            _ => {}
-        }
-    }
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1_000.0
+}
+
+/// 2 to the power of `times`, 256 at most.
+fn doublings(times: u32) -> f64 {
+    f64::from(1u32 << times.min(MAX_DOUBLINGS))
 }
--- a/crates/cold-start/src/slot_schedule.rs
+++ b/crates/cold-start/src/slot_schedule.rs
@@ -1,22 +1,31 @@
-//! A slot for each gateway of a fleet, in rounds of the clock that all of them share.
+//! A slot for each gateway of a fleet, in rounds of a clock that all of them share.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The part of what a service bears that the slots of all gateways ask of it, at most.
-const HEADROOM: f64 = 0.9;
+/// The part of a service's capacity that the slots of all gateways use.
+const UTILIZATION: f64 = 0.9;
+/// The least capacity of a service, calls a second.
+const MIN_CALLS_PER_S: f64 = 0.001;
+/// Seeds of two rounds are this far apart, more than a fleet has gateways.
+const SEEDS_PER_ROUND: u64 = 1 << 20;
 
-/// The calls that one gateway may make to a service that all gateways share: one in each round.
-///
-/// Round `k` begins at `k` times the round's length in Unix time, and slot `p` of it belongs to gateway `p`.
-/// So a gateway keeps its slot when it starts again, and any part of a fleet, started at any moments, calls
-/// one after another.
+/// A gateway's slot in one round.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Slot {
+    /// Number of the round, counted from the begin of Unix time.
+    pub round: u64,
+    /// The moment in the slot at which the gateway calls, Unix time in ms.
+    pub start_ms: f64,
+}
+
+/// The moments at which one gateway may call a service that a fleet shares: one in each round.
 ///
-/// Danger: gateways that start together call together; those that are turned away together come back
-/// together; one that crashes in a loop calls at each start. Harm: a gateway waits for its slot, up to a
-/// round.
+/// Round `k` begins at `k` times the round's length in Unix time, and its slot `i` belongs to gateway `i`. So
+/// a gateway keeps its slot over restarts, also when it crashes in a loop, and any part of a fleet calls one
+/// after another, at whatever moments it starts or is rejected. In return a gateway waits up to a round.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotSchedule {
     slot_ms: f64,
@@ -25,22 +34,22 @@
 }
 
 impl SlotSchedule {
-    /// That of gateway `place`, from 0, of `gateways` (0 counts as 1; a place beyond them is counted round)
-    /// that share a service of `calls_per_s` calls a second, 0.001 at least.
+    /// The schedule of gateway `index`, from 0, of `gateways` (0 counts as 1; an index beyond them wraps) that
+    /// share a service of `calls_per_s` calls a second, at least 0.001.
     #[must_use]
-    pub fn new(place: u32, gateways: u32, calls_per_s: f64) -> SlotSchedule {
+    pub fn new(index: u32, gateways: u32, calls_per_s: f64) -> SlotSchedule {
         let gateways = gateways.max(1);
-        let slot_ms = 1_000.0 / (HEADROOM * calls_per_s.max(0.001));
-        SlotSchedule { slot_ms, round_ms: slot_ms * f64::from(gateways), slot_index: place % gateways }
+        let slot_ms = 1_000.0 / (UTILIZATION * calls_per_s.max(MIN_CALLS_PER_S));
+        SlotSchedule { slot_ms, round_ms: slot_ms * f64::from(gateways), slot_index: index % gateways }
     }
 
-    /// How long a round lasts: time for a call of each gateway.
+    /// Length of a round: time for one call of each gateway.
     #[must_use]
     pub fn round(&self) -> Duration {
         Duration::from_secs_f64(self.round_ms / 1_000.0)
     }
 
-    /// How long a slot lasts.
+    /// Length of a slot.
     #[must_use]
     pub fn slot(&self) -> Duration {
         Duration::from_secs_f64(self.slot_ms / 1_000.0)
@@ -52,38 +61,42 @@
         (at_ms.max(0.0) / self.round_ms) as u64
     }
 
-    /// The place of the slot that a moment lies in.
+    /// The index of the slot that a moment lies in.
     #[must_use]
     pub fn slot_index_at(&self, at_ms: f64) -> u32 {
         (at_ms.max(0.0) % self.round_ms / self.slot_ms) as u32
     }
 
-    /// This gateway's place.
+    /// This gateway's slot index.
     #[must_use]
-    pub fn place(&self) -> u32 {
+    pub fn slot_index(&self) -> u32 {
         self.slot_index
     }
 
-    /// This gateway's moment in a round. It lies anywhere in its slot, by chance and by the round.
+    /// This gateway's moment in a round, Unix time in ms.
     ///
-    /// Danger: clocks that differ by just so much that the same two gateways meet in every round.
+    /// It lies anywhere in the slot, by chance and anew in each round: two gateways whose clocks differ do not
+    /// meet in every one.
     #[must_use]
     pub fn slot_start_ms(&self, round: u64) -> f64 {
-        let seed = round.wrapping_mul(1 << 20).wrapping_add(u64::from(self.slot_index));
-        let within: f64 = ChaCha8Rng::seed_from_u64(seed).random();
-        round as f64 * self.round_ms + (f64::from(self.slot_index) + within) * self.slot_ms
+        let seed = round.wrapping_mul(SEEDS_PER_ROUND).wrapping_add(u64::from(self.slot_index));
+        let within_slot: f64 = ChaCha8Rng::seed_from_u64(seed).random();
+        round as f64 * self.round_ms + (f64::from(self.slot_index) + within_slot) * self.slot_ms
     }
 
-    /// The first round whose moment is at `from_ms` or later, and after the round `after` if there is one;
-    /// and that moment.
+    /// This gateway's first slot at `from_ms` or later, and in a round after `last_round` if there is one.
     #[must_use]
-    pub fn next(&self, from_ms: f64, after: Option<u64>) -> (u64, f64) {
-        let first = self.round_at(from_ms).max(after.map_or(0, |last| last + 1));
-        let moment = self.slot_start_ms(first);
-        if moment >= from_ms {
-            (first, moment)
+    pub fn next_slot(&self, from_ms: f64, last_round: Option<u64>) -> Slot {
+        let first_round = self.round_at(from_ms).max(last_round.map_or(0, |last| last + 1));
+        let slot = self.slot_in(first_round);
+        if slot.start_ms >= from_ms {
+            slot
         } else {
-            (first + 1, self.slot_start_ms(first + 1))
+            self.slot_in(first_round + 1)
         }
     }
+
+    fn slot_in(&self, round: u64) -> Slot {
+        Slot { round, start_ms: self.slot_start_ms(round) }
+    }
 }
--- a/crates/cold-start/src/start_batches.rs
+++ b/crates/cold-start/src/start_batches.rs
@@ -1,210 +1,243 @@
-//! Turns for those that start, given by an agent that all of them can ask, beside their slots.
+//! Turns for starting gateways, given by an agent that all of them can ask, beside their slots.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::{AdaptiveShare, PollOutcome, SlotSchedule};
 
-/// The part of what the service bears that turns may take, beside the half of slots that calls at rest take.
-const PACE: f64 = 0.45;
-/// The part of that with which turns begin: the tenth of the service that no slot takes.
-const FIRST: f64 = 0.22;
-/// A turn is given so long before it is due, ms, at most. Danger: turns that were given before the service
-/// began to turn calls away.
-const AHEAD_MS: f64 = 100.0;
-/// One that waits asks again after so long, ms, at least and at most.
-const ASK_MS: (f64, f64) = (50.0, 2_000.0);
-/// One that does not ask again for so long after it should have, ms, is not waited for any more.
-const GONE_MS: f64 = 1_000.0;
-/// A list that is so old, ms, is fetched anew.
-const FRESH_MS: f64 = 5_000.0;
-/// How long one that fetches the list may take, ms, before another does.
-const FETCH_MS: f64 = 5_000.0;
-/// Gateways that are held at most; further ones keep to their slots.
+/// The part of the service's capacity that turns may use. Polls of the other gateways use half of the slots.
+const CAPACITY_FOR_TURNS: f64 = 0.45;
+/// The part of that with which turns begin: the tenth of the service's capacity that no slot uses.
+const INITIAL_SHARE: f64 = 0.22;
+/// The least capacity of a service, calls a second.
+const MIN_CALLS_PER_S: f64 = 0.001;
+/// Fewer turns a second than this count as this many.
+const MIN_TURNS_PER_S: f64 = 1e-6;
+/// A turn is given at most this long ahead, ms: the service may begin to reject calls at any time.
+const MAX_LEAD_MS: f64 = 100.0;
+/// A waiting gateway asks again after this time at the earliest, ms.
+const MIN_ASK_AGAIN_MS: f64 = 50.0;
+/// A waiting gateway asks again after this time at the latest, ms.
+const MAX_ASK_AGAIN_MS: f64 = 2_000.0;
+/// A gateway that is this late with asking again, ms, loses its place.
+const ASK_AGAIN_GRACE_MS: f64 = 1_000.0;
+/// A list that is older than this, ms, is fetched anew.
+const LIST_FRESH_MS: f64 = 5_000.0;
+/// Time for one gateway to fetch the list, ms, before another does.
+const FETCH_TIMEOUT_MS: f64 = 5_000.0;
+/// The most gateways that are remembered. Further ones use their slots.
 const MAX_STARTING_GATEWAYS: usize = 10_000;
 
-/// What one that starts is to do.
+/// What a starting gateway is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StartTurn {
-    /// To make its first call at this moment, Unix time in ms, if its slot does not come before.
+    /// Make its first call, if its slot does not come before.
     Call {
-        /// The moment.
+        /// When, Unix time in ms.
         at_ms: f64,
-        /// Whether it is to fetch the whole list and tell it.
+        /// Whether it is to fetch the whole list and report it.
         fetch: bool,
     },
-    /// To ask again after so long, ms.
+    /// Ask again.
     AskAgain {
-        /// How long.
+        /// After this time, ms.
         after_ms: f64,
     },
-    /// To keep to its slots.
+    /// Use its slots.
     UseSlots,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    /// Its place in the line.
-    Waits(u64),
-    /// It had its turn, or was told of the list without one.
-    Had,
+enum StartState {
+    /// Waits for its turn at this position of the queue.
+    Waiting { position: u64 },
+    /// Had its turn, or got a list without one.
+    Done,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Starter {
-    boot: u64,
-    state: State,
-    /// Until when it is held, Unix time in µs.
-    until_us: u64,
+struct StartingGateway {
+    incarnation: u64,
+    state: StartState,
+    /// When it is forgotten, Unix time in µs.
+    expires_us: u64,
 }
 
-/// Those of a fleet that start, in the line for turns.
+/// When a gateway is forgotten.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Expiry {
+    at_us: u64,
+    name: String,
+}
+
+/// The starting gateways of a fleet, and their queue for turns.
 ///
-/// Danger: some tens of hundreds that start and wait for slots laid out for all, before a service with
-/// nothing to do. Harm: calls beside those of the slots, up to 0.45 of what the service is said to bear.
+/// Slots are laid out for the whole fleet. When a part of it starts and the service is idle, turns are sooner.
+/// They use up to 0.45 of the service's stated capacity on top of the slots.
 #[derive(Clone, Debug)]
 pub struct StartBatches {
-    per_s: f64,
+    calls_per_s: f64,
     share: AdaptiveShare,
-    starters: HashMap<String, Starter>,
-    line: BTreeMap<u64, String>,
-    /// When each of them is held no more.
-    ends: BTreeSet<(u64, String)>,
-    next: u64,
-    /// The first moment that no turn has taken.
-    free_ms: f64,
-    /// How long a round of the fleet lasts, by who asked last.
+    gateways: HashMap<String, StartingGateway>,
+    queue: BTreeMap<u64, String>,
+    expiries: BTreeSet<Expiry>,
+    last_position: u64,
+    /// The first moment that no turn has taken, Unix time in ms.
+    free_from_ms: f64,
+    /// Length of a round, ms, in the fleet of the gateway that asked last.
     round_ms: f64,
-    list_ms: Option<f64>,
-    fetched_by_ms: Option<f64>,
+    /// When a list was last fetched, Unix time in ms.
+    list_fetched_ms: Option<f64>,
+    /// Until when a gateway may be fetching the list, Unix time in ms.
+    fetch_deadline_ms: Option<f64>,
 }
 
 impl StartBatches {
-    /// For a service that bears `calls_per_s` calls a second from all gateways, 0.001 at least.
+    /// For a service that takes `calls_per_s` calls a second from all gateways, at least 0.001.
     #[must_use]
     pub fn new(calls_per_s: f64) -> StartBatches {
         StartBatches {
-            per_s: calls_per_s.max(0.001),
-            share: AdaptiveShare::starting_at(FIRST),
-            starters: HashMap::new(),
-            line: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            next: 0,
-            free_ms: 0.0,
+            calls_per_s: calls_per_s.max(MIN_CALLS_PER_S),
+            share: AdaptiveShare::starting_at(INITIAL_SHARE),
+            gateways: HashMap::new(),
+            queue: BTreeMap::new(),
+            expiries: BTreeSet::new(),
+            last_position: 0,
+            free_from_ms: 0.0,
             round_ms: 0.0,
-            list_ms: None,
-            fetched_by_ms: None,
+            list_fetched_ms: None,
+            fetch_deadline_ms: None,
         }
     }
 
-    /// Turns a second in a fleet of so many, 0 where all of them wait.
+    /// Turns a second in a fleet of `fleet_size` gateways; 0 if all of them wait.
     #[must_use]
-    pub fn turns_per_s(&self, gateways: u32) -> f64 {
-        let waits = self.line.len() as f64 / f64::from(gateways.max(1));
-        PACE * self.per_s * self.share.part() * (1.0 - waits).max(0.0)
+    pub fn turns_per_s(&self, fleet_size: u32) -> f64 {
+        let waiting_part = self.queue.len() as f64 / f64::from(fleet_size.max(1));
+        CAPACITY_FOR_TURNS * self.calls_per_s * self.share.fraction() * (1.0 - waiting_part).max(0.0)
     }
 
-    /// How many wait for a turn.
+    /// How many gateways wait for a turn.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
-    /// A gateway of a fleet of so many starts, or asks again: its name, and its process.
-    pub fn request_turn(&mut self, now_ms: f64, name: &str, boot: u64, gateways: u32) -> StartTurn {
-        self.expire(now_ms);
-        self.round_ms = SlotSchedule::new(0, gateways, self.per_s).round().as_secs_f64() * 1_000.0;
-        let place = match self.starters.get(name).map(|starter| starter.state) {
-            // Danger: one that crashes in a loop, each time the next in line.
-            Some(State::Had) => return StartTurn::UseSlots,
-            // One that crashed while it waited keeps its place.
-            Some(State::Waits(place)) => place,
-            None if self.starters.len() >= MAX_STARTING_GATEWAYS => return StartTurn::UseSlots,
-            None => {
-                self.next += 1;
-                self.line.insert(self.next, name.to_string());
-                self.hold(name, boot, State::Waits(self.next), now_ms);
-                self.next
-            }
+    /// A gateway of a fleet of `fleet_size` starts, or asks again: its name, and its incarnation.
+    pub fn request_turn(&mut self, now_ms: f64, name: &str, incarnation: u64, fleet_size: u32) -> StartTurn {
+        self.forget_expired(now_ms);
+        let slots = SlotSchedule::new(0, fleet_size, self.calls_per_s);
+        self.round_ms = slots.round().as_secs_f64() * 1_000.0;
+        let Some(position) = self.queue_position(now_ms, name, incarnation) else {
+            return StartTurn::UseSlots;
         };
-        let (first, pace) =
-            (self.line.first_key_value().map_or(place, |(first, _)| *first), self.turns_per_s(gateways));
-        let apart_ms = 1_000.0 / pace.max(1e-6);
-        let free_ms = self.free_ms.max(now_ms);
-        let due_ms = free_ms + (place - first) as f64 * apart_ms;
-        if pace > 0.0 && due_ms <= now_ms + AHEAD_MS {
-            self.free_ms = free_ms + apart_ms;
-            self.had(name, boot, now_ms);
-            return StartTurn::Call { at_ms: free_ms, fetch: self.fetches(now_ms) };
+        let first = self.queue.first_key_value().map_or(position, |(first, _)| *first);
+        let turns_per_s = self.turns_per_s(fleet_size);
+        let interval_ms = 1_000.0 / turns_per_s.max(MIN_TURNS_PER_S);
+        let free_from_ms = self.free_from_ms.max(now_ms);
+        let due_ms = free_from_ms + (position - first) as f64 * interval_ms;
+        if turns_per_s > 0.0 && due_ms <= now_ms + MAX_LEAD_MS {
+            self.free_from_ms = free_from_ms + interval_ms;
+            self.finish(name, incarnation, now_ms);
+            return StartTurn::Call { at_ms: free_from_ms, fetch: self.is_to_fetch(now_ms) };
         }
-        let after_ms = (due_ms - now_ms - AHEAD_MS / 2.0).clamp(ASK_MS.0, ASK_MS.1);
-        self.hold(name, boot, State::Waits(place), now_ms + after_ms + GONE_MS);
+        let after_ms = (due_ms - now_ms - MAX_LEAD_MS / 2.0).clamp(MIN_ASK_AGAIN_MS, MAX_ASK_AGAIN_MS);
+        let expires_ms = now_ms + after_ms + ASK_AGAIN_GRACE_MS;
+        self.remember(name, incarnation, StartState::Waiting { position }, expires_ms);
         StartTurn::AskAgain { after_ms }
     }
 
-    /// What the first call of one that starts came to, after so long, ms, in its turn or in a slot before;
-    /// and whether it told the whole list.
+    /// The gateway's position in the queue; a new gateway is put at its end. None if it is to use its slots.
+    ///
+    /// A gateway that crashed while it waited keeps its position. One that had a turn gets no other for a
+    /// round, so that one that crashes in a loop is not always the next.
+    fn queue_position(&mut self, now_ms: f64, name: &str, incarnation: u64) -> Option<u64> {
+        match self.gateways.get(name).map(|gateway| gateway.state) {
+            Some(StartState::Done) => None,
+            Some(StartState::Waiting { position }) => Some(position),
+            None if self.gateways.len() >= MAX_STARTING_GATEWAYS => None,
+            None => {
+                self.last_position += 1;
+                let position = self.last_position;
+                self.queue.insert(position, name.to_string());
+                self.remember(name, incarnation, StartState::Waiting { position }, now_ms);
+                Some(position)
+            }
+        }
+    }
+
+    /// The first call of a starting gateway has ended, `response_ms` after it was made, in its turn or in a
+    /// slot before; `has_list` says whether the gateway reported the whole list.
+    ///
+    /// Ignored, but for the list, if another incarnation asked for the turn or none did.
     pub fn call_ended(
         &mut self,
         now_ms: f64,
         name: &str,
-        boot: u64,
-        came: PollOutcome,
-        took_ms: f64,
-        list: bool,
+        incarnation: u64,
+        outcome: PollOutcome,
+        response_ms: f64,
+        has_list: bool,
     ) {
-        self.expire(now_ms);
-        if list {
-            (self.list_ms, self.fetched_by_ms) = (Some(now_ms), None);
+        self.forget_expired(now_ms);
+        if has_list {
+            self.list_fetched_ms = Some(now_ms);
+            self.fetch_deadline_ms = None;
         }
-        // Danger: what another process of that name came to, or one that never asked.
-        if self.starters.get(name).is_none_or(|starter| starter.boot != boot) {
+        if self.gateways.get(name).is_none_or(|gateway| gateway.incarnation != incarnation) {
             return;
         }
-        match came {
+        match outcome {
             PollOutcome::Updated | PollOutcome::Unchanged => {
-                self.share.record_response(Some(took_ms.max(0.0)))
+                self.share.record_response(Some(response_ms.max(0.0)));
             }
-            PollOutcome::Rejected(_) | PollOutcome::TimedOut => self.share.refused(true),
+            PollOutcome::Rejected(_) | PollOutcome::TimedOut => self.share.record_rejection(true),
             PollOutcome::OlderVersion | PollOutcome::Failed => {}
         }
-        self.had(name, boot, now_ms);
+        self.finish(name, incarnation, now_ms);
     }
 
-    /// Whether who calls now is to fetch the list for all.
-    fn fetches(&mut self, now_ms: f64) -> bool {
-        let fresh = self.list_ms.is_some_and(|at| now_ms - at < FRESH_MS);
-        let fetched = self.fetched_by_ms.is_some_and(|by| now_ms < by);
-        if !fresh && !fetched {
-            self.fetched_by_ms = Some(now_ms + FETCH_MS);
+    /// Whether the gateway that calls now is to fetch the list for all.
+    fn is_to_fetch(&mut self, now_ms: f64) -> bool {
+        let is_fresh = self.list_fetched_ms.is_some_and(|at_ms| now_ms - at_ms < LIST_FRESH_MS);
+        let is_being_fetched = self.fetch_deadline_ms.is_some_and(|deadline_ms| now_ms < deadline_ms);
+        if is_fresh || is_being_fetched {
+            return false;
         }
-        !fresh && !fetched
+        self.fetch_deadline_ms = Some(now_ms + FETCH_TIMEOUT_MS);
+        true
     }
 
-    /// It has no other turn for a round.
-    fn had(&mut self, name: &str, boot: u64, now_ms: f64) {
-        if let Some(Starter { state: State::Waits(place), .. }) = self.starters.get(name) {
-            self.line.remove(place);
+    /// The gateway gets no other turn for a round.
+    fn finish(&mut self, name: &str, incarnation: u64, now_ms: f64) {
+        if let Some(StartingGateway { state: StartState::Waiting { position }, .. }) = self.gateways.get(name)
+        {
+            self.queue.remove(position);
         }
-        self.hold(name, boot, State::Had, now_ms + self.round_ms);
+        self.remember(name, incarnation, StartState::Done, now_ms + self.round_ms);
     }
 
-    fn hold(&mut self, name: &str, boot: u64, state: State, until_ms: f64) {
-        let until_us = (until_ms.max(0.0) * 1_000.0) as u64;
-        let old = self.starters.insert(name.to_string(), Starter { boot, state, until_us });
-        if let Some(old) = old {
-            self.ends.remove(&(old.until_us, name.to_string()));
+    fn remember(&mut self, name: &str, incarnation: u64, state: StartState, expires_ms: f64) {
+        let expires_us = micros(expires_ms);
+        let gateway = StartingGateway { incarnation, state, expires_us };
+        if let Some(old) = self.gateways.insert(name.to_string(), gateway) {
+            self.expiries.remove(&Expiry { at_us: old.expires_us, name: name.to_string() });
         }
-        self.ends.insert((until_us, name.to_string()));
+        self.expiries.insert(Expiry { at_us: expires_us, name: name.to_string() });
     }
 
-    /// Forgets those whose time is over.
-    fn expire(&mut self, now_ms: f64) {
-        let now_us = (now_ms.max(0.0) * 1_000.0) as u64;
-        while self.ends.first().is_some_and(|(until_us, _)| *until_us < now_us) {
-            let Some((_, name)) = self.ends.pop_first() else { return };
-            if let Some(Starter { state: State::Waits(place), .. }) = self.starters.remove(&name) {
-                self.line.remove(&place);
+    fn forget_expired(&mut self, now_ms: f64) {
+        let now_us = micros(now_ms);
+        while self.expiries.first().is_some_and(|expiry| expiry.at_us < now_us) {
+            let Some(Expiry { name, .. }) = self.expiries.pop_first() else { return };
+            let forgotten = self.gateways.remove(&name).map(|gateway| gateway.state);
+            if let Some(StartState::Waiting { position }) = forgotten {
+                self.queue.remove(&position);
             }
         }
     }
 }
+
+/// Whole µs, which sort and compare exactly.
+fn micros(ms: f64) -> u64 {
+    (ms.max(0.0) * 1_000.0) as u64
+}
--- a/crates/cold-start/tests/call_budget.rs
+++ b/crates/cold-start/tests/call_budget.rs
@@ -31,7 +31,7 @@
     /// Seeds: `PROPTEST_RNG_SEED`. In second `k` a fleet that starts at once makes no more than `2^(k+1)`
     /// times what the counter bears, and one call of each gateway.
     #[test]
-    fn a_fleet_of_any_size_begins_with_what_the_counter_bears(n in 1u32..=1_000, wants in 1.0..100.0f64) {
+    fn fleets_of_any_size_begin_within_the_counters_capacity(n in 1u32..=1_000, wants in 1.0..100.0f64) {
         let by_second = play(n, wants, 4, |_| BEGIN_MS);
         let mut all = 0.0;
         for (k, calls) in by_second.iter().enumerate() {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn it_ends_after_six_doublings_and_all_calls_are_made_from_then_on() {
+fn budget_ends_after_six_doublings() {
     let mut allowance = CallBudget::new(7, 300, BEARS, BEGIN_MS);
     let (mut made, mut first) = (0, None);
     for ms in 0..30_000 {
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn gateways_that_start_one_after_another_begin_each_with_its_part() {
+fn staggered_starts_each_begin_with_their_part() {
     // Thirty in a second are a tenth of the fleet: its part is a tenth of what the counter bears.
     let by_second = play(300, 50.0, 1, |place| if place < 30 { BEGIN_MS } else { BEGIN_MS + 900_000.0 });
     assert!(by_second[0] <= 60, "{by_second:?}");
 }
 
 #[test]
-fn it_doubles_every_two_seconds_and_saves_up_two_calls_at_most() {
+fn budget_doubles_every_two_seconds_and_saves_two_calls() {
     // One gateway alone has all that the counter bears, and wants more at any moment.
     let calls = |from: u32, to: u32| {
         let mut allowance = CallBudget::new(0, 1, BEARS, BEGIN_MS);
--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -26,7 +26,7 @@
 
 /// A gateway in simulated time, and when it tried each backend.
 struct Gateway {
-    openings: ConnectionRamp,
+    ramp: ConnectionRamp,
     tried: Vec<(f64, u32)>,
     /// Those that the decisions were told of without a try.
     released: Vec<u32>,
@@ -34,15 +34,15 @@
 
 impl Gateway {
     fn new(place: u32, gateways: u32, backends: u32, now: f64) -> Gateway {
-        let mut openings = ConnectionRamp::new(place, gateways, home(place, gateways), PER_S, now);
+        let mut ramp = ConnectionRamp::new(place, gateways, home(place, gateways), PER_S, now);
         for id in 0..backends {
-            assert!(!openings.add(id, key(id), 0.0), "open before its turn");
+            assert!(!ramp.add(id, key(id), 0.0), "open before its turn");
         }
-        Gateway { openings, tried: Vec::new(), released: Vec::new() }
+        Gateway { ramp, tried: Vec::new(), released: Vec::new() }
     }
 
     fn confirmed(mut self, now: f64) -> Gateway {
-        self.openings.confirm(now);
+        self.ramp.confirm(now);
         self
     }
 
@@ -50,16 +50,16 @@
     fn run(&mut self, from: f64, until: f64, late: f64, answers: impl Fn(u32, f64) -> bool) {
         let mut now = from;
         loop {
-            self.openings.choose(now, 0);
-            self.released.extend(self.openings.release(now));
-            let Some(next) = self.openings.next(now).map(|at| at.max(now) + late) else { return };
+            self.ramp.choose(now, 0);
+            self.released.extend(self.ramp.release(now));
+            let Some(next) = self.ramp.next(now).map(|at| at.max(now) + late) else { return };
             if next >= until {
                 return;
             }
             now = next;
-            while let Some(id) = self.openings.due(now) {
+            while let Some(id) = self.ramp.due(now) {
                 self.tried.push((now, id));
-                let _ = self.openings.first_connection_ended(now + 1.0, id, 0.0, answers(id, now));
+                let _ = self.ramp.first_connection_ended(now + 1.0, id, 0.0, answers(id, now));
             }
             now += 0.001;
         }
@@ -89,7 +89,7 @@
     /// Seeds: `PROPTEST_RNG_SEED`. Whoever starts when, crashes or is late: a backend gets one first
     /// connection a slot, and in the end the decisions have all, everywhere.
     #[test]
-    fn a_backend_gets_one_first_connection_a_slot_from_fleets_of_any_size(
+    fn one_first_connection_per_slot_from_fleets_of_any_size(
         n in 1u32..=1_000,
         backends in 1u32..=20,
         spread_ms in 0.0..20_000.0f64,
@@ -109,8 +109,8 @@
             }
             let mut gateway = Gateway::new(place, n, backends, now).confirmed(now);
             gateway.run(now, now + 2.0 * round + 200.0, late, |_, _| true);
-            prop_assert_eq!(gateway.openings.stage(), RampStage::Warm);
-            prop_assert_eq!(gateway.openings.open(), backends as usize);
+            prop_assert_eq!(gateway.ramp.stage(), RampStage::Warm);
+            prop_assert_eq!(gateway.ramp.open(), backends as usize);
             // Its home is what it tried by turns, four at least.
             let degree = home(place, n).degree(backends as usize);
             let of_home = |id: &u32| home(place, n).threshold(key(*id)) < degree;
@@ -123,18 +123,18 @@
 }
 
 #[test]
-fn while_the_list_is_unconfirmed_few_are_tried_and_a_dead_one_is_found_out_by_few() {
+fn unconfirmed_list_tries_few_backends() {
     let (n, backends) = (300, 40);
     let half = |id: u32, _| id.is_multiple_of(2);
     let mut fleet: Vec<Gateway> = (0..n).map(|place| Gateway::new(place, n, backends, BEGIN_MS)).collect();
     for gateway in &mut fleet {
         gateway.run(BEGIN_MS, BEGIN_MS + 0.99 * round_ms(n), 0.0, half);
         // Those that failed are followed by others, each in a slot of its own.
-        assert!((1..=4).contains(&gateway.openings.open()), "{}", gateway.openings.open());
-        assert_eq!((gateway.openings.stage(), gateway.released.len()), (RampStage::Known, 0));
+        assert!((1..=4).contains(&gateway.ramp.open()), "{}", gateway.ramp.open());
+        assert_eq!((gateway.ramp.stage(), gateway.released.len()), (RampStage::Known, 0));
     }
     slots_hold(&fleet, backends, 0.0);
-    let open: usize = fleet.iter().map(|g| g.openings.open()).sum();
+    let open: usize = fleet.iter().map(|g| g.ramp.open()).sum();
     assert!(open >= 300 * 3, "{open} open at 300 gateways");
     let at_dead = fleet.iter().flat_map(|g| &g.tried).filter(|(_, id)| id % 2 == 1).count();
     // All of them would be 300 at each of 20; four that answer are found by about four that do not.
@@ -143,22 +143,22 @@
     let gateway = &mut fleet[7];
     let from = BEGIN_MS + round_ms(n);
     gateway.run(from, from + 8.0 * round_ms(n), 0.0, |_, _| true);
-    assert_eq!(gateway.openings.open(), backends as usize);
-    assert_eq!(gateway.openings.stage(), RampStage::Known);
+    assert_eq!(gateway.ramp.open(), backends as usize);
+    assert_eq!(gateway.ramp.stage(), RampStage::Known);
 }
 
 #[test]
-fn work_failures_and_a_confirmed_list_ask_for_more() {
+fn load_failures_and_confirmation_open_more_backends() {
     let n = 300;
     // By how many have a turn or are open: those that were tried or wait.
     let chosen = |gateway: &mut Gateway, out: usize| {
-        gateway.openings.choose(BEGIN_MS, out);
+        gateway.ramp.choose(BEGIN_MS, out);
         let mut tried = 0;
-        let mut openings = gateway.openings.clone();
+        let mut ramp = gateway.ramp.clone();
         let mut now = BEGIN_MS;
-        while let Some(at) = openings.next(now).filter(|at| *at < BEGIN_MS + 0.99 * round_ms(n)) {
+        while let Some(at) = ramp.next(now).filter(|at| *at < BEGIN_MS + 0.99 * round_ms(n)) {
             now = at;
-            while openings.due(now).is_some() {
+            while ramp.due(now).is_some() {
                 tried += 1;
             }
             now += 0.001;
@@ -171,7 +171,7 @@
     let busy = chosen(&mut gateway, 8);
     assert!(busy >= few + 3, "{busy} with 8 attempts out, {few} before");
     for _ in 0..6 {
-        gateway.openings.record_failure();
+        gateway.ramp.record_failure();
     }
     let failing = chosen(&mut gateway, 8);
     assert!(failing >= busy + 4, "{failing} after 6 that failed, {busy} before");
@@ -183,40 +183,40 @@
 }
 
 #[test]
-fn those_beside_the_home_are_told_once_it_was_tried_or_had_two_rounds_for_it() {
+fn releases_deferred_backends_after_the_subset_or_two_rounds() {
     let n = 300;
     let mut gateway = Gateway::new(3, n, 40, BEGIN_MS);
-    gateway.openings.choose(BEGIN_MS, 0);
-    assert_eq!(gateway.openings.release(BEGIN_MS + 9.0 * round_ms(n)), [], "told though nobody confirmed it");
+    gateway.ramp.choose(BEGIN_MS, 0);
+    assert_eq!(gateway.ramp.release(BEGIN_MS + 9.0 * round_ms(n)), [], "told though nobody confirmed it");
     let mut gateway = gateway.confirmed(BEGIN_MS);
-    gateway.openings.choose(BEGIN_MS, 0);
+    gateway.ramp.choose(BEGIN_MS, 0);
     // Once it is confirmed no more are chosen as time passes, lest there be always one that was not tried.
-    gateway.openings.choose(BEGIN_MS + 5.0 * round_ms(n), 0);
-    assert_eq!(gateway.openings.release(BEGIN_MS + 1.9 * round_ms(n)), [], "before the home was tried");
-    let told = gateway.openings.release(BEGIN_MS + 2.1 * round_ms(n));
+    gateway.ramp.choose(BEGIN_MS + 5.0 * round_ms(n), 0);
+    assert_eq!(gateway.ramp.release(BEGIN_MS + 1.9 * round_ms(n)), [], "before the home was tried");
+    let told = gateway.ramp.release(BEGIN_MS + 2.1 * round_ms(n));
     assert!(told.len() > 25, "{told:?}");
     // Nobody waits for those of the home that went meanwhile.
     let mut gone = Gateway::new(3, n, 40, BEGIN_MS).confirmed(BEGIN_MS);
-    gone.openings.choose(BEGIN_MS, 0);
-    (0..40).filter(|id| !told.contains(id)).for_each(|id| gone.openings.remove(id));
-    assert_eq!(gone.openings.release(BEGIN_MS).len(), told.len());
+    gone.ramp.choose(BEGIN_MS, 0);
+    (0..40).filter(|id| !told.contains(id)).for_each(|id| gone.ramp.remove(id));
+    assert_eq!(gone.ramp.release(BEGIN_MS).len(), told.len());
     // From then on one that is not of the home waits for nothing.
     let far = (40..).find(|id| home(3, n).threshold(key(*id)) > 200.0).expect("one of many");
-    assert!(!gateway.openings.add(far, key(far), 0.0));
-    gateway.openings.choose(BEGIN_MS, 0);
-    assert_eq!(gateway.openings.release(BEGIN_MS), [far]);
-    assert!(gateway.openings.add(far, key(far), 0.0));
+    assert!(!gateway.ramp.add(far, key(far), 0.0));
+    gateway.ramp.choose(BEGIN_MS, 0);
+    assert_eq!(gateway.ramp.release(BEGIN_MS), [far]);
+    assert!(gateway.ramp.add(far, key(far), 0.0));
 }
 
 #[test]
-fn a_backend_that_never_answers_is_tried_less_and_less_and_its_return_is_found() {
+fn backs_off_from_a_dead_backend_and_finds_its_return() {
     let n = 300;
     let mut fleet: Vec<Gateway> =
         (0..n).map(|place| Gateway::new(place, n, 1, BEGIN_MS).confirmed(BEGIN_MS)).collect();
     let back = BEGIN_MS + 120_000.0;
     for gateway in &mut fleet {
         gateway.run(BEGIN_MS, back + 30_000.0, 0.0, |_, now| now >= back);
-        assert_eq!(gateway.openings.open(), 1);
+        assert_eq!(gateway.ramp.open(), 1);
         let last = gateway.tried.last().map_or(0.0, |(at, _)| *at);
         assert!(last < back + 20_000.0 + 2.0 * round_ms(n), "found {} ms late", last - back);
     }
@@ -230,62 +230,62 @@
 }
 
 #[test]
-fn a_later_life_a_drain_and_a_whole_list_shut_a_backend_until_its_turn() {
-    let mut openings = ConnectionRamp::new(1, 30, home(1, 30), PER_S, BEGIN_MS);
-    openings.confirm(BEGIN_MS);
+fn restart_drain_and_removal_close_a_backend_until_its_slot() {
+    let mut ramp = ConnectionRamp::new(1, 30, home(1, 30), PER_S, BEGIN_MS);
+    ramp.confirm(BEGIN_MS);
     // Its moment, and its number.
-    let due = |openings: &mut ConnectionRamp, from: f64| {
-        openings.choose(from, 0);
-        let at = openings.next(from).expect("it waits");
-        assert_eq!(openings.due(at - 0.5), None, "before its turn");
-        (at, openings.due(at))
+    let due = |ramp: &mut ConnectionRamp, from: f64| {
+        ramp.choose(from, 0);
+        let at = ramp.next(from).expect("it waits");
+        assert_eq!(ramp.due(at - 0.5), None, "before its turn");
+        (at, ramp.due(at))
     };
-    assert!(!openings.add(5, 77, 0.0));
-    let (at, id) = due(&mut openings, BEGIN_MS);
-    assert_eq!((id, openings.stage()), (Some(5), RampStage::Confirmed));
-    assert!(openings.first_connection_ended(at + 1.0, 5, 0.0, true) && openings.add(5, 77, 0.0));
-    assert_eq!((openings.release(at), openings.stage()), (vec![], RampStage::Warm));
+    assert!(!ramp.add(5, 77, 0.0));
+    let (at, id) = due(&mut ramp, BEGIN_MS);
+    assert_eq!((id, ramp.stage()), (Some(5), RampStage::Confirmed));
+    assert!(ramp.first_connection_ended(at + 1.0, 5, 0.0, true) && ramp.add(5, 77, 0.0));
+    assert_eq!((ramp.release(at), ramp.stage()), (vec![], RampStage::Warm));
     // It starts anew, and once more while its first connection is being opened: that tells nothing.
-    assert!(!openings.add(5, 77, 10.0));
-    let (at, id) = due(&mut openings, at);
+    assert!(!ramp.add(5, 77, 10.0));
+    let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(!openings.add(5, 77, 20.0), "another life");
-    assert!(!openings.first_connection_ended(at + 1.0, 5, 10.0, true), "an answer of the life before");
-    assert_eq!((openings.open(), openings.waiting_count()), (0, 1));
-    let (at, id) = due(&mut openings, at);
+    assert!(!ramp.add(5, 77, 20.0), "another life");
+    assert!(!ramp.first_connection_ended(at + 1.0, 5, 10.0, true), "an answer of the life before");
+    assert_eq!((ramp.open(), ramp.waiting_count()), (0, 1));
+    let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(openings.first_connection_ended(at, 5, 20.0, true));
-    assert!(openings.add(5, 77, 10.0), "an older line is none of another life");
+    assert!(ramp.first_connection_ended(at, 5, 20.0, true));
+    assert!(ramp.add(5, 77, 10.0), "an older line is none of another life");
     // The same while its first connection of the later life is being opened.
-    assert!(!openings.add(5, 77, 30.0));
-    let (at, id) = due(&mut openings, at);
+    assert!(!ramp.add(5, 77, 30.0));
+    let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(!openings.first_connection_ended(at, 5, 20.0, true), "a late answer of the life before");
-    assert!(openings.first_connection_ended(at, 5, 30.0, true));
+    assert!(!ramp.first_connection_ended(at, 5, 20.0, true), "a late answer of the life before");
+    assert!(ramp.first_connection_ended(at, 5, 30.0, true));
     // Drained and given back.
-    openings.remove(5);
-    assert_eq!((openings.stage(), openings.next(at)), (RampStage::Empty, None));
-    assert!(!openings.add(5, 77, 30.0));
-    let (at, id) = due(&mut openings, at);
+    ramp.remove(5);
+    assert_eq!((ramp.stage(), ramp.next(at)), (RampStage::Empty, None));
+    assert!(!ramp.add(5, 77, 30.0));
+    let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(openings.first_connection_ended(at, 5, 30.0, true));
+    assert!(ramp.first_connection_ended(at, 5, 30.0, true));
     // Off a whole list and on it again.
-    openings.retain(|id| id != 5);
-    assert!(!openings.add(5, 77, 30.0));
-    assert_eq!(openings.waiting_count(), 1);
+    ramp.retain(|id| id != 5);
+    assert!(!ramp.add(5, 77, 30.0));
+    assert_eq!(ramp.waiting_count(), 1);
 }
 
 #[test]
-fn gateways_that_were_stopped_and_go_on_together_wait_for_their_next_turns() {
+fn resumed_gateways_wait_for_their_next_slots() {
     let n = 100;
     let mut fleet: Vec<Gateway> =
         (0..n).map(|place| Gateway::new(place, n, 4, BEGIN_MS).confirmed(BEGIN_MS)).collect();
     // All are stopped before their first turn, for ten rounds.
     let on = BEGIN_MS + 10.0 * round_ms(n) + 3.0;
     for gateway in &mut fleet {
-        gateway.openings.choose(BEGIN_MS, 0);
+        gateway.ramp.choose(BEGIN_MS, 0);
         gateway.run(on, on + 2.1 * round_ms(n), 0.0, |_, _| true);
-        assert_eq!(gateway.openings.open(), 4);
+        assert_eq!(gateway.ramp.open(), 4);
     }
     slots_hold(&fleet, 4, 100.0);
 }
--- a/crates/cold-start/tests/poll_schedule.rs
+++ b/crates/cold-start/tests/poll_schedule.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_time_that_a_service_asks_for_is_kept_to_up_to_a_minute() {
+fn observes_retry_after_up_to_a_minute() {
     for (asked_s, least_ms) in [(20, 20_000.0), (3_600, 60_000.0)] {
         let mut calls = calls();
         let call = calls.next(NOW_MS);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_watch_ends_just_before_a_slot_and_the_next_follows_in_it_at_once() {
+fn watch_ends_just_before_the_slot_of_the_next() {
     let mut calls = calls();
     let first = calls.next(NOW_MS);
     assert_eq!(first.wait, Duration::ZERO, "the first is to be answered at once");
@@ -46,9 +46,9 @@
     }
 }
 
-/// Danger: a change that all who watch hear at once, and ask again about at once.
+/// A change that all who watch hear at once, and ask again about at once.
 #[test]
-fn after_news_the_next_watch_begins_in_the_next_slot() {
+fn watch_after_an_update_begins_in_the_next_slot() {
     let mut calls = calls();
     let first = calls.next(NOW_MS);
     calls.poll_ended(first.at_ms + 20.0, PollOutcome::Unchanged);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_call_that_was_given_up_is_made_anew_in_that_slot_and_then_waited_for_twice_as_long() {
+fn timed_out_poll_is_repeated_in_its_slot_with_twice_the_timeout() {
     let mut calls = calls();
     let mut call = calls.next(NOW_MS);
     let mut before = 0.0;
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn a_call_whose_moment_has_passed_is_missed() {
+fn late_poll_is_missed() {
     let mut calls = calls();
     let call = calls.next(NOW_MS);
     assert!(!calls.missed(call, call.at_ms + 50.0) && calls.missed(call, call.at_ms + 5_000.0));
 }
 
 #[test]
-fn a_start_without_a_list_waits_two_rounds_and_no_longer_than_20_s() {
+fn first_timeout_is_two_rounds_and_at_most_20_s() {
     let within =
         |gateways| PollSchedule::new(SlotSchedule::new(0, gateways, 50.0)).first_timeout().as_secs_f64();
     assert!((within(1) - 0.544).abs() < 0.001 && (within(300) - 13.83).abs() < 0.01, "{}", within(300));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_answer_in_no_time_at_all_is_not_asked_for_again_in_the_same_slot() {
+fn immediate_response_does_not_repeat_the_slot() {
     let mut calls = calls();
     let call = calls.next(NOW_MS);
     calls.poll_ended(call.at_ms, PollOutcome::OlderVersion);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_service_whose_answers_take_long_is_waited_for_by_that() {
+fn timeout_follows_slow_responses() {
     let mut calls = calls();
     let call = calls.next(NOW_MS);
     calls.poll_ended(call.at_ms + 4_500.0, PollOutcome::Unchanged);
@@ -113,16 +113,16 @@
 }
 
 #[test]
-fn a_share_falls_by_half_to_its_least_and_comes_back_by_quick_answers() {
+fn share_halves_to_its_minimum_and_recovers_by_fast_responses() {
     let mut share = AdaptiveShare::default();
     share.record_response(Some(5.0));
     // One that stood in a queue counts as a refusal; one that was a little later as nothing.
     share.record_response(Some(500.0));
-    assert_eq!(share.part(), 1.0);
+    assert_eq!(share.fraction(), 1.0);
     share.record_response(Some(1_500.0));
-    assert_eq!(share.part(), 0.5);
-    (0..20).for_each(|_| share.refused(true));
-    assert_eq!(share.part(), MIN_SHARE);
+    assert_eq!(share.fraction(), 0.5);
+    (0..20).for_each(|_| share.record_rejection(true));
+    assert_eq!(share.fraction(), MIN_SHARE);
     (0..4).for_each(|_| share.record_response(Some(5.0)));
-    assert_eq!(share.part(), 1.0);
+    assert_eq!(share.fraction(), 1.0);
 }
--- a/crates/cold-start/tests/service.rs
+++ b/crates/cold-start/tests/service.rs
@@ -69,8 +69,8 @@
         confirmed: vec![None; gateways as usize],
         ..Played::default()
     };
-    let calendar = |g| SlotSchedule::new(g, gateways, TOLD);
-    let mut fleet: Vec<PollSchedule> = (0..gateways).map(|g| PollSchedule::new(calendar(g))).collect();
+    let slots = |g| SlotSchedule::new(g, gateways, TOLD);
+    let mut fleet: Vec<PollSchedule> = (0..gateways).map(|g| PollSchedule::new(slots(g))).collect();
     // Moments in us, whether a call is made or ends, whose, and what it came to.
     let mut heap: BinaryHeap<Reverse<(u64, u8, u32)>> = BinaryHeap::new();
     let mut ends: Vec<(PollOutcome, Poll)> = Vec::new();
@@ -158,7 +158,7 @@
     /// Whoever starts when, and whatever the service does: one call after another, and each gateway makes
     /// one a round at most.
     #[test]
-    fn no_fleet_calls_more_often_than_its_slots(
+    fn polls_stay_within_the_slots(
         gateways in 1u32..=1_000, bears in 1.0f64..200.0, delay_ms in 0.0f64..5_000.0,
         shift_ms in 0.0f64..60_000.0, how in 0usize..4, away_ms in 0.0f64..30_000.0,
     ) {
@@ -177,7 +177,7 @@
     /// A service that bears what it is told to: all have the list in a round, by one call each, and ask for
     /// half of what it bears from then on.
     #[test]
-    fn a_service_that_is_well_tells_all_in_a_round(
+    fn healthy_service_answers_all_within_a_round(
         gateways in 1u32..=1_000, delay_ms in 0.0f64..500.0, shift_ms in 0.0f64..60_000.0,
     ) {
         let service = Service { delay_ms, ..WELL };
@@ -195,7 +195,7 @@
 
     /// One that was away for a while: the last has the list a round after, or as long after as it was away.
     #[test]
-    fn after_an_absence_all_have_the_list_within_a_round_or_as_long(
+    fn all_have_the_list_within_a_round_after_an_outage_or_as_long(
         gateways in 1u32..=1_000, how in 0usize..3, away_ms in 500.0f64..20_000.0,
         shift_ms in 0.0f64..60_000.0,
     ) {
@@ -211,7 +211,7 @@
     /// One that bears less than it is told to, down to a tenth: all have the list in the end, nobody long
     /// after the others, and the sum of all comes to rest where few are turned away.
     #[test]
-    fn a_service_that_bears_less_is_found_out(
+    fn adapts_to_a_service_with_less_capacity(
         gateways in 20u32..=1_000, bears in 5.0f64..50.0, delay_ms in 0.0f64..5_000.0,
         shift_ms in 0.0f64..60_000.0,
     ) {
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -45,7 +45,7 @@
 /// A fleet at rest, of which `starts` start anew together, spread over its places; the service works on one
 /// call after another, `bears` a second, with 50 places.
 fn play(gateways: u32, starts: u32, bears: f64, with_agent: bool, seconds: f64) -> Played {
-    let mut waves = StartBatches::new(BEARS);
+    let mut batches = StartBatches::new(BEARS);
     let anew = |place: u32| place * starts / gateways != (place + 1) * starts / gateways;
     let mut all: Vec<Gateway> = (0..gateways)
         .map(|place| {
@@ -53,7 +53,7 @@
             let mut from = BEGIN_MS;
             // Those at rest were told in the round before, all in that one, as after a start of all.
             if !anew(place) {
-                let before = calls.next(BEGIN_MS - calls_round(gateways));
+                let before = calls.next(BEGIN_MS - round_ms_of(gateways));
                 calls.poll_ended(before.at_ms + 20.0, PollOutcome::Unchanged);
                 from = before.at_ms + 21.0;
             }
@@ -68,7 +68,7 @@
     while now < BEGIN_MS + seconds * 1_000.0 {
         for g in &mut all {
             if g.asks_ms.is_some_and(|at| at <= now) {
-                match waves.request_turn(now, &g.name, 1, gateways) {
+                match batches.request_turn(now, &g.name, 1, gateways) {
                     StartTurn::Call { at_ms, fetch } => {
                         (g.turn, g.asks_ms) = (Some(at_ms), None);
                         played.fetched += usize::from(fetch);
@@ -88,7 +88,7 @@
                     played.turned_away += 1;
                     g.calls.poll_ended(now, PollOutcome::Rejected(None));
                     if std::mem::take(&mut g.first) {
-                        waves.call_ended(now, &g.name, 1, PollOutcome::Rejected(None), 0.0, false);
+                        batches.call_ended(now, &g.name, 1, PollOutcome::Rejected(None), 0.0, false);
                         g.first = true;
                     }
                     g.call = g.calls.next(now);
@@ -103,7 +103,7 @@
                 if std::mem::take(&mut g.first) {
                     g.told_ms = Some(now - BEGIN_MS);
                     (g.asks_ms, g.turn) = (None, None);
-                    waves.call_ended(now, &g.name, 1, PollOutcome::Unchanged, now - g.call.at_ms, false);
+                    batches.call_ended(now, &g.name, 1, PollOutcome::Unchanged, now - g.call.at_ms, false);
                 }
                 g.call = g.calls.next(now);
             }
@@ -115,12 +115,12 @@
     played
 }
 
-fn calls_round(gateways: u32) -> f64 {
+fn round_ms_of(gateways: u32) -> f64 {
     SlotSchedule::new(0, gateways, BEARS).round().as_secs_f64() * 1_000.0
 }
 
 #[test]
-fn thirty_of_three_hundred_are_told_in_half_the_time_and_the_service_is_called_no_more_than_it_bears() {
+fn a_tenth_of_the_fleet_starts_in_half_the_time_within_capacity() {
     let (slots, turns) = (play(300, 30, 50.0, false, 14.0), play(300, 30, 50.0, true, 14.0));
     assert!(turns.last() <= 0.5 * slots.last(), "{} {}", slots.last(), turns.last());
     let mean = |played: &Played| played.told.iter().sum::<f64>() / 30.0;
@@ -130,9 +130,9 @@
 }
 
 #[test]
-fn where_all_start_there_are_slots_alone() {
+fn no_turns_when_the_whole_fleet_starts() {
     let played = play(300, 300, 50.0, true, 14.0);
-    assert!(played.last() <= calls_round(300) + 100.0, "{}", played.last());
+    assert!(played.last() <= round_ms_of(300) + 100.0, "{}", played.last());
     // The slots', and a turn or two of those who asked before the others had.
     assert!(played.most_in(1_000.0) <= 52, "{}", played.most_in(1_000.0));
 }
@@ -142,11 +142,11 @@
 
     /// No later than by slots, and no more calls than the invariant has, in any fleet.
     #[test]
-    fn nobody_is_told_later_and_calls_keep_to_the_sum(
+    fn turns_delay_nobody_and_keep_to_the_capacity(
         gateways in 1u32..400, part in 0.0..1.0f64, slow in 0.5..2.0f64
     ) {
         let starts = ((f64::from(gateways) * part) as u32).max(1);
-        let (bears, round) = (BEARS * slow, calls_round(gateways));
+        let (bears, round) = (BEARS * slow, round_ms_of(gateways));
         let played = play(gateways, starts, bears, true, 3.0 * round / 1_000.0 + 4.0);
         if slow >= 1.0 {
             // A slot of its own in each round, and the time of an answer.
@@ -160,9 +160,9 @@
 }
 
 /// Asks until there is a turn; when, and whether it fetches.
-fn turn(waves: &mut StartBatches, mut now: f64, name: &str, boot: u64) -> Option<(f64, bool)> {
+fn turn(batches: &mut StartBatches, mut now: f64, name: &str, boot: u64) -> Option<(f64, bool)> {
     for _ in 0..1_000 {
-        match waves.request_turn(now, name, boot, 300) {
+        match batches.request_turn(now, name, boot, 300) {
             StartTurn::Call { at_ms, fetch } => return Some((at_ms, fetch)),
             StartTurn::AskAgain { after_ms } => now += after_ms,
             StartTurn::UseSlots => return None,
@@ -171,56 +171,56 @@
     panic!("asked a thousand times");
 }
 
-/// Danger: a gateway that crashes in a loop, at each start first in line.
+/// A gateway that crashes in a loop, at each start first in line.
 #[test]
-fn a_name_has_one_turn_a_round_whatever_process_it_is() {
-    let mut waves = StartBatches::new(BEARS);
-    assert!(turn(&mut waves, BEGIN_MS, "n0", 1).is_some());
-    assert_eq!(turn(&mut waves, BEGIN_MS + 500.0, "n0", 2), None);
-    assert!(turn(&mut waves, BEGIN_MS + calls_round(300) + 1.0, "n0", 3).is_some());
+fn one_turn_per_name_and_round() {
+    let mut batches = StartBatches::new(BEARS);
+    assert!(turn(&mut batches, BEGIN_MS, "n0", 1).is_some());
+    assert_eq!(turn(&mut batches, BEGIN_MS + 500.0, "n0", 2), None);
+    assert!(turn(&mut batches, BEGIN_MS + round_ms_of(300) + 1.0, "n0", 3).is_some());
     // One that crashes while it waits keeps its place, and is not two.
     for boot in 0..20 {
-        waves.request_turn(BEGIN_MS + 50_000.0, "n1", boot, 300);
-        waves.request_turn(BEGIN_MS + 50_000.0, "n2", boot, 300);
+        batches.request_turn(BEGIN_MS + 50_000.0, "n1", boot, 300);
+        batches.request_turn(BEGIN_MS + 50_000.0, "n2", boot, 300);
     }
-    assert!(waves.waiting_count() <= 2);
+    assert!(batches.waiting_count() <= 2);
 }
 
 #[test]
-fn those_that_do_not_ask_again_are_waited_for_no_more_and_the_told_give_their_place_up() {
-    let mut waves = StartBatches::new(BEARS);
+fn silent_and_answered_gateways_leave_the_queue() {
+    let mut batches = StartBatches::new(BEARS);
     for i in 0..40 {
-        waves.request_turn(BEGIN_MS, &format!("n{i}"), 1, 300);
+        batches.request_turn(BEGIN_MS, &format!("n{i}"), 1, 300);
     }
-    assert!(waves.waiting_count() >= 39);
+    assert!(batches.waiting_count() >= 39);
     for i in 0..20 {
-        waves.call_ended(BEGIN_MS + 10.0, &format!("n{i}"), 1, PollOutcome::Unchanged, 20.0, false);
+        batches.call_ended(BEGIN_MS + 10.0, &format!("n{i}"), 1, PollOutcome::Unchanged, 20.0, false);
         // Another process of that name says nothing of this one.
-        waves.call_ended(BEGIN_MS + 10.0, &format!("n{}", i + 20), 7, PollOutcome::Unchanged, 20.0, false);
+        batches.call_ended(BEGIN_MS + 10.0, &format!("n{}", i + 20), 7, PollOutcome::Unchanged, 20.0, false);
     }
-    assert_eq!(waves.waiting_count(), 20);
-    waves.request_turn(BEGIN_MS + 4_000.0, "late", 1, 300);
-    assert!(waves.waiting_count() <= 1, "{}", waves.waiting_count());
+    assert_eq!(batches.waiting_count(), 20);
+    batches.request_turn(BEGIN_MS + 4_000.0, "late", 1, 300);
+    assert!(batches.waiting_count() <= 1, "{}", batches.waiting_count());
 }
 
 #[test]
-fn more_than_ten_thousand_are_not_held() {
-    let mut waves = StartBatches::new(BEARS);
+fn remembers_at_most_ten_thousand_gateways() {
+    let mut batches = StartBatches::new(BEARS);
     for i in 0..12_000 {
-        waves.request_turn(BEGIN_MS, &format!("n{i}"), 1, 20_000);
+        batches.request_turn(BEGIN_MS, &format!("n{i}"), 1, 20_000);
     }
-    assert!(waves.waiting_count() <= 10_000, "{}", waves.waiting_count());
-    assert_eq!(waves.request_turn(BEGIN_MS, "one more", 1, 20_000), StartTurn::UseSlots);
+    assert!(batches.waiting_count() <= 10_000, "{}", batches.waiting_count());
+    assert_eq!(batches.request_turn(BEGIN_MS, "one more", 1, 20_000), StartTurn::UseSlots);
 }
 
 /// Turns of a wave in five seconds, each of whose first calls comes to the same.
 fn wave(came: PollOutcome, took_ms: f64) -> usize {
-    let (mut waves, mut now, mut turns, mut next) = (StartBatches::new(BEARS), BEGIN_MS, 0, 0);
+    let (mut batches, mut now, mut turns, mut next) = (StartBatches::new(BEARS), BEGIN_MS, 0, 0);
     while now < BEGIN_MS + 5_000.0 {
         // There is always somebody in line.
-        match waves.request_turn(now, &format!("n{next}"), 1, 10_000) {
+        match batches.request_turn(now, &format!("n{next}"), 1, 10_000) {
             StartTurn::Call { .. } => {
-                waves.call_ended(now, &format!("n{next}"), 1, came, took_ms, false);
+                batches.call_ended(now, &format!("n{next}"), 1, came, took_ms, false);
                 (turns, next) = (turns + 1, next + 1);
             }
             StartTurn::AskAgain { after_ms } => now += after_ms,
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_wave_grows_with_answers_and_shrinks_with_calls_that_are_too_many() {
+fn turns_grow_with_responses_and_shrink_with_rejections() {
     let [quick, slow, busy, silent, broken] = [
         wave(PollOutcome::Unchanged, 20.0),
         // Behind the quickest by over a second, after a first one that sets it.
@@ -247,15 +247,16 @@
 }
 
 #[test]
-fn one_fetches_the_list_and_the_next_when_it_is_old_or_that_one_is_gone() {
-    let mut waves = StartBatches::new(BEARS);
-    let fetch =
-        |waves: &mut StartBatches, at: f64, name: &str| turn(waves, BEGIN_MS + at, name, 1).map(|(_, f)| f);
-    assert_eq!(fetch(&mut waves, 0.0, "n0"), Some(true));
-    assert_eq!(fetch(&mut waves, 1_000.0, "n1"), Some(false), "one fetches it already");
+fn one_gateway_fetches_the_list_until_it_is_old_or_the_fetch_times_out() {
+    let mut batches = StartBatches::new(BEARS);
+    let fetch = |batches: &mut StartBatches, at: f64, name: &str| {
+        turn(batches, BEGIN_MS + at, name, 1).map(|(_, f)| f)
+    };
+    assert_eq!(fetch(&mut batches, 0.0, "n0"), Some(true));
+    assert_eq!(fetch(&mut batches, 1_000.0, "n1"), Some(false), "one fetches it already");
     // It never tells.
-    assert_eq!(fetch(&mut waves, 6_500.0, "n2"), Some(true));
-    waves.call_ended(BEGIN_MS + 7_000.0, "n2", 1, PollOutcome::Updated, 20.0, true);
-    assert_eq!(fetch(&mut waves, 8_000.0, "n3"), Some(false), "it is fresh");
-    assert_eq!(fetch(&mut waves, 13_000.0, "n4"), Some(true));
+    assert_eq!(fetch(&mut batches, 6_500.0, "n2"), Some(true));
+    batches.call_ended(BEGIN_MS + 7_000.0, "n2", 1, PollOutcome::Updated, 20.0, true);
+    assert_eq!(fetch(&mut batches, 8_000.0, "n3"), Some(false), "it is fresh");
+    assert_eq!(fetch(&mut batches, 13_000.0, "n4"), Some(true));
 }
--- a/crates/cold-start/tests/traces.rs
+++ b/crates/cold-start/tests/traces.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cold_start::{
-    CallBudget, ConnectionRamp, Poll, PollOutcome, PollSchedule, RampStage, SlotSchedule, StartBatches,
+    CallBudget, ConnectionRamp, Poll, PollOutcome, PollSchedule, RampStage, Slot, SlotSchedule, StartBatches,
     StartTurn,
 };
 use routing::Subset;
@@ -23,26 +23,26 @@
 fn calendars() -> String {
     let mut all = String::new();
     for (place, gateways, per_s) in [(0, 0, 50.0), (7, 300, 50.0), (1_000, 300, 0.0), (2, 3, 1e6)] {
-        let calendar = SlotSchedule::new(place, gateways, per_s);
+        let slots = SlotSchedule::new(place, gateways, per_s);
         note!(
             all,
             "{place} {gateways} {per_s}: {:?} {:?} {}",
-            calendar.round(),
-            calendar.slot(),
-            calendar.place()
+            slots.round(),
+            slots.slot(),
+            slots.slot_index()
         );
         let (mut from, mut after) = (BEGIN_MS, None);
         for _ in 0..5 {
-            let (round, at_ms) = calendar.next(from, after);
-            let lies = (calendar.round_at(at_ms), calendar.slot_index_at(at_ms));
-            note!(all, "{round} {at_ms:?} {:?} {lies:?}", calendar.slot_start_ms(round));
+            let Slot { round, start_ms: at_ms } = slots.next_slot(from, after);
+            let lies = (slots.round_at(at_ms), slots.slot_index_at(at_ms));
+            note!(all, "{round} {at_ms:?} {:?} {lies:?}", slots.slot_start_ms(round));
             (from, after) = (at_ms, Some(round));
         }
     }
     all
 }
 
-fn calls() -> String {
+fn polls() -> String {
     let mut all = String::new();
     let results = [
         PollOutcome::Unchanged,
@@ -106,8 +106,8 @@
     all
 }
 
-fn waves() -> String {
-    let (mut all, mut waves) = (String::new(), StartBatches::new(50.0));
+fn start_batches() -> String {
+    let (mut all, mut batches) = (String::new(), StartBatches::new(50.0));
     let mut asks: Vec<(f64, u32, u64)> = (0..40).map(|i| (BEGIN_MS + f64::from(i % 4), i, 1)).collect();
     for step in 0..400 {
         asks.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -116,13 +116,13 @@
         }
         let (now, i, boot) = asks.remove(0);
         let name = format!("n{i}");
-        let turn = waves.request_turn(now, &name, boot, 60);
+        let turn = batches.request_turn(now, &name, boot, 60);
         let words = match turn {
             StartTurn::Call { at_ms, fetch } => format!("call {at_ms:?} {fetch}"),
             StartTurn::AskAgain { after_ms } => format!("ask {after_ms:?}"),
             StartTurn::UseSlots => "slots".to_string(),
         };
-        note!(all, "{now:?} n{i} {boot}: {words} {} {:?}", waves.waiting_count(), waves.turns_per_s(60));
+        note!(all, "{now:?} n{i} {boot}: {words} {} {:?}", batches.waiting_count(), batches.turns_per_s(60));
         match turn {
             StartTurn::Call { at_ms, fetch } => {
                 let came = match step % 9 {
@@ -132,7 +132,7 @@
                     _ => PollOutcome::Unchanged,
                 };
                 let took_ms = f64::from(i % 3) * 400.0;
-                waves.call_ended(
+                batches.call_ended(
                     at_ms + 1.0,
                     &name,
                     boot,
@@ -152,47 +152,43 @@
     all
 }
 
-fn openings() -> String {
+fn connection_ramps() -> String {
     let mut all = String::new();
     let key = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 7;
     for (place, gateways) in [(0, 1), (3, 30), (250, 300)] {
         let subset = Subset::new(place, gateways, 5, 3);
-        let mut openings = ConnectionRamp::new(place, gateways, subset, 50.0, BEGIN_MS);
-        (0..25).for_each(|id| assert!(!openings.add(id, key(id), 0.0)));
-        note!(all, "{place} {gateways}: {:?} {:?}", openings.round(), openings.first_timeout());
+        let mut ramp = ConnectionRamp::new(place, gateways, subset, 50.0, BEGIN_MS);
+        (0..25).for_each(|id| assert!(!ramp.add(id, key(id), 0.0)));
+        note!(all, "{place} {gateways}: {:?} {:?}", ramp.round(), ramp.first_timeout());
         let mut now = BEGIN_MS;
         for step in 0..120 {
-            openings.choose(now, step % 6);
-            let released = openings.release(now);
+            ramp.choose(now, step % 6);
+            let released = ramp.release(now);
             if !released.is_empty() {
                 note!(all, "{now:?} released {released:?}");
             }
-            while let Some(id) = openings.due(now) {
-                let answered = openings.first_connection_ended(
-                    now + 1.0,
-                    id,
-                    0.0,
-                    !(id + step as u32).is_multiple_of(3),
-                );
+            while let Some(id) = ramp.due(now) {
+                let answered =
+                    ramp.first_connection_ended(now + 1.0, id, 0.0, !(id + step as u32).is_multiple_of(3));
                 note!(all, "{now:?} tried {id} {answered}");
             }
             match step {
-                20 => openings.confirm(now),
-                8 | 9 => openings.record_failure(),
-                30 => openings.remove(4),
-                35 => openings.retain(|id| id != 5 && id != 6),
-                40 => assert!(!openings.add(7, key(7), 30.0)),
-                50 => assert!(!openings.add(4, key(4), 0.0)),
+                20 => ramp.confirm(now),
+                8 | 9 => ramp.record_failure(),
+                30 => ramp.remove(4),
+                35 => ramp.retain(|id| id != 5 && id != 6),
+                40 => assert!(!ramp.add(7, key(7), 30.0)),
+                50 => assert!(!ramp.add(4, key(4), 0.0)),
                 _ => {}
             }
-            let stage = match openings.stage() {
+            let stage = match ramp.stage() {
                 RampStage::Empty => 0,
                 RampStage::Known => 1,
                 RampStage::Confirmed => 2,
                 RampStage::Warm => 3,
             };
-            let state = (stage, openings.open(), openings.waiting_count(), openings.confirmed());
-            let Some(next) = openings.next(now) else {
+            let state = (stage, ramp.open(), ramp.waiting_count(), ramp.confirmed());
+            let Some(next) = ramp.next(now) else {
                 note!(all, "{now:?} {state:?} none");
                 now += 50.0;
                 continue;
@@ -209,32 +205,32 @@
 }
 
 #[test]
-fn calendars_have_the_recorded_moments() {
+fn slot_schedules_have_the_recorded_moments() {
     compare("calendars.txt", calendars());
 }
 
 #[test]
-fn calls_are_made_at_the_recorded_moments() {
-    compare("calls.txt", calls());
+fn polls_are_made_at_the_recorded_moments() {
+    compare("calls.txt", polls());
 }
 
 #[test]
-fn allowances_are_the_recorded_ones() {
+fn call_budgets_are_the_recorded_ones() {
     compare("allowances.txt", allowances());
 }
 
 #[test]
-fn turns_are_the_recorded_ones() {
-    compare("waves.txt", waves());
+fn start_turns_are_the_recorded_ones() {
+    compare("waves.txt", start_batches());
 }
 
 #[test]
-fn first_connections_have_the_recorded_turns() {
-    compare("openings.txt", openings());
+fn first_connections_have_the_recorded_slots() {
+    compare("openings.txt", connection_ramps());
 }
 
 #[test]
-fn stages_have_their_words() {
+fn stages_have_recorded_texts() {
     let words = [RampStage::Empty, RampStage::Known, RampStage::Confirmed, RampStage::Warm]
         .map(|stage| stage.to_string());
     assert_eq!(words, ["empty", "known, not confirmed", "confirmed", "warm"]);
