--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -1,41 +1,41 @@
-//! A call: one line of text.
+//! A command: one line of text.
 
 use std::fmt;
 
-/// The longest line, bytes, its end left out.
+/// The longest line, bytes, without its end.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 /// The longest id of a backend, bytes: that of a domain name (RFC 1035, section 2.3.4).
 pub const MAX_BACKEND_ID_BYTES: usize = 253;
 
-/// What a caller wants.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process is ready to serve.
+    /// Tell whether this process is ready to serve.
     Ready,
-    /// Nothing more to this backend.
+    /// Ban the backend with this id: send it nothing more.
     Disable(String),
-    /// Use this backend again.
+    /// End the ban of the backend with this id.
     Enable(String),
-    /// Empty the gateway.
+    /// Drain the gateway: move its clients elsewhere.
     Drain,
-    /// Take clients again.
+    /// Accept clients again.
     Undrain,
 }
 
-/// Why a line is no call.
+/// Why a line is not a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// It holds bytes that are no text.
+    /// It is not UTF-8 or has control characters.
     NoText,
-    /// It holds no word.
+    /// It has no word.
     Empty,
-    /// Its first word is none that is known.
+    /// Its first word is no known command.
     Unknown,
-    /// A backend's id is missing.
+    /// The id of a backend is missing.
     NoId,
-    /// There are more words than the call takes.
+    /// It has more words than the command takes.
     Surplus,
-    /// The id has so many bytes, more than [`MAX_BACKEND_ID_BYTES`].
+    /// The id has this many bytes, more than [`MAX_BACKEND_ID_BYTES`].
     LongId(usize),
 }
 
@@ -49,7 +49,9 @@
             }
             CommandError::NoId => f.write_str("the id of a backend is missing"),
             CommandError::Surplus => f.write_str("more words than the call takes"),
-            CommandError::LongId(n) => write!(f, "an id of {n} bytes; {MAX_BACKEND_ID_BYTES} at most"),
+            CommandError::LongId(bytes) => {
+                write!(f, "an id of {bytes} bytes; {MAX_BACKEND_ID_BYTES} at most")
+            }
         }
     }
 }
@@ -57,27 +59,23 @@
 impl std::error::Error for CommandError {}
 
 impl Command {
-    /// Reads a line, its end left out. Words are parted by spaces or tabs; the first is read in any case.
+    /// Reads a line without its end. Words are separated by spaces or tabs; the case of the first one does
+    /// not matter.
     ///
     /// # Errors
-    /// A [`BadCall`] that says what is wrong.
+    /// A [`CommandError`] with the first thing that is wrong.
     pub fn read(line: &[u8]) -> Result<Command, CommandError> {
-        // Danger: bytes that write to a terminal, quoted in an answer or a log.
         let text = std::str::from_utf8(line).map_err(|_| CommandError::NoText)?;
+        // An id is quoted in responses and logs, where control characters could write to a terminal.
         if text.chars().any(|c| c.is_control() && !matches!(c, '\t' | '\r')) {
             return Err(CommandError::NoText);
         }
         let mut words = text.split_ascii_whitespace();
         let verb = words.next().ok_or(CommandError::Empty)?.to_ascii_uppercase();
-        let mut id = || match words.next() {
-            None => Err(CommandError::NoId),
-            Some(id) if id.len() > MAX_BACKEND_ID_BYTES => Err(CommandError::LongId(id.len())),
-            Some(id) => Ok(id.to_string()),
-        };
-        let call = match verb.as_str() {
+        let command = match verb.as_str() {
             "READY" => Command::Ready,
-            "DISABLE" => Command::Disable(id()?),
-            "ENABLE" => Command::Enable(id()?),
+            "DISABLE" => Command::Disable(backend_id(words.next())?),
+            "ENABLE" => Command::Enable(backend_id(words.next())?),
             "DRAIN" => Command::Drain,
             "UNDRAIN" => Command::Undrain,
             _ => return Err(CommandError::Unknown),
@@ -85,8 +83,16 @@
         if words.next().is_some() {
             return Err(CommandError::Surplus);
         }
-        Ok(call)
+        Ok(command)
+    }
+}
+
+fn backend_id(word: Option<&str>) -> Result<String, CommandError> {
+    let id = word.ok_or(CommandError::NoId)?;
+    if id.len() > MAX_BACKEND_ID_BYTES {
+        return Err(CommandError::LongId(id.len()));
     }
+    Ok(id.to_string())
 }
 
 impl fmt::Display for Command {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,8 @@
-//! Calls of operators to one gateway at its second address, and what they leave in force.
+//! Operators' commands to one gateway, and what they leave in force. No I/O, no clock.
 //!
-//! No I/O, no clock. [`Call`] reads a line, [`Book`] holds bans of backends, their returns and the drain of
-//! the gateway, and [`checksummed`] is the form in which it goes from one process of a gateway to the next.
+//! - [`Command`]: a command line as the gateway's second address takes it
+//! - [`MaintenanceState`]: bans of backends, their ends, and the drain of the gateway
+//! - [`checksummed`]: the form in which a state goes from one process of a gateway to the next
 
 pub mod checksummed;
 mod command;
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -1,4 +1,4 @@
-//! What operators' calls leave in force.
+//! What operators' commands leave in force.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,34 +7,36 @@
 
 use crate::command::Command;
 
-/// The most backends that are banned at once.
+/// The most backends that are banned at once: a client that bans ever new names must not fill the memory.
 pub const MAX_BANS: usize = 4_096;
-/// The most returns that are remembered. Of more the oldest is forgotten.
+/// The most ended bans that are remembered. A further one displaces the oldest.
 pub const MAX_REENABLED: usize = 4_096;
 
-/// Bans of backends, their returns, and whether the gateway is drained.
+/// Bans of backends, when earlier ones ended, and whether the gateway is drained.
+///
+/// The order of the fields is the stored form.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceState {
     /// Grows with each change.
     revision: u64,
-    /// When each was banned, Unix time in ms.
-    ban_count: BTreeMap<String, f64>,
-    /// When each was given back, Unix time in ms.
-    returns: BTreeMap<String, f64>,
+    /// By backend, since when it is banned, Unix time in ms.
+    bans: BTreeMap<String, f64>,
+    /// By backend, when its last ban ended, Unix time in ms.
+    reenabled: BTreeMap<String, f64>,
     /// Since when the gateway is drained, Unix time in ms.
     drained_ms: Option<f64>,
 }
 
-/// A call that was carried out.
+/// What a command did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// The book has changed.
+    /// It changed the state.
     Changed,
-    /// What is asked for held already.
+    /// Nothing: what it asks for was in force already.
     AlreadyInForce,
 }
 
-/// A call that is turned down. Nothing was changed.
+/// Why a command is rejected. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandRejected {
     /// No backend has this id.
@@ -55,63 +57,81 @@
 impl std::error::Error for CommandRejected {}
 
 impl MaintenanceState {
-    /// Carries a call out at `now_ms`, Unix time; `listed` says whether the backend that it names is on the
-    /// list. Bans are no count: two need one call back.
+    /// Executes a command at `now_ms`, Unix time; `is_listed` says whether the backend that it names is on
+    /// the endpoint list.
     ///
-    /// A ban may be repeated or taken back after its backend has left the list: whoever set it is owed that.
+    /// Bans are not counted: one ENABLE ends two DISABLEs. A ban may be repeated or ended after its backend
+    /// has left the list.
     ///
     /// # Errors
-    /// [`Refused`], with nothing changed.
+    /// [`CommandRejected`]; the state is unchanged.
     pub fn execute(
         &mut self,
-        call: &Command,
-        listed: bool,
+        command: &Command,
+        is_listed: bool,
         now_ms: f64,
     ) -> Result<CommandOutcome, CommandRejected> {
-        let changed = match call {
+        let changed = match command {
             Command::Ready => false,
-            Command::Drain => {
-                let was = self.drained_ms.is_some();
-                self.drained_ms.get_or_insert(now_ms);
-                !was
-            }
+            Command::Drain => self.drain(now_ms),
             Command::Undrain => self.drained_ms.take().is_some(),
-            Command::Disable(id) if self.ban_count.contains_key(id) => false,
-            Command::Disable(_) if !listed => return Err(CommandRejected::UnknownBackend),
-            // Danger: bans for ever new names that fill the memory.
-            Command::Disable(_) if self.ban_count.len() >= MAX_BANS => {
-                return Err(CommandRejected::TooManyBans)
-            }
-            Command::Disable(id) => {
-                self.ban_count.insert(id.clone(), now_ms);
-                true
-            }
-            Command::Enable(id) if self.ban_count.remove(id).is_some() => {
-                self.returns.insert(id.clone(), now_ms);
-                self.bound();
-                true
-            }
-            Command::Enable(_) if !listed => return Err(CommandRejected::UnknownBackend),
-            Command::Enable(_) => false,
+            Command::Disable(id) => self.ban(id, is_listed, now_ms)?,
+            Command::Enable(id) => self.end_ban(id, is_listed, now_ms)?,
         };
-        self.revision += u64::from(changed);
-        Ok(if changed { CommandOutcome::Changed } else { CommandOutcome::AlreadyInForce })
+        if !changed {
+            return Ok(CommandOutcome::AlreadyInForce);
+        }
+        self.revision += 1;
+        Ok(CommandOutcome::Changed)
+    }
+
+    fn drain(&mut self, now_ms: f64) -> bool {
+        let changes = self.drained_ms.is_none();
+        self.drained_ms.get_or_insert(now_ms);
+        changes
+    }
+
+    fn ban(&mut self, id: &str, is_listed: bool, now_ms: f64) -> Result<bool, CommandRejected> {
+        if self.bans.contains_key(id) {
+            return Ok(false);
+        }
+        if !is_listed {
+            return Err(CommandRejected::UnknownBackend);
+        }
+        if self.bans.len() >= MAX_BANS {
+            return Err(CommandRejected::TooManyBans);
+        }
+        self.bans.insert(id.to_string(), now_ms);
+        Ok(true)
+    }
+
+    fn end_ban(&mut self, id: &str, is_listed: bool, now_ms: f64) -> Result<bool, CommandRejected> {
+        if self.bans.remove(id).is_some() {
+            self.reenabled.insert(id.to_string(), now_ms);
+            self.limit_reenabled();
+            return Ok(true);
+        }
+        if is_listed {
+            Ok(false)
+        } else {
+            Err(CommandRejected::UnknownBackend)
+        }
     }
 
-    fn bound(&mut self) {
-        while self.returns.len() > MAX_REENABLED {
-            let oldest = self.returns.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(id, _)| id.clone());
-            let Some(oldest) = oldest else { return };
-            self.returns.remove(&oldest);
+    fn limit_reenabled(&mut self) {
+        while self.reenabled.len() > MAX_REENABLED {
+            let oldest = self.reenabled.iter().min_by(|a, b| a.1.total_cmp(b.1));
+            let Some(oldest) = oldest.map(|(id, _)| id.clone()) else { return };
+            self.reenabled.remove(&oldest);
         }
     }
 
-    /// Forgets returns from before `since_ms`: those backends are warm. Harm: none but the room they took.
+    /// Forgets bans that ended before `since_ms`, Unix time: those backends have warmed up.
     pub fn forget_reenabled(&mut self, since_ms: f64) {
-        self.returns.retain(|_, at| *at >= since_ms);
+        self.reenabled.retain(|_, at_ms| *at_ms >= since_ms);
     }
 
-    /// Whether this book may take the place of one of `revision`.
+    /// Whether this state may replace one of that revision.
     #[must_use]
     pub fn newer_than(&self, revision: u64) -> bool {
         self.revision > revision
@@ -126,14 +146,14 @@
     /// Since when a backend is banned, Unix time in ms.
     #[must_use]
     pub fn banned_ms(&self, id: &str) -> Option<f64> {
-        self.ban_count.get(id).copied()
+        self.bans.get(id).copied()
     }
 
-    /// When a backend was last given back, Unix time in ms; 0 for never. It counts as started then, as it was
-    /// restarted in between.
+    /// When the last ban of a backend ended, Unix time in ms; 0 if it was not banned. The backend warms up
+    /// from then on, as it was restarted in between.
     #[must_use]
     pub fn reenabled_ms(&self, id: &str) -> f64 {
-        self.returns.get(id).copied().unwrap_or(0.0)
+        self.reenabled.get(id).copied().unwrap_or(0.0)
     }
 
     /// Since when the gateway is drained, Unix time in ms.
@@ -145,6 +165,6 @@
     /// How many backends are banned.
     #[must_use]
     pub fn bans(&self) -> usize {
-        self.ban_count.len()
+        self.bans.len()
     }
 }
--- a/crates/maintenance/tests/recorded.rs
+++ b/crates/maintenance/tests/recorded.rs
@@ -46,27 +46,27 @@
 
 fn write_books() -> String {
     let mut text = String::new();
-    for (name, book) in books() {
-        let bytes = checksummed::encode("book", &book).expect("it can be written");
+    for (name, state) in books() {
+        let bytes = checksummed::encode("book", &state).expect("it can be written");
         writeln!(text, "{name} {}", hex(&bytes)).expect("a string takes all");
     }
     text
 }
 
 #[test]
-fn writes_the_recorded_bytes_of_a_sealed_state() {
+fn encodes_the_recorded_bytes() {
     assert_eq!(write_books(), recorded("sealed.hex"));
 }
 
 #[test]
-fn reads_recorded_bytes_of_a_sealed_state_and_writes_them_again() {
+fn decodes_recorded_bytes_and_encodes_them_again() {
     let recorded = recorded("sealed.hex");
     assert_eq!(recorded.lines().count(), books().len());
-    for (line, (name, book)) in recorded.lines().zip(books()) {
+    for (line, (name, state)) in recorded.lines().zip(books()) {
         let bytes = unhex(line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')).expect("a name"));
         assert_eq!(bytes[..6], *b"slkm\x01\x00", "magic, then the version, little-endian");
         let read: MaintenanceState = checksummed::decode("book", &bytes).expect(name);
-        assert_eq!(read, book);
+        assert_eq!(read, state);
         assert_eq!(checksummed::encode("book", &read), Ok(bytes));
     }
     let full = unhex(recorded.lines().nth(1).and_then(|line| line.strip_prefix("full ")).expect("full"));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn each_reason_why_a_sealed_state_is_refused_has_its_text() {
+fn decode_errors_have_recorded_texts() {
     let sealed = checksummed::encode("book", &MaintenanceState::default()).expect("it can be written");
     let other = checksummed::encode("book", &1u8).expect("it can be written");
     let with = |at: usize, byte: u8| {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn each_line_has_its_command_or_its_text() {
+fn lines_give_the_recorded_commands_or_errors() {
     let (long, longer) = ("x".repeat(253), "x".repeat(254));
     let (long, longer) = (format!("DISABLE {long}"), format!("ENABLE {longer}"));
     let unknown = "unknown call; READY, DISABLE, ENABLE, DRAIN, UNDRAIN are known";
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn each_refusal_has_its_text() {
+fn rejections_have_recorded_texts() {
     assert_eq!(CommandRejected::UnknownBackend.to_string(), "no backend has this id");
     assert_eq!(CommandRejected::TooManyBans.to_string(), "4096 backends are banned already");
 }
--- a/crates/maintenance/tests/state.rs
+++ b/crates/maintenance/tests/state.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn lines_that_are_no_calls_say_why() {
+fn rejects_lines_that_are_no_commands() {
     let long = format!("DISABLE {}", "x".repeat(10_000));
     let cases: [(&[u8], CommandError); 9] = [
         (b"", CommandError::Empty),
@@ -32,49 +32,49 @@
 }
 
 #[test]
-fn two_bans_need_one_call_back_and_a_return_is_cold_from_then() {
-    let mut book = MaintenanceState::default();
+fn one_enable_ends_two_bans_and_the_backend_warms_up_again() {
+    let mut state = MaintenanceState::default();
     let (ban, back) = (call("DISABLE a"), call("ENABLE a"));
-    assert_eq!(book.execute(&back, true, 1.0), Ok(CommandOutcome::AlreadyInForce));
-    assert_eq!(book.reenabled_ms("a"), 0.0, "it was never away");
-    assert_eq!(book.execute(&ban, true, 2.0), Ok(CommandOutcome::Changed));
-    assert_eq!(book.execute(&ban, true, 3.0), Ok(CommandOutcome::AlreadyInForce));
-    assert_eq!(book.banned_ms("a"), Some(2.0));
-    assert_eq!(book.execute(&back, true, 4.0), Ok(CommandOutcome::Changed));
-    assert_eq!((book.banned_ms("a"), book.reenabled_ms("a")), (None, 4.0));
-    book.forget_reenabled(5.0);
-    assert_eq!(book.reenabled_ms("a"), 0.0);
+    assert_eq!(state.execute(&back, true, 1.0), Ok(CommandOutcome::AlreadyInForce));
+    assert_eq!(state.reenabled_ms("a"), 0.0, "it was never away");
+    assert_eq!(state.execute(&ban, true, 2.0), Ok(CommandOutcome::Changed));
+    assert_eq!(state.execute(&ban, true, 3.0), Ok(CommandOutcome::AlreadyInForce));
+    assert_eq!(state.banned_ms("a"), Some(2.0));
+    assert_eq!(state.execute(&back, true, 4.0), Ok(CommandOutcome::Changed));
+    assert_eq!((state.banned_ms("a"), state.reenabled_ms("a")), (None, 4.0));
+    state.forget_reenabled(5.0);
+    assert_eq!(state.reenabled_ms("a"), 0.0);
 }
 
 #[test]
-fn ids_that_nobody_has_get_a_no_but_a_ban_outlives_its_backend() {
-    let mut book = MaintenanceState::default();
-    assert_eq!(book.execute(&call("DISABLE a"), false, 1.0), Err(CommandRejected::UnknownBackend));
-    assert_eq!(book.execute(&call("ENABLE a"), false, 1.0), Err(CommandRejected::UnknownBackend));
-    assert_eq!(book.revision(), 0);
-    book.execute(&call("DISABLE a"), true, 1.0).expect("it is listed");
-    assert_eq!(book.execute(&call("DISABLE a"), false, 2.0), Ok(CommandOutcome::AlreadyInForce));
-    assert_eq!(book.execute(&call("ENABLE a"), false, 3.0), Ok(CommandOutcome::Changed));
-    assert_eq!(book.execute(&call("ENABLE a"), false, 4.0), Err(CommandRejected::UnknownBackend));
+fn rejects_unknown_ids_but_keeps_bans_of_removed_backends() {
+    let mut state = MaintenanceState::default();
+    assert_eq!(state.execute(&call("DISABLE a"), false, 1.0), Err(CommandRejected::UnknownBackend));
+    assert_eq!(state.execute(&call("ENABLE a"), false, 1.0), Err(CommandRejected::UnknownBackend));
+    assert_eq!(state.revision(), 0);
+    state.execute(&call("DISABLE a"), true, 1.0).expect("it is listed");
+    assert_eq!(state.execute(&call("DISABLE a"), false, 2.0), Ok(CommandOutcome::AlreadyInForce));
+    assert_eq!(state.execute(&call("ENABLE a"), false, 3.0), Ok(CommandOutcome::Changed));
+    assert_eq!(state.execute(&call("ENABLE a"), false, 4.0), Err(CommandRejected::UnknownBackend));
 }
 
 #[test]
-fn bans_have_a_bound() {
-    let mut book = MaintenanceState::default();
+fn bans_are_bounded() {
+    let mut state = MaintenanceState::default();
     for i in 0..MAX_BANS {
-        book.execute(&call(&format!("DISABLE s-{i}")), true, 1.0).expect("room");
+        state.execute(&call(&format!("DISABLE s-{i}")), true, 1.0).expect("room");
     }
-    assert_eq!(book.execute(&call("DISABLE more"), true, 1.0), Err(CommandRejected::TooManyBans));
-    assert_eq!(book.execute(&call("DISABLE s-0"), true, 1.0), Ok(CommandOutcome::AlreadyInForce));
+    assert_eq!(state.execute(&call("DISABLE more"), true, 1.0), Err(CommandRejected::TooManyBans));
+    assert_eq!(state.execute(&call("DISABLE s-0"), true, 1.0), Ok(CommandOutcome::AlreadyInForce));
 }
 
 #[test]
-fn a_sealed_book_that_is_cut_or_flipped_anywhere_is_refused() {
-    let mut book = MaintenanceState::default();
-    book.execute(&call("DISABLE s-5be2a07c"), true, 1.0).expect("listed");
-    book.execute(&call("DRAIN"), true, 2.0).expect("always");
-    let bytes = checksummed::encode("book", &book).expect("it can be written");
-    assert_eq!(checksummed::decode::<MaintenanceState>("book", &bytes), Ok(book));
+fn rejects_a_state_cut_or_changed_anywhere() {
+    let mut state = MaintenanceState::default();
+    state.execute(&call("DISABLE s-5be2a07c"), true, 1.0).expect("listed");
+    state.execute(&call("DRAIN"), true, 2.0).expect("always");
+    let bytes = checksummed::encode("book", &state).expect("it can be written");
+    assert_eq!(checksummed::decode::<MaintenanceState>("book", &bytes), Ok(state));
     assert!(checksummed::decode::<MaintenanceState>("other", &bytes).is_err(), "another kind");
     for at in 0..bytes.len() {
         assert!(checksummed::decode::<MaintenanceState>("book", &bytes[..at]).is_err(), "cut at {at}");
@@ -91,8 +91,8 @@
 
     /// What holds is what the last call on each subject said, and the revision counts the changes.
     #[test]
-    fn the_last_call_on_a_subject_holds(calls in prop::collection::vec((0u8..4, 0u8..3), 0..40)) {
-        let mut book = MaintenanceState::default();
+    fn last_command_on_a_subject_is_in_force(calls in prop::collection::vec((0u8..4, 0u8..3), 0..40)) {
+        let mut state = MaintenanceState::default();
         let (mut banned, mut drained, mut changes) = ([false; 3], false, 0);
         for (at, (verb, id)) in calls.into_iter().enumerate() {
             let before = (banned, drained);
@@ -102,16 +102,16 @@
                 2 => { drained = true; "DRAIN".to_string() }
                 _ => { drained = false; "UNDRAIN".to_string() }
             };
-            let done = book.execute(&call(&line), true, at as f64 + 1.0);
+            let done = state.execute(&call(&line), true, at as f64 + 1.0);
             let changed = before != (banned, drained);
             let expected = if changed { CommandOutcome::Changed } else { CommandOutcome::AlreadyInForce };
             prop_assert_eq!(done, Ok(expected));
             changes += u64::from(changed);
         }
-        prop_assert_eq!(book.revision(), changes);
-        prop_assert_eq!(book.drained_ms().is_some(), drained);
+        prop_assert_eq!(state.revision(), changes);
+        prop_assert_eq!(state.drained_ms().is_some(), drained);
         for (id, banned) in banned.into_iter().enumerate() {
-            prop_assert_eq!(book.banned_ms(&format!("s-{id}")).is_some(), banned);
+            prop_assert_eq!(state.banned_ms(&format!("s-{id}")).is_some(), banned);
         }
     }
 }
