--- a/crates/dns-sd/src/answer.rs
+++ b/crates/dns-sd/src/answer.rs
@@ -1,4 +1,4 @@
-//! Questions as bytes, and what the bytes of an answer say. The wire format is hickory-proto's.
+//! Encodes queries and decodes answers. The wire format is hickory-proto's.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -6,21 +6,21 @@
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 
-/// The largest answer that is asked for by UDP, bytes (RFC 6891; what passes most paths in one piece).
+/// The largest answer over UDP that a query asks for, bytes (RFC 6891): it passes most paths unfragmented.
 pub const PAYLOAD: u16 = 1_232;
-/// The longest chain of aliases that is followed. Danger: chains that lead back to themselves.
+/// The most aliases that are followed: a chain may lead back to itself.
 pub const MAX_ALIAS_CHAIN: usize = 8;
-/// The longest TTL that is one; what is above counts as 0 (RFC 2181, section 8).
+/// The longest TTL, s; a greater one counts as 0 (RFC 2181, section 8).
 const MAX_TTL_SECONDS: u32 = i32::MAX as u32;
 
-/// Types of records that are asked for.
+/// Type of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QueryType {
     /// Instances of a service.
     Ptr,
-    /// Where an instance is.
+    /// Target and port of an instance.
     Srv,
-    /// What else is told of it.
+    /// Metadata of an instance.
     Txt,
     /// IPv4 addresses.
     A,
@@ -39,7 +39,8 @@
         }
     }
 
-    fn of(self, data: &RData) -> Option<RecordData> {
+    /// The data of a record if it is of this type.
+    fn data_of(self, data: &RData) -> Option<RecordData> {
         Some(match (self, data) {
             (QueryType::Ptr, RData::PTR(to)) => RecordData::Ptr(to.0.clone()),
             (QueryType::Srv, RData::SRV(srv)) => RecordData::Srv(SrvRecord {
@@ -62,10 +63,10 @@
     }
 }
 
-/// What is asked, in class IN. Names are compared without case (RFC 4343).
+/// A question in class IN. Names are compared without case (RFC 4343).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Question {
-    /// The name, with its last dot.
+    /// The fully qualified name.
     pub name: Name,
     /// The type.
     pub kind: QueryType,
@@ -80,9 +81,9 @@
 /// The data of an SRV record (RFC 2782).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SrvRecord {
-    /// Less is used first.
+    /// The least is used first.
     pub priority: u16,
-    /// Share of the work among those of one priority.
+    /// Weight among records of the same priority.
     pub weight: u16,
     /// Its port.
     pub port: u16,
@@ -90,7 +91,7 @@
     pub target: Name,
 }
 
-/// What a record holds.
+/// Data of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordData {
     /// Of a PTR record.
@@ -103,59 +104,59 @@
     Address(IpAddr),
 }
 
-/// Why there is no record.
+/// In which sense there is no record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NegativeAnswer {
-    /// There is no such name: NXDOMAIN.
+    /// The name does not exist: NXDOMAIN.
     NoSuchName,
     /// The name has no record of the type: NODATA (RFC 2308, section 2.2).
     NoData,
 }
 
-/// What an answer says.
+/// A decoded answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// There are such records, in no order.
+    /// There are such records.
     Records {
-        /// Their data; not empty.
+        /// Their data, sorted and without duplicates; not empty.
         records: Vec<RecordData>,
-        /// For how long, s: the least of the records and of the aliases that led to them.
+        /// The least TTL of the records and of the aliases that led to them, s.
         ttl_s: u32,
     },
     /// An authority says that there are none.
     None {
         /// In which sense.
         why: NegativeAnswer,
-        /// For how long that may be believed, s (RFC 2308, section 5); 0 where it does not say.
+        /// Lifetime of the negative answer, s (RFC 2308, section 5); 0 if it has none.
         ttl_s: u32,
     },
-    /// There is more than fits: the question is to be asked over TCP.
+    /// It did not fit: the question is to be asked over TCP.
     Truncated,
 }
 
-/// Bytes that answer nothing. Nobody may leave the list because of them.
+/// Why bytes are no answer. No instance may leave the list because of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerError {
-    /// They are no DNS message, with the library's reason.
+    /// They are no DNS message, with the reason of the library.
     Garbled(String),
-    /// The transaction id is another's. Danger: forged answers (RFC 5452); the true one may follow.
+    /// The transaction id differs: it may be forged (RFC 5452), and the true answer may follow.
     OtherId,
-    /// The question is another's; the true answer may follow.
+    /// The question differs; the true answer may follow.
     OtherQuestion,
-    /// It is no answer to a query.
+    /// The message is no response to a query.
     NoAnswer,
-    /// The resolver failed or refused, with its code.
+    /// The resolver failed or refused, with its response code.
     Code(String),
-    /// It names other servers to ask, which is no answer of an authority.
+    /// It refers to other servers, which is no answer of an authority.
     Referral,
-    /// Aliases lead on for too long, or back to themselves.
+    /// There are more than [`MAX_ALIAS_CHAIN`] aliases, or a loop of them.
     Chain,
 }
 
 impl AnswerError {
-    /// Whether it is to be passed over as not meant for us, and the wait for the true one to go on.
+    /// Whether it is not meant for the query and is to be ignored: the true answer may follow.
     #[must_use]
-    pub fn strange(&self) -> bool {
+    pub fn is_unrelated(&self) -> bool {
         matches!(self, AnswerError::OtherId | AnswerError::OtherQuestion | AnswerError::NoAnswer)
     }
 }
@@ -176,7 +177,7 @@
 
 impl std::error::Error for AnswerError {}
 
-/// The bytes of a question, with EDNS0 (RFC 6891).
+/// Encodes a query with that transaction id, with EDNS0 (RFC 6891).
 ///
 /// # Errors
 /// A [`BadAnswer::Garbled`] if the library can't write it.
@@ -190,81 +191,99 @@
     message.to_vec().map_err(|e| AnswerError::Garbled(e.to_string()))
 }
 
-/// Reads the answer to a question that was sent with this id. Records that match no question are passed over.
+/// Decodes the answer to a query with that transaction id. Records that do not match it are ignored.
 ///
 /// # Errors
 /// A [`BadAnswer`]; one that is [`strange`](BadAnswer::strange) is somebody else's.
 pub fn decode_answer(bytes: &[u8], id: u16, question: &Question) -> Result<Answer, AnswerError> {
     let message = Message::from_vec(bytes).map_err(|e| AnswerError::Garbled(e.to_string()))?;
-    let head = &message.metadata;
-    if head.id != id {
-        return Err(AnswerError::OtherId);
-    }
-    if head.message_type != MessageType::Response || head.op_code != OpCode::Query {
-        return Err(AnswerError::NoAnswer);
-    }
-    let kind = question.kind;
-    let asked = |q: &Query| {
-        q.name == question.name && q.query_type == kind.record_type() && q.query_class == DNSClass::IN
-    };
-    if !matches!(&message.queries[..], [one] if asked(one)) {
-        return Err(AnswerError::OtherQuestion);
-    }
-    if head.truncation {
+    check_related(&message, id, question)?;
+    if message.metadata.truncation {
         return Ok(Answer::Truncated);
     }
-    let gone = match head.response_code {
+    let no_such_name = match message.metadata.response_code {
         ResponseCode::NoError => false,
         ResponseCode::NXDomain => true,
         code => return Err(AnswerError::Code(code.to_string())),
     };
-    let (name, alias_ttl) = aliased(&message.answers, &question.name)?;
-    let ours = message.answers.iter().filter(|r| r.dns_class == DNSClass::IN && r.name == *name);
-    let ours = ours.filter_map(|r| Some((kind.of(&r.data)?, ttl(r.ttl))));
-    let (mut records, ttls): (Vec<RecordData>, Vec<u32>) = ours.unzip();
+    let Alias { name, ttl_s } = follow_aliases(&message.answers, &question.name)?;
+    let matching = message
+        .answers
+        .iter()
+        .filter(|record| record.dns_class == DNSClass::IN && record.name == *name)
+        .filter_map(|record| Some((question.kind.data_of(&record.data)?, valid_ttl_s(record.ttl))));
+    let (mut records, ttls): (Vec<RecordData>, Vec<u32>) = matching.unzip();
     if records.is_empty() {
-        return none(&message, name, gone);
+        return negative_answer(&message, name, no_such_name);
     }
-    if gone {
+    if no_such_name {
         return Err(AnswerError::Garbled("NXDOMAIN, and records of the name".to_string()));
     }
     records.sort_unstable();
     records.dedup();
-    Ok(Answer::Records { records, ttl_s: ttls.into_iter().fold(alias_ttl, u32::min) })
+    Ok(Answer::Records { records, ttl_s: ttls.into_iter().fold(ttl_s, u32::min) })
+}
+
+/// Checks that a message is the response to a query.
+fn check_related(message: &Message, id: u16, question: &Question) -> Result<(), AnswerError> {
+    let header = &message.metadata;
+    if header.id != id {
+        return Err(AnswerError::OtherId);
+    }
+    if header.message_type != MessageType::Response || header.op_code != OpCode::Query {
+        return Err(AnswerError::NoAnswer);
+    }
+    let is_ours = |query: &Query| {
+        query.name == question.name
+            && query.query_type == question.kind.record_type()
+            && query.query_class == DNSClass::IN
+    };
+    match &message.queries[..] {
+        [query] if is_ours(query) => Ok(()),
+        _ => Err(AnswerError::OtherQuestion),
+    }
 }
 
-fn ttl(told: u32) -> u32 {
-    if told > MAX_TTL_SECONDS {
+fn valid_ttl_s(ttl_s: u32) -> u32 {
+    if ttl_s > MAX_TTL_SECONDS {
         0
     } else {
-        told
+        ttl_s
     }
 }
 
-/// Follows aliases; gives the last name and the least of their lifetimes.
-fn aliased<'a>(answers: &'a [Record], from: &'a Name) -> Result<(&'a Name, u32), AnswerError> {
-    let (mut name, mut least) = (from, MAX_TTL_SECONDS);
+/// The name that aliases lead to, and the least of their TTLs.
+struct Alias<'a> {
+    name: &'a Name,
+    ttl_s: u32,
+}
+
+fn follow_aliases<'a>(answers: &'a [Record], from: &'a Name) -> Result<Alias<'a>, AnswerError> {
+    let mut alias = Alias { name: from, ttl_s: MAX_TTL_SECONDS };
     for _ in 0..=MAX_ALIAS_CHAIN {
-        let next = answers.iter().find_map(|r| match &r.data {
-            RData::CNAME(to) if r.name == *name && r.dns_class == DNSClass::IN => Some((&to.0, r.ttl)),
+        let next = answers.iter().find_map(|record| match &record.data {
+            RData::CNAME(to) if record.name == *alias.name && record.dns_class == DNSClass::IN => {
+                Some(Alias { name: &to.0, ttl_s: valid_ttl_s(record.ttl) })
+            }
             _ => None,
         });
-        let Some((to, told)) = next else { return Ok((name, least)) };
-        (name, least) = (to, least.min(ttl(told)));
+        let Some(next) = next else { return Ok(alias) };
+        alias = Alias { name: next.name, ttl_s: alias.ttl_s.min(next.ttl_s) };
     }
     Err(AnswerError::Chain)
 }
 
-fn none(message: &Message, name: &Name, gone: bool) -> Result<Answer, AnswerError> {
-    let soa = message.authorities.iter().find_map(|r| match &r.data {
-        RData::SOA(soa) if r.name.zone_of(name) => Some(ttl(r.ttl).min(soa.minimum)),
+/// An answer without records. One that only refers to other servers is none: its server knows nothing of the
+/// name.
+fn negative_answer(message: &Message, name: &Name, no_such_name: bool) -> Result<Answer, AnswerError> {
+    let soa_ttl_s = message.authorities.iter().find_map(|record| match &record.data {
+        RData::SOA(soa) if record.name.zone_of(name) => Some(valid_ttl_s(record.ttl).min(soa.minimum)),
         _ => None,
     });
-    // Danger: a server that knows nothing of the name and points elsewhere, taken for "there is none".
-    let points = message.authorities.iter().any(|r| matches!(r.data, RData::NS(_)));
-    if soa.is_none() && points && !gone {
+    let refers = message.authorities.iter().any(|record| matches!(record.data, RData::NS(_)));
+    if soa_ttl_s.is_none() && refers && !no_such_name {
         return Err(AnswerError::Referral);
     }
-    let why = if gone { NegativeAnswer::NoSuchName } else { NegativeAnswer::NoData };
-    Ok(Answer::None { why, ttl_s: soa.unwrap_or(0) })
+    let why = if no_such_name { NegativeAnswer::NoSuchName } else { NegativeAnswer::NoData };
+    Ok(Answer::None { why, ttl_s: soa_ttl_s.unwrap_or(0) })
 }
--- a/crates/dns-sd/src/cache.rs
+++ b/crates/dns-sd/src/cache.rs
@@ -1,35 +1,37 @@
-//! Lifetimes: what was answered to each question, until when it holds, when it is asked again, and what is
-//! served stale (RFC 8767).
+//! Lifetimes of answers: until when each holds, when its question is asked again, and what is served stale
+//! (RFC 8767).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::answer::{Answer, NegativeAnswer, Question, RecordData};
 
-/// Part of its life after which a record is asked for again, before jitter: so that it does not run out while
-/// the resolver is asked once or twice more.
-const REFRESH: f64 = 0.8;
-/// Jitter: up to this part of the time is taken off. Danger: thousands of records of one answer, asked again
-/// in the same millisecond for good.
-const JITTER: f64 = 0.25;
+/// Part of its lifetime after which an answer is refreshed, before jitter: early enough for the resolver to be
+/// asked once or twice more before it ends.
+const REFRESH_PART: f64 = 0.8;
+/// Up to this part of a time is taken off by chance. Without it, thousands of records of one answer would be
+/// asked for in the same millisecond for good.
+const JITTER_PART: f64 = 0.25;
+/// The longest reason of a failure that is retained, characters.
+const MAX_REASON_CHARS: usize = 200;
 
-/// Bounds of times. All in ms.
+/// Limits of times, all in ms, and of queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CacheLimits {
-    /// The least life of what was answered. Danger: a TTL of 0, and a resolver that is asked without a pause.
+    /// The shortest lifetime of an answer: a TTL of 0 must not lead to queries without a pause.
     pub min_ttl_ms: f64,
-    /// The most.
+    /// The longest lifetime of records.
     pub max_ttl_ms: f64,
-    /// The most for "there is none" (RFC 2308 asks for 3 hours at most).
+    /// The longest lifetime of a negative answer (RFC 2308 asks for 3 hours at most).
     pub max_negative_ttl_ms: f64,
-    /// How long after its life a record is still served while no answer can be had (RFC 8767 proposes 1 to 3
-    /// days). After that it is unknown, which removes nobody from a list.
+    /// How long after its lifetime a record is still served while no answer can be had (RFC 8767 proposes 1 to
+    /// 3 days). After that it is unknown, which removes nothing from a list.
     pub max_stale_ms: f64,
-    /// The first pause after a question went unanswered; it doubles.
+    /// The first backoff after a failure. It doubles with each failure in a row.
     pub min_retry_ms: f64,
-    /// The longest.
+    /// The longest backoff.
     pub max_retry_ms: f64,
-    /// The most questions that are out at once.
+    /// The most queries in flight.
     pub max_queries_in_flight: usize,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// What is known of a question.
+/// A cached answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CachedAnswer {
     /// Records, shared with the cache; not empty.
@@ -56,24 +58,24 @@
     None(NegativeAnswer),
 }
 
-/// What may be said of a question now.
+/// What the cache says of a question now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CacheState {
-    /// An answer that holds.
+    /// An answer within its lifetime.
     Fresh(CachedAnswer),
-    /// The last answer, whose life is over while no other can be had.
+    /// The last answer, whose lifetime has ended while no other can be had.
     Stale {
         /// The answer.
         known: CachedAnswer,
-        /// Since when, ms of the caller's clock.
+        /// When its lifetime ended, ms of the caller's clock.
         since: f64,
     },
-    /// No answer so far, or none for so long that the last says nothing any more.
+    /// There was no answer, or none for so long that the last one counts no more.
     Unknown,
 }
 
 impl CacheState {
-    /// What is known, fresh or stale.
+    /// The answer, fresh or stale.
     #[must_use]
     pub fn known(&self) -> Option<&CachedAnswer> {
         match self {
@@ -81,212 +83,285 @@
             CacheState::Unknown => None,
         }
     }
+
+    /// Since when the answer is stale, ms of the caller's clock; none if it is not.
+    #[must_use]
+    pub fn stale_since(&self) -> Option<f64> {
+        match self {
+            CacheState::Stale { since, .. } => Some(*since),
+            CacheState::Fresh(_) | CacheState::Unknown => None,
+        }
+    }
 }
 
-/// A question that is to be asked now.
+/// A query that is to be sent now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueQuery {
     /// The question.
     pub question: Question,
-    /// Its last answer is doubted: another resolver is to be asked before the one that gave it.
+    /// Whether its last answer is doubted: another resolver is to be asked before the one that gave it.
     pub doubted: bool,
 }
 
+/// A question without an answer at present.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FailingQuery<'a> {
+    /// The question.
+    pub question: &'a Question,
+    /// When its queries began to fail, ms of the caller's clock.
+    pub since_ms: f64,
+    /// Why the last one failed.
+    pub reason: &'a str,
+}
+
+/// A followed question, and how long its answer holds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FollowedQuery<'a> {
+    /// The question.
+    pub question: &'a Question,
+    /// Lifetime that is left, ms: negative if the answer is stale, none if there is no answer.
+    pub remaining_ms: Option<f64>,
+}
+
+/// How many questions a cache follows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CacheSize {
+    /// Questions that are followed.
+    pub followed: usize,
+    /// Those of them whose queries are in flight.
+    pub in_flight: usize,
+}
+
+#[derive(Debug)]
+struct Failure {
+    since_ms: f64,
+    reason: String,
+}
+
 #[derive(Debug, Default)]
 struct Entry {
-    known: Option<CachedAnswer>,
-    /// When the life of `known` is over.
-    until: f64,
-    /// When it is to be asked next.
-    ask_at: f64,
-    /// It is being asked: one question for all who wait.
-    out: bool,
-    /// Since when every question went unanswered, and why the last did.
-    failing: Option<(f64, String)>,
-    pause: f64,
-    /// Answers so far.
-    answers: u64,
+    answer: Option<CachedAnswer>,
+    /// When the lifetime of the answer ends, ms.
+    fresh_until_ms: f64,
+    /// When the question is asked next, ms.
+    next_query_ms: f64,
+    in_flight: bool,
+    failure: Option<Failure>,
+    backoff_ms: f64,
+    /// How many answers there were.
+    answer_count: u64,
     doubted: bool,
 }
 
+/// A question that is to be asked, by its time.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AgendaItem {
+    /// Bits of the time, which sort as it does.
+    time_bits: u64,
+    question: Question,
+}
+
+impl AgendaItem {
+    fn new(at_ms: f64, question: &Question) -> AgendaItem {
+        AgendaItem { time_bits: time_bits(at_ms), question: question.clone() }
+    }
+}
+
+/// Bits that sort as times do, which are not negative.
+fn time_bits(at_ms: f64) -> u64 {
+    at_ms.max(0.0).to_bits()
+}
+
 /// Answers to the questions that are followed.
 #[derive(Debug)]
 pub struct Cache {
-    bounds: CacheLimits,
+    limits: CacheLimits,
     entries: BTreeMap<Question, Entry>,
-    /// Those to be asked, by time; none of them is out.
-    agenda: BTreeSet<(u64, Question)>,
-    out: usize,
-    dice: u64,
-}
-
-/// Times are not negative, so their bits sort as they do.
-fn rank(at: f64) -> u64 {
-    at.max(0.0).to_bits()
+    /// Questions that are to be asked; none of them is in flight.
+    agenda: BTreeSet<AgendaItem>,
+    in_flight: usize,
+    jitter_state: u64,
 }
 
 impl Cache {
     /// A cache that follows nothing. The seed is for jitter.
     #[must_use]
-    pub fn new(bounds: CacheLimits, seed: u64) -> Cache {
-        Cache { bounds, entries: BTreeMap::new(), agenda: BTreeSet::new(), out: 0, dice: seed }
+    pub fn new(limits: CacheLimits, seed: u64) -> Cache {
+        Cache { limits, entries: BTreeMap::new(), agenda: BTreeSet::new(), in_flight: 0, jitter_state: seed }
     }
 
-    /// Follows these questions from now on, and no others. What is new is due at once; what is known of the
-    /// others stays.
-    pub fn follow(&mut self, now: f64, wanted: &BTreeSet<Question>) {
-        let gone: Vec<Question> = self.entries.keys().filter(|q| !wanted.contains(*q)).cloned().collect();
-        for question in gone {
+    /// Follows these questions from now on and no others. New ones are due at once; answers to the others
+    /// stay.
+    pub fn follow(&mut self, now_ms: f64, wanted: &BTreeSet<Question>) {
+        let unwanted: Vec<Question> =
+            self.entries.keys().filter(|question| !wanted.contains(*question)).cloned().collect();
+        for question in unwanted {
             if let Some(entry) = self.entries.remove(&question) {
-                self.out -= usize::from(entry.out);
-                self.agenda.remove(&(rank(entry.ask_at), question));
+                self.in_flight -= usize::from(entry.in_flight);
+                self.agenda.remove(&AgendaItem::new(entry.next_query_ms, &question));
             }
         }
         for question in wanted {
             if !self.entries.contains_key(question) {
-                let entry = Entry { ask_at: now, ..Entry::default() };
+                let entry = Entry { next_query_ms: now_ms, ..Entry::default() };
                 self.entries.insert(question.clone(), entry);
-                self.agenda.insert((rank(now), question.clone()));
+                self.agenda.insert(AgendaItem::new(now_ms, question));
             }
         }
     }
 
-    /// Takes the questions that are to be asked now, at most as many as may be out. Each of them has to be
-    /// told back by [`Cache::answered`] or [`Cache::failed`].
-    pub fn due(&mut self, now: f64) -> Vec<DueQuery> {
+    /// Takes the queries that are due, as many as may be in flight. [`Cache::answered`] or [`Cache::failed`]
+    /// has to follow for each.
+    pub fn due(&mut self, now_ms: f64) -> Vec<DueQuery> {
+        let now_bits = time_bits(now_ms);
         let mut due = Vec::new();
-        while self.out < self.bounds.max_queries_in_flight {
-            match self.agenda.first() {
-                Some((at, _)) if *at <= rank(now) => {}
-                _ => break,
-            }
-            let Some((_, question)) = self.agenda.pop_first() else { break };
+        while self.in_flight < self.limits.max_queries_in_flight
+            && self.agenda.first().is_some_and(|item| item.time_bits <= now_bits)
+        {
+            let Some(AgendaItem { question, .. }) = self.agenda.pop_first() else { break };
             let Some(entry) = self.entries.get_mut(&question) else { continue };
-            entry.out = true;
-            self.out += 1;
+            entry.in_flight = true;
+            self.in_flight += 1;
             due.push(DueQuery { question, doubted: entry.doubted });
         }
         due
     }
 
-    /// When the next question is due, if one is and may be asked.
+    /// When the next query is due, ms; none if there is none or as many as may be are in flight.
     #[must_use]
     pub fn next(&self) -> Option<f64> {
-        let first = self.agenda.first().filter(|_| self.out < self.bounds.max_queries_in_flight);
-        first.map(|(at, _)| f64::from_bits(*at))
+        if self.in_flight >= self.limits.max_queries_in_flight {
+            return None;
+        }
+        self.agenda.first().map(|item| f64::from_bits(item.time_bits))
     }
 
-    /// Has a question asked again at once, of another resolver, if it is not being asked. Danger: one that
-    /// goes unanswered, asked without its pause.
-    pub fn doubt(&mut self, now: f64, question: &Question) {
-        let Some(entry) = self.entries.get_mut(question).filter(|e| !e.out && e.failing.is_none()) else {
+    /// Has a question asked again at once, of another resolver. Ignored if its query is in flight or its
+    /// queries fail: these keep to their backoff.
+    pub fn doubt(&mut self, now_ms: f64, question: &Question) {
+        let Some(entry) = self.entries.get_mut(question) else { return };
+        if entry.in_flight || entry.failure.is_some() {
             return;
-        };
+        }
         entry.doubted = true;
-        if entry.ask_at > now {
-            self.plan(question, now);
+        if entry.next_query_ms > now_ms {
+            self.schedule(question, now_ms);
         }
     }
 
-    fn plan(&mut self, question: &Question, at: f64) {
+    fn schedule(&mut self, question: &Question, at_ms: f64) {
         let Some(entry) = self.entries.get_mut(question) else { return };
-        self.agenda.remove(&(rank(entry.ask_at), question.clone()));
-        entry.ask_at = at;
-        self.agenda.insert((rank(at), question.clone()));
+        self.agenda.remove(&AgendaItem::new(entry.next_query_ms, question));
+        entry.next_query_ms = at_ms;
+        self.agenda.insert(AgendaItem::new(at_ms, question));
     }
 
-    /// Between `1 - JITTER` and 1 of a time.
-    fn jittered(&mut self, time: f64) -> f64 {
-        // SplitMix64 (Steele, Lea and Flood, 2014).
-        self.dice = self.dice.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut x = self.dice;
+    /// A time less up to [`JITTER_PART`] of it, by SplitMix64 (Steele, Lea and Flood, 2014).
+    fn with_jitter(&mut self, time_ms: f64) -> f64 {
+        self.jitter_state = self.jitter_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut x = self.jitter_state;
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        time * (1.0 - JITTER * ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64)
+        x ^= x >> 31;
+        time_ms * (1.0 - JITTER_PART * (x >> 11) as f64 / (1u64 << 53) as f64)
     }
 
-    fn back(&mut self, question: &Question) -> Option<&mut Entry> {
+    /// The entry of a question whose query has ended.
+    fn end_query(&mut self, question: &Question) -> Option<&mut Entry> {
         let entry = self.entries.get_mut(question)?;
-        if entry.out {
-            entry.out = false;
-            self.out -= 1;
+        if entry.in_flight {
+            entry.in_flight = false;
+            self.in_flight -= 1;
         }
         Some(entry)
     }
 
-    /// Takes an answer in. A truncated one is none: it is to be asked again over TCP by whoever asked. Tells
-    /// whether what is known is another by it.
-    pub fn answered(&mut self, now: f64, question: &Question, answer: Answer) -> bool {
-        let b = self.bounds;
-        let (known, ttl_s, most) = match answer {
+    /// Takes an answer. A truncated one counts as a failure: whoever asked is to ask again over TCP. Returns
+    /// whether the answer differs from the last one.
+    pub fn answered(&mut self, now_ms: f64, question: &Question, answer: Answer) -> bool {
+        let limits = self.limits;
+        let (answer, ttl_s, max_ttl_ms) = match answer {
             Answer::Records { records, ttl_s } => {
-                (CachedAnswer::Records(records.into()), ttl_s, b.max_ttl_ms)
+                (CachedAnswer::Records(records.into()), ttl_s, limits.max_ttl_ms)
             }
-            Answer::None { why, ttl_s } => (CachedAnswer::None(why), ttl_s, b.max_negative_ttl_ms),
+            Answer::None { why, ttl_s } => (CachedAnswer::None(why), ttl_s, limits.max_negative_ttl_ms),
             Answer::Truncated => {
-                self.failed(now, question, "truncated");
+                self.failed(now_ms, question, "truncated");
                 return false;
             }
         };
-        let life = (f64::from(ttl_s) * 1_000.0).clamp(b.min_ttl_ms, most.max(b.min_ttl_ms));
-        let pause = self.jittered(life * REFRESH);
-        let Some(entry) = self.back(question) else { return false };
-        let other = entry.known.as_ref() != Some(&known);
-        (entry.known, entry.until, entry.failing, entry.pause) = (Some(known), now + life, None, 0.0);
+        let max_ttl_ms = max_ttl_ms.max(limits.min_ttl_ms);
+        let ttl_ms = (f64::from(ttl_s) * 1_000.0).clamp(limits.min_ttl_ms, max_ttl_ms);
+        let refresh_ms = self.with_jitter(ttl_ms * REFRESH_PART);
+        let Some(entry) = self.end_query(question) else { return false };
+        let changed = entry.answer.as_ref() != Some(&answer);
+        entry.answer = Some(answer);
+        entry.fresh_until_ms = now_ms + ttl_ms;
+        entry.failure = None;
+        entry.backoff_ms = 0.0;
         entry.doubted = false;
-        entry.answers += 1;
-        self.plan(question, now + pause);
-        other
+        entry.answer_count += 1;
+        self.schedule(question, now_ms + refresh_ms);
+        changed
     }
 
-    /// Notes that a question went unanswered: nothing, garbage, or word of a failure came.
-    pub fn failed(&mut self, now: f64, question: &Question, why: &str) {
-        let b = self.bounds;
-        let Some(entry) = self.back(question) else { return };
-        let since = entry.failing.take().map_or(now, |(since, _)| since);
-        entry.failing = Some((since, why.chars().take(200).collect()));
-        entry.pause = (entry.pause * 2.0).clamp(b.min_retry_ms, b.max_retry_ms);
-        let pause = entry.pause;
-        let pause = self.jittered(pause);
-        self.plan(question, now + pause);
+    /// Notes that a query failed: there was no answer in time, garbage, or word of a failure.
+    pub fn failed(&mut self, now_ms: f64, question: &Question, reason: &str) {
+        let limits = self.limits;
+        let Some(entry) = self.end_query(question) else { return };
+        let since_ms = entry.failure.take().map_or(now_ms, |failure| failure.since_ms);
+        let reason = reason.chars().take(MAX_REASON_CHARS).collect();
+        entry.failure = Some(Failure { since_ms, reason });
+        entry.backoff_ms = (entry.backoff_ms * 2.0).clamp(limits.min_retry_ms, limits.max_retry_ms);
+        let backoff_ms = entry.backoff_ms;
+        let retry_ms = now_ms + self.with_jitter(backoff_ms);
+        self.schedule(question, retry_ms);
     }
 
     /// What may be said of a question.
+    ///
+    /// A negative answer is never stale: beyond its lifetime it would keep off what is there by now.
     #[must_use]
-    pub fn get(&self, now: f64, question: &Question) -> CacheState {
+    pub fn get(&self, now_ms: f64, question: &Question) -> CacheState {
         let Some(entry) = self.entries.get(question) else { return CacheState::Unknown };
-        match &entry.known {
-            None => CacheState::Unknown,
-            Some(known) if now < entry.until => CacheState::Fresh(known.clone()),
-            // Danger: "there is none" that outlives its time, and holds back what is there by now. It is not
-            // served stale: nobody is taken off a list by it, and nobody kept off.
-            Some(CachedAnswer::None(_)) => CacheState::Unknown,
-            Some(known) if now < entry.until + self.bounds.max_stale_ms => {
-                CacheState::Stale { known: known.clone(), since: entry.until }
+        let Some(answer) = &entry.answer else { return CacheState::Unknown };
+        if now_ms < entry.fresh_until_ms {
+            return CacheState::Fresh(answer.clone());
+        }
+        let may_be_stale = now_ms < entry.fresh_until_ms + self.limits.max_stale_ms;
+        match answer {
+            CachedAnswer::Records(_) if may_be_stale => {
+                CacheState::Stale { known: answer.clone(), since: entry.fresh_until_ms }
             }
-            Some(_) => CacheState::Unknown,
+            CachedAnswer::Records(_) | CachedAnswer::None(_) => CacheState::Unknown,
         }
     }
 
-    /// Answers to a question so far; 0 where it is not followed.
+    /// How many answers to a question there were; 0 if it is not followed.
     #[must_use]
     pub fn answers(&self, question: &Question) -> u64 {
-        self.entries.get(question).map_or(0, |e| e.answers)
+        self.entries.get(question).map_or(0, |entry| entry.answer_count)
     }
 
-    /// The questions that go unanswered: since when, and why the last did.
-    pub fn failing(&self) -> impl Iterator<Item = (&Question, f64, &str)> {
-        self.entries.iter().filter_map(|(q, e)| e.failing.as_ref().map(|(at, why)| (q, *at, why.as_str())))
+    /// The questions whose queries fail, in order.
+    pub fn failing(&self) -> impl Iterator<Item = FailingQuery<'_>> {
+        self.entries.iter().filter_map(|(question, entry)| {
+            let failure = entry.failure.as_ref()?;
+            Some(FailingQuery { question, since_ms: failure.since_ms, reason: &failure.reason })
+        })
     }
 
-    /// All questions, with the life that is left of what is known, ms: below 0 where it is stale.
-    pub fn lives(&self, now: f64) -> impl Iterator<Item = (&Question, Option<f64>)> {
-        self.entries.iter().map(move |(q, e)| (q, e.known.as_ref().map(|_| e.until - now)))
+    /// All questions that are followed, in order.
+    pub fn followed(&self, now_ms: f64) -> impl Iterator<Item = FollowedQuery<'_>> {
+        self.entries.iter().map(move |(question, entry)| {
+            let remaining_ms = entry.answer.as_ref().map(|_| entry.fresh_until_ms - now_ms);
+            FollowedQuery { question, remaining_ms }
+        })
     }
 
-    /// How many questions are followed, and how many are out.
+    /// How many questions are followed and in flight.
     #[must_use]
-    pub fn size(&self) -> (usize, usize) {
-        (self.entries.len(), self.out)
+    pub fn size(&self) -> CacheSize {
+        CacheSize { followed: self.entries.len(), in_flight: self.in_flight }
     }
 }
--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -8,55 +8,102 @@
 
 use crate::answer::{QueryType, Question, RecordData, SrvRecord};
 use crate::cache::{Cache, CacheState, CachedAnswer};
-use crate::metadata::InstanceMetadata;
+use crate::metadata::{InstanceMetadata, TxtError};
 
-/// The most instances of a list. Danger: an answer that fills the memory; what is above is dropped.
+/// The most instances of a list: an answer must not fill the memory. Further ones are dropped.
 pub const MAX_INSTANCES: usize = 20_000;
 /// The longest name of an instance, bytes: a label of DNS.
 const MAX_LABEL_BYTES: usize = 63;
 
-/// A line of the list.
+/// An endpoint on the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Where it takes work.
     pub address: SocketAddr,
-    /// Its SRV priority: less is used first.
+    /// SRV priority: the least is used first.
     pub priority: u16,
-    /// Its SRV weight among those of its priority; 0 means very little of it (RFC 2782).
+    /// SRV weight among endpoints of the same priority; 0 means very little (RFC 2782).
     pub weight: u16,
     /// What its TXT record tells.
-    pub traits: InstanceMetadata,
+    pub metadata: InstanceMetadata,
     /// Its name as an instance.
     pub instance: Name,
-    /// Since when some record of it is stale, ms; none while all are fresh.
+    /// Since when one of its records is stale, ms; none if all are fresh.
     pub stale_since: Option<f64>,
 }
 
 impl Endpoint {
-    /// Whether the list says the same by both; age aside.
-    fn same(&self, other: &Endpoint) -> bool {
-        let of = |e: &Endpoint| (e.address, e.priority, e.weight, e.instance.clone());
-        of(self) == of(other) && self.traits == other.traits
+    /// Whether the list says the same of both, apart from their age.
+    fn is_listed_as(&self, other: &Endpoint) -> bool {
+        self.address == other.address
+            && self.priority == other.priority
+            && self.weight == other.weight
+            && self.instance == other.instance
+            && self.metadata == other.metadata
     }
 }
 
-/// An instance that is not on the list, or not on it by what it says now, and why.
+/// Why an instance is not on the list, or not by what it says now.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum DropReason {
+    /// Its name is not under the service that points to it.
+    NotOfService(Name),
+    /// Its name has no label, or a label that is too long.
+    NoName,
+    /// Its name is not UTF-8.
+    NameNotUtf8,
+    /// Its name has control characters.
+    NameHasControls,
+    /// Another instance has its name.
+    DuplicateName,
+    /// There are [`MAX_INSTANCES`] already.
+    TooManyInstances,
+    /// Its SRV target is the root (RFC 2782).
+    TargetIsRoot,
+    /// Its SRV port is 0.
+    PortIsZero,
+    /// A value of its TXT record is not allowed.
+    Txt(TxtError),
+    /// Its SRV target has no address.
+    NoAddress(Name),
+}
+
+impl fmt::Display for DropReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DropReason::NotOfService(service) => write!(f, "it is no instance of {service}"),
+            DropReason::NoName => f.write_str("it has no name"),
+            DropReason::NameNotUtf8 => f.write_str("its name is no UTF-8"),
+            DropReason::NameHasControls => f.write_str("its name has control characters"),
+            DropReason::DuplicateName => f.write_str("another instance has that name"),
+            DropReason::TooManyInstances => write!(f, "there are {MAX_INSTANCES} already"),
+            DropReason::TargetIsRoot => f.write_str("its SRV target is the root: not available here"),
+            DropReason::PortIsZero => f.write_str("its SRV port is 0"),
+            DropReason::Txt(error) => error.fmt(f),
+            DropReason::NoAddress(target) => write!(f, "{target} has no address"),
+        }
+    }
+}
+
+impl std::error::Error for DropReason {}
+
+/// An instance that was dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DroppedInstance {
-    /// The instance.
+    /// Its name.
     pub instance: Name,
-    /// What is wrong with it.
-    pub why: String,
+    /// Why.
+    pub reason: DropReason,
 }
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// It joined.
+    /// The instance of this name joined.
     Joined(String),
-    /// It tells something else of itself.
+    /// The instance of this name changed.
     Changed(String),
-    /// It left by the answer to this question.
+    /// The instance of this name left by the answer to this question.
     Left(String, Question),
 }
 
@@ -70,308 +117,382 @@
     }
 }
 
-/// What one reading came to.
+/// Result of [`Catalogue::read`].
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueUpdate {
-    /// What is to be followed from now on.
+    /// Questions that are to be followed from now on.
     pub wanted: BTreeSet<Question>,
-    /// What is to be asked again at once, as a part of the list that is too large hangs on it.
+    /// Questions that are to be asked again at once, as too large a part of the list depends on them.
     pub confirm: BTreeSet<Question>,
     /// What changed.
     pub changes: Vec<Change>,
-    /// Who is not on the list, and why.
+    /// Which instances are not on the list, and why.
     pub dropped: Vec<DroppedInstance>,
-    /// How many would leave by what is answered now, and are held until it is answered once more.
+    /// How many instances would leave by the present answers and stay until the next ones.
     pub held: usize,
-    /// Instances of which something is not known yet, or not any more.
+    /// How many instances have records that are not known.
     pub pending: usize,
-    /// Services of which nothing is known.
+    /// How many services are not known.
     pub unknown: usize,
 }
 
 #[derive(Debug)]
-struct Listed {
+struct ListedInstance {
     endpoint: Endpoint,
-    /// The question whose answer would take it off, and the answers to it when that was seen first.
-    doubt: Option<(Question, u64)>,
+    doubt: Option<Doubt>,
 }
 
-/// What the records say of an instance.
-enum Verdict {
-    Here(Endpoint),
-    /// Something is not known yet, or not any more.
+/// An answer that would take an instance off the list and is to be confirmed.
+#[derive(Debug)]
+struct Doubt {
+    question: Question,
+    /// How many answers to the question there were when it was doubted.
+    answers_seen: u64,
+}
+
+/// Why an instance gives no endpoint.
+enum Unlisted {
+    /// Something is not known.
     Pending,
-    /// An authority says that it is not there, or it says of itself what can't be used.
-    Gone(Question, Option<String>),
+    /// It is not there, or says something of itself that is not allowed.
+    Gone(Box<Departure>),
+}
+
+/// The question whose answer takes an instance off the list, and what is not allowed about it.
+struct Departure {
+    question: Question,
+    reason: Option<DropReason>,
+}
+
+impl Unlisted {
+    fn gone(question: Question, reason: Option<DropReason>) -> Unlisted {
+        Unlisted::Gone(Box::new(Departure { question, reason }))
+    }
 }
 
-/// The list, and how it came to be.
+/// The list of some services.
 #[derive(Debug)]
 pub struct Catalogue {
     services: Vec<Name>,
-    shrink_most: f64,
-    listed: BTreeMap<String, Listed>,
+    max_shrink: f64,
+    listed: BTreeMap<String, ListedInstance>,
 }
 
 impl Catalogue {
-    /// An empty list of these services. Where more than `shrink_most` of the list, 0 to 1, would leave at
-    /// once, each leaves only when a second answer says so.
+    /// An empty list of these services. If more than `max_shrink` of the list, 0 to 1, would leave at once,
+    /// each instance leaves only by a second answer.
     #[must_use]
-    pub fn new(services: Vec<Name>, shrink_most: f64) -> Catalogue {
-        let whole = |mut name: Name| {
+    pub fn new(services: Vec<Name>, max_shrink: f64) -> Catalogue {
+        let fully_qualified = |mut name: Name| {
             name.set_fqdn(true);
             name
         };
-        let services = services.into_iter().map(whole).collect();
-        Catalogue { services, shrink_most, listed: BTreeMap::new() }
+        let services = services.into_iter().map(fully_qualified).collect();
+        Catalogue { services, max_shrink, listed: BTreeMap::new() }
     }
 
-    /// The list, by the names of the instances.
+    /// The list, in the order of the instances' names.
     pub fn list(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         self.listed.iter().map(|(name, listed)| (name.as_str(), &listed.endpoint))
     }
 
-    /// Reads the list anew from what is known.
-    pub fn read(&mut self, now: f64, cache: &Cache) -> CatalogueUpdate {
-        let mut reading = CatalogueUpdate::default();
-        let mut here: BTreeMap<String, Endpoint> = BTreeMap::new();
-        let mut gone: BTreeMap<String, Question> = BTreeMap::new();
-        let mut named: BTreeSet<String> = BTreeSet::new();
-        let mut aside = |instance: &Name, why: String| {
-            reading.dropped.push(DroppedInstance { instance: instance.clone(), why });
-        };
+    /// Brings the list up to date with the cache.
+    pub fn read(&mut self, now_ms: f64, cache: &Cache) -> CatalogueUpdate {
+        let mut pass = Pass::new(now_ms, cache, &self.listed);
         for service in &self.services {
-            let question = Question { name: service.clone(), kind: QueryType::Ptr };
-            let state = cache.get(now, &question);
-            reading.wanted.insert(question.clone());
-            let Some(known) = state.known() else {
-                reading.unknown += 1;
-                // Unknown says nothing of those that are listed, and follows them on.
-                let of = self.listed.values().map(|l| l.endpoint.instance.clone());
-                for instance in of.filter(|i| i.base_name() == *service) {
-                    if let Ok(name) = label(&instance) {
-                        named.insert(name);
-                    }
-                    follow(&instance, now, cache, &mut reading.wanted);
-                }
-                continue;
-            };
-            let instances: &[RecordData] = match known {
-                CachedAnswer::Records(records) => records,
-                CachedAnswer::None(_) => &[],
-            };
-            for data in instances {
-                let RecordData::Ptr(instance) = data else { continue };
-                let name = match label(instance) {
-                    Ok(name) if instance.base_name() == *service => name,
-                    Ok(_) => {
-                        aside(instance, format!("it is no instance of {service}"));
-                        continue;
-                    }
-                    Err(why) => {
-                        aside(instance, why.to_string());
-                        continue;
-                    }
-                };
-                if here.contains_key(&name) || named.contains(&name) {
-                    aside(instance, "another instance has that name".to_string());
-                    continue;
-                }
-                if named.len() >= MAX_INSTANCES && !self.listed.contains_key(&name) {
-                    aside(instance, format!("there are {MAX_INSTANCES} already"));
-                    continue;
-                }
-                follow(instance, now, cache, &mut reading.wanted);
-                named.insert(name.clone());
-                let before = self.listed.get(&name).map(|l| l.endpoint.address);
-                match judge(instance, now, cache, before, since(&state)) {
-                    Verdict::Here(endpoint) => {
-                        here.insert(name, endpoint);
-                    }
-                    Verdict::Pending => reading.pending += 1,
-                    Verdict::Gone(question, why) => {
-                        why.into_iter().for_each(|why| aside(instance, why));
-                        gone.insert(name, question);
-                    }
-                }
-            }
-        }
-        for (name, listed) in &self.listed {
-            if !named.contains(name) {
-                let service = listed.endpoint.instance.base_name();
-                gone.insert(name.clone(), Question { name: service, kind: QueryType::Ptr });
-            }
+            pass.read_service(service);
         }
-        self.leave(cache, gone, &mut reading);
-        self.join(here, &mut reading.changes);
-        reading
+        pass.find_unnamed();
+        let Pass { mut update, present, gone, .. } = pass;
+        self.remove_gone(cache, gone, &mut update);
+        self.add_present(present, &mut update.changes);
+        update
     }
 
-    /// Takes those off the list that left. Danger: a resolver that serves an old or an empty zone. What would
-    /// take too much at once is asked for once more. Harm: a true loss of most of a service is believed one
-    /// answer later; gateways find those that don't answer by themselves.
-    fn leave(&mut self, cache: &Cache, gone: BTreeMap<String, Question>, reading: &mut CatalogueUpdate) {
-        let leaving: Vec<(String, Question)> =
+    /// Takes instances that are gone off the list.
+    ///
+    /// A resolver may serve an old or an empty zone. So if too many would leave at once, each waits for another
+    /// answer. A true loss of most of a service is believed one answer later; until then gateways find by
+    /// themselves which backends do not answer.
+    fn remove_gone(&mut self, cache: &Cache, gone: BTreeMap<String, Question>, update: &mut CatalogueUpdate) {
+        let leaving: BTreeMap<String, Question> =
             gone.into_iter().filter(|(name, _)| self.listed.contains_key(name)).collect();
-        let many = leaving.len() as f64 > self.listed.len() as f64 * self.shrink_most;
-        let names: BTreeSet<String> = leaving.iter().map(|(name, _)| name.clone()).collect();
+        let too_many = leaving.len() as f64 > self.listed.len() as f64 * self.max_shrink;
         for (name, listed) in &mut self.listed {
-            if !names.contains(name) {
+            if !leaving.contains_key(name) {
                 listed.doubt = None;
             }
         }
         for (name, question) in leaving {
             let Some(listed) = self.listed.get_mut(&name) else { continue };
-            let answers = cache.answers(&question);
-            let (known, first) = match listed.doubt.take() {
-                Some((by, first)) if by == question => (true, first),
-                _ => (false, answers),
-            };
-            if many && !(known && answers > first) {
-                listed.doubt = Some((question.clone(), first));
-                reading.held += 1;
-                // It is not to be forgotten by the cache while it is listed.
-                reading.wanted.insert(question.clone());
-                reading.confirm.insert(question);
+            if too_many && !is_confirmed(listed, &question, cache.answers(&question)) {
+                update.held += 1;
+                // The cache is not to forget it while the instance is listed.
+                update.wanted.insert(question.clone());
+                update.confirm.insert(question);
             } else {
                 self.listed.remove(&name);
-                reading.changes.push(Change::Left(name, question));
+                update.changes.push(Change::Left(name, question));
             }
         }
     }
 
-    fn join(&mut self, here: BTreeMap<String, Endpoint>, changes: &mut Vec<Change>) {
-        for (name, endpoint) in here {
-            match self.listed.get_mut(&name) {
-                Some(listed) => {
-                    if !listed.endpoint.same(&endpoint) {
-                        changes.push(Change::Changed(name));
+    fn add_present(&mut self, present: BTreeMap<String, Endpoint>, changes: &mut Vec<Change>) {
+        for (name, endpoint) in present {
+            let Some(listed) = self.listed.get_mut(&name) else {
+                changes.push(Change::Joined(name.clone()));
+                self.listed.insert(name, ListedInstance { endpoint, doubt: None });
+                continue;
+            };
+            if !listed.endpoint.is_listed_as(&endpoint) {
+                changes.push(Change::Changed(name));
+            }
+            listed.endpoint = endpoint;
+        }
+    }
+}
+
+/// Whether a question was answered again since it was first doubted; if not, the doubt is noted.
+fn is_confirmed(listed: &mut ListedInstance, question: &Question, answers: u64) -> bool {
+    match &listed.doubt {
+        Some(doubt) if doubt.question == *question => answers > doubt.answers_seen,
+        _ => {
+            listed.doubt = Some(Doubt { question: question.clone(), answers_seen: answers });
+            false
+        }
+    }
+}
+
+/// One pass over all services.
+struct Pass<'a> {
+    now_ms: f64,
+    cache: &'a Cache,
+    listed: &'a BTreeMap<String, ListedInstance>,
+    update: CatalogueUpdate,
+    /// Instances with an endpoint.
+    present: BTreeMap<String, Endpoint>,
+    /// Instances that are gone, each with the question whose answer says so.
+    gone: BTreeMap<String, Question>,
+    /// Instances that a service names, or would if it were known.
+    named: BTreeSet<String>,
+}
+
+impl<'a> Pass<'a> {
+    fn new(now_ms: f64, cache: &'a Cache, listed: &'a BTreeMap<String, ListedInstance>) -> Pass<'a> {
+        Pass {
+            now_ms,
+            cache,
+            listed,
+            update: CatalogueUpdate::default(),
+            present: BTreeMap::new(),
+            gone: BTreeMap::new(),
+            named: BTreeSet::new(),
+        }
+    }
+
+    fn read_service(&mut self, service: &Name) {
+        let question = Question { name: service.clone(), kind: QueryType::Ptr };
+        let state = self.cache.get(self.now_ms, &question);
+        self.update.wanted.insert(question);
+        match state.known() {
+            None => self.keep_instances_of(service),
+            Some(CachedAnswer::None(_)) => {}
+            Some(CachedAnswer::Records(records)) => {
+                for record in records.iter() {
+                    if let RecordData::Ptr(instance) = record {
+                        self.read_instance(service, instance, state.stale_since());
                     }
-                    listed.endpoint = endpoint;
                 }
-                None => {
-                    changes.push(Change::Joined(name.clone()));
-                    self.listed.insert(name, Listed { endpoint, doubt: None });
+            }
+        }
+    }
+
+    /// The service is unknown: that says nothing of its listed instances, which are followed on.
+    fn keep_instances_of(&mut self, service: &Name) {
+        self.update.unknown += 1;
+        let instances = self.listed.values().map(|listed| &listed.endpoint.instance);
+        for instance in instances.filter(|instance| instance.base_name() == *service) {
+            if let Ok(name) = instance_name(instance) {
+                self.named.insert(name);
+            }
+            follow_instance(instance, self.now_ms, self.cache, &mut self.update.wanted);
+        }
+    }
+
+    fn read_instance(&mut self, service: &Name, instance: &Name, stale_since: Option<f64>) {
+        let name = match self.accept_name(service, instance) {
+            Ok(name) => name,
+            Err(reason) => return self.drop_instance(instance, reason),
+        };
+        follow_instance(instance, self.now_ms, self.cache, &mut self.update.wanted);
+        self.named.insert(name.clone());
+        let last_address = self.listed.get(&name).map(|listed| listed.endpoint.address);
+        let reader = InstanceReader { now_ms: self.now_ms, cache: self.cache, instance, stale_since };
+        match reader.read(last_address) {
+            Ok(endpoint) => {
+                self.present.insert(name, endpoint);
+            }
+            Err(Unlisted::Pending) => self.update.pending += 1,
+            Err(Unlisted::Gone(departure)) => {
+                let Departure { question, reason } = *departure;
+                if let Some(reason) = reason {
+                    self.drop_instance(instance, reason);
                 }
+                self.gone.insert(name, question);
             }
         }
     }
-}
 
-fn since(state: &CacheState) -> Option<f64> {
-    match state {
-        CacheState::Stale { since, .. } => Some(*since),
-        _ => None,
+    fn accept_name(&self, service: &Name, instance: &Name) -> Result<String, DropReason> {
+        let name = instance_name(instance)?;
+        if instance.base_name() != *service {
+            return Err(DropReason::NotOfService(service.clone()));
+        }
+        if self.named.contains(&name) {
+            return Err(DropReason::DuplicateName);
+        }
+        if self.named.len() >= MAX_INSTANCES && !self.listed.contains_key(&name) {
+            return Err(DropReason::TooManyInstances);
+        }
+        Ok(name)
+    }
+
+    fn drop_instance(&mut self, instance: &Name, reason: DropReason) {
+        self.update.dropped.push(DroppedInstance { instance: instance.clone(), reason });
+    }
+
+    /// Listed instances that no service names are gone.
+    fn find_unnamed(&mut self) {
+        for (name, listed) in self.listed {
+            if !self.named.contains(name) {
+                let service = listed.endpoint.instance.base_name();
+                self.gone.insert(name.clone(), Question { name: service, kind: QueryType::Ptr });
+            }
+        }
     }
 }
 
 /// The first label of an instance's name, which is text (RFC 6763, section 4.1.1).
-fn label(instance: &Name) -> Result<String, &'static str> {
-    let first = instance.iter().next().filter(|l| l.len() <= MAX_LABEL_BYTES).ok_or("it has no name")?;
-    let text = std::str::from_utf8(first).map_err(|_| "its name is no UTF-8")?;
+fn instance_name(instance: &Name) -> Result<String, DropReason> {
+    let label = instance.iter().next().filter(|label| label.len() <= MAX_LABEL_BYTES);
+    let text = std::str::from_utf8(label.ok_or(DropReason::NoName)?).map_err(|_| DropReason::NameNotUtf8)?;
     if text.chars().any(char::is_control) {
-        return Err("its name has control characters");
+        return Err(DropReason::NameHasControls);
     }
     Ok(text.to_string())
 }
 
-/// What is asked of an instance.
-fn follow(instance: &Name, now: f64, cache: &Cache, wanted: &mut BTreeSet<Question>) {
-    let of = |kind| Question { name: instance.clone(), kind };
-    wanted.extend([of(QueryType::Srv), of(QueryType::Txt)]);
-    let state = cache.get(now, &of(QueryType::Srv));
-    if let Some(CachedAnswer::Records(records)) = state.known() {
-        if let Some(service) = first(records) {
-            let of = |kind| Question { name: service.target.clone(), kind };
-            wanted.extend([of(QueryType::A), of(QueryType::Aaaa)]);
-        }
+/// Adds the questions about an instance.
+fn follow_instance(instance: &Name, now_ms: f64, cache: &Cache, wanted: &mut BTreeSet<Question>) {
+    let srv = Question { name: instance.clone(), kind: QueryType::Srv };
+    let state = cache.get(now_ms, &srv);
+    wanted.insert(srv);
+    wanted.insert(Question { name: instance.clone(), kind: QueryType::Txt });
+    let Some(CachedAnswer::Records(records)) = state.known() else { return };
+    if let Some(srv) = preferred_srv(records) {
+        wanted.insert(Question { name: srv.target.clone(), kind: QueryType::A });
+        wanted.insert(Question { name: srv.target.clone(), kind: QueryType::Aaaa });
     }
 }
 
-/// The SRV record that counts: of the least priority, and of those the one of most weight.
-fn first(records: &[RecordData]) -> Option<&SrvRecord> {
+/// The SRV record that counts: of the least priority, and among those the one of most weight.
+fn preferred_srv(records: &[RecordData]) -> Option<&SrvRecord> {
     let services = records.iter().filter_map(|data| match data {
-        RecordData::Srv(service) => Some(service),
+        RecordData::Srv(srv) => Some(srv),
         _ => None,
     });
-    services.min_by_key(|s| (s.priority, u16::MAX - s.weight))
+    services.min_by_key(|srv| (srv.priority, u16::MAX - srv.weight))
 }
 
-fn judge(
-    instance: &Name,
-    now: f64,
-    cache: &Cache,
-    before: Option<SocketAddr>,
-    mut stale: Option<f64>,
-) -> Verdict {
-    let ask = |name: &Name, kind| {
-        let question = Question { name: name.clone(), kind };
-        let state = cache.get(now, &question);
-        (question, state)
-    };
-    let mut note = |state: &CacheState| {
-        let at = since(state);
-        stale = match (stale, at) {
+/// Reads the records of one instance.
+struct InstanceReader<'a> {
+    now_ms: f64,
+    cache: &'a Cache,
+    instance: &'a Name,
+    /// Since when one of the records read so far is stale, ms.
+    stale_since: Option<f64>,
+}
+
+impl InstanceReader<'_> {
+    /// The endpoint; an address that it had is kept while the target has it, as it is the same backend.
+    fn read(mut self, last_address: Option<SocketAddr>) -> Result<Endpoint, Unlisted> {
+        let srv = self.srv()?;
+        let metadata = self.metadata()?;
+        let last_ip = last_address.filter(|last| last.port() == srv.port).map(|last| last.ip());
+        let ip = self.address_of(&srv.target, last_ip)?;
+        Ok(Endpoint {
+            address: SocketAddr::new(ip, srv.port),
+            priority: srv.priority,
+            weight: srv.weight,
+            metadata,
+            instance: self.instance.clone(),
+            stale_since: self.stale_since,
+        })
+    }
+
+    fn state(&self, question: &Question) -> CacheState {
+        self.cache.get(self.now_ms, question)
+    }
+
+    fn note_age(&mut self, state: &CacheState) {
+        self.stale_since = match (self.stale_since, state.stale_since()) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-    };
-    let (question, state) = ask(instance, QueryType::Srv);
-    note(&state);
-    let service = match state.known() {
-        None => return Verdict::Pending,
-        Some(CachedAnswer::None(_)) => return Verdict::Gone(question, None),
-        Some(CachedAnswer::Records(records)) => first(records).cloned(),
-    };
-    let Some(service) = service else { return Verdict::Pending };
-    if service.target.is_root() {
-        return Verdict::Gone(question, Some("its SRV target is the root: not available here".to_string()));
     }
-    if service.port == 0 {
-        return Verdict::Gone(question, Some("its SRV port is 0".to_string()));
+
+    fn srv(&mut self) -> Result<SrvRecord, Unlisted> {
+        let question = Question { name: self.instance.clone(), kind: QueryType::Srv };
+        let state = self.state(&question);
+        self.note_age(&state);
+        let srv = match state.known() {
+            None => None,
+            Some(CachedAnswer::None(_)) => return Err(Unlisted::gone(question, None)),
+            Some(CachedAnswer::Records(records)) => preferred_srv(records).cloned(),
+        };
+        let srv = srv.ok_or(Unlisted::Pending)?;
+        if srv.target.is_root() {
+            return Err(Unlisted::gone(question, Some(DropReason::TargetIsRoot)));
+        }
+        if srv.port == 0 {
+            return Err(Unlisted::gone(question, Some(DropReason::PortIsZero)));
+        }
+        Ok(srv)
+    }
+
+    fn metadata(&mut self) -> Result<InstanceMetadata, Unlisted> {
+        let question = Question { name: self.instance.clone(), kind: QueryType::Txt };
+        let state = self.state(&question);
+        self.note_age(&state);
+        let Some(answer) = state.known() else { return Err(Unlisted::Pending) };
+        let CachedAnswer::Records(records) = answer else { return Ok(InstanceMetadata::default()) };
+        // Of several records the first in their order counts, at all agents alike.
+        let Some(RecordData::Txt(strings)) = records.first() else { return Ok(InstanceMetadata::default()) };
+        InstanceMetadata::read(strings)
+            .map_err(|error| Unlisted::gone(question, Some(DropReason::Txt(error))))
     }
-    let (question, state) = ask(instance, QueryType::Txt);
-    note(&state);
-    let traits = match state.known() {
-        None => return Verdict::Pending,
-        Some(CachedAnswer::None(_)) => Ok(InstanceMetadata::default()),
-        Some(CachedAnswer::Records(records)) => match &records[..] {
-            // Of several records the least counts, at all agents alike.
-            [RecordData::Txt(strings), ..] => InstanceMetadata::read(strings),
-            _ => Ok(InstanceMetadata::default()),
-        },
-    };
-    let traits = match traits {
-        Ok(traits) => traits,
-        Err(bad) => return Verdict::Gone(question, Some(bad.to_string())),
-    };
-    let (v4, four) = ask(&service.target, QueryType::A);
-    let (_, six) = ask(&service.target, QueryType::Aaaa);
-    let mut addresses: Vec<IpAddr> = Vec::new();
-    for state in [&four, &six] {
-        if let Some(CachedAnswer::Records(records)) = state.known() {
-            note(state);
-            addresses.extend(records.iter().filter_map(|data| match data {
-                RecordData::Address(address) => Some(*address),
-                _ => None,
-            }));
+
+    fn address_of(&mut self, target: &Name, last_ip: Option<IpAddr>) -> Result<IpAddr, Unlisted> {
+        let question = Question { name: target.clone(), kind: QueryType::A };
+        let ipv4 = self.state(&question);
+        let ipv6 = self.state(&Question { name: target.clone(), kind: QueryType::Aaaa });
+        let mut addresses: Vec<IpAddr> = Vec::new();
+        for state in [&ipv4, &ipv6] {
+            if let Some(CachedAnswer::Records(records)) = state.known() {
+                self.note_age(state);
+                addresses.extend(records.iter().filter_map(|data| match data {
+                    RecordData::Address(address) => Some(*address),
+                    _ => None,
+                }));
+            }
+        }
+        let kept = last_ip.filter(|ip| addresses.contains(ip));
+        if let Some(address) = kept.or(addresses.first().copied()) {
+            return Ok(address);
         }
+        if ipv4.known().is_none() || ipv6.known().is_none() {
+            return Err(Unlisted::Pending);
+        }
+        Err(Unlisted::gone(question, Some(DropReason::NoAddress(target.clone()))))
     }
-    let kept = before.filter(|b| b.port() == service.port).map(|b| b.ip());
-    // An address that it has had is kept while it has it: it is the same backend.
-    let address = kept.filter(|ip| addresses.contains(ip)).or(addresses.first().copied());
-    let Some(address) = address else {
-        return match (four.known(), six.known()) {
-            (Some(_), Some(_)) => Verdict::Gone(v4, Some(format!("{} has no address", service.target))),
-            _ => Verdict::Pending,
-        };
-    };
-    Verdict::Here(Endpoint {
-        address: SocketAddr::new(address, service.port),
-        priority: service.priority,
-        weight: service.weight,
-        traits,
-        instance: instance.clone(),
-        stale_since: stale,
-    })
 }
--- a/crates/dns-sd/src/metadata.rs
+++ b/crates/dns-sd/src/metadata.rs
@@ -2,8 +2,10 @@
 
 use std::fmt;
 
-/// The longest value, characters.
-const MAX_VALUE_BYTES: usize = 64;
+/// The longest value of a word, characters.
+const MAX_WORD_CHARS: usize = 64;
+/// Times are below this, ms, so that they are exact as floating-point numbers.
+const MAX_TIME_MS: u64 = 1 << 53;
 
 /// Whether an instance takes work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -15,28 +17,30 @@
     Draining,
 }
 
-/// What TXT keys tell of an instance. Keys are read without case, the first of several counts (RFC 6763,
-/// section 6.4), and unknown ones are passed over.
+/// What the TXT record tells of an instance.
+///
+/// Keys are read without case, the first of several counts (RFC 6763, section 6.4), and unknown ones are
+/// ignored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InstanceMetadata {
-    /// `zone`: at most 64 characters; empty without.
+    /// `zone`: at most 64 characters; empty if missing.
     pub zone: String,
-    /// `type`: the kind of machine, at most 64 characters; empty without.
-    pub kind: String,
-    /// `group`: a whole number below 2^32; 0 without.
+    /// `type`: hardware or build of the instance, at most 64 characters; empty if missing.
+    pub instance_type: String,
+    /// `group`: the cell, a whole number below 2^32; 0 if missing.
     pub group: u32,
     /// `status`: `serving` or `draining`.
     pub status: Status,
-    /// `since`: when it started, Unix time in ms; 0, long ago, without.
+    /// `since`: start of the instance, Unix time in ms below 2^53; 0, long ago, if missing.
     pub since_ms: f64,
 }
 
-/// A value that fits no key. It drops the instance, never the list.
+/// A value that its key does not allow. It drops the instance, never the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TxtError {
     /// The key.
     pub key: &'static str,
-    /// What is wanted.
+    /// What the key allows.
     pub wanted: &'static str,
 }
 
@@ -52,50 +56,74 @@
     /// Reads the strings of a TXT record.
     ///
     /// # Errors
-    /// A [`BadText`] with the first key whose value can't be used.
+    /// A [`TxtError`] with the first key whose value is not allowed.
     pub fn read(strings: &[Box<[u8]>]) -> Result<InstanceMetadata, TxtError> {
-        let bad = |key, wanted| move || TxtError { key, wanted };
-        let word = |key, value: &[u8]| {
-            let text = std::str::from_utf8(value).ok();
-            let fits = |t: &&str| t.chars().count() <= MAX_VALUE_BYTES && !t.chars().any(char::is_control);
-            text.filter(fits).map(str::to_string).ok_or_else(bad(key, "a word of 64 characters at most"))
-        };
-        let digits = |value: &[u8]| -> Option<u64> {
-            let all = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-            std::str::from_utf8(value).ok().filter(|_| all)?.parse().ok()
-        };
-        let (mut traits, mut seen) = (InstanceMetadata::default(), Vec::new());
+        let mut metadata = InstanceMetadata::default();
+        let mut keys_seen: Vec<Vec<u8>> = Vec::new();
         for string in strings {
-            let at = string.iter().position(|b| *b == b'=').unwrap_or(string.len());
-            let key = string[..at].to_ascii_lowercase();
-            // A string that begins with `=` has no key, and is passed over.
-            if key.is_empty() || seen.contains(&key) {
+            let (key, value) = split_key(string);
+            // A string that begins with `=` has no key.
+            if key.is_empty() || keys_seen.contains(&key) {
                 continue;
             }
-            // A key alone is one without a value.
-            let value = string.get(at + 1..).unwrap_or_default();
-            match &key[..] {
-                b"zone" => traits.zone = word("zone", value)?,
-                b"type" => traits.kind = word("type", value)?,
-                b"group" => {
-                    let group = digits(value).and_then(|n| u32::try_from(n).ok());
-                    traits.group = group.ok_or_else(bad("group", "a whole number below 2^32"))?;
-                }
-                b"status" => {
-                    traits.status = match value {
-                        v if v.eq_ignore_ascii_case(b"serving") => Status::Serving,
-                        v if v.eq_ignore_ascii_case(b"draining") => Status::Draining,
-                        _ => return Err(bad("status", "serving or draining")()),
-                    }
-                }
-                b"since" => {
-                    let since = digits(value).filter(|n| *n < 1 << 53);
-                    traits.since_ms = since.ok_or_else(bad("since", "Unix time in ms"))? as f64;
-                }
-                _ => continue,
+            if metadata.set(&key, value)? {
+                keys_seen.push(key);
             }
-            seen.push(key);
         }
-        Ok(traits)
+        Ok(metadata)
     }
+
+    /// Sets the value of a key. Returns whether the key is known.
+    fn set(&mut self, key: &[u8], value: &[u8]) -> Result<bool, TxtError> {
+        match key {
+            b"zone" => self.zone = word("zone", value)?,
+            b"type" => self.instance_type = word("type", value)?,
+            b"group" => self.group = group(value)?,
+            b"status" => self.status = status(value)?,
+            b"since" => self.since_ms = time_ms("since", value)?,
+            _ => return Ok(false),
+        }
+        Ok(true)
+    }
+}
+
+/// Key in lower case, and value; a string without `=` is a key without a value.
+fn split_key(string: &[u8]) -> (Vec<u8>, &[u8]) {
+    let end = string.iter().position(|byte| *byte == b'=').unwrap_or(string.len());
+    (string[..end].to_ascii_lowercase(), string.get(end + 1..).unwrap_or_default())
+}
+
+fn word(key: &'static str, value: &[u8]) -> Result<String, TxtError> {
+    let is_allowed =
+        |text: &&str| text.chars().count() <= MAX_WORD_CHARS && !text.chars().any(char::is_control);
+    let text = std::str::from_utf8(value).ok().filter(is_allowed);
+    text.map(str::to_string).ok_or(TxtError { key, wanted: "a word of 64 characters at most" })
+}
+
+/// A number of ASCII digits alone.
+fn digits(value: &[u8]) -> Option<u64> {
+    if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
+        return None;
+    }
+    std::str::from_utf8(value).ok()?.parse().ok()
+}
+
+fn group(value: &[u8]) -> Result<u32, TxtError> {
+    let number = digits(value).and_then(|number| u32::try_from(number).ok());
+    number.ok_or(TxtError { key: "group", wanted: "a whole number below 2^32" })
+}
+
+fn status(value: &[u8]) -> Result<Status, TxtError> {
+    if value.eq_ignore_ascii_case(b"serving") {
+        Ok(Status::Serving)
+    } else if value.eq_ignore_ascii_case(b"draining") {
+        Ok(Status::Draining)
+    } else {
+        Err(TxtError { key: "status", wanted: "serving or draining" })
+    }
+}
+
+fn time_ms(key: &'static str, value: &[u8]) -> Result<f64, TxtError> {
+    let time_ms = digits(value).filter(|ms| *ms < MAX_TIME_MS);
+    time_ms.map(|ms| ms as f64).ok_or(TxtError { key, wanted: "Unix time in ms" })
 }
--- a/crates/dns-sd/tests/answers.rs
+++ b/crates/dns-sd/tests/answers.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_question_is_what_the_rfc_says_with_room_for_1232_bytes() {
+fn query_follows_the_rfc_with_1232_bytes_payload() {
     let bytes = encode_query(ID, &question()).expect("it can be written");
     let head = [0x12, 0x34, 0x01, 0x00, 0, 1, 0, 0, 0, 0, 0, 1];
     // The root, OPT, 1232 bytes, no flags, no data (RFC 6891).
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn instances_are_read_with_the_least_of_their_lives_and_each_once() {
+fn instances_have_the_least_ttl_and_no_duplicates() {
     let rest = [pointer(120, "t2"), pointer(60, "t1"), pointer(90, "t1")].concat();
     let answer = decode_answer(&message(0x8180, 3, 0, &rest), ID, &question()).expect("an answer");
     let to = |label: &str| RecordData::Ptr(name(&format!("{label}._till._tcp.example.org.")));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_service_record_is_read_field_by_field() {
+fn decodes_srv_records() {
     let asked = Question { name: name("t1.example.org."), kind: QueryType::Srv };
     let mut bytes = vec![0x12, 0x34, 0x81, 0x80, 0, 1, 0, 1, 0, 0, 0, 0];
     bytes.extend(b"\x02t1\x07example\x03org\x00\x00\x21\x00\x01");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn none_is_believed_for_the_lesser_of_ttl_and_minimum() {
+fn negative_ttl_is_the_lesser_of_ttl_and_minimum() {
     let gone = decode_answer(&message(0x8183, 0, 1, SOA), ID, &question());
     assert_eq!(gone, Ok(Answer::None { why: NegativeAnswer::NoSuchName, ttl_s: 60 }));
     let empty = decode_answer(&message(0x8180, 0, 1, SOA), ID, &question());
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn failures_are_never_taken_for_there_is_none() {
+fn failures_are_no_negative_answers() {
     for (code, word) in [(1, "Form"), (2, "Server"), (4, "Not Impl"), (5, "Refused")] {
         let answer = decode_answer(&message(0x8180 | code, 0, 0, &[]), ID, &question());
         let Err(AnswerError::Code(said)) = &answer else { panic!("{word}: {answer:?}") };
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_is_not_ours_is_strange_and_what_is_cut_is_told() {
+fn unrelated_and_truncated_answers_are_told_apart() {
     let good = message(0x8180, 1, 0, &pointer(9, "t1"));
     assert_eq!(decode_answer(&good, ID + 1, &question()), Err(AnswerError::OtherId));
     let other = Question { name: name("_shop._tcp.example.org."), kind: QueryType::Ptr };
@@ -116,7 +116,7 @@
     assert_eq!(decode_answer(&good, ID, &srv), Err(AnswerError::OtherQuestion));
     assert_eq!(decode_answer(&message(0x0180, 0, 0, &[]), ID, &question()), Err(AnswerError::NoAnswer));
     for strange in [AnswerError::OtherId, AnswerError::OtherQuestion, AnswerError::NoAnswer] {
-        assert!(strange.strange());
+        assert!(strange.is_unrelated());
     }
     assert_eq!(decode_answer(&message(0x8380, 0, 0, &[]), ID, &question()), Ok(Answer::Truncated));
     // Each part of a message but the whole is none.
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn names_are_read_without_case_and_records_of_other_names_passed_over() {
+fn names_ignore_case_and_other_records_are_ignored() {
     let mut good = message(0x8180, 1, 0, &pointer(9, "t1"));
     good[13..18].copy_from_slice(b"_TILL");
     assert!(matches!(decode_answer(&good, ID, &question()), Ok(Answer::Records { .. })));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn aliases_are_followed_to_an_end_and_loops_are_errors() {
+fn follows_aliases_and_rejects_loops() {
     // The service to `example.org` (byte 23), and that to itself again.
     let there = [alias(12, 23), vec![0xc0, 23, 0, 12, 0, 1, 0, 0, 0, 90, 0, 2, 0xc0, 23]].concat();
     let answer = decode_answer(&message(0x8180, 2, 0, &there), ID, &question());
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn pointers_that_lead_to_themselves_end() {
+fn compression_loops_end() {
     let mut bytes = vec![0x12, 0x34, 0x81, 0x80, 0, 1, 0, 0, 0, 0, 0, 0];
     bytes.extend([0xc0, 12, 0, 12, 0, 1]);
     assert!(matches!(decode_answer(&bytes, ID, &question()), Err(AnswerError::Garbled(_))));
--- a/crates/dns-sd/tests/fuzz.rs
+++ b/crates/dns-sd/tests/fuzz.rs
@@ -11,12 +11,12 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn decodes_or_rejects_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = decode_answer(&bytes, 7, &question());
     }
 
     #[test]
-    fn changed_answers_are_read_or_refused(
+    fn decodes_or_rejects_changed_answers(
         labels in prop::collection::vec("[a-z]{1,20}", 1..8),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
@@ -44,7 +44,7 @@
     }
 
     #[test]
-    fn any_strings_are_traits_or_refused(
+    fn reads_or_rejects_any_txt_strings(
         strings in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6),
     ) {
         let strings: Vec<Box<[u8]>> = strings.into_iter().map(Into::into).collect();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn keys_are_read_as_rfc_6763_says() {
+fn reads_txt_keys_by_rfc_6763() {
     let read = |all: &[&str]| {
         let all: Vec<Box<[u8]>> = all.iter().map(|s| s.as_bytes().into()).collect();
         InstanceMetadata::read(&all)
@@ -63,7 +63,10 @@
     let good =
         read(&["ZONE=room", "type=m", "group=3", "status=Draining", "since=5", "zone=hall", "x=1", "=y"]);
     let good = good.expect("good");
-    assert_eq!((good.zone.as_str(), good.kind.as_str(), good.group, good.since_ms), ("room", "m", 3, 5.0));
+    assert_eq!(
+        (good.zone.as_str(), good.instance_type.as_str(), good.group, good.since_ms),
+        ("room", "m", 3, 5.0)
+    );
     assert_eq!(good.status, dns_sd::Status::Draining);
     assert_eq!(read(&[""]), Ok(InstanceMetadata::default()));
     for (bad, key) in [
--- a/crates/dns-sd/tests/lifetimes.rs
+++ b/crates/dns-sd/tests/lifetimes.rs
@@ -4,7 +4,9 @@
 
 use std::collections::BTreeSet;
 
-use dns_sd::{Answer, Cache, CacheLimits, CacheState, CachedAnswer, NegativeAnswer, QueryType, RecordData};
+use dns_sd::{
+    Answer, Cache, CacheLimits, CacheSize, CacheState, CachedAnswer, NegativeAnswer, QueryType, RecordData,
+};
 use proptest::prelude::*;
 use support::{name, of, World};
 
@@ -37,7 +39,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn each_question_is_out_once_and_every_one_falls_due_in_bounded_time(
+    fn every_question_has_one_query_in_flight_and_falls_due(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let bounds = CacheLimits { max_queries_in_flight: 5, ..CacheLimits::default() };
@@ -86,7 +88,7 @@
                 prop_assert!(out.insert(due.question), "asked while it is being asked");
             }
             prop_assert!(out.len() <= bounds.max_queries_in_flight);
-            prop_assert_eq!(cache.size(), (followed.len(), out.len()));
+            prop_assert_eq!(cache.size(), CacheSize { followed: followed.len(), in_flight: out.len() });
             // What is not out falls due before the longest life is over.
             if out.len() < followed.len() && out.len() < bounds.max_queries_in_flight {
                 prop_assert!(cache.next().is_some_and(|at| at <= now + bounds.max_ttl_ms));
@@ -99,7 +101,7 @@
     #![proptest_config(ProptestConfig { cases: 12, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn whatever_the_resolver_does_not_answer_takes_nobody_off(
+    fn unanswered_queries_remove_nothing(
         days in prop::collection::vec((any::<bool>(), 1u32..300_000), 1..8),
     ) {
         let mut world = World::new(CacheLimits::default(), 0.2);
@@ -117,7 +119,7 @@
 }
 
 #[test]
-fn a_life_of_nothing_is_asked_once_a_second_and_jitter_spreads_a_thousand_of_the_same_life() {
+fn limits_zero_ttl_and_spreads_refreshes() {
     let mut cache = Cache::new(CacheLimits { max_queries_in_flight: 2_000, ..CacheLimits::default() }, 9);
     let all: BTreeSet<_> =
         (0..1_000).map(|i| of(name(&format!("h{i}.example.org.")), QueryType::A)).collect();
--- a/crates/dns-sd/tests/lists.rs
+++ b/crates/dns-sd/tests/lists.rs
@@ -18,19 +18,19 @@
 }
 
 #[test]
-fn a_list_is_made_of_pointers_services_texts_and_addresses() {
+fn lists_endpoints_from_ptr_srv_txt_and_address_records() {
     let mut world = World::new(CacheLimits::default(), 0.5);
     world.put("t1", 7, 9_001, &["zone=room", "status=draining", "since=12", "colour=red"]);
     let (changes, _) = world.settle();
     assert_eq!(changes, [Change::Joined("t1".to_string())]);
     let (_, one) = world.catalogue.list().next().expect("one");
     assert_eq!((one.address.to_string().as_str(), one.priority, one.weight), ("127.0.0.1:9001", 7, 1));
-    assert_eq!((one.traits.zone.as_str(), one.traits.status), ("room", Status::Draining));
-    assert_eq!((one.traits.since_ms, one.stale_since), (12.0, None));
+    assert_eq!((one.metadata.zone.as_str(), one.metadata.status), ("room", Status::Draining));
+    assert_eq!((one.metadata.since_ms, one.stale_since), (12.0, None));
 }
 
 #[test]
-fn a_resolver_that_is_down_for_an_hour_takes_nobody_off_and_the_list_says_since_when_it_is_stale() {
+fn resolver_outage_removes_nothing_and_marks_the_list_stale() {
     for why in ["no answer in time", "Server Failure", "Query Refused", "no DNS message"] {
         let mut world = world(&["t1", "t2", "t3"]);
         world.broken = Some(why);
@@ -40,10 +40,10 @@
             let since = endpoint.stale_since.expect("stale");
             assert!((59_000.0..=61_000.0).contains(&since), "{since}");
         }
-        let (_, since, said) = world.cache.failing().next().expect("it fails");
-        assert!(since < 61_000.0 && said == why);
+        let failing = world.cache.failing().next().expect("it fails");
+        assert!(failing.since_ms < 61_000.0 && failing.reason == why);
         // Each question once in 22 to 30 s at the most, whatever the lives of its records.
-        let (questions, _) = world.cache.size();
+        let questions = world.cache.size().followed;
         let most = HOUR / 22_500.0 * questions as f64 + 10.0 * questions as f64;
         assert!((world.asked as f64) < most, "{} of {most}", world.asked);
         world.broken = None;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn long_after_records_are_stale_no_more_but_unknown_the_list_still_stands() {
+fn list_outlives_stale_records() {
     let bounds = CacheLimits { max_stale_ms: 600_000.0, ..CacheLimits::default() };
     let mut world = World::new(bounds, 0.5);
     world.put("t1", 0, 9_001, &[]);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn one_that_vanishes_leaves_as_its_record_runs_out_and_comes_back_as_it_was() {
+fn removed_instance_leaves_with_its_ttl_and_returns() {
     let mut world = world(&["t1", "t2", "t3", "t4"]);
     world.unpoint("t2");
     let changes = world.pass(60_000.0);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_list_that_would_lose_most_at_once_is_held_until_another_answer_says_so_too() {
+fn large_loss_waits_for_a_second_answer() {
     let mut world = world(&["t1", "t2", "t3", "t4"]);
     let all = world.zone.clone();
     // One answer of an empty zone, and true ones after it.
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_value_that_can_t_be_used_drops_its_instance_alone() {
+fn bad_value_drops_only_its_instance() {
     let mut world = world(&["t1", "t2", "t3", "t4"]);
     world.put("t5", 0, 9_005, &["group=many"]);
     world.put("t6", 0, 9_006, &["status=gone"]);
@@ -131,17 +131,21 @@
     let (_, reading) = world.settle();
     let why = |label: &str| {
         let dropped = reading.dropped.iter().find(|d| d.instance == instance(label));
-        dropped.map(|d| d.why.clone()).unwrap_or_default()
+        dropped.map(|d| d.reason.to_string()).unwrap_or_default()
     };
     assert!(why("t5").contains("group") && why("t6").contains("status"), "{:?}", reading.dropped);
     assert!(why("t7").contains("port") && why("t8").contains("root"), "{:?}", reading.dropped);
     assert!(why("t9").contains("no address"), "{:?}", reading.dropped);
-    assert!(reading.dropped.iter().any(|d| d.why.contains("no instance of")), "{:?}", reading.dropped);
+    assert!(
+        reading.dropped.iter().any(|d| d.reason.to_string().contains("no instance of")),
+        "{:?}",
+        reading.dropped
+    );
     assert_eq!(world.names(), ["t1", "t2", "t3", "t4"]);
 }
 
 #[test]
-fn an_address_that_it_still_has_is_kept_though_others_come() {
+fn keeps_an_address_that_is_still_listed() {
     let mut world = world(&["t1", "t2", "t3"]);
     let target = of(name("t1.hosts.example.org."), QueryType::A);
     let address = |last| RecordData::Address([127, 0, 0, last].into());
@@ -153,12 +157,16 @@
 }
 
 #[test]
-fn one_in_two_services_by_the_same_name_is_told() {
+fn reports_a_name_in_two_services() {
     let mut world = world(&["t1", "t2", "t3"]);
     let service = name("_shop._tcp.example.org.");
     world.catalogue = dns_sd::Catalogue::new(vec![name(SERVICE), service.clone()], 0.5);
     world.zone.insert(of(service, QueryType::Ptr), vec![RecordData::Ptr(name("t1._shop._tcp.example.org."))]);
     let (_, reading) = world.settle();
     assert_eq!(world.names(), ["t1", "t2", "t3"]);
-    assert!(reading.dropped.iter().any(|d| d.why.contains("that name")), "{:?}", reading.dropped);
+    assert!(
+        reading.dropped.iter().any(|d| d.reason.to_string().contains("that name")),
+        "{:?}",
+        reading.dropped
+    );
 }
--- a/crates/dns-sd/tests/traits.rs
+++ b/crates/dns-sd/tests/metadata.rs
@@ -13,7 +13,7 @@
         [b"zone=room-1", b"type=m5", b"group=4294967295", b"status=draining", b"since=9007199254740991"];
     let wanted = InstanceMetadata {
         zone: "room-1".to_string(),
-        kind: "m5".to_string(),
+        instance_type: "m5".to_string(),
         group: u32::MAX,
         status: Status::Draining,
         since_ms: 9_007_199_254_740_991.0,
@@ -21,7 +21,7 @@
     assert_eq!(read(&all), Ok(wanted));
     let none = InstanceMetadata {
         zone: String::new(),
-        kind: String::new(),
+        instance_type: String::new(),
         group: 0,
         status: Status::Serving,
         since_ms: 0.0,
@@ -35,7 +35,10 @@
 fn reads_keys_in_any_case_and_the_first_of_several() {
     let read = read(&[b"ZONE=a=b", b"zone=c", b"Group=007", b"STATUS=Serving", b"status=odd", b"Type"])
         .expect("sound");
-    assert_eq!((&read.zone[..], read.group, read.status, &read.kind[..]), ("a=b", 7, Status::Serving, ""));
+    assert_eq!(
+        (&read.zone[..], read.group, read.status, &read.instance_type[..]),
+        ("a=b", 7, Status::Serving, "")
+    );
 }
 
 #[test]
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn each_value_that_does_not_fit_has_its_text() {
+fn txt_errors_have_recorded_texts() {
     let long = format!("type={}", "a".repeat(65));
     let word = |key| format!("TXT {key}: a word of 64 characters at most is wanted");
     let group = "TXT group: a whole number below 2^32 is wanted".to_string();
--- a/crates/dns-sd/tests/texts.rs
+++ b/crates/dns-sd/tests/texts.rs
@@ -6,7 +6,7 @@
 use support::{instance, name, of, World, SERVICE};
 
 #[test]
-fn each_bad_answer_has_its_text() {
+fn answer_errors_have_recorded_texts() {
     for (bad, text) in [
         (AnswerError::Garbled("x".to_string()), "no DNS message: x"),
         (AnswerError::OtherId, "an answer with another id"),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn questions_and_changes_have_their_texts() {
+fn questions_and_changes_have_recorded_texts() {
     let kinds = [QueryType::Ptr, QueryType::Srv, QueryType::Txt, QueryType::A, QueryType::Aaaa]
         .map(|kind| kind.to_string());
     assert_eq!(kinds, ["PTR", "SRV", "TXT", "A", "AAAA"]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn each_reason_to_leave_an_instance_out_has_its_text() {
+fn drop_reasons_have_recorded_texts() {
     let mut world = World::new(CacheLimits::default(), 0.5);
     for (port, label) in (9_000..).zip(["t1", "t3", "t4"]) {
         world.put(label, 0, port, &[]);
@@ -60,7 +60,7 @@
     pointers.extend([&other, &control, &stranger, &Name::root()].map(|name| RecordData::Ptr(name.clone())));
     let (_, reading) = world.settle();
     let mut reasons: Vec<(String, String)> =
-        reading.dropped.iter().map(|d| (d.instance.to_utf8(), d.why.to_string())).collect();
+        reading.dropped.iter().map(|d| (d.instance.to_utf8(), d.reason.to_string())).collect();
     reasons.sort();
     let reasons: Vec<String> =
         reasons.into_iter().map(|(instance, why)| format!("{instance} {why}")).collect();
--- a/crates/endpoint-sources/src/table.rs
+++ b/crates/endpoint-sources/src/table.rs
@@ -1,202 +1,174 @@
-//! The list with versions: the whole of it, or what changed since one. No I/O, no clock.
+//! The endpoint list with versions: the whole of it, or what changed since one. No I/O, no clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::Serialize;
 
-/// Names that left and are remembered. A reader from before the oldest of them gets the whole list.
+#[cfg(test)]
+mod tests;
+
+/// The most removed endpoints that are remembered. A reader from before the oldest of them gets the whole
+/// list.
 pub const MAX_TOMBSTONES: usize = 10_000;
 
-/// A line of the list, as the discovery protocol has it.
+/// What an endpoint takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "UPPERCASE")]
+pub enum ListedStatus {
+    /// Requests.
+    Serving,
+    /// No further requests: it finishes what it has.
+    Draining,
+    /// Nothing: it is no longer on the list.
+    Deleted,
+}
+
+/// An endpoint of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ListedEndpoint {
-    /// The backend.
+    /// Name of the backend.
     pub name: String,
     /// Where it takes work.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its type.
+    /// Hardware or build.
     #[serde(rename = "type")]
-    pub kind: String,
-    /// Its group.
+    pub instance_type: String,
+    /// Cell.
     pub group: u32,
-    /// `SERVING`, `DRAINING` or `DELETED`.
-    pub status: &'static str,
-    /// Its weight among others.
+    /// What it takes.
+    pub status: ListedStatus,
+    /// Weight among endpoints of the same priority.
     pub weight: f64,
-    /// Its tier: less is used first. Gateways that know of none pass it over.
+    /// Priority: the least is used first. Gateways of versions without priorities ignore it.
     pub priority: u16,
-    /// When it started, Unix time in ms; 0 for long ago.
+    /// Start of the instance, Unix time in ms; 0 for long ago.
     pub since_ms: f64,
 }
 
-/// An answer of the discovery protocol.
+/// A response of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TableUpdate<'a> {
     /// The version.
     pub index: u64,
     /// Whether it is the whole list.
     pub snapshot: bool,
-    /// Its lines.
+    /// The endpoints, in the order of their names.
     pub endpoints: Vec<&'a ListedEndpoint>,
 }
 
-/// The list with versions.
+/// An endpoint, and the version that changed it last.
+#[derive(Clone, Debug)]
+struct VersionedEndpoint {
+    version: u64,
+    endpoint: ListedEndpoint,
+}
+
+/// A removed endpoint, by the version that removed it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Tombstone {
+    version: u64,
+    name: String,
+}
+
+/// The endpoint list with versions.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     index: u64,
-    /// The list is known: it may be served.
     known: bool,
-    /// What changed at or before this version is not remembered line by line.
+    /// Up to this version, removed endpoints may have been forgotten.
     horizon: u64,
-    /// Lines, each with the version that changed it; those that left as well.
-    lines: BTreeMap<String, (u64, ListedEndpoint)>,
+    /// By name, removed ones included.
+    entries: BTreeMap<String, VersionedEndpoint>,
 }
 
 impl EndpointTable {
-    /// An empty one that is not known yet. Versions begin above `index`. Danger: an agent that starts anew
-    /// and counts from 0, before readers that wait for more than they have.
+    /// An empty table that is not known yet. Versions begin above `index`, which has to grow with each start of
+    /// the agent: readers wait for a version above theirs.
     #[must_use]
     pub fn new(index: u64) -> EndpointTable {
         EndpointTable { index, horizon: index, ..EndpointTable::default() }
     }
 
-    /// Its version.
+    /// The version.
     #[must_use]
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Whether it may be served.
+    /// Whether the list is known, so that it may be served.
     #[must_use]
     pub fn known(&self) -> bool {
         self.known
     }
 
-    /// Whether a list is another than the one that is told, or none is told yet.
+    /// Whether a list differs from that of the table, or the table's is not known.
     #[must_use]
     pub fn differs(&self, list: &BTreeMap<String, ListedEndpoint>) -> bool {
-        let told = self.lines.values().map(|(_, line)| line).filter(|line| line.status != "DELETED");
-        !self.known || !told.eq(list.values())
+        let endpoints = self.entries.values().map(|entry| &entry.endpoint);
+        let present = endpoints.filter(|endpoint| endpoint.status != ListedStatus::Deleted);
+        !self.known || !present.eq(list.values())
     }
 
-    /// Takes the whole list as it is now; tells whether anything changed. One version for all that did.
+    /// Takes the whole list as it is now. Returns whether anything changed; all changes have one version.
     pub fn replace(&mut self, list: BTreeMap<String, ListedEndpoint>) -> bool {
-        let (next, mut changed) = (self.index + 1, !self.known);
-        for (name, (at, line)) in &mut self.lines {
-            if !list.contains_key(name) && line.status != "DELETED" {
-                (line.status, *at, changed) = ("DELETED", next, true);
+        let version = self.index + 1;
+        let mut changed = !self.known;
+        for (name, entry) in &mut self.entries {
+            if !list.contains_key(name) && entry.endpoint.status != ListedStatus::Deleted {
+                entry.endpoint.status = ListedStatus::Deleted;
+                entry.version = version;
+                changed = true;
             }
         }
-        for (name, line) in list {
-            if self.lines.get(&name).is_none_or(|(_, old)| *old != line) {
-                self.lines.insert(name, (next, line));
+        for (name, endpoint) in list {
+            if self.entries.get(&name).is_none_or(|entry| entry.endpoint != endpoint) {
+                self.entries.insert(name, VersionedEndpoint { version, endpoint });
                 changed = true;
             }
         }
         self.known = true;
-        self.index = if changed { next } else { self.index };
-        self.forget();
+        if changed {
+            self.index = version;
+        }
+        self.forget_oldest_tombstones();
         changed
     }
 
-    /// Danger: names that came and went, kept for good.
-    fn forget(&mut self) {
-        let gone = self.lines.iter().filter(|(_, (_, line))| line.status == "DELETED");
-        let mut gone: Vec<(u64, String)> = gone.map(|(name, (at, _))| (*at, name.clone())).collect();
-        if gone.len() <= MAX_TOMBSTONES {
+    fn forget_oldest_tombstones(&mut self) {
+        let removed = self.entries.iter().filter(|(_, entry)| entry.endpoint.status == ListedStatus::Deleted);
+        let mut tombstones: Vec<Tombstone> =
+            removed.map(|(name, entry)| Tombstone { version: entry.version, name: name.clone() }).collect();
+        if tombstones.len() <= MAX_TOMBSTONES {
             return;
         }
-        gone.sort_unstable();
-        gone.truncate(gone.len() - MAX_TOMBSTONES);
-        for (at, name) in gone {
-            self.horizon = self.horizon.max(at);
-            self.lines.remove(&name);
+        tombstones.sort_unstable();
+        tombstones.truncate(tombstones.len() - MAX_TOMBSTONES);
+        for Tombstone { version, name } in tombstones {
+            self.horizon = self.horizon.max(version);
+            self.entries.remove(&name);
         }
     }
 
-    /// What a reader is told that has `after`, or nothing yet.
+    /// The response to a reader that has version `after`, or none yet.
+    ///
+    /// It is the whole list where `after` is of another start of the agent, or from before what is remembered.
     #[must_use]
     pub fn updates_after(&self, after: Option<u64>) -> TableUpdate<'_> {
-        // A version of another life of this agent, or of before what is remembered: the whole list.
         let after = after.filter(|after| (self.horizon..=self.index).contains(after));
-        let wanted = |at: u64, line: &ListedEndpoint| match after {
-            Some(after) => at > after,
-            None => line.status != "DELETED",
+        let is_wanted = |entry: &&VersionedEndpoint| match after {
+            Some(after) => entry.version > after,
+            None => entry.endpoint.status != ListedStatus::Deleted,
         };
-        let lines = self.lines.values().filter(|(at, line)| wanted(*at, line)).map(|(_, line)| line);
-        TableUpdate { index: self.index, snapshot: after.is_none(), endpoints: lines.collect() }
+        let endpoints = self.entries.values().filter(is_wanted).map(|entry| &entry.endpoint);
+        TableUpdate { index: self.index, snapshot: after.is_none(), endpoints: endpoints.collect() }
     }
 
-    /// Whether a reader that has `after` is to wait for news.
+    /// Whether a reader that has version `after` is up to date.
     #[must_use]
     pub fn current(&self, after: u64) -> bool {
         after == self.index
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn line(name: &str, port: u16) -> (String, ListedEndpoint) {
-        let line = ListedEndpoint {
-            name: name.to_string(),
-            address: SocketAddr::from(([127, 0, 0, 1], port)),
-            zone: String::new(),
-            kind: String::new(),
-            group: 0,
-            status: "SERVING",
-            weight: 1.0,
-            priority: 0,
-            since_ms: 0.0,
-        };
-        (name.to_string(), line)
-    }
-
-    fn told(table: &EndpointTable, after: Option<u64>) -> (bool, Vec<String>) {
-        let news = table.updates_after(after);
-        (news.snapshot, news.endpoints.iter().map(|l| format!("{}:{}", l.name, l.status)).collect())
-    }
-
-    #[test]
-    fn readers_get_what_changed_since_and_those_that_left_by_name() {
-        let mut table = EndpointTable::new(100);
-        assert!(!table.known());
-        assert!(table.replace([line("a", 1), line("b", 2)].into()));
-        let first = table.index();
-        assert!(!table.differs(&[line("a", 1), line("b", 2)].into()));
-        assert!(!table.replace([line("a", 1), line("b", 2)].into()));
-        assert!(table.differs(&[line("a", 1)].into()) && table.differs(&[line("a", 1), line("b", 3)].into()));
-        assert!(table.current(first));
-        assert!(table.replace([line("b", 3), line("c", 4)].into()));
-        let delta = |all: &[&str]| (false, all.iter().map(ToString::to_string).collect::<Vec<_>>());
-        assert_eq!(told(&table, Some(first)), delta(&["a:DELETED", "b:SERVING", "c:SERVING"]));
-        assert_eq!(told(&table, Some(table.index())), delta(&[]));
-        assert_eq!(told(&table, None), (true, vec!["b:SERVING".to_string(), "c:SERVING".to_string()]));
-        // Of another life of the agent, older or newer.
-        assert!(told(&table, Some(7)).0 && told(&table, Some(table.index() + 1)).0);
-        assert!(table.replace([line("a", 1), line("b", 3), line("c", 4)].into()));
-        assert_eq!(told(&table, Some(table.index() - 1)), delta(&["a:SERVING"]));
-    }
-
-    #[test]
-    fn an_empty_list_is_known_once_it_was_told() {
-        let mut table = EndpointTable::new(0);
-        assert!(table.replace(BTreeMap::new()) && table.known());
-        assert!(!table.replace(BTreeMap::new()));
-    }
-
-    #[test]
-    fn names_that_came_and_went_are_bounded_and_a_reader_from_before_gets_all() {
-        let mut table = EndpointTable::new(0);
-        for i in 0..(MAX_TOMBSTONES / 50 + 3) as u64 {
-            table.replace((0..50).map(|n| line(&format!("x{i}-{n}"), 1)).collect());
-        }
-        assert!(table.lines.len() <= MAX_TOMBSTONES + 50, "{}", table.lines.len());
-        assert!(table.updates_after(Some(1)).snapshot);
-        assert!(!table.updates_after(Some(table.index() - 1)).snapshot);
-    }
-}
--- a/crates/endpoint-sources/tests/recorded.rs
+++ b/crates/endpoint-sources/tests/recorded.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use endpoint_sources::{serve, EndpointTable, ListedEndpoint};
+use endpoint_sources::{serve, EndpointTable, ListedEndpoint, ListedStatus};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -35,9 +35,9 @@
         name: name.to_string(),
         address: address.parse().expect("an address"),
         zone: String::new(),
-        kind: String::new(),
+        instance_type: String::new(),
         group: 0,
-        status: "SERVING",
+        status: ListedStatus::Serving,
         weight: 1.0,
         priority: 0,
         since_ms: 0.0,
@@ -52,9 +52,9 @@
 fn lists() -> [BTreeMap<String, ListedEndpoint>; 2] {
     let full = ListedEndpoint {
         zone: "room \"1\"".to_string(),
-        kind: "größe".to_string(),
+        instance_type: "größe".to_string(),
         group: u32::MAX,
-        status: "DRAINING",
+        status: ListedStatus::Draining,
         weight: 0.25,
         priority: u16::MAX,
         since_ms: 1_800_000_000_000.0,
@@ -113,6 +113,6 @@
 }
 
 #[tokio::test]
-async fn answers_are_the_recorded_ones() {
+async fn responses_are_the_recorded_ones() {
     assert_eq!(answers().await, std::fs::read_to_string(data()).expect("recorded"));
 }
--- a/crates/endpoint-sources/tests/resolver.rs
+++ b/crates/endpoint-sources/tests/resolver.rs
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_short_answer_comes_by_udp_and_a_long_one_by_tcp() {
+async fn short_answers_use_udp_and_long_ones_tcp() {
     let dns = zone(3).await;
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
     let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn forged_answers_are_passed_over_and_the_true_one_behind_them_is_taken() {
+async fn ignores_forged_answers() {
     let dns = zone(3).await;
     dns.lie(Lie::Forged);
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn each_failure_goes_on_to_the_next_resolver_and_is_told() {
+async fn failures_move_on_to_the_next_resolver() {
     let nobody: SocketAddr = {
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
         socket.local_addr().expect("bound")
@@ -83,8 +83,8 @@
         let resolver = Resolver::new(vec![bad.address, nobody, good.address], each);
         let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
         assert_eq!((records(&answered.answer), answered.server), (3, good.address));
-        assert_eq!((answered.tries.len(), answered.tries[0].0), (2, bad.address));
-        let (why, of) = (&answered.tries[0].1, &answered.tries[1].1);
+        assert_eq!((answered.tries.len(), answered.tries[0].server), (2, bad.address));
+        let (why, of) = (answered.tries[0].error.to_string(), answered.tries[1].error.to_string());
         assert!(why.to_lowercase().contains(&said.to_lowercase()), "{why}");
         assert!(of.contains("refused"), "{of}");
         // The one that answered is asked first from now on, but where its answer is doubted.
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_is_cut_over_tcp_as_well_is_none() {
+async fn truncation_over_tcp_is_a_failure() {
     let dns = zone(3).await;
     dns.lie(Lie::Cut);
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn gateways_read_the_list_whole_and_then_what_changes() {
+async fn gateways_poll_a_snapshot_and_then_changes() {
     let dns = zone(3).await;
     let mut source = Source::start(&[&dns], &[SERVICE]).await;
     source.until("three", |t| t.updates_after(None).endpoints.len() == 3).await;
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn until_a_source_knows_its_whole_list_there_is_none_to_be_had() {
+async fn serves_nothing_until_the_whole_list_is_known() {
     let (dns, silent) = (zone(3).await, zone(0).await);
     silent.switch.set(Fault::Silent);
     let source = Source::start(&[&silent], &[SERVICE]).await;
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn resolvers_that_fail_take_nobody_off_the_list_and_an_alarm_says_since_when() {
+async fn failing_resolvers_remove_nothing_and_raise_an_alarm() {
     let dns = zone(4).await;
     let mut source = Source::start(&[&dns], &[SERVICE]).await;
     source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn a_resolver_that_serves_an_empty_zone_is_not_believed_where_another_knows_better() {
+async fn empty_zone_of_one_resolver_is_not_believed() {
     let (old, good) = (zone(4).await, zone(4).await);
     let mut source = Source::start(&[&old, &good], &[SERVICE]).await;
     source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn each_reason_for_an_unanswered_question_has_its_text() {
+async fn query_failures_have_recorded_texts() {
     assert_eq!(why_unanswered(vec![]).await, "no resolver is configured");
     let silent = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let first = silent.local_addr().expect("bound");
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_source_says_its_lines_word_for_word() {
+async fn follower_says_recorded_lines() {
     let dns = Dns::start(1, 1).await.expect("a port");
     for i in 0..3 {
         let (label, address) = (format!("t{i}"), Ipv4Addr::LOCALHOST);
