--- a/crates/gatewayctl/src/agent.rs
+++ b/crates/gatewayctl/src/agent_client.rs
@@ -7,8 +7,8 @@
 use tokio::time::timeout;
 use transport::{connect, JsonLines};
 
-use crate::exit::Failure;
-use crate::table::out;
+use crate::error::Failure;
+use crate::output::out;
 
 /// How long a connection to the agent may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/gatewayctl/src/check.rs
+++ b/crates/gatewayctl/src/check.rs
@@ -1,16 +1,16 @@
 //! `check`: says what is wrong with configurations, by file, line and key.
 
-mod lines;
+mod location;
 
 use std::path::{Path, PathBuf};
 
 use operator_config::{OperatorConfig, OperatorConfigError};
 use serde_json::json;
 
-use crate::agent::print;
+use crate::agent_client::print;
 use crate::cli::Output;
-use crate::exit::Failure;
-use crate::table::out;
+use crate::error::Failure;
+use crate::output::out;
 
 /// Something wrong in a file.
 struct Wrong {
@@ -69,7 +69,7 @@
     }
     let wrong = admission_gateway::check(text.as_bytes()).into_iter().map(|e| {
         let key = e.field.strip_prefix("configuration.").unwrap_or(&e.field).to_string();
-        Wrong { line: lines::of_json(text, &key), key, problem: e.problem.to_string() }
+        Wrong { line: location::of_json(text, &key), key, problem: e.problem.to_string() }
     });
     wrong.collect()
 }
@@ -79,7 +79,7 @@
         Ok(_) => Vec::new(),
         Err(OperatorConfigError::Values(_, all)) => all
             .into_iter()
-            .map(|(key, problem)| Wrong { line: lines::of_toml(text, &key), key, problem })
+            .map(|(key, problem)| Wrong { line: location::of_toml(text, &key), key, problem })
             .collect(),
         Err(OperatorConfigError::Toml(_, said)) => {
             // The library's text: where it is, the line itself, and at the end what is wrong.
--- a/crates/gatewayctl/src/cli.rs
+++ b/crates/gatewayctl/src/cli.rs
@@ -9,7 +9,7 @@
 use fleet::{Name, OrderId, Subject};
 use operator_config::Address;
 
-use crate::exit::CODES;
+use crate::error::CODES;
 
 /// Oversees a fleet of admission gateways.
 #[derive(Debug, Parser)]
--- a/crates/gatewayctl/src/up/agent.rs
+++ b/crates/gatewayctl/src/daemon.rs
@@ -5,8 +5,8 @@
 use operator_config::OperatorConfig;
 use tokio::signal::unix::{signal, SignalKind};
 
-use super::gateway::until_closed as end_with_input;
-use crate::exit::Failure;
+use crate::error::Failure;
+use crate::up::gateway::until_closed as end_with_input;
 
 /// Runs the agent until SIGTERM or Ctrl-C.
 pub async fn run(file: &Path, until_closed: bool) -> Result<(), Failure> {
--- a/crates/gatewayctl/src/resolve.rs
+++ b/crates/gatewayctl/src/endpoint_list.rs
@@ -8,10 +8,10 @@
 use operator_config::Address;
 use tokio::time::{timeout_at, Instant};
 
-use crate::agent::{odd, print, Agent};
+use crate::agent_client::{odd, print, Agent};
 use crate::cli::{Output, Resolve};
-use crate::exit::Failure;
-use crate::table::{ago, out, table};
+use crate::error::Failure;
+use crate::output::{ago, out, table};
 
 /// How long the agent may take to answer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/gatewayctl/src/call.rs
+++ b/crates/gatewayctl/src/gateway_command.rs
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use crate::agent::print;
+use crate::agent_client::print;
 use crate::cli::{At, GatewayCall, Output};
-use crate::exit::Failure;
-use crate::table::{out, table};
+use crate::error::Failure;
+use crate::output::{out, table};
 
 /// The longest answer, bytes.
 const MAX_ANSWER_BYTES: u64 = 4 * 1024;
--- a/crates/gatewayctl/src/members.rs
+++ b/crates/gatewayctl/src/gateways.rs
@@ -6,10 +6,10 @@
 use operator_config::Address;
 use serde_json::json;
 
-use crate::agent::{odd, print, Agent};
+use crate::agent_client::{odd, print, Agent};
 use crate::cli::{Gateways, Output};
-use crate::exit::Failure;
-use crate::table::out;
+use crate::error::Failure;
+use crate::output::out;
 
 /// How long the agent may take to answer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/gatewayctl/src/main.rs
+++ b/crates/gatewayctl/src/main.rs
@@ -13,24 +13,25 @@
 //!  up/         stand-ins, gateways and an agent on this machine
 //! ```
 
-mod agent;
-mod call;
+mod agent_client;
 mod check;
 mod cli;
-mod exit;
-mod look;
-mod members;
-mod orders;
+mod daemon;
+mod endpoint_list;
+mod error;
+mod gateway_command;
+mod gateways;
+mod order;
+mod output;
 mod plans;
-mod resolve;
-mod table;
+mod status;
 mod up;
 
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser};
 use cli::{Cli, Command};
-use exit::Failure;
+use error::Failure;
 
 /// Runs something that waits for sockets.
 fn wait<F: std::future::Future<Output = Result<(), Failure>>>(future: F) -> Result<(), Failure> {
@@ -43,18 +44,18 @@
     match command {
         Command::Up(args) => wait(up::run(args, output)),
         Command::Check { files } => check::run(&files, output),
-        Command::Status(args) => wait(look::status(&agent, &args, output)),
-        Command::Drain(args) => wait(orders::drain(&agent, &args, output)),
-        Command::Undrain(args) => wait(orders::undrain(&agent, &args, output)),
-        Command::Weight(args) => wait(orders::weight(&agent, &args, output)),
-        Command::Orders { most } => wait(look::orders(&agent, most, output)),
-        Command::Watch => wait(look::watch(&agent, output)),
-        Command::Sources { records } => wait(resolve::sources(&agent, records, output)),
-        Command::Resolve(args) => wait(resolve::run(&args, output)),
+        Command::Status(args) => wait(status::status(&agent, &args, output)),
+        Command::Drain(args) => wait(order::drain(&agent, &args, output)),
+        Command::Undrain(args) => wait(order::undrain(&agent, &args, output)),
+        Command::Weight(args) => wait(order::weight(&agent, &args, output)),
+        Command::Orders { most } => wait(status::orders(&agent, most, output)),
+        Command::Watch => wait(status::watch(&agent, output)),
+        Command::Sources { records } => wait(endpoint_list::sources(&agent, records, output)),
+        Command::Resolve(args) => wait(endpoint_list::run(&args, output)),
         Command::Plans { command } => plans::run(&command, output),
-        Command::Gateways { command } => wait(members::run(&agent, &command, output)),
-        Command::Agent { operator, until_closed } => wait(up::agent::run(&operator, until_closed)),
-        Command::Gateway { call: Some(call), .. } => wait(call::run(call, output)),
+        Command::Gateways { command } => wait(gateways::run(&agent, &command, output)),
+        Command::Agent { operator, until_closed } => wait(daemon::run(&operator, until_closed)),
+        Command::Gateway { call: Some(call), .. } => wait(gateway_command::run(call, output)),
         Command::Gateway { call: None, operator, until_closed } => {
             up::gateway::until_closed(until_closed);
             admission_gateway::run(operator.as_deref()).map_err(Failure::Broken)
--- a/crates/gatewayctl/src/orders.rs
+++ b/crates/gatewayctl/src/order.rs
@@ -9,10 +9,10 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::agent::{odd, print, Agent};
+use crate::agent_client::{odd, print, Agent};
 use crate::cli::{How, Order, Output, Weight};
-use crate::exit::Failure;
-use crate::table::{out, table};
+use crate::error::Failure;
+use crate::output::{out, table};
 
 /// How often what is in flight is asked for.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
--- a/crates/gatewayctl/src/plans.rs
+++ b/crates/gatewayctl/src/plans.rs
@@ -6,10 +6,10 @@
 use plans::{read_catalogue, Catalogue, CatalogueFileError, PlanLimits, PlanTimeline};
 use serde_json::json;
 
-use crate::agent::print;
+use crate::agent_client::print;
 use crate::cli::{Output, Plans};
-use crate::exit::Failure;
-use crate::table::{out, table};
+use crate::error::Failure;
+use crate::output::{out, table};
 
 /// Carries out a command on catalogues.
 pub fn run(command: &Plans, output: Output) -> Result<(), Failure> {
--- a/crates/gatewayctl/src/look.rs
+++ b/crates/gatewayctl/src/status.rs
@@ -7,10 +7,10 @@
 use operator_config::Address;
 use serde_json::json;
 
-use crate::agent::{odd, print, Agent};
+use crate::agent_client::{odd, print, Agent};
 use crate::cli::{Output, Status};
-use crate::exit::Failure;
-use crate::table::{ago, out, table};
+use crate::error::Failure;
+use crate::output::{ago, out, table};
 
 /// How long the agent may take to answer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/gatewayctl/src/up.rs
+++ b/crates/gatewayctl/src/up.rs
@@ -4,11 +4,10 @@
 //! live here. The processes end with this one, however it ends: each holds the reading end of a pipe whose
 //! writing end is here.
 
-pub mod agent;
 pub mod gateway;
+mod local_fleet;
 mod process;
-mod show;
-mod world;
+mod report;
 
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
@@ -19,11 +18,11 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, sleep};
 
-use crate::agent::print;
+use crate::agent_client::print;
 use crate::cli::{Output, Up};
-use crate::exit::Failure;
-use crate::table::out;
-use world::World;
+use crate::error::Failure;
+use crate::output::out;
+use local_fleet::World;
 
 /// Customers of the load.
 const CUSTOMERS: u64 = 200;
@@ -45,8 +44,8 @@
         _ = terminate.recv() => return Ok(()),
     };
     match output {
-        Output::Table => out(&show::addresses(&world)),
-        Output::Json => print(&json!({"up": show::described(&world)}))?,
+        Output::Table => out(&report::addresses(&world)),
+        Output::Json => print(&json!({"up": report::described(&world)}))?,
     }
     let load = Load::new(world.addresses(), 1 << 40, world.journal.clone());
     let plan = Plan { rate: args.load, customers: CUSTOMERS, seed: args.seed, ..Plan::default() };
@@ -95,7 +94,7 @@
     loop {
         tick.tick().await;
         let (now, then) = (load.tally(), at.elapsed().as_secs_f64());
-        let line = show::status(&now, (now.served - last.served) as f64 / then.max(0.001), load);
+        let line = report::status(&now, (now.served - last.served) as f64 / then.max(0.001), load);
         (last, at) = (now, tokio::time::Instant::now());
         if live {
             eprint!("\r\x1b[K{line}");
@@ -120,7 +119,7 @@
         if std::io::stderr().is_terminal() {
             eprintln!();
         }
-        out(&format!("\n{}\n", show::status(&tally, 0.0, load)));
+        out(&format!("\n{}\n", report::status(&tally, 0.0, load)));
         match &judged {
             Ok(all) if all.is_empty() => out("the five rules held\n"),
             Ok(all) => all.iter().take(BREACHES_SHOWN).for_each(|b| out(&format!("BROKEN {b}\n"))),
--- a/crates/gatewayctl/src/up/world.rs
+++ b/crates/gatewayctl/src/up/local_fleet.rs
@@ -14,7 +14,7 @@
 
 use super::process::Process;
 use crate::cli::Up;
-use crate::exit::Failure;
+use crate::error::Failure;
 
 /// Events that are kept for the auditor: some minutes of the usual load. Beyond that it can't judge.
 const MAX_EVENTS: usize = 400_000;
--- a/crates/gatewayctl/src/up/process.rs
+++ b/crates/gatewayctl/src/up/process.rs
@@ -9,7 +9,7 @@
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 use tokio::time::timeout;
 
-use crate::exit::Failure;
+use crate::error::Failure;
 
 /// How long a process may take to say that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/gatewayctl/src/up/show.rs
+++ b/crates/gatewayctl/src/up/report.rs
@@ -4,8 +4,8 @@
 use testbed::client::{Load, Tally};
 use testbed::platform;
 
-use super::world::World;
-use crate::table::table;
+use super::local_fleet::World;
+use crate::output::table;
 
 /// The table of addresses, and lines to paste.
 pub fn addresses(world: &World) -> String {
@@ -47,7 +47,7 @@
 pub fn described(world: &World) -> Value {
     let backends =
         world.backends.iter().map(|b| json!({"name": b.spec.name, "address": b.address.to_string()}));
-    let gateway = |g: &super::world::Gateway| {
+    let gateway = |g: &super::local_fleet::Gateway| {
         json!({"name": g.name, "address": g.address.to_string(), "admin": g.admin.to_string(),
                "pid": g.process.id()})
     };
