--- a/crates/gatewayctl/src/agent_client.rs
+++ b/crates/gatewayctl/src/agent_client.rs
@@ -1,59 +1,102 @@
-//! The line to the agent.
+//! A connection to the agent.
 
+use std::fmt;
 use std::time::Duration;
 
-use fleet::wire::{Envelope, ToolRequest, ToolResponse, MAX_LINE_BYTES};
+use fleet::wire::{Envelope, ErrorResponse, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use operator_config::Address;
 use tokio::time::timeout;
-use transport::{connect, JsonLines};
-
-use crate::error::Failure;
-use crate::output::out;
+use transport::{connect, ConnectError, JsonLines, JsonLinesError};
 
 /// How long a connection to the agent may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the agent may take for a response that waits for nobody else.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Why the agent gave no useful response.
+#[derive(Debug)]
+pub enum AgentClientError {
+    /// It can't be reached.
+    Connect(ConnectError),
+    /// A request can't be sent.
+    Send(JsonLinesError),
+    /// It was silent for this long.
+    TimedOut(Duration),
+    /// It closed the connection in the middle of its responses.
+    Disconnected,
+    /// A response can't be read.
+    Receive(JsonLinesError),
+    /// It responded something that does not belong to the request.
+    UnexpectedResponse,
+    /// It rejected the request.
+    Rejected(ErrorResponse),
+}
+
+impl fmt::Display for AgentClientError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            AgentClientError::Connect(e) => write!(f, "no agent: {e}"),
+            AgentClientError::Send(e) => write!(f, "the agent left: {e}"),
+            AgentClientError::TimedOut(limit) => {
+                write!(f, "the agent said nothing for {} s", limit.as_secs())
+            }
+            AgentClientError::Disconnected => f.write_str("the agent left before it had said all"),
+            AgentClientError::Receive(e) => write!(f, "the agent: {e}"),
+            AgentClientError::UnexpectedResponse => {
+                let name = std::any::type_name::<ToolResponse>();
+                write!(f, "the agent said something else: {name}")
+            }
+            AgentClientError::Rejected(response) => write!(f, "refused: {}", response.message),
+        }
+    }
+}
 
-/// A line to the agent, on which one thing is asked after the other.
-pub struct Agent {
+impl std::error::Error for AgentClientError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            AgentClientError::Connect(e) => Some(e),
+            AgentClientError::Send(e) | AgentClientError::Receive(e) => Some(e),
+            _ => None,
+        }
+    }
+}
+
+/// A connection to the agent, on which one request follows the other.
+pub struct AgentClient {
     lines: JsonLines,
-    last: u64,
+    last_request_id: u64,
 }
 
-impl Agent {
+impl AgentClient {
     /// Connects.
-    pub async fn connect(address: &Address) -> Result<Agent, Failure> {
+    pub async fn connect(address: &Address) -> Result<AgentClient, AgentClientError> {
         let lines = connect(address, CONNECT_TIMEOUT, MAX_LINE_BYTES).await;
-        let lines = lines.map_err(|e| Failure::Agent(format!("no agent: {e}")))?;
-        Ok(Agent { lines, last: 0 })
+        Ok(AgentClient { lines: lines.map_err(AgentClientError::Connect)?, last_request_id: 0 })
     }
 
-    /// Asks something.
-    pub async fn ask(&mut self, ask: ToolRequest) -> Result<(), Failure> {
-        self.last += 1;
-        let asked = self.lines.send(&Envelope { request_id: self.last, body: ask }).await;
-        asked.map_err(|e| Failure::Agent(format!("the agent left: {e}")))
+    /// Sends a request.
+    pub async fn send(&mut self, request: ToolRequest) -> Result<(), AgentClientError> {
+        self.last_request_id += 1;
+        let envelope = Envelope { request_id: self.last_request_id, body: request };
+        self.lines.send(&envelope).await.map_err(AgentClientError::Send)
     }
 
-    /// The next that is said to it, at the latest after so long.
-    pub async fn hear(&mut self, most: Duration) -> Result<ToolResponse, Failure> {
-        match timeout(most, self.lines.next::<Envelope<ToolResponse>>()).await {
-            Err(_) => Err(Failure::Agent(format!("the agent said nothing for {} s", most.as_secs()))),
-            Ok(Ok(None)) => Err(Failure::Agent("the agent left before it had said all".to_string())),
-            Ok(Err(e)) => Err(Failure::Agent(format!("the agent: {e}"))),
-            Ok(Ok(Some(Envelope { body: ToolResponse::Error(fault), .. }))) => Err(Failure::Refused(fault)),
-            Ok(Ok(Some(said))) => Ok(said.body),
+    /// Receives the next response to the last request, within a time.
+    pub async fn receive(&mut self, limit: Duration) -> Result<ToolResponse, AgentClientError> {
+        let next = timeout(limit, self.lines.next::<Envelope<ToolResponse>>()).await;
+        let envelope = next
+            .map_err(|_| AgentClientError::TimedOut(limit))?
+            .map_err(AgentClientError::Receive)?
+            .ok_or(AgentClientError::Disconnected)?;
+        match envelope.body {
+            ToolResponse::Error(response) => Err(AgentClientError::Rejected(response)),
+            response => Ok(response),
         }
     }
-}
 
-/// It said what was not asked for.
-pub fn odd(said: &ToolResponse) -> Failure {
-    Failure::Agent(format!("the agent said something else: {}", std::any::type_name_of_val(said)))
-}
-
-/// Prints JSON as a line.
-pub fn print<T: serde::Serialize>(value: &T) -> Result<(), Failure> {
-    let text = serde_json::to_string(value).map_err(|e| Failure::Broken(e.to_string()))?;
-    out(&format!("{text}\n"));
-    Ok(())
+    /// Sends a request that has one response, and receives it.
+    pub async fn request(&mut self, request: ToolRequest) -> Result<ToolResponse, AgentClientError> {
+        self.send(request).await?;
+        self.receive(RESPONSE_TIMEOUT).await
+    }
 }
--- a/crates/gatewayctl/src/check.rs
+++ b/crates/gatewayctl/src/check.rs
@@ -1,148 +1,112 @@
-//! `check`: says what is wrong with configurations, by file, line and key.
+//! `check`: what is wrong with configuration files, by file, line and key.
 
 mod location;
 
 use std::path::{Path, PathBuf};
 
 use operator_config::{OperatorConfig, OperatorConfigError};
-use serde_json::json;
+use serde::Serialize;
 
-use crate::agent_client::print;
 use crate::cli::Output;
-use crate::error::Failure;
-use crate::output::out;
+use crate::error::{CommandError, LocalError, UsageError};
+use crate::output::{print_json, print_text};
+
+#[cfg(test)]
+mod tests;
 
 /// Something wrong in a file.
-struct Wrong {
-    line: Option<usize>,
+#[derive(Debug, Serialize)]
+struct Fault {
     key: String,
+    /// From 1.
+    line: Option<usize>,
     problem: String,
 }
 
-/// Checks each file, and ends well only if all are right.
-pub fn run(files: &[PathBuf], output: Output) -> Result<(), Failure> {
-    let mut good = true;
+/// What was found in a file.
+#[derive(Serialize)]
+struct Report<'a> {
+    file: String,
+    good: bool,
+    #[serde(rename = "wrong")]
+    faults: &'a [Fault],
+}
+
+/// Checks each file. Succeeds only if all are right.
+pub fn run(files: &[PathBuf], output: Output) -> Result<(), CommandError> {
+    let mut all_good = true;
     for file in files {
-        let wrong = check(file)?;
-        good &= wrong.is_empty();
-        let name = file.display();
+        let faults = check(file)?;
+        all_good &= faults.is_empty();
+        let report = Report { file: file.display().to_string(), good: faults.is_empty(), faults: &faults };
         match output {
-            Output::Json => {
-                let all: Vec<_> = wrong
-                    .iter()
-                    .map(|w| json!({"line": w.line, "key": w.key, "problem": w.problem}))
-                    .collect();
-                print(&json!({"file": name.to_string(), "good": wrong.is_empty(), "wrong": all}))?;
-            }
-            Output::Table if wrong.is_empty() => out(&format!("{name}: good\n")),
-            Output::Table => {
-                for Wrong { line, key, problem } in wrong {
-                    let line = line.map_or(String::new(), |line| format!("{line}:"));
-                    out(&format!("{name}:{line} {key}: {problem}\n"));
-                }
-            }
+            Output::Json => print_json(&report)?,
+            Output::Table => print_lines(&report),
         }
     }
-    if good {
+    if all_good {
         Ok(())
     } else {
-        Err(Failure::Told)
+        Err(CommandError::FaultsFound)
+    }
+}
+
+fn print_lines(report: &Report) {
+    let file = &report.file;
+    if report.good {
+        print_text(&format!("{file}: good\n"));
+    }
+    for Fault { line, key, problem } in report.faults {
+        let line = line.map_or(String::new(), |line| format!("{line}:"));
+        print_text(&format!("{file}:{line} {key}: {problem}\n"));
     }
 }
 
-fn check(file: &Path) -> Result<Vec<Wrong>, Failure> {
+fn check(file: &Path) -> Result<Vec<Fault>, CommandError> {
     let text = std::fs::read_to_string(file);
-    let text = text.map_err(|e| Failure::Broken(format!("{}: {e}", file.display())))?;
-    match file.extension().and_then(|e| e.to_str()) {
-        Some("toml") => Ok(operator(file, &text)),
-        Some("json") => Ok(gateway(&text)),
-        _ => {
-            let text = "what it is goes by its name: NAME.toml of operators, NAME.json of a gateway";
-            Err(Failure::Usage(format!("{}: {text}", file.display())))
-        }
+    let text = text.map_err(|source| LocalError::File { path: file.to_path_buf(), source })?;
+    match file.extension().and_then(|extension| extension.to_str()) {
+        Some("toml") => Ok(check_operator_config(file, &text)),
+        Some("json") => Ok(check_gateway_config(&text)),
+        _ => Err(UsageError::UnknownFileKind(file.to_path_buf()).into()),
     }
 }
 
-fn gateway(text: &str) -> Vec<Wrong> {
+fn check_gateway_config(text: &str) -> Vec<Fault> {
     if let Err(e) = serde_json::from_str::<serde_json::Value>(text) {
-        return vec![Wrong { line: Some(e.line()), key: "not JSON".to_string(), problem: e.to_string() }];
+        return vec![Fault { line: Some(e.line()), key: "not JSON".to_string(), problem: e.to_string() }];
     }
-    let wrong = admission_gateway::check(text.as_bytes()).into_iter().map(|e| {
+    let faults = admission_gateway::check(text.as_bytes()).into_iter().map(|e| {
         let key = e.field.strip_prefix("configuration.").unwrap_or(&e.field).to_string();
-        Wrong { line: location::of_json(text, &key), key, problem: e.problem.to_string() }
+        Fault { line: location::json_line(text, &key), key, problem: e.problem.to_string() }
     });
-    wrong.collect()
+    faults.collect()
 }
 
-fn operator(file: &Path, text: &str) -> Vec<Wrong> {
+fn check_operator_config(file: &Path, text: &str) -> Vec<Fault> {
     match OperatorConfig::parse(file, text) {
         Ok(_) => Vec::new(),
-        Err(OperatorConfigError::Values(_, all)) => all
-            .into_iter()
-            .map(|(key, problem)| Wrong { line: location::of_toml(text, &key), key, problem })
-            .collect(),
-        Err(OperatorConfigError::Toml(_, said)) => {
-            // The library's text: where it is, the line itself, and at the end what is wrong.
-            let line = said.split("line ").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok());
-            let problem = said.lines().last().unwrap_or_default().to_string();
-            let key = line.and_then(|n: usize| text.lines().nth(n - 1)).map_or("", |l| l.trim());
-            let key = key.split(['=', '#']).next().unwrap_or_default().trim().to_string();
-            vec![Wrong { line, key, problem }]
+        Err(OperatorConfigError::Values(_, faults)) => {
+            let fault = |(key, problem): (String, String)| Fault {
+                line: location::toml_line(text, &key),
+                key,
+                problem,
+            };
+            faults.into_iter().map(fault).collect()
         }
+        Err(OperatorConfigError::Toml(_, message)) => vec![toml_fault(text, &message)],
         Err(OperatorConfigError::Unreadable(_, e)) => {
-            vec![Wrong { line: None, key: "file".to_string(), problem: e.to_string() }]
+            vec![Fault { line: None, key: "file".to_string(), problem: e.to_string() }]
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn named(all: &[Wrong]) -> Vec<(Option<usize>, &str)> {
-        all.iter().map(|w| (w.line, w.key.as_str())).collect()
-    }
-
-    #[test]
-    fn every_wrong_key_of_a_gateways_configuration_is_named_with_its_line() {
-        let some = "127.0.0.1:9".parse().expect("an address");
-        let known = json!({"index": 0, "snapshot": true, "endpoints": []});
-        let mut config = testbed::platform::config(0, 2, some, some, &known, None);
-        let pretty = |config: &serde_json::Value| serde_json::to_string_pretty(config).expect("JSON");
-        assert_eq!(named(&gateway(&pretty(&config))), []);
-        config["listen"] = json!("here");
-        config["seed"] = json!(7);
-        config["settings"]["profiles"][1]["aim-ms"] = json!("long");
-        config["settings"]["profiles"][2]["effect"] = json!("odd");
-        config["settings"]["contract"].as_object_mut().expect("a section").remove("warm-up-ms");
-        config.as_object_mut().expect("a section").remove("counter");
-        let text = pretty(&config);
-        let line = |what: &str| text.lines().position(|l| l.contains(what)).map(|n| n + 1);
-        let mut found = gateway(&text);
-        found.sort_by(|a, b| a.key.cmp(&b.key));
-        assert_eq!(
-            named(&found),
-            [
-                (Some(1), "counter"),
-                (line("\"here\""), "listen"),
-                (line("\"seed\""), "seed"),
-                // Missing: the line on which its section begins.
-                (line("\"contract\""), "settings.contract.warm-up-ms"),
-                (line("\"long\""), "settings.profiles[1].aim-ms"),
-                (line("\"odd\""), "settings.profiles[2].effect"),
-            ]
-        );
-        assert_eq!(named(&gateway("{\n\"a\": }")), [(Some(2), "not JSON")]);
-    }
-
-    #[test]
-    fn an_operators_file_is_checked_by_line_and_key() {
-        let check = |text: &str| operator(Path::new("a.toml"), text);
-        assert!(check("").is_empty());
-        let values = "[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"\nleast_ready = 3.0\nfan_out = 0\n";
-        assert_eq!(named(&check(values)), [(Some(4), "agent.least_ready"), (Some(5), "agent.fan_out")]);
-        assert_eq!(named(&check("[agent]\nlisen = \"unix:/a\"\n")), [(Some(2), "lisen")]);
-        let twice = "[[gateway]]\nname = \"a\"\nadmin = \"unix:/a\"\n\n";
-        assert_eq!(named(&check(&twice.repeat(2))), [(Some(6), "gateway[1].name")]);
-    }
+/// The fault in a message of the TOML library: it names the position, quotes the line, and ends with what is
+/// wrong.
+fn toml_fault(text: &str, message: &str) -> Fault {
+    let line = message.split("line ").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok());
+    let problem = message.lines().last().unwrap_or_default().to_string();
+    let line_text = line.and_then(|number: usize| text.lines().nth(number - 1)).map_or("", str::trim);
+    let key = line_text.split(['=', '#']).next().unwrap_or_default().trim().to_string();
+    Fault { line, key, problem }
 }
--- a/crates/gatewayctl/src/check/location.rs
+++ b/crates/gatewayctl/src/check/location.rs
@@ -1,135 +1,150 @@
-//! The line on which a key stands.
+//! The line of a file on which a key stands.
+
+#[cfg(test)]
+mod tests;
 
 /// A step of a key's path, as in `settings.profiles[1].aim-ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step<'a> {
     Key(&'a str),
-    Place(usize),
+    Index(usize),
 }
 
 fn steps(path: &str) -> Vec<Step<'_>> {
-    let mut all = Vec::new();
+    let mut steps = Vec::new();
     for part in path.split('.') {
-        let (key, rest) = part.split_once('[').map_or((part, ""), |(key, rest)| (key, rest));
+        let (key, indices) = part.split_once('[').unwrap_or((part, ""));
         if !key.is_empty() {
-            all.push(Step::Key(key));
+            steps.push(Step::Key(key));
         }
-        let places = rest.split('[').filter_map(|place| place.trim_end_matches(']').parse().ok());
-        all.extend(places.map(Step::Place));
+        let indices = indices.split('[').filter_map(|index| index.trim_end_matches(']').parse().ok());
+        steps.extend(indices.map(Step::Index));
     }
-    all
+    steps
 }
 
-/// The line, from 1, of the value at a path in a text that is JSON; of what it should stand in, if it is not
-/// there.
-pub fn of_json(text: &str, path: &str) -> Option<usize> {
-    let mut walk = Walk { text: text.as_bytes(), at: 0, found: 0 };
-    walk.value(Some(&steps(path)));
-    Some(text.as_bytes().get(..walk.found)?.iter().filter(|b| **b == b'\n').count() + 1)
+/// The line, from 1, of the value at a path in a text that is JSON; if it is missing, that of the section in
+/// which it should stand.
+pub fn json_line(text: &str, path: &str) -> Option<usize> {
+    let mut scanner = JsonScanner { text: text.as_bytes(), position: 0, found: 0 };
+    scanner.value(Some(&steps(path)));
+    Some(text.as_bytes().get(..scanner.found)?.iter().filter(|byte| **byte == b'\n').count() + 1)
 }
 
-/// A walk over a text that is known to be JSON.
-struct Walk<'a> {
+/// Scans a text that is known to be JSON for the value at a path.
+struct JsonScanner<'a> {
     text: &'a [u8],
-    at: usize,
+    position: usize,
     /// Where the last value on the path begins.
     found: usize,
 }
 
-impl Walk<'_> {
-    fn space(&mut self) -> Option<u8> {
-        while self.text.get(self.at).is_some_and(u8::is_ascii_whitespace) {
-            self.at += 1;
+impl JsonScanner<'_> {
+    /// Skips white space, and gives the byte behind it.
+    fn next_byte(&mut self) -> Option<u8> {
+        while self.text.get(self.position).is_some_and(u8::is_ascii_whitespace) {
+            self.position += 1;
         }
-        self.text.get(self.at).copied()
+        self.text.get(self.position).copied()
     }
 
-    /// Goes over a value; on the path if there are steps.
+    /// Scans a value; it is on the path if there are steps.
     fn value(&mut self, path: Option<&[Step<'_>]>) -> Option<()> {
-        let kind = self.space()?;
+        let first = self.next_byte()?;
         if path.is_some() {
-            self.found = self.at;
+            self.found = self.position;
         }
-        match kind {
-            b'"' => drop(self.string()?),
-            b'{' | b'[' => {
-                let (end, mut place) = (if kind == b'{' { b'}' } else { b']' }, 0);
-                self.at += 1;
-                while self.space()? != end {
-                    let here = if kind == b'{' {
-                        let key = self.string()?;
-                        // The colon.
-                        self.space()?;
-                        self.at += 1;
-                        path.and_then(|p| matches!(p.first()?, Step::Key(k) if *k == key).then(|| &p[1..]))
-                    } else {
-                        path.and_then(|p| (*p.first()? == Step::Place(place)).then(|| &p[1..]))
-                    };
-                    self.value(here)?;
-                    place += 1;
-                    if self.space()? == b',' {
-                        self.at += 1;
-                    }
-                }
-                self.at += 1;
-            }
-            _ => {
-                while self.text.get(self.at).is_some_and(|b| !b",]} \t\r\n".contains(b)) {
-                    self.at += 1;
-                }
+        match first {
+            b'"' => {
+                self.string()?;
             }
+            b'{' => self.object(path)?,
+            b'[' => self.array(path)?,
+            _ => self.literal(),
+        }
+        Some(())
+    }
+
+    fn object(&mut self, path: Option<&[Step<'_>]>) -> Option<()> {
+        self.position += 1;
+        while self.next_byte()? != b'}' {
+            let key = self.string()?;
+            self.next_byte()?;
+            // The colon.
+            self.position += 1;
+            self.value(path.and_then(|path| descend(path, Step::Key(&key))))?;
+            self.skip_comma()?;
         }
+        self.position += 1;
         Some(())
     }
 
+    fn array(&mut self, path: Option<&[Step<'_>]>) -> Option<()> {
+        self.position += 1;
+        let mut index = 0;
+        while self.next_byte()? != b']' {
+            self.value(path.and_then(|path| descend(path, Step::Index(index))))?;
+            index += 1;
+            self.skip_comma()?;
+        }
+        self.position += 1;
+        Some(())
+    }
+
+    fn skip_comma(&mut self) -> Option<()> {
+        if self.next_byte()? == b',' {
+            self.position += 1;
+        }
+        Some(())
+    }
+
+    fn literal(&mut self) {
+        while self.text.get(self.position).is_some_and(|byte| !b",]} \t\r\n".contains(byte)) {
+            self.position += 1;
+        }
+    }
+
     fn string(&mut self) -> Option<String> {
-        let begin = self.at + 1;
-        self.at = begin;
-        while *self.text.get(self.at)? != b'"' {
-            self.at += if self.text[self.at] == b'\\' { 2 } else { 1 };
+        let begin = self.position + 1;
+        self.position = begin;
+        while *self.text.get(self.position)? != b'"' {
+            self.position += if self.text[self.position] == b'\\' { 2 } else { 1 };
         }
-        let text = String::from_utf8_lossy(self.text.get(begin..self.at)?).into_owned();
-        self.at += 1;
+        let text = String::from_utf8_lossy(self.text.get(begin..self.position)?).into_owned();
+        self.position += 1;
         Some(text)
     }
 }
 
-/// The line, from 1, of a key of the operator's file in a text that is TOML; of its section, if it is not
-/// there.
-pub fn of_toml(text: &str, path: &str) -> Option<usize> {
-    let (mut section, mut key, mut place) = (Vec::new(), None, 0);
+/// The rest of a path that begins with a step.
+fn descend<'a, 'b>(path: &'a [Step<'b>], step: Step<'_>) -> Option<&'a [Step<'b>]> {
+    let (first, rest) = path.split_first()?;
+    (*first == step).then_some(rest)
+}
+
+/// The line, from 1, of a key of the operators' file in a text that is TOML; if it is missing, that of its
+/// section.
+pub fn toml_line(text: &str, path: &str) -> Option<usize> {
+    let (mut section, mut key, mut index) = (Vec::new(), None, 0);
     for step in steps(path) {
         match step {
-            Step::Place(n) => place = n,
+            Step::Index(number) => index = number,
             Step::Key(name) => section.extend(key.replace(name)),
         }
     }
-    let (head, many) = (format!("[{}]", section.join(".")), format!("[[{}]]", section.join(".")));
-    let (mut inside, mut seen, mut found) = (section.is_empty(), 0, None);
+    let (table, array) = (format!("[{}]", section.join(".")), format!("[[{}]]", section.join(".")));
+    let (mut is_inside, mut elements_seen, mut section_line) = (section.is_empty(), 0, None);
     for (number, line) in (1..).zip(text.lines()) {
         let line = line.split('#').next().unwrap_or_default().trim();
         if line.starts_with('[') {
-            inside = line == head || line == many && seen == place;
-            seen += usize::from(line == many);
-            if inside {
-                found = Some(number);
+            is_inside = line == table || line == array && elements_seen == index;
+            elements_seen += usize::from(line == array);
+            if is_inside {
+                section_line = Some(number);
             }
-        } else if inside && line.split('=').next().map(str::trim) == key {
+        } else if is_inside && line.split('=').next().map(str::trim) == key {
             return Some(number);
         }
     }
-    found
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lines_are_found_past_strings_that_look_like_keys() {
-        let text = "{\n\"a\": \"\\\"b\\\": {\",\n\"b\": [1,\n {\"c\": 2,\n  \"d\": [[], {}]}],\n\"e\": {}}";
-        let line = |path| of_json(text, path).expect("a line");
-        assert_eq!((line("a"), line("b"), line("b[1].c"), line("b[1].d[1]"), line("e")), (2, 3, 4, 5, 6));
-        assert_eq!((line("b[1].none"), line("e.none"), line("none")), (4, 6, 1));
-    }
+    section_line
 }
--- a/crates/gatewayctl/src/cli.rs
+++ b/crates/gatewayctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! What can be written on the command line.
+//! The arguments of the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,11 +9,11 @@
 use fleet::{Name, OrderId, Subject};
 use operator_config::Address;
 
-use crate::error::CODES;
+use crate::error::EXIT_CODES_HELP;
 
 /// Oversees a fleet of admission gateways.
 #[derive(Debug, Parser)]
-#[command(name = "gatewayctl", version, after_help = CODES, propagate_version = true)]
+#[command(name = "gatewayctl", version, after_help = EXIT_CODES_HELP, propagate_version = true)]
 pub struct Cli {
     /// Where the agent listens
     #[arg(long, global = true, env = "BEECHRUDDER_AGENT", value_name = "unix:PATH")]
@@ -26,6 +26,7 @@
     pub command: Command,
 }
 
+/// How results are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
     /// Tables
@@ -34,6 +35,7 @@
     Json,
 }
 
+/// A command.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Start stand-ins, gateways and an agent on this machine, until Ctrl-C
@@ -90,7 +92,7 @@
     #[command(args_conflicts_with_subcommands = true)]
     Gateway {
         #[command(subcommand)]
-        call: Option<GatewayCall>,
+        call: Option<GatewayCommand>,
         /// The operator's file; without it there is no admin listener
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
@@ -104,41 +106,43 @@
     Man,
 }
 
-/// Where a call goes.
+/// The gateways that a command goes to.
 #[derive(Debug, Args)]
-pub struct At {
+pub struct GatewayTargets {
     /// Second address of a gateway, its `management`; may be given several times
     #[arg(long, required = true, value_name = "ADDRESS:PORT")]
     pub at: Vec<SocketAddr>,
     /// How long each may take to answer
-    #[arg(long, default_value = "2s", value_parser = time, value_name = "TIME")]
+    #[arg(long, default_value = "2s", value_parser = duration, value_name = "TIME")]
     pub deadline: Duration,
 }
 
+/// A command at the management address of gateways.
 #[derive(Debug, Subcommand)]
-pub enum GatewayCall {
+pub enum GatewayCommand {
     /// Ask whether it is ready to serve
-    Ready(At),
+    Ready(GatewayTargets),
     /// Send nothing more to a backend, whatever discovery says, until the call back
     Disable {
         /// The backend's name on the list
         id: String,
         #[command(flatten)]
-        at: At,
+        targets: GatewayTargets,
     },
     /// Use a backend again, as one that has just started
     Enable {
         /// The backend's name on the list
         id: String,
         #[command(flatten)]
-        at: At,
+        targets: GatewayTargets,
     },
     /// Empty it: no new clients, and connections close as they fall quiet
-    Drain(At),
+    Drain(GatewayTargets),
     /// Take clients again
-    Undrain(At),
+    Undrain(GatewayTargets),
 }
 
+/// A command on catalogues of plans.
 #[derive(Debug, Subcommand)]
 pub enum Plans {
     /// Say what is wrong with catalogues, by line and key
@@ -151,7 +155,7 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// This customer, 16 hex digits
-        #[arg(long, value_name = "ID", value_parser = customer)]
+        #[arg(long, value_name = "ID", value_parser = customer_id)]
         customer: Option<u64>,
     },
     /// Say what each coming change does to a customer's level, and to a gateway that hears of it late
@@ -159,24 +163,25 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// Whose, 16 hex digits
-        #[arg(long, value_name = "ID", value_parser = customer)]
+        #[arg(long, value_name = "ID", value_parser = customer_id)]
         customer: u64,
         /// Its level just before the first change, units; else full
         #[arg(long, value_name = "UNITS")]
         level: Option<f64>,
         /// How late a gateway hears, as in 10s or 500ms
-        #[arg(long, value_name = "TIME", default_value = "1s", value_parser = time)]
+        #[arg(long, value_name = "TIME", default_value = "1s", value_parser = duration)]
         late: Duration,
     },
 }
 
 /// A customer's number, as requests name it.
-fn customer(text: &str) -> Result<u64, String> {
+fn customer_id(text: &str) -> Result<u64, String> {
     let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, 16).ok().filter(|n| hex && *n < 1 << 33);
     number.ok_or_else(|| "16 hex digits, a number below 2^33, are wanted".to_string())
 }
 
+/// The arguments of `up`.
 #[derive(Debug, Args)]
 pub struct Up {
     /// Gateways, 1 to 1000; each takes some 5 MB
@@ -186,11 +191,11 @@
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(1..=1000))]
     pub backends: u16,
     /// End after this, as in 10s or 500ms; else at Ctrl-C
-    #[arg(long = "for", value_name = "TIME", value_parser = time)]
-    pub length: Option<Duration>,
+    #[arg(long = "for", value_name = "TIME", value_parser = duration)]
+    pub duration: Option<Duration>,
     /// Requests a second over all gateways, 0 to 20000
-    #[arg(long, value_name = "RATE", default_value_t = 100.0, value_parser = rate)]
-    pub load: f64,
+    #[arg(long = "load", value_name = "RATE", default_value_t = 100.0, value_parser = request_rate)]
+    pub requests_per_s: f64,
     /// Port of the first gateway, the next has the next; else the system's choice
     #[arg(long)]
     pub port: Option<u16>,
@@ -199,25 +204,27 @@
     pub seed: u64,
 }
 
+/// The arguments of `resolve`.
 #[derive(Debug, Args)]
 pub struct Resolve {
     /// The service, as in _till._tcp.ub-room.example.org
-    #[arg(required = true, value_parser = service)]
+    #[arg(required = true, value_parser = service_name)]
     pub services: Vec<DnsName>,
     /// A resolver, ADDRESS:PORT; more than one may be named, and each is asked where those before it fail
     #[arg(long = "server", required = true, value_name = "ADDRESS:PORT")]
     pub servers: Vec<std::net::SocketAddr>,
     /// How long each resolver may take for a question
-    #[arg(long, value_name = "TIME", default_value = "1s", value_parser = time)]
-    pub each: Duration,
+    #[arg(long = "each", value_name = "TIME", default_value = "1s", value_parser = duration)]
+    pub query_timeout: Duration,
     /// How long to go on
-    #[arg(long, value_name = "TIME", default_value = "15s", value_parser = time)]
+    #[arg(long, value_name = "TIME", default_value = "15s", value_parser = duration)]
     pub deadline: Duration,
     /// Each record as well, with what is left of its life
     #[arg(long)]
     pub records: bool,
 }
 
+/// The arguments of `status`.
 #[derive(Debug, Args)]
 pub struct Status {
     /// Each backend as well, by gateway
@@ -225,14 +232,16 @@
     pub backends: bool,
 }
 
+/// The arguments of `drain` and `undrain`.
 #[derive(Debug, Args)]
 pub struct Order {
     /// NAME or backend/NAME, group/NUMBER, type/NAME, gateway/NAME
     pub subject: Subject,
     #[command(flatten)]
-    pub how: How,
+    pub options: OrderOptions,
 }
 
+/// The arguments of `weight`.
 #[derive(Debug, Args)]
 pub struct Weight {
     /// NAME or backend/NAME
@@ -240,11 +249,12 @@
     /// 0.01 to 100; 1 is as others
     pub weight: f64,
     #[command(flatten)]
-    pub how: How,
+    pub options: OrderOptions,
 }
 
+/// Options of all orders.
 #[derive(Debug, Args)]
-pub struct How {
+pub struct OrderOptions {
     /// Name of the order: the same again gives the first result and does nothing. Else a new one
     #[arg(long)]
     pub id: Option<OrderId>,
@@ -252,16 +262,17 @@
     #[arg(long)]
     pub force: bool,
     /// How long to wait for the gateways
-    #[arg(long, value_name = "TIME", default_value = "5s", value_parser = time)]
+    #[arg(long, value_name = "TIME", default_value = "5s", value_parser = duration)]
     pub deadline: Duration,
     /// Then wait until nothing is in flight at the subject on any gateway that can be reached
     #[arg(long)]
     pub wait: bool,
     /// How long to wait for that
-    #[arg(long, value_name = "TIME", default_value = "60s", value_parser = time)]
-    pub wait_most: Duration,
+    #[arg(long = "wait-most", value_name = "TIME", default_value = "60s", value_parser = duration)]
+    pub wait_timeout: Duration,
 }
 
+/// A command on the gateways that the agent controls.
 #[derive(Debug, Subcommand)]
 pub enum Gateways {
     /// Oversee a gateway from now on
@@ -279,7 +290,7 @@
 }
 
 /// Reads `10s`, `500ms`, `2m` or a bare number of seconds; at most a day.
-fn time(text: &str) -> Result<Duration, String> {
+fn duration(text: &str) -> Result<Duration, String> {
     let (number, unit) = match text.find(|c: char| c.is_ascii_alphabetic()) {
         Some(at) => text.split_at(at),
         None => (text, "s"),
@@ -297,7 +308,7 @@
     }
 }
 
-fn service(text: &str) -> Result<DnsName, String> {
+fn service_name(text: &str) -> Result<DnsName, String> {
     let name = DnsName::from_ascii(text).map_err(|e| e.to_string())?;
     if name.num_labels() < 3 || !text.starts_with('_') {
         return Err("a service is wanted, as in _till._tcp.ub-room.example.org".to_string());
@@ -305,28 +316,10 @@
     Ok(name)
 }
 
-fn rate(text: &str) -> Result<f64, String> {
+fn request_rate(text: &str) -> Result<f64, String> {
     let rate = text.parse::<f64>().ok().filter(|r| (0.0..=20_000.0).contains(r));
     rate.ok_or_else(|| "0 to 20000 requests a second are wanted".to_string())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use clap::CommandFactory;
-
-    #[test]
-    fn the_grammar_holds_together() {
-        Cli::command().debug_assert();
-    }
-
-    #[test]
-    fn times_are_read_or_refused() {
-        assert_eq!(time("500ms"), Ok(Duration::from_millis(500)));
-        assert_eq!(time("2m"), Ok(Duration::from_secs(120)));
-        assert_eq!(time("3"), Ok(Duration::from_secs(3)));
-        for bad in ["", "s", "-1s", "1d", "1e9s", "NaN", "inf"] {
-            assert!(time(bad).is_err(), "{bad}");
-        }
-    }
-}
+mod tests;
--- a/crates/gatewayctl/src/daemon.rs
+++ b/crates/gatewayctl/src/daemon.rs
@@ -1,33 +1,53 @@
-//! `agent`: the agent as a process of this program.
+//! `agent` and `gateway`: the programs that run until they are told to end.
 
+use std::io::Read;
+use std::net::SocketAddr;
 use std::path::Path;
 
 use operator_config::OperatorConfig;
 use tokio::signal::unix::{signal, SignalKind};
 
-use crate::error::Failure;
-use crate::up::gateway::until_closed as end_with_input;
+use crate::error::{CommandError, LocalError};
 
 /// Runs the agent until SIGTERM or Ctrl-C.
-pub async fn run(file: &Path, until_closed: bool) -> Result<(), Failure> {
-    end_with_input(until_closed);
-    let operator = OperatorConfig::read(file).map_err(|e| Failure::Broken(e.to_string()))?;
-    let missing = || Failure::Broken(format!("{}: there is no [agent] section", file.display()));
-    let agent = operator.agent.ok_or_else(missing)?;
-    let failed = |e: std::io::Error| Failure::Broken(format!("signals: {e}"));
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
-    let end = async {
+pub async fn run_agent(config_file: &Path, until_closed: bool) -> Result<(), CommandError> {
+    if until_closed {
+        exit_when_stdin_closes();
+    }
+    let config = OperatorConfig::read(config_file).map_err(LocalError::OperatorConfig)?;
+    let agent = config.agent.ok_or_else(|| LocalError::NoAgentSection(config_file.to_path_buf()))?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(LocalError::Signals)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(LocalError::Signals)?;
+    let shutdown = async {
         tokio::select! {
             _ = interrupt.recv() => {}
             _ = terminate.recv() => {}
         }
     };
-    let ready = |list: Option<std::net::SocketAddr>| {
-        println!("overseeing {} gateways on {}", operator.gateways.len(), agent.listen);
-        list.into_iter().for_each(|address| println!("serving the list on {address}"));
+    let on_ready = |endpoint_list: Option<SocketAddr>| {
+        println!("overseeing {} gateways on {}", config.gateways.len(), agent.listen);
+        if let Some(address) = endpoint_list {
+            println!("serving the list on {address}");
+        }
     };
-    let (sources, start) = (operator.sources.as_ref(), operator.start.as_ref());
-    let result = agent::run(&agent, &operator.gateways, sources, start, ready, end).await;
-    result.map_err(|e| Failure::Broken(e.to_string()))
+    let (sources, start) = (config.sources.as_ref(), config.start.as_ref());
+    let result = agent::run(&agent, &config.gateways, sources, start, on_ready, shutdown).await;
+    Ok(result.map_err(LocalError::Agent)?)
+}
+
+/// Runs a gateway until SIGTERM has been carried out.
+pub fn run_gateway(operator_config: Option<&Path>, until_closed: bool) -> Result<(), CommandError> {
+    if until_closed {
+        exit_when_stdin_closes();
+    }
+    Ok(admission_gateway::run(operator_config).map_err(|e| LocalError::Gateway(e.to_string()))?)
+}
+
+/// Ends the process when its standard input is closed, so that it does not outlive the one that started it.
+fn exit_when_stdin_closes() {
+    std::thread::spawn(|| {
+        let mut ignored = [0; 64];
+        while matches!(std::io::stdin().read(&mut ignored), Ok(n) if n > 0) {}
+        std::process::exit(0);
+    });
 }
--- a/crates/gatewayctl/src/endpoint_list.rs
+++ b/crates/gatewayctl/src/endpoint_list.rs
@@ -1,106 +1,136 @@
-//! `sources` and `resolve`: the server list from DNS-SD, as the agent has it and as it would be.
-
-use std::time::Duration;
+//! `sources` and `resolve`: the endpoint list from DNS-SD, as the agent has it and as it would be.
 
 use dns_sd::CacheLimits;
 use endpoint_sources::{Follower, Resolver, Settings};
-use fleet::wire::{EndpointListStatus, EndpointStatus, RecordStatus, ToolRequest, ToolResponse};
+use fleet::wire::{
+    EndpointListStatus, EndpointStatus, RecordStatus, ToolRequest, ToolResponse, UnansweredQuery,
+};
 use operator_config::Address;
 use tokio::time::{timeout_at, Instant};
 
-use crate::agent_client::{odd, print, Agent};
+use crate::agent_client::{AgentClient, AgentClientError};
 use crate::cli::{Output, Resolve};
-use crate::error::Failure;
-use crate::output::{ago, out, table};
+use crate::error::{CommandError, LocalError};
+use crate::output::{format_age, print_json, print_table, print_text};
 
-/// How long the agent may take to answer.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+const ENDPOINT_HEADER: [&str; 9] =
+    ["NAME", "ADDRESS", "PRIORITY", "WEIGHT", "ZONE", "TYPE", "GROUP", "STATUS", "STALE"];
+const DROPPED_HEADER: [&str; 2] = ["DROPPED", "WHY"];
+const UNANSWERED_HEADER: [&str; 3] = ["UNANSWERED", "FOR", "WHY"];
+const RECORD_HEADER: [&str; 3] = ["QUESTION", "RECORDS", "LIFE"];
+/// Shown where nothing is known.
+const NONE: &str = "-";
 
-/// Shows the agent's list. Ends well only if it is known and nothing is stale, held or unanswered.
-pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), Failure> {
-    let mut agent = Agent::connect(address).await?;
-    agent.ask(ToolRequest::Sources { records }).await?;
-    let state = match agent.hear(RESPONSE_TIMEOUT).await? {
-        ToolResponse::Sources(state) => state,
-        other => return Err(odd(&other)),
+/// Shows the agent's list. Succeeds only if it is known, and nothing is stale, waits for confirmation or is
+/// unanswered.
+pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), CommandError> {
+    let mut agent = AgentClient::connect(address).await?;
+    let status = match agent.request(ToolRequest::Sources { records }).await? {
+        ToolResponse::Sources(status) => status,
+        _ => return Err(AgentClientError::UnexpectedResponse.into()),
     };
-    show(&state, output)?;
-    let fresh = state.list.iter().all(|l| l.stale_ms.is_none());
-    if state.known && fresh && state.awaiting_confirmation == 0 && state.unanswered.is_empty() {
+    print(&status, output)?;
+    let is_fresh = status.list.iter().all(|endpoint| endpoint.stale_ms.is_none());
+    let is_settled = status.awaiting_confirmation == 0 && status.unanswered.is_empty();
+    if status.known && is_fresh && is_settled {
         Ok(())
     } else {
-        Err(Failure::Partly)
+        Err(CommandError::Partial)
     }
 }
 
-/// Asks resolvers as a source does. Ends well only if all was answered and somebody is on the list.
-pub async fn run(args: &Resolve, output: Output) -> Result<(), Failure> {
-    let resolver = Resolver::new(args.servers.clone(), args.each);
-    let (services, seed) = (args.services.clone(), u64::from(std::process::id()));
-    let settings = Settings { services, bounds: CacheLimits::default(), shrink_most: 1.0, seed };
-    let (mut following, until) = (Follower::new(settings, resolver), Instant::now() + args.deadline);
-    let whole = async {
-        // The list is read once more after the last answer. What changed is all of it.
-        while following.step(&mut drop).await.is_none() || !following.settled() {}
+/// Queries resolvers as the agent does. Succeeds only if all was answered and the list is not empty.
+pub async fn resolve(args: &Resolve, output: Output) -> Result<(), CommandError> {
+    let deadline = Instant::now() + args.deadline;
+    let settings = Settings {
+        services: args.services.clone(),
+        bounds: CacheLimits::default(),
+        shrink_most: 1.0,
+        seed: u64::from(std::process::id()),
+    };
+    let mut follower = Follower::new(settings, Resolver::new(args.servers.clone(), args.query_timeout));
+    let complete = async {
+        // The list is made once more after the last answer.
+        while follower.step(&mut drop).await.is_none() || !follower.settled() {}
     };
-    let in_time = timeout_at(until, whole).await.is_ok();
-    let state = following.report(args.records);
-    show(&state, output)?;
-    if !in_time {
-        let unknown = state.pending + state.unknown;
-        return Err(Failure::Broken(format!("not all was known in time: {unknown} names wait for answers")));
+    let is_complete = timeout_at(deadline, complete).await.is_ok();
+    let status = follower.report(args.records);
+    print(&status, output)?;
+    if !is_complete {
+        return Err(LocalError::UnresolvedNames(status.pending + status.unknown).into());
     }
-    if state.unanswered.is_empty() && !state.list.is_empty() {
+    if status.unanswered.is_empty() && !status.list.is_empty() {
         Ok(())
     } else {
-        Err(Failure::Told)
+        Err(CommandError::FaultsFound)
     }
 }
 
-fn show(state: &EndpointListStatus, output: Output) -> Result<(), Failure> {
-    if output == Output::Json {
-        return print(state);
+fn print(status: &EndpointListStatus, output: Output) -> Result<(), LocalError> {
+    match output {
+        Output::Json => print_json(status)?,
+        Output::Table => print_tables(status),
     }
-    let head = ["NAME", "ADDRESS", "PRIORITY", "WEIGHT", "ZONE", "TYPE", "GROUP", "STATUS", "STALE"];
-    out(&table(&head, &state.list.iter().map(line).collect::<Vec<_>>()));
-    let part = |head: &[&str], rows: Vec<Vec<String>>| {
-        if !rows.is_empty() {
-            out(&format!("\n{}", table(head, &rows)));
-        }
-    };
-    let dropped = state.dropped.iter().map(|d| vec![d.instance.clone(), d.reason.clone()]);
-    part(&["DROPPED", "WHY"], dropped.collect());
-    let unanswered = state.unanswered.iter().map(|u| {
-        let time = ago(u.for_ms.max(0.0) as u64);
-        vec![u.question.clone(), time, u.reason.clone()]
-    });
-    part(&["UNANSWERED", "FOR", "WHY"], unanswered.collect());
-    part(&["QUESTION", "RECORDS", "LIFE"], state.records.iter().map(record).collect());
-    let known = if state.known { "" } else { "; not known whole, and so not served" };
-    let EndpointListStatus { awaiting_confirmation: held, pending, unknown, queries_sent: asked, .. } = state;
-    let held = if *held > 0 { format!("; {held} held until a second answer") } else { String::new() };
-    let open = if pending + unknown > 0 {
-        format!("; {pending} instances and {unknown} services wait for answers")
-    } else {
-        String::new()
-    };
-    out(&format!("\n{} listed, {asked} questions asked{held}{open}{known}\n", state.list.len()));
     Ok(())
 }
 
-fn line(l: &EndpointStatus) -> Vec<String> {
-    let status = if l.serving { "serving" } else { "draining" };
-    let stale = l.stale_ms.map_or("-".to_string(), |ms| ago(ms.max(0.0) as u64));
-    let (priority, weight, group) = (l.priority.to_string(), l.weight.to_string(), l.group.to_string());
-    let (zone, kind) = (l.zone.clone(), l.kind.clone());
-    vec![l.name.clone(), l.address.clone(), priority, weight, zone, kind, group, status.to_string(), stale]
+fn print_tables(status: &EndpointListStatus) {
+    print_table(&ENDPOINT_HEADER, &status.list.iter().map(endpoint_row).collect::<Vec<_>>());
+    let dropped = status.dropped.iter().map(|dropped| vec![dropped.instance.clone(), dropped.reason.clone()]);
+    print_section(&DROPPED_HEADER, &dropped.collect::<Vec<_>>());
+    print_section(&UNANSWERED_HEADER, &status.unanswered.iter().map(unanswered_row).collect::<Vec<_>>());
+    print_section(&RECORD_HEADER, &status.records.iter().map(record_row).collect::<Vec<_>>());
+    print_text(&format!("\n{}\n", summary(status)));
+}
+
+/// Prints a table behind an empty line, if it has rows.
+fn print_section(header: &[&str], rows: &[Vec<String>]) {
+    if !rows.is_empty() {
+        print_text("\n");
+        print_table(header, rows);
+    }
+}
+
+fn summary(status: &EndpointListStatus) -> String {
+    let EndpointListStatus { awaiting_confirmation, pending, unknown, queries_sent, .. } = status;
+    let mut text = format!("{} listed, {queries_sent} questions asked", status.list.len());
+    if *awaiting_confirmation > 0 {
+        text += &format!("; {awaiting_confirmation} held until a second answer");
+    }
+    if pending + unknown > 0 {
+        text += &format!("; {pending} instances and {unknown} services wait for answers");
+    }
+    if !status.known {
+        text += "; not known whole, and so not served";
+    }
+    text
+}
+
+fn endpoint_row(endpoint: &EndpointStatus) -> Vec<String> {
+    let stale = endpoint.stale_ms.map_or(NONE.to_string(), |ms| format_age(ms.max(0.0) as u64));
+    vec![
+        endpoint.name.clone(),
+        endpoint.address.clone(),
+        endpoint.priority.to_string(),
+        endpoint.weight.to_string(),
+        endpoint.zone.clone(),
+        endpoint.kind.clone(),
+        endpoint.group.to_string(),
+        if endpoint.serving { "serving" } else { "draining" }.to_string(),
+        stale,
+    ]
+}
+
+fn unanswered_row(query: &UnansweredQuery) -> Vec<String> {
+    vec![query.question.clone(), format_age(query.for_ms.max(0.0) as u64), query.reason.clone()]
 }
 
-fn record(r: &RecordStatus) -> Vec<String> {
-    let life = match r.ttl_ms {
-        None => "-".to_string(),
-        Some(ms) if ms < 0.0 => format!("stale {}", ago(-ms as u64)),
-        Some(ms) => ago(ms as u64),
+fn record_row(record: &RecordStatus) -> Vec<String> {
+    let ttl = match record.ttl_ms {
+        None => NONE.to_string(),
+        Some(ms) if ms < 0.0 => format!("stale {}", format_age(-ms as u64)),
+        Some(ms) => format_age(ms as u64),
     };
-    vec![r.question.clone(), r.records.map_or("unknown".to_string(), |n| n.to_string()), life]
+    let records = record.records.map_or("unknown".to_string(), |count| count.to_string());
+    vec![record.question.clone(), records, ttl]
 }
--- a/crates/gatewayctl/src/error.rs
+++ b/crates/gatewayctl/src/error.rs
@@ -1,11 +1,20 @@
-//! Exit codes, which tell programs what happened.
+//! Why a command failed, and the exit codes that tell programs.
 
+use std::fmt;
+use std::io;
+use std::path::PathBuf;
 use std::process::ExitCode;
 
 use fleet::wire::{ErrorCode, ErrorResponse};
+use fleet::{InvalidName, InvalidOrder, OrderId};
+use operator_config::OperatorConfigError;
+use plans::CatalogueFileError;
 
-/// What the codes mean, for the help and the man page.
-pub const CODES: &str = "Exit codes:
+use crate::agent_client::AgentClientError;
+use crate::up::UpError;
+
+/// What the exit codes mean, for the help and the man page.
+pub const EXIT_CODES_HELP: &str = "Exit codes:
   0  done; for an order: by every gateway
   1  failed on this machine: a file that is wrong, a process or a socket that can't be had, a broken rule
   2  the command line is wrong
@@ -14,44 +23,220 @@
   5  the agent, or every gateway that is called, can't be reached, or ended before it had said all; ask again,
      an order with the same --id";
 
-/// Why the command did not end well.
+const EXIT_LOCAL: u8 = 1;
+const EXIT_USAGE: u8 = 2;
+const EXIT_PARTIAL: u8 = 3;
+const EXIT_REJECTED: u8 = 4;
+const EXIT_UNREACHABLE: u8 = 5;
+
+/// Why a command did not succeed.
 #[derive(Debug)]
-pub enum Failure {
-    /// On this machine.
-    Broken(String),
-    /// It was told what is wrong already.
-    Told,
+pub enum CommandError {
+    /// Something failed on this machine.
+    Local(LocalError),
+    /// What was checked or played has faults, which the output names.
+    FaultsFound,
     /// The command line is wrong in a way that its grammar does not know.
-    Usage(String),
-    /// Not by every gateway; which and why was told.
-    Partly,
-    /// Refused, and nothing was changed.
-    Refused(ErrorResponse),
-    /// Refused by each gateway that was called; why was told.
-    Turned,
-    /// The agent can't be reached, or left too early.
-    Agent(String),
-}
-
-impl Failure {
-    /// The code that the process ends with.
-    pub fn code(&self) -> ExitCode {
+    Usage(UsageError),
+    /// Not every gateway did it; the output names which and why.
+    Partial,
+    /// The agent rejected it, and nothing was changed.
+    Rejected(ErrorResponse),
+    /// Each gateway that was called rejected it; the output says why.
+    RejectedByGateways,
+    /// The agent can't be reached, or disconnected too early.
+    Agent(AgentClientError),
+    /// The agent disconnected, and may have written the order down. The same id asks for it again.
+    OrderUnconfirmed { id: OrderId, source: AgentClientError },
+    /// None of the gateways that were called answered.
+    NoGatewayAnswered,
+}
+
+impl CommandError {
+    /// The code that the process exits with.
+    pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Failure::Broken(_) | Failure::Told => 1,
-            Failure::Usage(_) => 2,
-            Failure::Partly => 3,
-            Failure::Refused(ErrorResponse { code: ErrorCode::Unavailable | ErrorCode::Log, .. })
-            | Failure::Agent(_) => 5,
-            Failure::Refused(_) | Failure::Turned => 4,
+            CommandError::Local(_) | CommandError::FaultsFound => EXIT_LOCAL,
+            CommandError::Usage(_) => EXIT_USAGE,
+            CommandError::Partial => EXIT_PARTIAL,
+            CommandError::Rejected(ErrorResponse {
+                code: ErrorCode::Unavailable | ErrorCode::Log, ..
+            })
+            | CommandError::Agent(_)
+            | CommandError::OrderUnconfirmed { .. }
+            | CommandError::NoGatewayAnswered => EXIT_UNREACHABLE,
+            CommandError::Rejected(_) | CommandError::RejectedByGateways => EXIT_REJECTED,
         })
     }
 
-    /// What is said on standard error, if not all was said.
-    pub fn text(&self) -> Option<String> {
+    /// Whether the command's output has told all of it.
+    pub fn is_reported(&self) -> bool {
+        matches!(self, CommandError::FaultsFound | CommandError::Partial | CommandError::RejectedByGateways)
+    }
+}
+
+impl fmt::Display for CommandError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CommandError::Local(e) => e.fmt(f),
+            CommandError::FaultsFound => f.write_str("faults were found"),
+            CommandError::Usage(e) => e.fmt(f),
+            CommandError::Partial => f.write_str("partly done"),
+            CommandError::Rejected(response) => write!(f, "refused: {}", response.message),
+            CommandError::RejectedByGateways => f.write_str("refused by every gateway"),
+            CommandError::Agent(e) => e.fmt(f),
+            CommandError::OrderUnconfirmed { id, source } => write!(f, "{source}; ask again with --id {id}"),
+            CommandError::NoGatewayAnswered => f.write_str("no gateway answered"),
+        }
+    }
+}
+
+impl std::error::Error for CommandError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            CommandError::Local(e) => Some(e),
+            CommandError::Usage(e) => Some(e),
+            CommandError::Agent(e) | CommandError::OrderUnconfirmed { source: e, .. } => Some(e),
+            _ => None,
+        }
+    }
+}
+
+impl From<LocalError> for CommandError {
+    fn from(error: LocalError) -> Self {
+        CommandError::Local(error)
+    }
+}
+
+impl From<UsageError> for CommandError {
+    fn from(error: UsageError) -> Self {
+        CommandError::Usage(error)
+    }
+}
+
+impl From<AgentClientError> for CommandError {
+    fn from(error: AgentClientError) -> Self {
+        match error {
+            AgentClientError::Rejected(response) => CommandError::Rejected(response),
+            other => CommandError::Agent(other),
+        }
+    }
+}
+
+impl From<UpError> for CommandError {
+    fn from(error: UpError) -> Self {
+        CommandError::Local(LocalError::Up(error))
+    }
+}
+
+/// What failed on this machine.
+#[derive(Debug)]
+pub enum LocalError {
+    /// The runtime can't be started.
+    Runtime(io::Error),
+    /// Signals can't be received.
+    Signals(io::Error),
+    /// Standard output can't be written.
+    StandardOutput(io::Error),
+    /// A file can't be read.
+    File { path: PathBuf, source: io::Error },
+    /// A value can't be written as JSON.
+    Json(serde_json::Error),
+    /// No id can be made for an order.
+    OrderId(InvalidName),
+    /// The operators' file is wrong.
+    OperatorConfig(OperatorConfigError),
+    /// The operators' file says nothing of an agent.
+    NoAgentSection(PathBuf),
+    /// The agent failed.
+    Agent(agent::AgentError),
+    /// The gateway failed; its text names what is wrong.
+    Gateway(String),
+    /// A catalogue of plans is wrong.
+    Catalogue { path: PathBuf, source: CatalogueFileError },
+    /// A catalogue does not name a customer.
+    CustomerNotListed(u64),
+    /// A catalogue gives a customer no plan from the beginning on.
+    CustomerLevelUnknown(u64),
+    /// Resolvers left so many names unanswered in time.
+    UnresolvedNames(usize),
+    /// The local fleet of `up` failed.
+    Up(UpError),
+}
+
+impl fmt::Display for LocalError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LocalError::Runtime(e) => write!(f, "runtime: {e}"),
+            LocalError::Signals(e) => write!(f, "signals: {e}"),
+            LocalError::StandardOutput(e) => write!(f, "standard output: {e}"),
+            LocalError::File { path, source } => write!(f, "{}: {source}", path.display()),
+            LocalError::Json(e) => e.fmt(f),
+            LocalError::OrderId(e) => e.fmt(f),
+            LocalError::OperatorConfig(e) => e.fmt(f),
+            LocalError::NoAgentSection(path) => write!(f, "{}: there is no [agent] section", path.display()),
+            LocalError::Agent(e) => e.fmt(f),
+            LocalError::Gateway(text) => f.write_str(text),
+            LocalError::Catalogue { path, source } => f.write_str(&crate::plans::fault_lines(path, source)),
+            LocalError::CustomerNotListed(id) => {
+                write!(f, "customer {id:016x} is not in it: requests say which plan it has")
+            }
+            LocalError::CustomerLevelUnknown(id) => {
+                write!(f, "customer {id:016x} has no plan since ever in it: its level is not known")
+            }
+            LocalError::UnresolvedNames(count) => {
+                write!(f, "not all was known in time: {count} names wait for answers")
+            }
+            LocalError::Up(e) => e.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for LocalError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            LocalError::Runtime(e) | LocalError::Signals(e) | LocalError::StandardOutput(e) => Some(e),
+            LocalError::File { source, .. } => Some(source),
+            LocalError::Json(e) => Some(e),
+            LocalError::OrderId(e) => Some(e),
+            LocalError::OperatorConfig(e) => Some(e),
+            LocalError::Agent(e) => Some(e),
+            LocalError::Catalogue { source, .. } => Some(source),
+            LocalError::Up(e) => Some(e),
+            _ => None,
+        }
+    }
+}
+
+/// What is wrong with a command line that its grammar lets pass.
+#[derive(Debug)]
+pub enum UsageError {
+    /// The order can't be given to this subject, or has a value out of its range.
+    InvalidOrder(InvalidOrder),
+    /// The id of a backend can't be sent on one line.
+    InvalidBackendId,
+    /// A file's name does not tell what it is.
+    UnknownFileKind(PathBuf),
+}
+
+impl fmt::Display for UsageError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            UsageError::InvalidOrder(e) => e.fmt(f),
+            UsageError::InvalidBackendId => f.write_str("an id holds no spaces and no line ends"),
+            UsageError::UnknownFileKind(path) => {
+                let text = "what it is goes by its name: NAME.toml of operators, NAME.json of a gateway";
+                write!(f, "{}: {text}", path.display())
+            }
+        }
+    }
+}
+
+impl std::error::Error for UsageError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            Failure::Broken(text) | Failure::Agent(text) | Failure::Usage(text) => Some(text.clone()),
-            Failure::Refused(fault) => Some(format!("refused: {}", fault.message)),
-            Failure::Told | Failure::Partly | Failure::Turned => None,
+            UsageError::InvalidOrder(e) => Some(e),
+            _ => None,
         }
     }
 }
--- a/crates/gatewayctl/src/gateway_command.rs
+++ b/crates/gatewayctl/src/gateway_command.rs
@@ -1,4 +1,4 @@
-//! `gateway ready`, `disable`, `enable`, `drain`, `undrain`: calls at the second address of gateways.
+//! `gateway ready`, `disable`, `enable`, `drain`, `undrain`: commands at the management addresses of gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,89 +10,130 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use crate::agent_client::print;
-use crate::cli::{At, GatewayCall, Output};
-use crate::error::Failure;
-use crate::output::{out, table};
+use crate::cli::{GatewayCommand, GatewayTargets, Output};
+use crate::error::{CommandError, UsageError};
+use crate::output::{print_json, print_table};
 
-/// The longest answer, bytes.
-const MAX_ANSWER_BYTES: u64 = 4 * 1024;
+/// The longest response, bytes.
+const MAX_RESPONSE_BYTES: u64 = 4 * 1024;
+const HEADER: [&str; 3] = ["GATEWAY", "OUTCOME", "SAYS"];
 
-/// What became of a call at one address.
-#[derive(Debug, Serialize)]
-struct Said {
-    at: SocketAddr,
-    call: String,
-    /// `done`, `refused`, or `unreachable` where no answer came: whether it is in force is not known then.
-    outcome: &'static str,
-    /// What the gateway says, or why there is no answer.
-    why: String,
+/// What became of a command at one gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+enum Outcome {
+    Done,
+    #[serde(rename = "refused")]
+    Rejected,
+    /// No response came: whether the command is in force is not known.
+    Unreachable,
 }
 
-impl GatewayCall {
-    fn parts(self) -> (Command, At) {
+impl Outcome {
+    fn name(self) -> &'static str {
         match self {
-            GatewayCall::Ready(at) => (Command::Ready, at),
-            GatewayCall::Disable { id, at } => (Command::Disable(id), at),
-            GatewayCall::Enable { id, at } => (Command::Enable(id), at),
-            GatewayCall::Drain(at) => (Command::Drain, at),
-            GatewayCall::Undrain(at) => (Command::Undrain, at),
+            Outcome::Done => "done",
+            Outcome::Rejected => "refused",
+            Outcome::Unreachable => "unreachable",
         }
     }
 }
 
-/// Calls all addresses at once and says what each answered. Ends well only if all said yes.
-pub async fn run(call: GatewayCall, output: Output) -> Result<(), Failure> {
-    let (call, At { at, deadline }) = call.parts();
-    // Danger: an id that is read as two words, or ends the line.
-    let line = call.to_string();
-    if Command::read(line.as_bytes()).as_ref() != Ok(&call) {
-        return Err(Failure::Usage("an id holds no spaces and no line ends".to_string()));
+/// The report of a command at one gateway.
+#[derive(Debug, Serialize)]
+struct Report {
+    #[serde(rename = "at")]
+    address: SocketAddr,
+    #[serde(rename = "call")]
+    command: String,
+    outcome: Outcome,
+    /// What the gateway says, or why there is no response.
+    #[serde(rename = "why")]
+    reason: String,
+}
+
+impl GatewayCommand {
+    fn into_parts(self) -> (Command, GatewayTargets) {
+        match self {
+            GatewayCommand::Ready(targets) => (Command::Ready, targets),
+            GatewayCommand::Disable { id, targets } => (Command::Disable(id), targets),
+            GatewayCommand::Enable { id, targets } => (Command::Enable(id), targets),
+            GatewayCommand::Drain(targets) => (Command::Drain, targets),
+            GatewayCommand::Undrain(targets) => (Command::Undrain, targets),
+        }
     }
-    let mut asked = JoinSet::new();
-    for (place, address) in at.into_iter().enumerate() {
-        let line = line.clone();
-        asked.spawn(async move { (place, one(address, line, deadline).await) });
+}
+
+/// Sends a command to all addresses at once and shows each response. Succeeds only if all did it.
+pub async fn run(command: GatewayCommand, output: Output) -> Result<(), CommandError> {
+    let (command, targets) = command.into_parts();
+    let line = command.to_string();
+    // An id must not be read as two words, or end the line.
+    if Command::read(line.as_bytes()).as_ref() != Ok(&command) {
+        return Err(UsageError::InvalidBackendId.into());
     }
-    let mut all = asked.join_all().await;
-    all.sort_by_key(|(place, _)| *place);
-    let all: Vec<Said> = all.into_iter().map(|(_, said)| said).collect();
-    if output == Output::Json {
-        for said in &all {
-            print(said)?;
-        }
-    } else {
-        let row = |s: &Said| vec![s.at.to_string(), s.outcome.to_string(), s.why.clone()];
-        out(&table(&["GATEWAY", "OUTCOME", "SAYS"], &all.iter().map(row).collect::<Vec<_>>()));
+    let reports = send_to_all(&line, targets).await;
+    match output {
+        Output::Json => reports.iter().try_for_each(print_json)?,
+        Output::Table => print_table(&HEADER, &reports.iter().map(row).collect::<Vec<_>>()),
     }
-    let count = |outcome| all.iter().filter(|s| s.outcome == outcome).count();
-    match (count("done"), count("unreachable")) {
-        (done, _) if done == all.len() => Ok(()),
-        (0, 0) => Err(Failure::Turned),
-        (0, n) if n == all.len() => Err(Failure::Agent("no gateway answered".to_string())),
-        _ => Err(Failure::Partly),
+    summarize(&reports)
+}
+
+/// Sends a line to all gateways at once; gives the reports in the order of the addresses.
+async fn send_to_all(line: &str, targets: GatewayTargets) -> Vec<Report> {
+    let GatewayTargets { at, deadline } = targets;
+    let mut sending = JoinSet::new();
+    for (index, address) in at.into_iter().enumerate() {
+        let line = line.to_string();
+        sending.spawn(async move { (index, send_to(address, line, deadline).await) });
     }
+    let mut reports = sending.join_all().await;
+    reports.sort_by_key(|(index, _)| *index);
+    reports.into_iter().map(|(_, report)| report).collect()
 }
 
-async fn one(at: SocketAddr, call: String, deadline: Duration) -> Said {
-    let (outcome, why) = match timeout(deadline, talk(at, &call)).await {
-        Ok(Ok(answer)) => match answer.split_once(' ').unwrap_or((answer.as_str(), "")) {
-            ("SUCCESS", why) => ("done", why.to_string()),
-            ("FAILURE", why) => ("refused", why.to_string()),
-            _ => ("unreachable", "no gateway: its answer is none of this protocol".to_string()),
-        },
-        Ok(Err(e)) => ("unreachable", e.to_string()),
-        Err(_) => ("unreachable", format!("no answer in {} ms", deadline.as_millis())),
+async fn send_to(address: SocketAddr, command: String, deadline: Duration) -> Report {
+    let (outcome, reason) = match timeout(deadline, exchange(address, &command)).await {
+        Ok(Ok(response)) => parse_response(&response),
+        Ok(Err(e)) => (Outcome::Unreachable, e.to_string()),
+        Err(_) => (Outcome::Unreachable, format!("no answer in {} ms", deadline.as_millis())),
     };
-    Said { at, call, outcome, why }
+    Report { address, command, outcome, reason }
 }
 
-async fn talk(at: SocketAddr, call: &str) -> std::io::Result<String> {
-    let mut stream = TcpStream::connect(at).await?;
-    stream.write_all(format!("{call}\n").as_bytes()).await?;
-    let mut answer = Vec::new();
-    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut answer).await?;
-    // Danger: bytes that write to a terminal.
-    let text = String::from_utf8_lossy(&answer);
+fn parse_response(response: &str) -> (Outcome, String) {
+    match response.split_once(' ').unwrap_or((response, "")) {
+        ("SUCCESS", reason) => (Outcome::Done, reason.to_string()),
+        ("FAILURE", reason) => (Outcome::Rejected, reason.to_string()),
+        _ => (Outcome::Unreachable, "no gateway: its answer is none of this protocol".to_string()),
+    }
+}
+
+/// Sends one line and reads the response. Control characters, which would write to a terminal, are left out.
+async fn exchange(address: SocketAddr, line: &str) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(format!("{line}\n").as_bytes()).await?;
+    let mut response = Vec::new();
+    stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut response).await?;
+    let text = String::from_utf8_lossy(&response);
     Ok(text.trim_end().chars().filter(|c| !c.is_control()).collect())
 }
+
+fn row(report: &Report) -> Vec<String> {
+    vec![report.address.to_string(), report.outcome.name().to_string(), report.reason.clone()]
+}
+
+fn summarize(reports: &[Report]) -> Result<(), CommandError> {
+    let count = |outcome| reports.iter().filter(|report| report.outcome == outcome).count();
+    let (done, unreachable) = (count(Outcome::Done), count(Outcome::Unreachable));
+    if done == reports.len() {
+        Ok(())
+    } else if done == 0 && unreachable == 0 {
+        Err(CommandError::RejectedByGateways)
+    } else if unreachable == reports.len() {
+        Err(CommandError::NoGatewayAnswered)
+    } else {
+        Err(CommandError::Partial)
+    }
+}
--- a/crates/gatewayctl/src/gateways.rs
+++ b/crates/gatewayctl/src/gateways.rs
@@ -1,36 +1,32 @@
-//! `gateways add` and `gateways remove`.
-
-use std::time::Duration;
+//! `gateways add` and `gateways remove`: which gateways the agent controls.
 
 use fleet::wire::{ToolRequest, ToolResponse};
 use operator_config::Address;
 use serde_json::json;
 
-use crate::agent_client::{odd, print, Agent};
+use crate::agent_client::{AgentClient, AgentClientError};
 use crate::cli::{Gateways, Output};
-use crate::error::Failure;
-use crate::output::out;
-
-/// How long the agent may take to answer.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+use crate::error::CommandError;
+use crate::output::{print_json, print_text};
 
-pub async fn run(address: &Address, command: &Gateways, output: Output) -> Result<(), Failure> {
-    let mut agent = Agent::connect(address).await?;
-    let (ask, name, what) = match command {
+/// Adds or removes a gateway.
+pub async fn run(agent: &Address, command: &Gateways, output: Output) -> Result<(), CommandError> {
+    let (request, name, result) = match command {
         Gateways::Add { name, address } => {
-            (ToolRequest::Register { name: name.clone(), address: address.to_string() }, name, "overseen")
+            let request = ToolRequest::Register { name: name.clone(), address: address.to_string() };
+            (request, name, "overseen")
         }
         Gateways::Remove { name } => {
             (ToolRequest::Deregister { name: name.clone() }, name, "overseen no more")
         }
     };
-    agent.ask(ask).await?;
-    match agent.hear(RESPONSE_TIMEOUT).await? {
-        ToolResponse::Done(_) if output == Output::Json => print(&json!({"gateway": name, "is": what})),
-        ToolResponse::Done(_) => {
-            out(&format!("gateway {name} is {what}\n"));
-            Ok(())
-        }
-        other => Err(odd(&other)),
+    match AgentClient::connect(agent).await?.request(request).await? {
+        ToolResponse::Done(_) => {}
+        _ => return Err(AgentClientError::UnexpectedResponse.into()),
+    }
+    match output {
+        Output::Json => print_json(&json!({"gateway": name, "is": result}))?,
+        Output::Table => print_text(&format!("gateway {name} is {result}\n")),
     }
+    Ok(())
 }
--- a/crates/gatewayctl/src/main.rs
+++ b/crates/gatewayctl/src/main.rs
@@ -1,16 +1,19 @@
-//! The command line.
+//! The command line of a fleet of gateways.
 //!
 //! ```text
-//!  cli.rs      what can be written on it
-//!  orders.rs   drain, undrain, weight        ┐
-//!  look.rs     status, orders, watch         ├─ agent.rs ── the agent's socket
-//!  members.rs  gateways                      │
-//!  resolve.rs  sources                       ┘
-//!              resolve ──────────────────────── resolvers, by endpoint-sources
-//!  call.rs     gateway ready, disable ... ────── second addresses of gateways
-//!  check/      check FILE
-//!  plans.rs    plans check, show, change FILE
-//!  up/         stand-ins, gateways and an agent on this machine
+//!  cli               arguments of each command
+//!  status            status                    ┐
+//!  order             drain, undrain, weight    │
+//!  order_log, watch  orders, watch             ├─ agent_client ── the agent's socket
+//!  gateways          gateways add, remove      │
+//!  endpoint_list     sources                   ┘
+//!                    resolve ───────────────────── DNS resolvers, by endpoint-sources
+//!  gateway_command   gateway ready, disable ... ── management addresses of gateways
+//!  check             check FILE
+//!  plans             plans check, show, change FILE
+//!  daemon            agent, gateway: the programs themselves
+//!  up                stand-ins, gateways and an agent on this machine
+//!  output, error     tables and JSON; errors and exit codes
 //! ```
 
 mod agent_client;
@@ -22,62 +25,68 @@
 mod gateway_command;
 mod gateways;
 mod order;
+mod order_log;
 mod output;
 mod plans;
 mod status;
 mod up;
+mod watch;
 
+use std::future::Future;
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser};
 use cli::{Cli, Command};
-use error::Failure;
+use error::{CommandError, LocalError};
 
-/// Runs something that waits for sockets.
-fn wait<F: std::future::Future<Output = Result<(), Failure>>>(future: F) -> Result<(), Failure> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| Failure::Broken(format!("runtime: {e}")))?.block_on(future)
+/// The program's name, as in its messages.
+const PROGRAM: &str = env!("CARGO_PKG_NAME");
+
+fn main() -> ExitCode {
+    match run(Cli::parse()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            if !error.is_reported() {
+                eprintln!("{PROGRAM}: {error}");
+            }
+            error.exit_code()
+        }
+    }
 }
 
-fn run(cli: Cli) -> Result<(), Failure> {
+fn run(cli: Cli) -> Result<(), CommandError> {
     let Cli { agent, output, command } = cli;
     match command {
-        Command::Up(args) => wait(up::run(args, output)),
+        Command::Up(args) => block_on(up::run(args, output)),
         Command::Check { files } => check::run(&files, output),
-        Command::Status(args) => wait(status::status(&agent, &args, output)),
-        Command::Drain(args) => wait(order::drain(&agent, &args, output)),
-        Command::Undrain(args) => wait(order::undrain(&agent, &args, output)),
-        Command::Weight(args) => wait(order::weight(&agent, &args, output)),
-        Command::Orders { most } => wait(status::orders(&agent, most, output)),
-        Command::Watch => wait(status::watch(&agent, output)),
-        Command::Sources { records } => wait(endpoint_list::sources(&agent, records, output)),
-        Command::Resolve(args) => wait(endpoint_list::run(&args, output)),
+        Command::Status(args) => block_on(status::run(&agent, &args, output)),
+        Command::Drain(args) => block_on(order::drain(&agent, &args, output)),
+        Command::Undrain(args) => block_on(order::undrain(&agent, &args, output)),
+        Command::Weight(args) => block_on(order::weight(&agent, &args, output)),
+        Command::Orders { most } => block_on(order_log::run(&agent, most, output)),
+        Command::Watch => block_on(watch::run(&agent, output)),
+        Command::Sources { records } => block_on(endpoint_list::sources(&agent, records, output)),
+        Command::Resolve(args) => block_on(endpoint_list::resolve(&args, output)),
         Command::Plans { command } => plans::run(&command, output),
-        Command::Gateways { command } => wait(gateways::run(&agent, &command, output)),
-        Command::Agent { operator, until_closed } => wait(daemon::run(&operator, until_closed)),
-        Command::Gateway { call: Some(call), .. } => wait(gateway_command::run(call, output)),
+        Command::Gateways { command } => block_on(gateways::run(&agent, &command, output)),
+        Command::Agent { operator, until_closed } => block_on(daemon::run_agent(&operator, until_closed)),
+        Command::Gateway { call: Some(command), .. } => block_on(gateway_command::run(command, output)),
         Command::Gateway { call: None, operator, until_closed } => {
-            up::gateway::until_closed(until_closed);
-            admission_gateway::run(operator.as_deref()).map_err(Failure::Broken)
+            daemon::run_gateway(operator.as_deref(), until_closed)
         }
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Cli::command(), "gatewayctl", &mut std::io::stdout());
+            clap_complete::generate(shell, &mut Cli::command(), PROGRAM, &mut std::io::stdout());
             Ok(())
         }
-        Command::Man => clap_mangen::Man::new(Cli::command())
-            .render(&mut std::io::stdout())
-            .map_err(|e| Failure::Broken(format!("standard output: {e}"))),
+        Command::Man => {
+            let man = clap_mangen::Man::new(Cli::command()).render(&mut std::io::stdout());
+            man.map_err(|e| LocalError::StandardOutput(e).into())
+        }
     }
 }
 
-fn main() -> ExitCode {
-    match run(Cli::parse()) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            if let Some(text) = failure.text() {
-                eprintln!("gatewayctl: {text}");
-            }
-            failure.code()
-        }
-    }
+/// Runs a command that waits for sockets or processes.
+fn block_on<F: Future<Output = Result<(), CommandError>>>(command: F) -> Result<(), CommandError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    runtime.map_err(LocalError::Runtime)?.block_on(command)
 }
--- a/crates/gatewayctl/src/order.rs
+++ b/crates/gatewayctl/src/order.rs
@@ -1,179 +1,154 @@
-//! `drain`, `undrain` and `weight`.
+//! `drain`, `undrain` and `weight`: orders that the agent has every gateway carry out.
 
-use std::io::IsTerminal;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+mod in_flight;
+
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use fleet::wire::{InstanceOutcome, InstanceReport, OrderAccepted, OrderSummary, ToolRequest, ToolResponse};
-use fleet::{ApplyOutcome, Change, OrderId, Subject};
+use fleet::{ApplyOutcome, Change, InvalidOrder, OrderId, Subject};
 use operator_config::Address;
 use serde_json::json;
-use tokio::time::sleep;
 
-use crate::agent_client::{odd, print, Agent};
-use crate::cli::{How, Order, Output, Weight};
-use crate::error::Failure;
-use crate::output::{out, table};
+use crate::agent_client::{AgentClient, AgentClientError};
+use crate::cli::{Order, OrderOptions, Output, Weight};
+use crate::error::{CommandError, LocalError, UsageError};
+use crate::output::{print_json, print_table, print_text};
+use crate::PROGRAM;
 
-/// How often what is in flight is asked for.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
 /// What the agent may take on top of the deadline that it was given.
-const MORE: Duration = Duration::from_secs(10);
+const DEADLINE_MARGIN: Duration = Duration::from_secs(10);
+const HEADER: [&str; 4] = ["GATEWAY", "DID", "MATCHED", "TOOK"];
 
-pub async fn drain(agent: &Address, order: &Order, output: Output) -> Result<(), Failure> {
-    run(agent, &order.subject, Change::Drain, &order.how, output).await
+/// Has nothing new sent to a subject.
+pub async fn drain(agent: &Address, order: &Order, output: Output) -> Result<(), CommandError> {
+    run(agent, &order.subject, Change::Drain, &order.options, output).await
 }
 
-pub async fn undrain(agent: &Address, order: &Order, output: Output) -> Result<(), Failure> {
-    run(agent, &order.subject, Change::Undrain, &order.how, output).await
+/// Takes a drain back.
+pub async fn undrain(agent: &Address, order: &Order, output: Output) -> Result<(), CommandError> {
+    run(agent, &order.subject, Change::Undrain, &order.options, output).await
 }
 
-pub async fn weight(agent: &Address, order: &Weight, output: Output) -> Result<(), Failure> {
-    run(agent, &order.subject, Change::Weight(order.weight), &order.how, output).await
+/// Sets the weight of a backend.
+pub async fn weight(agent: &Address, order: &Weight, output: Output) -> Result<(), CommandError> {
+    run(agent, &order.subject, Change::Weight(order.weight), &order.options, output).await
 }
 
-/// An id that nobody else has come upon: of this moment, this process and chance.
-fn new_id() -> Result<OrderId, Failure> {
-    use std::hash::{BuildHasher, Hasher};
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    // Keyed anew, by the system's chance, in each process.
-    let chance = std::collections::hash_map::RandomState::new().build_hasher().finish();
-    let text = format!("{:x}-{:x}-{:08x}", unix.as_millis(), std::process::id(), chance as u32);
-    text.parse().map_err(|e| Failure::Broken(format!("{e}")))
+/// How the gateways carried an order out.
+struct OrderResult {
+    accepted: OrderAccepted,
+    /// In the order of the gateways' names.
+    instances: Vec<InstanceReport>,
+    summary: OrderSummary,
 }
 
 async fn run(
     address: &Address,
     subject: &Subject,
     change: Change,
-    how: &How,
+    options: &OrderOptions,
     output: Output,
-) -> Result<(), Failure> {
-    fleet::InvalidOrder::of(subject, change).map_err(|e| Failure::Usage(e.to_string()))?;
-    let id = match &how.id {
+) -> Result<(), CommandError> {
+    InvalidOrder::of(subject, change).map_err(UsageError::InvalidOrder)?;
+    let id = match &options.id {
         Some(id) => id.clone(),
-        None => new_id()?,
+        None => new_order_id()?,
     };
-    let mut agent = Agent::connect(address).await?;
-    let deadline_ms = how.deadline.as_millis() as u64;
-    let (subject, forced) = (subject.clone(), how.force);
-    agent
-        .ask(ToolRequest::Order { id: id.clone(), subject: subject.clone(), change, forced, deadline_ms })
-        .await?;
-    // Danger: an order that was written down, and whose caller doesn't know. The same id asks for it again.
-    let again = |failure| match failure {
-        Failure::Agent(text) => Failure::Agent(format!("{text}; ask again with --id {id}")),
-        other => other,
+    let mut agent = AgentClient::connect(address).await?;
+    let request = ToolRequest::Order {
+        id: id.clone(),
+        subject: subject.clone(),
+        change,
+        forced: options.force,
+        deadline_ms: options.deadline.as_millis() as u64,
     };
-    let (accepted, instances, done) = hear(&mut agent, how.deadline + MORE).await.map_err(again)?;
+    agent.send(request).await?;
+    let received = receive_result(&mut agent, options.deadline + DEADLINE_MARGIN).await;
+    let result = received.map_err(|e| unconfirmed(e, &id))?;
+    let OrderResult { accepted, instances, summary } = &result;
     if output == Output::Table {
         let repeated = if accepted.repeated { ", ordered before" } else { "" };
-        out(&format!("{change} {subject}: order {id}, revision {}{repeated}\n", accepted.revision));
-        out(&table(&["GATEWAY", "DID", "MATCHED", "TOOK"], &rows(&instances)));
+        print_text(&format!("{change} {subject}: order {id}, revision {}{repeated}\n", accepted.revision));
+        print_table(&HEADER, &instances.iter().map(row).collect::<Vec<_>>());
     }
-    let left = if how.wait { Some(settle(&mut agent, &subject, how, output).await?) } else { None };
-    let unsettled = left.as_ref().is_some_and(|left| left.iter().any(|i| !idle(i)));
+    let in_flight = match options.wait {
+        true => Some(in_flight::wait_until_idle(&mut agent, subject, options, output).await?),
+        false => None,
+    };
     if output == Output::Json {
-        print(&json!({"id": id, "subject": subject, "change": change, "accepted": accepted,
-                      "instances": instances, "done": done.succeeded, "failed": done.failed,
-                      "in_flight": left}))?;
+        print_json(&json!({"id": id, "subject": subject, "change": change, "accepted": accepted,
+                           "instances": instances, "done": summary.succeeded, "failed": summary.failed,
+                           "in_flight": in_flight}))?;
     }
-    if done.failed > 0 || unsettled {
-        if output == Output::Table {
-            eprintln!("gatewayctl: {} of {} gateways did it", done.succeeded, done.succeeded + done.failed);
-        }
-        return Err(Failure::Partly);
+    let is_idle = in_flight.iter().flatten().all(in_flight::is_idle);
+    if summary.failed == 0 && is_idle {
+        return Ok(());
+    }
+    if output == Output::Table {
+        let all = summary.succeeded + summary.failed;
+        eprintln!("{PROGRAM}: {} of {all} gateways did it", summary.succeeded);
     }
-    Ok(())
+    Err(CommandError::Partial)
 }
 
-async fn hear(
-    agent: &mut Agent,
-    most: Duration,
-) -> Result<(OrderAccepted, Vec<InstanceReport>, OrderSummary), Failure> {
-    let accepted = match agent.hear(most).await? {
+/// An id that no other order has: of this moment, this process and a random number.
+fn new_order_id() -> Result<OrderId, LocalError> {
+    use std::hash::{BuildHasher, Hasher};
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    // The standard library seeds these keys at random in each process.
+    let random = std::collections::hash_map::RandomState::new().build_hasher().finish();
+    let text = format!("{:x}-{:x}-{:08x}", unix.as_millis(), std::process::id(), random as u32);
+    text.parse().map_err(LocalError::OrderId)
+}
+
+/// The error of an order that may have been written to the agent's log unseen.
+fn unconfirmed(error: AgentClientError, id: &OrderId) -> CommandError {
+    match error {
+        AgentClientError::Rejected(response) => CommandError::Rejected(response),
+        source => CommandError::OrderUnconfirmed { id: id.clone(), source },
+    }
+}
+
+async fn receive_result(agent: &mut AgentClient, limit: Duration) -> Result<OrderResult, AgentClientError> {
+    let accepted = match agent.receive(limit).await? {
         ToolResponse::Accepted(accepted) => accepted,
-        other => return Err(odd(&other)),
+        _ => return Err(AgentClientError::UnexpectedResponse),
     };
     let mut instances = Vec::new();
     loop {
-        match agent.hear(most).await? {
+        match agent.receive(limit).await? {
             ToolResponse::Instance(instance) => instances.push(instance),
-            ToolResponse::Done(done) => {
+            ToolResponse::Done(summary) => {
                 instances.sort_by(|a, b| a.gateway.cmp(&b.gateway));
-                return Ok((accepted, instances, done));
+                return Ok(OrderResult { accepted, instances, summary });
             }
-            other => return Err(odd(&other)),
+            _ => return Err(AgentClientError::UnexpectedResponse),
         }
     }
 }
 
-fn rows(instances: &[InstanceReport]) -> Vec<Vec<String>> {
-    let row = |i: &InstanceReport| {
-        let (did, matched, took) = match &i.outcome {
-            InstanceOutcome::Answered { outcome, matched, took_ms } => {
-                let did = match outcome {
-                    ApplyOutcome::Applied => "applied".to_string(),
-                    ApplyOutcome::Superseded(by) => format!("superseded by {by}"),
-                    ApplyOutcome::Rejected(why) => format!("refused: {why}"),
-                };
-                (did, matched.map_or("-".to_string(), |n| n.to_string()), format!("{took_ms:.1} ms"))
-            }
-            InstanceOutcome::InFlight { in_flight } => {
-                (format!("{in_flight} in flight"), "-".to_string(), String::new())
-            }
-            InstanceOutcome::Unreachable { reason: why } => {
-                (format!("UNREACHABLE: {why}"), "-".to_string(), String::new())
-            }
-            InstanceOutcome::TimedOut => {
-                ("LATE: no answer in time".to_string(), "-".to_string(), String::new())
-            }
-        };
-        vec![i.gateway.clone(), did, matched, took]
+fn row(instance: &InstanceReport) -> Vec<String> {
+    const NONE: &str = "-";
+    let (outcome, matched, took) = match &instance.outcome {
+        InstanceOutcome::Answered { outcome, matched, took_ms } => {
+            let matched = matched.map_or(NONE.to_string(), |count| count.to_string());
+            (outcome_text(outcome), matched, format!("{took_ms:.1} ms"))
+        }
+        InstanceOutcome::InFlight { in_flight } => {
+            (format!("{in_flight} in flight"), NONE.to_string(), String::new())
+        }
+        InstanceOutcome::Unreachable { reason } => {
+            (format!("UNREACHABLE: {reason}"), NONE.to_string(), String::new())
+        }
+        InstanceOutcome::TimedOut => ("LATE: no answer in time".to_string(), NONE.to_string(), String::new()),
     };
-    instances.iter().map(row).collect()
-}
-
-/// Whether a gateway is known to have nothing in flight, or can't be asked.
-fn idle(instance: &InstanceReport) -> bool {
-    matches!(
-        instance.outcome,
-        InstanceOutcome::InFlight { in_flight: 0 } | InstanceOutcome::Unreachable { .. }
-    )
+    vec![instance.gateway.clone(), outcome, matched, took]
 }
 
-/// Waits until nothing is in flight at the subject on any gateway that can be reached, or the time is over.
-/// Gives the last that was heard of each.
-async fn settle(
-    agent: &mut Agent,
-    subject: &Subject,
-    how: &How,
-    output: Output,
-) -> Result<Vec<InstanceReport>, Failure> {
-    let (until, mut told) = (Instant::now() + how.wait_most, String::new());
-    let live = std::io::stderr().is_terminal();
-    loop {
-        let deadline_ms = how.deadline.as_millis() as u64;
-        agent.ask(ToolRequest::Inflight { subject: subject.clone(), deadline_ms }).await?;
-        let all = match agent.hear(how.deadline + MORE).await? {
-            ToolResponse::Inflight(all) => all,
-            other => return Err(odd(&other)),
-        };
-        let one = |i: &InstanceReport| match &i.outcome {
-            InstanceOutcome::InFlight { in_flight } => format!("{} {in_flight}", i.gateway),
-            InstanceOutcome::Unreachable { .. } => format!("{} unreachable", i.gateway),
-            _ => format!("{} no answer", i.gateway),
-        };
-        let line = format!("in flight: {}", all.iter().map(one).collect::<Vec<_>>().join(", "));
-        if output == Output::Table && line != told {
-            eprint!("{}{line}{}", if live { "\r\x1b[K" } else { "" }, if live { "" } else { "\n" });
-            told = line;
-        }
-        if all.iter().all(idle) || Instant::now() >= until {
-            if output == Output::Table && live {
-                eprintln!();
-            }
-            return Ok(all);
-        }
-        sleep(LOOK_EVERY).await;
+fn outcome_text(outcome: &ApplyOutcome) -> String {
+    match outcome {
+        ApplyOutcome::Applied => "applied".to_string(),
+        ApplyOutcome::Superseded(revision) => format!("superseded by {revision}"),
+        ApplyOutcome::Rejected(reason) => format!("refused: {reason}"),
     }
 }
--- a/crates/gatewayctl/src/output.rs
+++ b/crates/gatewayctl/src/output.rs
@@ -1,59 +1,72 @@
-//! Tables for people, and standard output.
+//! Standard output: tables for people, JSON for programs.
 
 use std::io::Write;
 
-/// Writes to standard output. Danger: a reader such as `head` that has seen enough; the rest is nobody's
-/// loss, and the process ends as if it had been written.
-pub fn out(text: &str) {
-    let mut to = std::io::stdout().lock();
-    if to.write_all(text.as_bytes()).and_then(|()| to.flush()).is_err() {
+use crate::error::LocalError;
+
+#[cfg(test)]
+mod tests;
+
+/// From here on ages are shown in whole seconds, ms.
+const WHOLE_SECONDS_FROM_MS: u64 = 10_000;
+/// From here on ages are shown in minutes, ms.
+const MINUTES_FROM_MS: u64 = 600_000;
+
+/// Prints a text. The process ends if its reader has closed the pipe: such as `head`, it has seen enough.
+pub fn print_text(text: &str) {
+    let mut stdout = std::io::stdout().lock();
+    if stdout.write_all(text.as_bytes()).and_then(|()| stdout.flush()).is_err() {
         std::process::exit(0);
     }
 }
 
-/// Lays rows out under a head, each column as wide as it must be. Control characters that came from outside
-/// are shown as what they are.
-pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
-    let shown = |cell: &str| -> String {
-        cell.chars()
-            .flat_map(|c| if c.is_control() { c.escape_default().collect() } else { vec![c] })
-            .collect()
-    };
-    let rows: Vec<Vec<String>> = rows.iter().map(|row| row.iter().map(|c| shown(c)).collect()).collect();
-    let width = |i: usize| {
-        let cells = rows.iter().filter_map(|row| row.get(i)).map(|cell| cell.chars().count());
-        cells.chain([head[i].len()]).max().unwrap_or(0)
-    };
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
-    let line = |cells: &mut dyn Iterator<Item = &str>| -> String {
-        let cells = cells.zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
-        let line = cells.collect::<Vec<_>>().join("  ");
-        format!("{}\n", line.trim_end())
+/// Prints a value as one line of JSON.
+pub fn print_json<T: serde::Serialize>(value: &T) -> Result<(), LocalError> {
+    let text = serde_json::to_string(value).map_err(LocalError::Json)?;
+    print_text(&format!("{text}\n"));
+    Ok(())
+}
+
+/// Prints rows under a header.
+pub fn print_table(header: &[&str], rows: &[Vec<String>]) {
+    print_text(&table(header, rows));
+}
+
+/// Lays rows out under a header, each column as wide as it must be. Control characters, which may come from
+/// outside, are escaped.
+pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
+    let rows: Vec<Vec<String>> =
+        rows.iter().map(|row| row.iter().map(|cell| escaped(cell)).collect()).collect();
+    let width = |column: usize| {
+        let cells = rows.iter().filter_map(|row| row.get(column)).map(|cell| cell.chars().count());
+        cells.chain([header[column].len()]).max().unwrap_or(0)
     };
-    let mut text = line(&mut head.iter().copied());
+    let widths: Vec<usize> = (0..header.len()).map(width).collect();
+    let mut text = aligned(header.iter().copied(), &widths);
     for row in &rows {
-        text += &line(&mut row.iter().map(String::as_str));
+        text += &aligned(row.iter().map(String::as_str), &widths);
     }
     text
 }
 
-/// How long ago, in few characters.
-pub fn ago(ms: u64) -> String {
-    match ms {
-        0..=9_999 => format!("{:.1}s", ms as f64 / 1000.0),
-        10_000..=599_999 => format!("{}s", ms / 1000),
-        _ => format!("{}m", ms / 60_000),
-    }
+fn escaped(cell: &str) -> String {
+    let escape = |c: char| if c.is_control() { c.escape_default().collect() } else { vec![c] };
+    cell.chars().flat_map(escape).collect()
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn columns_line_up_and_nothing_from_outside_reaches_the_terminal() {
-        let rows = [vec!["a".to_string(), "b\u{1b}[2J".to_string()], vec!["long".into(), "c".into()]];
-        assert_eq!(table(&["X", "Y"], &rows), "X     Y\na     b\\u{1b}[2J\nlong  c\n");
-        assert_eq!((ago(1_234), ago(65_000), ago(600_000)), ("1.2s".into(), "65s".into(), "10m".into()));
+fn aligned<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) -> String {
+    let cells = cells.zip(widths).map(|(cell, width)| format!("{cell:width$}"));
+    let line = cells.collect::<Vec<_>>().join("  ");
+    format!("{}\n", line.trim_end())
+}
+
+/// An age in few characters.
+pub fn format_age(ms: u64) -> String {
+    if ms < WHOLE_SECONDS_FROM_MS {
+        format!("{:.1}s", ms as f64 / 1000.0)
+    } else if ms < MINUTES_FROM_MS {
+        format!("{}s", ms / 1000)
+    } else {
+        format!("{}m", ms / 60_000)
     }
 }
--- a/crates/gatewayctl/src/plans.rs
+++ b/crates/gatewayctl/src/plans.rs
@@ -1,194 +1,250 @@
-//! `plans`: what is wrong with a catalogue, who has which plan, what a change does.
+//! `plans`: what is wrong with a catalogue, who has which plan, and what a change does.
 
 use std::path::Path;
 use std::time::Duration;
 
-use plans::{read_catalogue, Catalogue, CatalogueFileError, PlanLimits, PlanTimeline};
+use plans::{read_catalogue, Catalogue, CatalogueFileError, FileFault, Plan, PlanLimits, PlanTimeline};
 use serde_json::json;
 
-use crate::agent_client::print;
 use crate::cli::{Output, Plans};
-use crate::error::Failure;
-use crate::output::{out, table};
+use crate::error::{CommandError, LocalError};
+use crate::output::{print_json, print_table, print_text};
 
-/// Carries out a command on catalogues.
-pub fn run(command: &Plans, output: Output) -> Result<(), Failure> {
+const PLAN_HEADER: [&str; 6] = ["PLAN", "VERSION", "RATE", "BURST", "CEILING", "ITS BURST"];
+const CUSTOMER_HEADER: [&str; 7] = ["FROM", "PLAN", "VERSION", "RATE", "BURST", "CEILING", "ITS BURST"];
+const CHANGE_HEADER: [&str; 7] = ["AT", "FROM", "TO", "BEFORE", "AFTER", "WAITS", "OFF WHERE LATE"];
+/// The time from which a plan holds that a catalogue gives without a time, Unix time in ms.
+const ALWAYS_MS: u64 = 0;
+
+/// Runs a command on catalogues.
+pub fn run(command: &Plans, output: Output) -> Result<(), CommandError> {
     match command {
         Plans::Check { files } => {
-            let mut good = true;
+            let mut all_good = true;
             for file in files {
-                good &= check(file, output)?;
+                all_good &= check(file, output)?;
             }
-            if good {
+            if all_good {
                 Ok(())
             } else {
-                Err(Failure::Told)
+                Err(CommandError::FaultsFound)
             }
         }
-        Plans::Show { file, customer } => show(&load(file)?, *customer, output),
+        Plans::Show { file, customer: None } => Ok(show_plans(&load(file)?, output)?),
+        Plans::Show { file, customer: Some(customer) } => Ok(show_customer(&load(file)?, *customer, output)?),
         Plans::Change { file, customer, level, late } => {
-            change(&load(file)?, *customer, *level, *late, output)
+            Ok(show_changes(&load(file)?, *customer, *level, *late, output)?)
         }
     }
 }
 
-fn text_of(file: &Path) -> Result<String, Failure> {
-    std::fs::read_to_string(file).map_err(|e| Failure::Broken(format!("{}: {e}", file.display())))
-}
-
-fn lines(file: &Path, CatalogueFileError(faults): &CatalogueFileError) -> String {
-    let line = |f: &plans::FileFault| {
-        let key = if f.key.is_empty() { String::new() } else { format!("{}: ", f.key) };
-        format!("{}:{}: {key}{}", file.display(), f.line, f.wanted)
+/// All faults of a catalogue's file, one on a line.
+pub fn fault_lines(file: &Path, CatalogueFileError(faults): &CatalogueFileError) -> String {
+    let line = |fault: &FileFault| {
+        let key = if fault.key.is_empty() { String::new() } else { format!("{}: ", fault.key) };
+        format!("{}:{}: {key}{}", file.display(), fault.line, fault.wanted)
     };
     faults.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-fn load(file: &Path) -> Result<Catalogue, Failure> {
-    read_catalogue(&text_of(file)?).map_err(|bad| Failure::Broken(lines(file, &bad)))
+fn read(file: &Path) -> Result<String, LocalError> {
+    std::fs::read_to_string(file).map_err(|source| LocalError::File { path: file.to_path_buf(), source })
+}
+
+fn load(file: &Path) -> Result<Catalogue, LocalError> {
+    let wrong = |source| LocalError::Catalogue { path: file.to_path_buf(), source };
+    read_catalogue(&read(file)?).map_err(wrong)
 }
 
-/// Whether it is good.
-fn check(file: &Path, output: Output) -> Result<bool, Failure> {
-    let found = read_catalogue(&text_of(file)?);
-    let name = file.display().to_string();
-    match (&found, output) {
-        (Ok(all), Output::Table) => out(&format!(
-            "{name}: good: revision {}, {} versions of plans, {} customers\n",
-            all.revision(),
-            all.plans().count(),
-            all.customers()
+/// Checks a file; tells whether it is good.
+fn check(file: &Path, output: Output) -> Result<bool, LocalError> {
+    let catalogue = read_catalogue(&read(file)?);
+    match output {
+        Output::Table => print_check(file, &catalogue),
+        Output::Json => print_json_check(file, &catalogue)?,
+    }
+    Ok(catalogue.is_ok())
+}
+
+fn print_check(file: &Path, catalogue: &Result<Catalogue, CatalogueFileError>) {
+    match catalogue {
+        Ok(catalogue) => print_text(&format!(
+            "{}: good: revision {}, {} versions of plans, {} customers\n",
+            file.display(),
+            catalogue.revision(),
+            catalogue.plans().count(),
+            catalogue.customers()
         )),
-        (Err(bad), Output::Table) => out(&format!("{}\n", lines(file, bad))),
-        (_, Output::Json) => {
-            let faults = found.as_ref().err().map_or(&[][..], |bad| &bad.0);
-            let wrong = |f: &plans::FileFault| json!({"line": f.line, "key": f.key, "problem": f.wanted});
-            let wrong: Vec<_> = faults.iter().map(wrong).collect();
-            let revision = found.as_ref().ok().map(Catalogue::revision);
-            print(&json!({"file": name, "good": found.is_ok(), "revision": revision, "wrong": wrong}))?;
-        }
+        Err(error) => print_text(&format!("{}\n", fault_lines(file, error))),
     }
-    Ok(found.is_ok())
 }
 
-/// A time as operators read it; the time of a change before any is "always".
-fn time(ms: u64) -> String {
-    let known = i64::try_from(ms).ok().and_then(|ms| jiff::Timestamp::from_millisecond(ms).ok());
-    match known {
-        _ if ms == 0 => "always".to_string(),
-        Some(at) => at.to_string(),
-        None => format!("{ms} ms"),
+fn print_json_check(
+    file: &Path,
+    catalogue: &Result<Catalogue, CatalogueFileError>,
+) -> Result<(), LocalError> {
+    let faults = catalogue.as_ref().err().map_or(&[][..], |error| &error.0);
+    let fault = |fault: &FileFault| json!({"line": fault.line, "key": fault.key, "problem": fault.wanted});
+    print_json(&json!({
+        "file": file.display().to_string(),
+        "good": catalogue.is_ok(),
+        "revision": catalogue.as_ref().ok().map(Catalogue::revision),
+        "wrong": faults.iter().map(fault).collect::<Vec<_>>(),
+    }))
+}
+
+/// A time as operators read it.
+fn format_time(ms: u64) -> String {
+    if ms == ALWAYS_MS {
+        return "always".to_string();
     }
+    let timestamp = i64::try_from(ms).ok().and_then(|ms| jiff::Timestamp::from_millisecond(ms).ok());
+    timestamp.map_or_else(|| format!("{ms} ms"), |timestamp| timestamp.to_string())
+}
+
+fn limit_cells(limits: &PlanLimits) -> [String; 4] {
+    let PlanLimits { rate, burst, ceiling_rate, ceiling_burst } = *limits;
+    [rate, burst, ceiling_rate, ceiling_burst].map(|number| number.to_string())
 }
 
-fn show(all: &Catalogue, customer: Option<u64>, output: Output) -> Result<(), Failure> {
-    let Some(customer) = customer else { return show_plans(all, output) };
-    let (mut rows, mut at) = (Vec::new(), 0);
-    let line = all.timeline(customer, PlanLimits::default());
-    if all.plan_at(customer, u64::MAX).is_none() {
-        let text = format!("customer {customer:016x} is not in it: requests say which plan it has");
-        return Err(Failure::Broken(text));
+/// Shows the plans of a customer over time.
+fn show_customer(catalogue: &Catalogue, customer: u64, output: Output) -> Result<(), LocalError> {
+    let timeline = catalogue.timeline(customer, PlanLimits::default());
+    if catalogue.plan_at(customer, u64::MAX).is_none() {
+        return Err(LocalError::CustomerNotListed(customer));
     }
-    loop {
-        if let Some(plan) = all.plan_at(customer, at) {
-            match output {
-                Output::Json => print(&json!({"from_ms": at, "plan": &*plan.name, "version": plan.version}))?,
-                Output::Table => {
-                    let terms = line.at(at);
-                    let number = |n: f64| format!("{n}");
-                    rows.push(vec![
-                        time(at),
-                        plan.name.to_string(),
-                        plan.version.to_string(),
-                        number(terms.rate),
-                        number(terms.burst),
-                        number(terms.ceiling_rate),
-                        number(terms.ceiling_burst),
-                    ]);
-                }
+    let mut rows = Vec::new();
+    let mut next_change = Some(ALWAYS_MS);
+    while let Some(from_ms) = next_change {
+        next_change = timeline.next_change(from_ms);
+        let Some(plan) = catalogue.plan_at(customer, from_ms) else { continue };
+        match output {
+            Output::Json => {
+                print_json(&json!({"from_ms": from_ms, "plan": &*plan.name, "version": plan.version}))?;
+            }
+            Output::Table => {
+                let plan_cells = [format_time(from_ms), plan.name.to_string(), plan.version.to_string()];
+                rows.push(plan_cells.into_iter().chain(limit_cells(timeline.at(from_ms))).collect());
             }
-        }
-        match line.next_change(at) {
-            Some(next) => at = next,
-            None => break,
         }
     }
     if output == Output::Table {
-        let head = ["FROM", "PLAN", "VERSION", "RATE", "BURST", "CEILING", "ITS BURST"];
-        out(&table(&head, &rows));
+        print_table(&CUSTOMER_HEADER, &rows);
     }
     Ok(())
 }
 
-fn show_plans(all: &Catalogue, output: Output) -> Result<(), Failure> {
+fn show_plans(catalogue: &Catalogue, output: Output) -> Result<(), LocalError> {
     let mut rows = Vec::new();
-    for (plan, terms) in all.plans() {
-        let PlanLimits { rate, burst, ceiling_rate, ceiling_burst } = *terms;
+    for (plan, limits) in catalogue.plans() {
         if output == Output::Json {
-            print(&json!({
-                "plan": &*plan.name, "version": plan.version, "rate": rate, "burst": burst,
-                "ceiling_rate": ceiling_rate, "ceiling_burst": ceiling_burst,
+            print_json(&json!({
+                "plan": &*plan.name, "version": plan.version, "rate": limits.rate, "burst": limits.burst,
+                "ceiling_rate": limits.ceiling_rate, "ceiling_burst": limits.ceiling_burst,
             }))?;
         }
-        let numbers = [rate, burst, ceiling_rate, ceiling_burst].map(|n| n.to_string());
-        let names = [plan.name.to_string(), plan.version.to_string()];
-        rows.push(names.into_iter().chain(numbers).collect());
+        let plan_cells = [plan.name.to_string(), plan.version.to_string()];
+        rows.push(plan_cells.into_iter().chain(limit_cells(limits)).collect::<Vec<_>>());
     }
     if output == Output::Table {
-        let head = ["PLAN", "VERSION", "RATE", "BURST", "CEILING", "ITS BURST"];
-        out(&format!("revision {}, {} customers\n", all.revision(), all.customers()));
-        out(&table(&head, &rows));
+        print_text(&format!("revision {}, {} customers\n", catalogue.revision(), catalogue.customers()));
+        print_table(&PLAN_HEADER, &rows);
     }
     Ok(())
 }
 
-/// What a change does, by the rule of [`Timeline`]: the debt stays.
-fn change(
-    all: &Catalogue,
+/// What a change of plan does to a customer, by the rule of [`PlanTimeline`]: the debt stays.
+struct PlanChange {
+    at_ms: u64,
+    from: Plan,
+    to: Plan,
+    /// The level of the token bucket just before and just after it.
+    level_before: f64,
+    level_after: f64,
+    /// Until a request of one unit is admitted, s; infinite where the new plan has no rate.
+    wait_s: f64,
+    /// Units by which a gateway is off that learns of it so late.
+    late_ms: u64,
+    late_error: f64,
+}
+
+impl PlanChange {
+    fn json(&self) -> serde_json::Value {
+        json!({
+            "at_ms": self.at_ms, "from": self.from.to_string(), "to": self.to.to_string(),
+            "level_before": self.level_before, "level_after": self.level_after,
+            "wait_s": self.wait_s.is_finite().then_some(self.wait_s),
+            "late_ms": self.late_ms, "late_error": self.late_error,
+        })
+    }
+
+    fn row(&self) -> Vec<String> {
+        let wait = if self.wait_s.is_finite() { format!("{:.1}s", self.wait_s) } else { "never".to_string() };
+        vec![
+            format_time(self.at_ms),
+            self.from.to_string(),
+            self.to.to_string(),
+            format!("{:.1}", self.level_before),
+            format!("{:.1}", self.level_after),
+            wait,
+            format!("{:+.1}", self.late_error),
+        ]
+    }
+}
+
+/// Shows what each coming change does to a customer that has this level before the first, else a full bucket.
+fn show_changes(
+    catalogue: &Catalogue,
     customer: u64,
     level: Option<f64>,
     late: Duration,
     output: Output,
-) -> Result<(), Failure> {
-    let Some(first) = all.plan_at(customer, 0) else {
-        let text = format!("customer {customer:016x} has no plan since ever in it: its level is not known");
-        return Err(Failure::Broken(text));
-    };
-    let line = all.timeline(customer, PlanLimits::default());
-    let (mut at, mut level, mut plan) = (0, level.unwrap_or(line.at(0).burst), first);
-    let late_ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
-    let mut rows = Vec::new();
-    while let Some(next) = line.next_change(at) {
-        let before = if at == 0 { level } else { (level + line.refill(at, next)).min(line.at(at).burst) };
-        let after = line.carried(before, at, next);
-        let old = PlanTimeline::always(*line.at(at));
-        let new = old.clone().then(next, *line.at(next));
-        let heard = next.saturating_add(late_ms);
-        let error = new.error_of(&old, next, heard);
-        // Until a request of one unit passes again.
-        let rate = line.at(next).rate;
-        let wait_s = if after >= 1.0 { 0.0 } else { (1.0 - after) / rate };
-        let to = all.plan_at(customer, next).unwrap_or(plan);
-        match output {
-            Output::Json => print(&json!({
-                "at_ms": next, "from": plan.to_string(), "to": to.to_string(), "level_before": before,
-                "level_after": after, "wait_s": wait_s.is_finite().then_some(wait_s),
-                "late_ms": late_ms, "late_error": error,
-            }))?,
-            Output::Table => rows.push(vec![
-                time(next),
-                plan.to_string(),
-                to.to_string(),
-                format!("{before:.1}"),
-                format!("{after:.1}"),
-                if wait_s.is_finite() { format!("{wait_s:.1}s") } else { "never".to_string() },
-                format!("{error:+.1}"),
-            ]),
+) -> Result<(), LocalError> {
+    let changes = plan_changes(catalogue, customer, level, late)?;
+    match output {
+        Output::Json => changes.iter().try_for_each(|change| print_json(&change.json())),
+        Output::Table => {
+            print_table(&CHANGE_HEADER, &changes.iter().map(PlanChange::row).collect::<Vec<_>>());
+            Ok(())
         }
-        (at, level, plan) = (next, after, to);
     }
-    if output == Output::Table {
-        out(&table(&["AT", "FROM", "TO", "BEFORE", "AFTER", "WAITS", "OFF WHERE LATE"], &rows));
+}
+
+fn plan_changes(
+    catalogue: &Catalogue,
+    customer: u64,
+    level: Option<f64>,
+    late: Duration,
+) -> Result<Vec<PlanChange>, LocalError> {
+    let first = catalogue.plan_at(customer, ALWAYS_MS).ok_or(LocalError::CustomerLevelUnknown(customer))?;
+    let timeline = catalogue.timeline(customer, PlanLimits::default());
+    let late_ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
+    let (mut since_ms, mut plan) = (ALWAYS_MS, first);
+    let mut level = level.unwrap_or(timeline.at(ALWAYS_MS).burst);
+    let mut changes = Vec::new();
+    while let Some(at_ms) = timeline.next_change(since_ms) {
+        let refilled = (level + timeline.refill(since_ms, at_ms)).min(timeline.at(since_ms).burst);
+        let level_before = if since_ms == ALWAYS_MS { level } else { refilled };
+        let level_after = timeline.carried(level_before, since_ms, at_ms);
+        let to = catalogue.plan_at(customer, at_ms).unwrap_or(plan);
+        changes.push(PlanChange {
+            at_ms,
+            from: plan.clone(),
+            to: to.clone(),
+            level_before,
+            level_after,
+            wait_s: if level_after >= 1.0 { 0.0 } else { (1.0 - level_after) / timeline.at(at_ms).rate },
+            late_ms,
+            late_error: late_error(&timeline, since_ms, at_ms, late_ms),
+        });
+        (since_ms, level, plan) = (at_ms, level_after, to);
     }
-    Ok(())
+    Ok(changes)
+}
+
+/// Units by which a gateway is off that goes by the old plan for so long after a change.
+fn late_error(timeline: &PlanTimeline, since_ms: u64, at_ms: u64, late_ms: u64) -> f64 {
+    let old = PlanTimeline::always(*timeline.at(since_ms));
+    let new = old.clone().then(at_ms, *timeline.at(at_ms));
+    new.error_of(&old, at_ms, at_ms.saturating_add(late_ms))
 }
--- a/crates/gatewayctl/src/status.rs
+++ b/crates/gatewayctl/src/status.rs
@@ -1,184 +1,167 @@
-//! `status`, `orders` and `watch`.
+//! `status`: all gateways, what is ordered, and each gateway's backends.
 
-use std::time::Duration;
-
-use fleet::wire::{FleetStatus as Seen, GatewayStatus, LoggedOrder, ToolRequest, ToolResponse};
+use fleet::wire::{BackendState, FleetStatus, GatewayStatus, ToolRequest, ToolResponse};
 use fleet::{Health, Register, Value};
 use operator_config::Address;
-use serde_json::json;
 
-use crate::agent_client::{odd, print, Agent};
+use crate::agent_client::{AgentClient, AgentClientError, RESPONSE_TIMEOUT};
 use crate::cli::{Output, Status};
-use crate::error::Failure;
-use crate::output::{ago, out, table};
+use crate::error::CommandError;
+use crate::output::{format_age, print_json, print_table, print_text};
 
-/// How long the agent may take to answer.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A watch may be quiet for as long as nothing happens.
-const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(365 * 86_400);
+const GATEWAY_HEADER: [&str; 11] =
+    ["GATEWAY", "HEALTH", "HOLDS", "HEARD", "READY", "DRAINED", "EJECTED", "COLD", "OPEN", "CLIENTS", "WHY"];
+const ORDER_HEADER: [&str; 4] = ["ORDERED", "WHAT", "REVISION", "ID"];
+const BACKEND_HEADER: [&str; 10] =
+    ["GATEWAY", "BACKEND", "ADDRESS", "GROUP", "TYPE", "STATE", "WEIGHT", "WARMTH", "OUT", "ORDER"];
+/// Shown where nothing is known.
+const UNKNOWN: &str = "-";
+/// Columns that come from a gateway's own state.
+const STATE_COLUMNS: usize = 6;
 
-/// Shows all gateways. Ends well only if each of them is well.
-pub async fn status(address: &Address, args: &Status, output: Output) -> Result<(), Failure> {
-    let mut agent = Agent::connect(address).await?;
-    agent.ask(ToolRequest::Status { backends: args.backends }).await?;
-    let mut seen = match agent.hear(RESPONSE_TIMEOUT).await? {
-        ToolResponse::Status(seen) => seen,
-        other => return Err(odd(&other)),
+/// Shows all gateways. Succeeds only if each of them is well.
+pub async fn run(address: &Address, args: &Status, output: Output) -> Result<(), CommandError> {
+    let mut agent = AgentClient::connect(address).await?;
+    let mut status = match agent.request(ToolRequest::Status { backends: args.backends }).await? {
+        ToolResponse::Status(status) => status,
+        _ => return Err(AgentClientError::UnexpectedResponse.into()),
     };
     if args.backends {
-        backends(&mut agent, &mut seen).await?;
+        receive_backends(&mut agent, &mut status).await?;
     }
-    let well = seen.gateways.iter().all(|g| matches!(g.health, Health::Ok | Health::Behind));
     match output {
-        Output::Json => print(&seen)?,
-        Output::Table => show(&seen, args.backends),
+        Output::Json => print_json(&status)?,
+        Output::Table => print_tables(&status, args.backends),
     }
-    if well {
+    let is_well = |gateway: &GatewayStatus| matches!(gateway.health, Health::Ok | Health::Behind);
+    if status.gateways.iter().all(is_well) {
         Ok(())
     } else {
-        Err(Failure::Partly)
+        Err(CommandError::Partial)
     }
 }
 
-/// Takes in what each gateway says of its backends.
-async fn backends(agent: &mut Agent, seen: &mut Seen) -> Result<(), Failure> {
+/// Receives the backends of each gateway into its status.
+async fn receive_backends(agent: &mut AgentClient, status: &mut FleetStatus) -> Result<(), CommandError> {
     loop {
-        match agent.hear(RESPONSE_TIMEOUT).await? {
-            ToolResponse::Backends(one) => {
-                let gateway = seen.gateways.iter_mut().find(|g| g.name == one.gateway);
-                if let (Some(gateway), Ok(state)) = (gateway, one.state) {
+        match agent.receive(RESPONSE_TIMEOUT).await? {
+            ToolResponse::Backends(report) => {
+                let gateway = status.gateways.iter_mut().find(|g| g.name == report.gateway);
+                if let (Some(gateway), Ok(state)) = (gateway, report.state) {
                     gateway.state = Some(state);
                 }
             }
             ToolResponse::Done(_) => return Ok(()),
-            other => return Err(odd(&other)),
+            _ => return Err(AgentClientError::UnexpectedResponse.into()),
         }
     }
 }
 
-fn show(seen: &Seen, backends: bool) {
-    out(&format!("revision {}\n", seen.revision));
-    let head = [
-        "GATEWAY", "HEALTH", "HOLDS", "HEARD", "READY", "DRAINED", "EJECTED", "COLD", "OPEN", "CLIENTS",
-        "WHY",
-    ];
-    out(&table(&head, &seen.gateways.iter().map(gateway).collect::<Vec<_>>()));
-    if !seen.ordered.is_empty() {
-        out("\n");
-        out(&table(
-            &["ORDERED", "WHAT", "REVISION", "ID"],
-            &seen.ordered.iter().map(ordered).collect::<Vec<_>>(),
-        ));
+fn print_tables(status: &FleetStatus, backends: bool) {
+    print_text(&format!("revision {}\n", status.revision));
+    print_table(&GATEWAY_HEADER, &status.gateways.iter().map(gateway_row).collect::<Vec<_>>());
+    if !status.ordered.is_empty() {
+        print_text("\n");
+        print_table(&ORDER_HEADER, &status.ordered.iter().map(order_row).collect::<Vec<_>>());
     }
-    if !backends {
-        return;
+    if backends {
+        print_text("\n");
+        print_table(&BACKEND_HEADER, &backend_rows(status));
     }
-    let head =
-        ["GATEWAY", "BACKEND", "ADDRESS", "GROUP", "TYPE", "STATE", "WEIGHT", "WARMTH", "OUT", "ORDER"];
-    let mut rows = Vec::new();
-    for g in &seen.gateways {
-        for b in g.state.iter().flat_map(|s| s.backends.iter().flatten()) {
-            let state = match (b.serving, &b.drained_by, b.ejected) {
-                _ if b.banned_ms.is_some() => "banned",
-                (false, ..) => "draining",
-                (true, Some(_), _) => "drained",
-                (true, None, true) => "ejected",
-                (true, None, false) => "ready",
-            };
-            let order = b.drained_by.as_ref().map_or("-".to_string(), ToString::to_string);
-            rows.push(vec![
-                g.name.clone(),
-                b.name.clone(),
-                b.address.clone(),
-                b.group.to_string(),
-                b.kind.clone(),
-                state.to_string(),
-                b.weight.to_string(),
-                format!("{:.2}", b.capacity_fraction),
-                b.in_flight.to_string(),
-                order,
-            ]);
-        }
+}
+
+fn backend_rows(status: &FleetStatus) -> Vec<Vec<String>> {
+    let backends = |gateway: &GatewayStatus| -> Vec<Vec<String>> {
+        let all = gateway.state.iter().flat_map(|state| state.backends.iter().flatten());
+        all.map(|backend| backend_row(&gateway.name, backend)).collect()
+    };
+    status.gateways.iter().flat_map(backends).collect()
+}
+
+fn backend_row(gateway: &str, backend: &BackendState) -> Vec<String> {
+    vec![
+        gateway.to_string(),
+        backend.name.clone(),
+        backend.address.clone(),
+        backend.group.to_string(),
+        backend.kind.clone(),
+        backend_condition(backend).to_string(),
+        backend.weight.to_string(),
+        format!("{:.2}", backend.capacity_fraction),
+        backend.in_flight.to_string(),
+        backend.drained_by.as_ref().map_or(UNKNOWN.to_string(), ToString::to_string),
+    ]
+}
+
+/// The strongest reason for which a backend gets no work, or that it is ready.
+fn backend_condition(backend: &BackendState) -> &'static str {
+    if backend.banned_ms.is_some() {
+        "banned"
+    } else if !backend.serving {
+        "draining"
+    } else if backend.drained_by.is_some() {
+        "drained"
+    } else if backend.ejected {
+        "ejected"
+    } else {
+        "ready"
     }
-    out("\n");
-    out(&table(&head, &rows));
 }
 
-fn gateway(g: &GatewayStatus) -> Vec<String> {
-    let mut row = vec![g.name.clone(), g.health.to_string(), g.applied_revision.to_string()];
-    row.push(g.last_seen_ms_ago.map_or("never".to_string(), |ms| format!("{} ago", ago(ms))));
-    match &g.state {
-        None => row.extend(std::iter::repeat_n("-".to_string(), 6)),
+fn gateway_row(gateway: &GatewayStatus) -> Vec<String> {
+    let last_seen = gateway.last_seen_ms_ago;
+    let mut row = vec![
+        gateway.name.clone(),
+        gateway.health.to_string(),
+        gateway.applied_revision.to_string(),
+        last_seen.map_or("never".to_string(), |ms| format!("{} ago", format_age(ms))),
+    ];
+    match &gateway.state {
+        None => row.extend(std::iter::repeat_n(UNKNOWN.to_string(), STATE_COLUMNS)),
         Some(state) => {
-            let f = &state.statistics;
-            let ready = f.serving.saturating_sub(f.drained).saturating_sub(f.ejected);
-            row.push(format!("{ready}/{}", f.listed));
-            row.extend([f.drained, f.ejected, f.warming_up].map(|n| n.to_string()));
-            row.push(f.requests.to_string());
-            row.push(f.client_connections.to_string());
+            let statistics = &state.statistics;
+            let ready =
+                statistics.serving.saturating_sub(statistics.drained).saturating_sub(statistics.ejected);
+            row.push(format!("{ready}/{}", statistics.listed));
+            row.push(statistics.drained.to_string());
+            row.push(statistics.ejected.to_string());
+            row.push(statistics.warming_up.to_string());
+            row.push(statistics.requests.to_string());
+            row.push(statistics.client_connections.to_string());
         }
     }
-    row.push(match &g.health {
-        Health::Unreachable { reason: why } => why.clone(),
-        _ if g.state.as_ref().is_some_and(|s| s.drained_by.is_some()) => "drained by order".to_string(),
-        _ if g.state.as_ref().is_some_and(|s| s.drained_ms.is_some()) => "drained by call".to_string(),
-        _ if g.state.as_ref().is_some_and(|s| s.statistics.awaiting_connection > 0) => {
-            let waiting = g.state.as_ref().map_or(0, |s| s.statistics.awaiting_connection);
-            format!("{waiting} backends wait for their first connection")
-        }
-        _ if g.restarts > 0 => format!("started anew {} times", g.restarts),
-        _ => String::new(),
-    });
+    row.push(remark(gateway));
     row
 }
 
-fn ordered(r: &Register) -> Vec<String> {
-    let what = match r.value {
+/// What an operator should know first about a gateway.
+fn remark(gateway: &GatewayStatus) -> String {
+    if let Health::Unreachable { reason } = &gateway.health {
+        return reason.clone();
+    }
+    if let Some(state) = &gateway.state {
+        if state.drained_by.is_some() {
+            return "drained by order".to_string();
+        }
+        if state.drained_ms.is_some() {
+            return "drained by call".to_string();
+        }
+        let waiting = state.statistics.awaiting_connection;
+        if waiting > 0 {
+            return format!("{waiting} backends wait for their first connection");
+        }
+    }
+    if gateway.restarts > 0 {
+        return format!("started anew {} times", gateway.restarts);
+    }
+    String::new()
+}
+
+fn order_row(register: &Register) -> Vec<String> {
+    let value = match register.value {
         Value::Drained(true) => "drained".to_string(),
         Value::Drained(false) => "not drained".to_string(),
         Value::Weight(weight) => format!("weight {weight}"),
     };
-    vec![r.subject.to_string(), what, r.revision.to_string(), r.id.to_string()]
-}
-
-/// Shows the newest orders.
-pub async fn orders(address: &Address, most: usize, output: Output) -> Result<(), Failure> {
-    let mut agent = Agent::connect(address).await?;
-    agent.ask(ToolRequest::Orders { limit: most }).await?;
-    let all = match agent.hear(RESPONSE_TIMEOUT).await? {
-        ToolResponse::Orders(all) => all,
-        other => return Err(odd(&other)),
-    };
-    if output == Output::Json {
-        return all.iter().try_for_each(print);
-    }
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let row = |l: &LoggedOrder| {
-        let forced = if l.forced { "forced" } else { "" };
-        let when = format!("{} ago", ago((now.as_millis() as u64).saturating_sub(l.at_ms)));
-        vec![
-            l.order.revision.to_string(),
-            when,
-            l.order.change.to_string(),
-            l.order.subject.to_string(),
-            l.order.id.to_string(),
-            forced.to_string(),
-        ]
-    };
-    let rows: Vec<_> = all.iter().map(row).collect();
-    out(&table(&["REVISION", "WHEN", "WHAT", "SUBJECT", "ID", ""], &rows));
-    Ok(())
-}
-
-/// Shows every change.
-pub async fn watch(address: &Address, output: Output) -> Result<(), Failure> {
-    let mut agent = Agent::connect(address).await?;
-    agent.ask(ToolRequest::Watch).await?;
-    loop {
-        match agent.hear(WATCH_IDLE_TIMEOUT).await? {
-            ToolResponse::Event(line) if output == Output::Json => print(&json!({"event": line}))?,
-            ToolResponse::Event(line) => out(&format!("{line}\n")),
-            other => return Err(odd(&other)),
-        }
-    }
+    vec![register.subject.to_string(), value, register.revision.to_string(), register.id.to_string()]
 }
--- a/crates/gatewayctl/src/up.rs
+++ b/crates/gatewayctl/src/up.rs
@@ -1,133 +1,153 @@
 //! `up`: stand-ins, gateways and an agent on this machine, on loopback addresses.
 //!
-//! The gateways and the agent are processes of their own, of this same program; the stand-ins and the load
-//! live here. The processes end with this one, however it ends: each holds the reading end of a pipe whose
-//! writing end is here.
+//! The gateways and the agent are processes of this same program; the stand-ins and the load generator run
+//! here. The processes end with this one, however it ends: each holds the reading end of a pipe whose writing
+//! end is here.
 
-pub mod gateway;
+mod error;
 mod local_fleet;
 mod process;
 mod report;
 
+use std::future::Future;
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
 
 use serde_json::json;
 use testbed::audit::{audit, Terms};
 use testbed::client::{Load, Plan};
-use tokio::signal::unix::{signal, SignalKind};
-use tokio::time::{interval, sleep};
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::time::{interval, sleep, Instant};
 
-use crate::agent_client::print;
 use crate::cli::{Output, Up};
-use crate::error::Failure;
-use crate::output::out;
-use local_fleet::World;
+use crate::error::{CommandError, LocalError};
+use crate::output::{print_json, print_text};
+use local_fleet::LocalFleet;
+
+pub use error::UpError;
 
 /// Customers of the load.
 const CUSTOMERS: u64 = 200;
-/// How often the status line is written: on a terminal, and elsewhere.
-const STATUS_EVERY: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
-/// Breaches that are shown, of each run.
-const BREACHES_SHOWN: usize = 10;
+/// The id of the load's first request.
+const FIRST_REQUEST_ID: u64 = 1 << 40;
+/// How often the status line is written on a terminal, and elsewhere.
+const TERMINAL_STATUS_INTERVAL: Duration = Duration::from_millis(250);
+const LOG_STATUS_INTERVAL: Duration = Duration::from_secs(2);
+/// Goes back to the line's start and clears it, on a terminal.
+const CLEAR_LINE: &str = "\r\x1b[K";
 
-/// Runs until the time is over, Ctrl-C or SIGTERM.
-pub async fn run(args: Up, output: Output) -> Result<(), Failure> {
-    let failed = |e: std::io::Error| Failure::Broken(format!("signals: {e}"));
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
-    let starting = World::start(&args, output == Output::Table);
-    let mut world = tokio::select! {
-        world = starting => world?,
-        // What was started so far ends as its handles are let go.
-        _ = interrupt.recv() => return Ok(()),
-        _ = terminate.recv() => return Ok(()),
-    };
-    match output {
-        Output::Table => out(&report::addresses(&world)),
-        Output::Json => print(&json!({"up": report::described(&world)}))?,
+/// SIGINT and SIGTERM.
+struct Signals {
+    interrupt: Signal,
+    terminate: Signal,
+}
+
+impl Signals {
+    fn listen() -> Result<Signals, LocalError> {
+        let interrupt = signal(SignalKind::interrupt()).map_err(LocalError::Signals)?;
+        let terminate = signal(SignalKind::terminate()).map_err(LocalError::Signals)?;
+        Ok(Signals { interrupt, terminate })
     }
-    let load = Load::new(world.addresses(), 1 << 40, world.journal.clone());
-    let plan = Plan { rate: args.load, customers: CUSTOMERS, seed: args.seed, ..Plan::default() };
-    let end = async {
-        let over = async {
-            match args.length {
-                Some(length) => sleep(length).await,
-                None => std::future::pending().await,
-            }
-        };
+
+    async fn received(&mut self) {
         tokio::select! {
-            () = over => Ok(()),
-            _ = interrupt.recv() => Ok(()),
-            _ = terminate.recv() => Ok(()),
-            name = world.ended() => Err(name),
+            _ = self.interrupt.recv() => {}
+            _ = self.terminate.recv() => {}
         }
+    }
+}
+
+/// Runs until the time is over, Ctrl-C or SIGTERM.
+pub async fn run(args: Up, output: Output) -> Result<(), CommandError> {
+    let mut signals = Signals::listen()?;
+    let mut fleet = tokio::select! {
+        fleet = LocalFleet::start(&args, output == Output::Table) => fleet?,
+        // What was started so far ends as its handles are dropped.
+        () = signals.received() => return Ok(()),
     };
-    let (mut died, status) = (None, output == Output::Table);
-    let loading = async {
-        let until = async { died = end.await.err() };
-        if args.load > 0.0 {
-            load.run(&plan, until).await;
-        } else {
-            until.await;
-        }
+    match output {
+        Output::Table => print_text(&report::addresses(&fleet)),
+        Output::Json => print_json(&json!({"up": report::description(&fleet)}))?,
+    }
+    let load = Load::new(fleet.addresses(), FIRST_REQUEST_ID, fleet.journal.clone());
+    let mut exited_process = None;
+    let running = async {
+        let until_end = async { exited_process = wait_for_end(&args, &mut signals, &mut fleet).await };
+        run_load(&args, &load, until_end).await;
     };
     tokio::select! {
-        () = loading => {}
-        () = show_status(&load), if status => {}
+        () = running => {}
+        () = show_status(&load), if output == Output::Table => {}
     }
     let _ = std::io::stderr().flush();
-    world.stop().await;
-    report(&world, &load, output)?;
-    match died {
-        Some(name) => Err(Failure::Broken(format!("{name} has ended by itself"))),
+    fleet.stop().await;
+    show_result(&fleet, &load, output)?;
+    match exited_process {
+        Some(name) => Err(UpError::ProcessExited(name).into()),
         None => Ok(()),
     }
 }
 
+/// Waits until the run is to end; gives the name of a process that exited by itself.
+async fn wait_for_end(args: &Up, signals: &mut Signals, fleet: &mut LocalFleet) -> Option<String> {
+    let time_is_over = async {
+        match args.duration {
+            Some(duration) => sleep(duration).await,
+            None => std::future::pending().await,
+        }
+    };
+    tokio::select! {
+        () = time_is_over => None,
+        () = signals.received() => None,
+        name = fleet.any_exited() => Some(name),
+    }
+}
+
+async fn run_load(args: &Up, load: &Load, until_end: impl Future<Output = ()>) {
+    if args.requests_per_s > 0.0 {
+        let plan =
+            Plan { rate: args.requests_per_s, customers: CUSTOMERS, seed: args.seed, ..Plan::default() };
+        load.run(&plan, until_end).await;
+    } else {
+        until_end.await;
+    }
+}
+
 /// Writes the status line again and again, over itself on a terminal.
 async fn show_status(load: &Load) {
-    let live = std::io::stderr().is_terminal();
-    let mut tick = interval(if live { STATUS_EVERY.0 } else { STATUS_EVERY.1 });
-    let (mut last, mut at) = (load.tally(), tokio::time::Instant::now());
-    tick.tick().await;
+    let is_terminal = std::io::stderr().is_terminal();
+    let mut ticks = interval(if is_terminal { TERMINAL_STATUS_INTERVAL } else { LOG_STATUS_INTERVAL });
+    let (mut last, mut last_at) = (load.tally(), Instant::now());
+    ticks.tick().await;
     loop {
-        tick.tick().await;
-        let (now, then) = (load.tally(), at.elapsed().as_secs_f64());
-        let line = report::status(&now, (now.served - last.served) as f64 / then.max(0.001), load);
-        (last, at) = (now, tokio::time::Instant::now());
-        if live {
-            eprint!("\r\x1b[K{line}");
+        ticks.tick().await;
+        let (now, seconds) = (load.tally(), last_at.elapsed().as_secs_f64());
+        let served_per_s = (now.served - last.served) as f64 / seconds.max(0.001);
+        let line = report::status_line(&now, served_per_s, load);
+        (last, last_at) = (now, Instant::now());
+        if is_terminal {
+            eprint!("{CLEAR_LINE}{line}");
         } else {
             eprintln!("{line}");
         }
     }
 }
 
-/// Says what the load came to, and whether a rule broke.
-fn report(world: &World, load: &Load, output: Output) -> Result<(), Failure> {
-    let judged = audit(&world.journal, Terms::default());
-    let tally = load.tally();
-    if output == Output::Json {
-        let breaches = judged.as_ref().map(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>());
-        print(&json!({"down": {
-            "asked": tally.asked, "served": tally.served, "refused": tally.refused, "failed": tally.failed,
-            "lost": tally.lost, "held_back": tally.held_back, "p50_ms": load.latency_ms(0.5),
-            "p99_ms": load.latency_ms(0.99), "breaches": breaches.as_ref().ok(),
-            "not_judged": breaches.as_ref().err()}}))?;
-    } else {
-        if std::io::stderr().is_terminal() {
-            eprintln!();
-        }
-        out(&format!("\n{}\n", report::status(&tally, 0.0, load)));
-        match &judged {
-            Ok(all) if all.is_empty() => out("the five rules held\n"),
-            Ok(all) => all.iter().take(BREACHES_SHOWN).for_each(|b| out(&format!("BROKEN {b}\n"))),
-            Err(why) => out(&format!("not judged: {why}\n")),
+/// Shows what the load came to, and whether a rule was broken.
+fn show_result(fleet: &LocalFleet, load: &Load, output: Output) -> Result<(), CommandError> {
+    let verdict = audit(&fleet.journal, Terms::default());
+    match output {
+        Output::Json => print_json(&json!({"down": report::result(load, &verdict)}))?,
+        Output::Table => {
+            if std::io::stderr().is_terminal() {
+                eprintln!();
+            }
+            print_text(&format!("\n{}\n", report::status_line(&load.tally(), 0.0, load)));
+            print_text(&report::verdict_text(&verdict));
         }
     }
-    match judged {
-        Ok(all) if !all.is_empty() => Err(Failure::Told),
+    match verdict {
+        Ok(breaches) if !breaches.is_empty() => Err(CommandError::FaultsFound),
         _ => Ok(()),
     }
 }
--- a/crates/gatewayctl/src/up/local_fleet.rs
+++ b/crates/gatewayctl/src/up/local_fleet.rs
@@ -1,8 +1,10 @@
-//! All that `up` starts.
+//! Everything that `up` starts.
 
+use std::future::{poll_fn, Future};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
+use std::task::Poll;
 
 use operator_config::Address;
 use tempfile::TempDir;
@@ -12,12 +14,15 @@
 use testbed::journal::Journal;
 use testbed::platform;
 
+use super::error::UpError;
 use super::process::Process;
 use crate::cli::Up;
-use crate::error::Failure;
 
-/// Events that are kept for the auditor: some minutes of the usual load. Beyond that it can't judge.
+/// Events that are kept for the auditor: some minutes of the usual load. Beyond that there is no verdict.
 const MAX_EVENTS: usize = 400_000;
+const AGENT: &str = "agent";
+/// Goes back to the line's start and clears it, on a terminal.
+const CLEAR_LINE: &str = "\r\x1b[K";
 
 /// A gateway's process.
 #[derive(Debug)]
@@ -28,9 +33,9 @@
     pub process: Process,
 }
 
-/// All that runs.
+/// Stand-ins, gateways and an agent.
 #[derive(Debug)]
-pub struct World {
+pub struct LocalFleet {
     pub discovery: Discovery,
     pub counter: Counter,
     pub backends: Vec<Backend>,
@@ -38,91 +43,67 @@
     pub agent: Address,
     pub journal: Journal,
     agent_process: Process,
-    /// Configurations, sockets, logs. It goes with the value.
-    _folder: TempDir,
+    /// Configurations, sockets, logs. It is removed with the value.
+    _directory: TempDir,
 }
 
-impl World {
-    /// Starts all of it, and waits until each part is ready.
-    pub async fn start(args: &Up, progress: bool) -> Result<World, Failure> {
-        let failed = |e: std::io::Error| Failure::Broken(format!("cannot start: {e}"));
-        let (folder, journal) = (folder()?, Journal::new(MAX_EVENTS));
-        let (discovery, counter) =
-            (Discovery::start().await.map_err(failed)?, Counter::start().await.map_err(failed)?);
-        let mut backends = Vec::with_capacity(args.backends.into());
-        for number in 0..args.backends {
-            let backend = Backend::start(Spec::plain(number.into()), journal.clone()).await;
-            let backend = backend.map_err(failed)?;
-            discovery.list(&backend, "SERVING");
-            backends.push(backend);
-        }
-        let operator = folder.path().join("operator.toml");
-        std::fs::write(&operator, operator_file(folder.path(), args.gateways)).map_err(failed)?;
-        let live = progress && std::io::stderr().is_terminal();
+impl LocalFleet {
+    /// Starts everything, and waits until each part is ready.
+    pub async fn start(args: &Up, show_progress: bool) -> Result<LocalFleet, UpError> {
+        let (directory, journal) = (temporary_directory()?, Journal::new(MAX_EVENTS));
+        let discovery = Discovery::start().await.map_err(UpError::Start)?;
+        let counter = Counter::start().await.map_err(UpError::Start)?;
+        let backends = start_backends(args.backends, &discovery, &journal).await?;
+        let files = Files { directory: directory.path() };
+        files.write_operator_config(args.gateways)?;
         let mut starting = Vec::with_capacity(args.gateways.into());
-        for me in 0..args.gateways {
-            let name = format!("n{me}");
-            let listen = args.port.map(|port| SocketAddr::from(([127, 0, 0, 1], port.saturating_add(me))));
-            let known = discovery.known();
-            let config = platform::config(
-                me.into(),
-                args.gateways.into(),
-                discovery.address,
-                counter.address,
-                &known,
-                listen,
-            );
-            let file = folder.path().join(format!("{name}.json"));
-            std::fs::write(&file, config.to_string()).map_err(failed)?;
-            let words = ["gateway", "--operator", &operator.display().to_string()];
-            let log = folder.path().join(format!("{name}.log"));
-            starting.push((name.clone(), Process::start(&name, &words, Some(&file), &log)?));
+        for index in 0..args.gateways {
+            starting.push(start_gateway(args, index, &discovery, &counter, &files)?);
         }
+        let progress = Progress { is_shown: show_progress && std::io::stderr().is_terminal() };
         let mut gateways = Vec::with_capacity(starting.len());
-        for (name, mut process) in starting {
-            if live {
-                eprint!("\r\x1b[Kstarting {name}");
-                let _ = std::io::stderr().flush();
-            }
-            let odd = |what: String| Failure::Broken(format!("{name} said {what:?}"));
-            let admin = process.says("admin on ").await.map_err(|e| told(e, folder.path(), &name))?;
-            let admin = admin.parse().map_err(|_| odd(admin))?;
-            let address = process.says("listening on ").await.map_err(|e| told(e, folder.path(), &name))?;
-            let address = address.parse().map_err(|_| odd(address))?;
-            gateways.push(Gateway { name, address, admin, process });
+        for (name, process) in starting {
+            progress.show(&name);
+            gateways.push(wait_for_gateway(name, process).await?);
         }
-        let words = ["agent", "--operator", &operator.display().to_string()];
-        let mut agent_process = Process::start("agent", &words, None, &folder.path().join("agent.log"))?;
-        agent_process.says("overseeing ").await.map_err(|e| told(e, folder.path(), "agent"))?;
-        if live {
-            eprint!("\r\x1b[K");
-        }
-        let agent = Address::Unix(folder.path().join("agent.sock"));
-        Ok(World { discovery, counter, backends, gateways, agent, journal, agent_process, _folder: folder })
+        let agent_process = start_agent(&files).await?;
+        progress.clear();
+        let agent = Address::Unix(files.path("agent.sock"));
+        Ok(LocalFleet {
+            discovery,
+            counter,
+            backends,
+            gateways,
+            agent,
+            journal,
+            agent_process,
+            _directory: directory,
+        })
     }
 
     /// Where clients connect.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.gateways.iter().map(|g| g.address).collect()
+        self.gateways.iter().map(|gateway| gateway.address).collect()
     }
 
-    /// Waits until some process has ended by itself, and gives its name.
-    pub async fn ended(&mut self) -> String {
-        let agent = self.agent_process.ended();
-        tokio::pin!(agent);
-        let mut gateways: Vec<_> =
-            self.gateways.iter_mut().map(|g| (&g.name, Box::pin(g.process.ended()))).collect();
-        std::future::poll_fn(|context| {
-            use std::future::Future;
+    /// Waits until some process has exited by itself, and gives its name.
+    pub async fn any_exited(&mut self) -> String {
+        let mut agent = Box::pin(self.agent_process.exited());
+        let mut gateways: Vec<_> = self
+            .gateways
+            .iter_mut()
+            .map(|gateway| (&gateway.name, Box::pin(gateway.process.exited())))
+            .collect();
+        poll_fn(|context| {
             if agent.as_mut().poll(context).is_ready() {
-                return std::task::Poll::Ready("agent".to_string());
+                return Poll::Ready(AGENT.to_string());
             }
-            for (name, ended) in &mut gateways {
-                if ended.as_mut().poll(context).is_ready() {
-                    return std::task::Poll::Ready((*name).clone());
+            for (name, exited) in &mut gateways {
+                if exited.as_mut().poll(context).is_ready() {
+                    return Poll::Ready((*name).clone());
                 }
             }
-            std::task::Poll::Pending
+            Poll::Pending
         })
         .await
     }
@@ -131,36 +112,126 @@
     pub async fn stop(&mut self) {
         self.agent_process.terminate();
         self.agent_process.reap().await;
-        self.gateways.iter().for_each(|g| g.process.terminate());
+        for gateway in &self.gateways {
+            gateway.process.terminate();
+        }
         for gateway in &mut self.gateways {
             gateway.process.reap().await;
         }
     }
 }
 
-/// A failure with the last line of the process's log.
-fn told(failure: Failure, folder: &Path, name: &str) -> Failure {
-    let log = std::fs::read_to_string(folder.join(format!("{name}.log"))).unwrap_or_default();
-    match (failure, log.lines().last()) {
-        (Failure::Broken(text), Some(line)) => Failure::Broken(format!("{text}: {line}")),
-        (failure, _) => failure,
-    }
+/// A directory with a short path: that of a Unix socket has some hundred bytes at most.
+fn temporary_directory() -> Result<TempDir, UpError> {
+    tempfile::Builder::new().prefix("gatewayctl-").tempdir().map_err(UpError::TemporaryDirectory)
 }
 
-/// A folder whose path is short. Danger: the path of a Unix socket holds some hundred bytes at most.
-fn folder() -> Result<TempDir, Failure> {
-    let made = tempfile::Builder::new().prefix("gatewayctl-").tempdir();
-    made.map_err(|e| Failure::Broken(format!("no folder for temporary files: {e}")))
+async fn start_backends(
+    count: u16,
+    discovery: &Discovery,
+    journal: &Journal,
+) -> Result<Vec<Backend>, UpError> {
+    let mut backends = Vec::with_capacity(count.into());
+    for number in 0..count {
+        let backend = Backend::start(Spec::plain(number.into()), journal.clone()).await;
+        let backend = backend.map_err(UpError::Start)?;
+        discovery.list(&backend, "SERVING");
+        backends.push(backend);
+    }
+    Ok(backends)
 }
 
-fn operator_file(folder: &Path, gateways: u16) -> String {
-    let at = folder.display();
-    let mut text = format!(
-        "[admin]\nlisten = \"unix:{at}/{{name}}.sock\"\n\n[agent]\nlisten = \"unix:{at}/agent.sock\"\nlog = \
-         \"{at}/orders.redb\"\n"
+fn start_gateway(
+    args: &Up,
+    index: u16,
+    discovery: &Discovery,
+    counter: &Counter,
+    files: &Files,
+) -> Result<(String, Process), UpError> {
+    let name = format!("n{index}");
+    let listen = args.port.map(|port| SocketAddr::from(([127, 0, 0, 1], port.saturating_add(index))));
+    let config = platform::config(
+        index.into(),
+        args.gateways.into(),
+        discovery.address,
+        counter.address,
+        &discovery.known(),
+        listen,
     );
-    for me in 0..gateways {
-        text += &format!("\n[[gateway]]\nname = \"n{me}\"\nadmin = \"unix:{at}/n{me}.sock\"\n");
+    let config_file = files.path(&format!("{name}.json"));
+    std::fs::write(&config_file, config.to_string()).map_err(UpError::Start)?;
+    let operator_config = files.operator_config().display().to_string();
+    let process = Process::start(
+        &name,
+        &["gateway", "--operator", &operator_config],
+        Some(&config_file),
+        &files.log(&name),
+    )?;
+    Ok((name, process))
+}
+
+async fn wait_for_gateway(name: String, mut process: Process) -> Result<Gateway, UpError> {
+    let admin = process.wait_for_address("admin on ").await?;
+    let address = process.wait_for_address("listening on ").await?;
+    Ok(Gateway { name, address, admin, process })
+}
+
+async fn start_agent(files: &Files<'_>) -> Result<Process, UpError> {
+    let operator_config = files.operator_config().display().to_string();
+    let mut process =
+        Process::start(AGENT, &["agent", "--operator", &operator_config], None, &files.log(AGENT))?;
+    process.wait_for_line("overseeing ").await?;
+    Ok(process)
+}
+
+/// The files of a local fleet.
+struct Files<'a> {
+    directory: &'a Path,
+}
+
+impl Files<'_> {
+    fn path(&self, name: &str) -> PathBuf {
+        self.directory.join(name)
+    }
+
+    fn log(&self, process: &str) -> PathBuf {
+        self.path(&format!("{process}.log"))
+    }
+
+    fn operator_config(&self) -> PathBuf {
+        self.path("operator.toml")
+    }
+
+    fn write_operator_config(&self, gateways: u16) -> Result<(), UpError> {
+        let directory = self.directory.display();
+        let mut text = format!(
+            "[admin]\nlisten = \"unix:{directory}/{{name}}.sock\"\n\n[agent]\nlisten = \
+             \"unix:{directory}/agent.sock\"\nlog = \"{directory}/orders.redb\"\n"
+        );
+        for index in 0..gateways {
+            text +=
+                &format!("\n[[gateway]]\nname = \"n{index}\"\nadmin = \"unix:{directory}/n{index}.sock\"\n");
+        }
+        std::fs::write(self.operator_config(), text).map_err(UpError::Start)
+    }
+}
+
+/// Which gateway is waited for, on a terminal.
+struct Progress {
+    is_shown: bool,
+}
+
+impl Progress {
+    fn show(&self, name: &str) {
+        if self.is_shown {
+            eprint!("{CLEAR_LINE}starting {name}");
+            let _ = std::io::stderr().flush();
+        }
+    }
+
+    fn clear(&self) {
+        if self.is_shown {
+            eprint!("{CLEAR_LINE}");
+        }
     }
-    text
 }
--- a/crates/gatewayctl/src/up/process.rs
+++ b/crates/gatewayctl/src/up/process.rs
@@ -1,7 +1,9 @@
 //! A process of this same program, which ends with this one.
 
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::Stdio;
+use std::str::FromStr;
 use std::time::Duration;
 
 use rustix::process::{kill_process, Pid, Signal};
@@ -9,80 +11,92 @@
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 use tokio::time::timeout;
 
-use crate::error::Failure;
+use super::error::{ProcessProblem, UpError};
 
-/// How long a process may take to say that it is ready.
+/// How long a process may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long it may take to end once it was told to.
+/// How long it may take to exit once it was told to.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A process of this program.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Held apart: to wait for a child closes what it still holds of this.
+    /// Kept apart from the child: waiting for a child closes the input that it still has.
     stdin: Option<ChildStdin>,
-    said: Lines<BufReader<ChildStdout>>,
+    stdout: Lines<BufReader<ChildStdout>>,
     name: String,
+    log: PathBuf,
 }
 
 impl Process {
     /// Starts one, with its log in a file.
-    pub fn start(name: &str, words: &[&str], config: Option<&Path>, log: &Path) -> Result<Process, Failure> {
-        let failed = |e: std::io::Error| Failure::Broken(format!("{name}: {e}"));
-        let log = std::fs::File::create(log).map_err(failed)?;
-        let mut command = Command::new(std::env::current_exe().map_err(failed)?);
-        command.args(words).arg("--until-closed").env_remove("GW_CONFIG");
-        if let Some(path) = config {
-            command.env("GW_CONFIG", path);
-        }
-        // Ctrl-C is for this process, which ends the others in their turn.
-        command.process_group(0).kill_on_drop(true);
-        command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
-        let mut child = command.spawn().map_err(failed)?;
-        let missing = || Failure::Broken(format!("{name}: no standard output"));
-        let said = BufReader::new(child.stdout.take().ok_or_else(missing)?).lines();
-        let stdin = child.stdin.take();
-        Ok(Process { child, stdin, said, name: name.to_string() })
+    pub fn start(name: &str, args: &[&str], config: Option<&Path>, log: &Path) -> Result<Process, UpError> {
+        let failed = |problem| UpError::Process { name: name.to_string(), problem, last_log_line: None };
+        let mut child = spawn(args, config, log).map_err(|e| failed(ProcessProblem::Start(e)))?;
+        let stdout = child.stdout.take().ok_or_else(|| failed(ProcessProblem::NoStandardOutput))?;
+        Ok(Process {
+            stdin: child.stdin.take(),
+            stdout: BufReader::new(stdout).lines(),
+            child,
+            name: name.to_string(),
+            log: log.to_path_buf(),
+        })
     }
 
-    /// Waits for a line that begins like this, and gives the rest of it.
-    pub async fn says(&mut self, begin: &str) -> Result<String, Failure> {
-        let line = async {
-            while let Ok(Some(line)) = self.said.next_line().await {
-                if let Some(rest) = line.strip_prefix(begin) {
+    /// Waits for a line with this prefix, and gives the rest of it.
+    pub async fn wait_for_line(&mut self, prefix: &str) -> Result<String, UpError> {
+        let rest_of_line = async {
+            while let Ok(Some(line)) = self.stdout.next_line().await {
+                if let Some(rest) = line.strip_prefix(prefix) {
                     return Some(rest.to_string());
                 }
             }
             None
         };
-        let failed = |why: &str| Failure::Broken(format!("{}: {why}", self.name));
-        match timeout(READY_TIMEOUT, line).await {
+        match timeout(READY_TIMEOUT, rest_of_line).await {
             Ok(Some(rest)) => Ok(rest),
-            Ok(None) => Err(failed("ended before it was ready")),
-            Err(_) => Err(failed("was not ready in time")),
+            Ok(None) => Err(self.failed(ProcessProblem::ExitedEarly)),
+            Err(_) => Err(self.failed(ProcessProblem::TimedOut)),
         }
     }
 
+    /// Waits for a line with this prefix, and gives the address behind it.
+    pub async fn wait_for_address<T: FromStr>(&mut self, prefix: &str) -> Result<T, UpError> {
+        let text = self.wait_for_line(prefix).await?;
+        text.parse().map_err(|_| UpError::Process {
+            name: self.name.clone(),
+            problem: ProcessProblem::UnexpectedOutput(text),
+            last_log_line: None,
+        })
+    }
+
+    /// The error of a process, with the last line of its log.
+    fn failed(&self, problem: ProcessProblem) -> UpError {
+        let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+        let last_log_line = log.lines().last().map(str::to_string);
+        UpError::Process { name: self.name.clone(), problem, last_log_line }
+    }
+
     /// Its process id.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Waits until it has ended.
-    pub async fn ended(&mut self) {
+    /// Waits until it has exited.
+    pub async fn exited(&mut self) {
         let _ = self.child.wait().await;
     }
 
-    /// Tells it to end.
+    /// Tells it to shut down.
     pub fn terminate(&self) {
         if let Some(pid) = self.child.id().and_then(|id| Pid::from_raw(id as i32)) {
-            // Fails only where it has ended.
+            // Fails only if it has exited.
             let _ = kill_process(pid, Signal::TERM);
         }
     }
 
-    /// Waits for its end, and ends it if that takes too long.
+    /// Waits for its exit, and kills it if that takes too long.
     pub async fn reap(&mut self) {
         self.stdin = None;
         if timeout(EXIT_TIMEOUT, self.child.wait()).await.is_err() {
@@ -90,3 +104,16 @@
         }
     }
 }
+
+fn spawn(args: &[&str], config: Option<&Path>, log: &Path) -> io::Result<Child> {
+    let log = std::fs::File::create(log)?;
+    let mut command = Command::new(std::env::current_exe()?);
+    command.args(args).arg("--until-closed").env_remove("GW_CONFIG");
+    if let Some(path) = config {
+        command.env("GW_CONFIG", path);
+    }
+    // Ctrl-C is for this process, which ends the others in their order.
+    command.process_group(0).kill_on_drop(true);
+    command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
+    command.spawn()
+}
--- a/crates/gatewayctl/src/up/report.rs
+++ b/crates/gatewayctl/src/up/report.rs
@@ -1,71 +1,113 @@
-//! What `up` shows.
+//! The texts and JSON of `up`.
 
 use serde_json::{json, Value};
+use testbed::audit::Breach;
 use testbed::client::{Load, Tally};
 use testbed::platform;
 
-use super::local_fleet::World;
+use super::local_fleet::{Gateway, LocalFleet};
 use crate::output::table;
 
-/// The table of addresses, and lines to paste.
-pub fn addresses(world: &World) -> String {
+/// The auditor's verdict: the breaches that it found, or why it can't say.
+type Verdict = Result<Vec<Breach>, String>;
+
+const HEADER: [&str; 3] = ["NAME", "WHAT", "ADDRESS"];
+/// Breaches that are shown of each run.
+const MAX_BREACHES_SHOWN: usize = 10;
+/// Customer and request of the example command.
+const EXAMPLE_CUSTOMER: &str = "0000000000000001";
+const EXAMPLE_REQUEST: &str = "00000000000000aa";
+
+/// The table of addresses, and commands to paste.
+pub fn addresses(fleet: &LocalFleet) -> String {
+    let Some(first) = fleet.gateways.first() else { return String::new() };
+    format!("{}{}\n", table(&HEADER, &address_rows(fleet)), example_lines(fleet, first).join("\n"))
+}
+
+fn address_rows(fleet: &LocalFleet) -> Vec<Vec<String>> {
+    let row = |name: &str, what: &str, address: String| vec![name.to_string(), what.to_string(), address];
     let mut rows = vec![
-        vec!["discovery".to_string(), "stand-in".to_string(), format!("http://{}", world.discovery.address)],
-        vec!["counter".to_string(), "stand-in".to_string(), world.counter.address.to_string()],
+        row("discovery", "stand-in", format!("http://{}", fleet.discovery.address)),
+        row("counter", "stand-in", fleet.counter.address.to_string()),
     ];
-    for backend in &world.backends {
+    for backend in &fleet.backends {
         let what = format!("stand-in, group/{} type/{}", backend.spec.group, backend.spec.kind);
-        rows.push(vec![backend.spec.name.clone(), what, backend.address.to_string()]);
+        rows.push(row(&backend.spec.name, &what, backend.address.to_string()));
     }
-    for gateway in &world.gateways {
-        rows.push(vec![gateway.name.clone(), "gateway".to_string(), gateway.address.to_string()]);
-        rows.push(vec![String::new(), "its admin listener".to_string(), gateway.admin.to_string()]);
+    for gateway in &fleet.gateways {
+        rows.push(row(&gateway.name, "gateway", gateway.address.to_string()));
+        rows.push(row("", "its admin listener", gateway.admin.to_string()));
     }
-    rows.push(vec!["agent".to_string(), "agent".to_string(), world.agent.to_string()]);
-    let Some(first) = world.gateways.first() else { return String::new() };
-    let (host, port, all) = (first.address.ip(), first.address.port(), world.gateways.len());
-    let terms = format!("c=safe,t=free,d={},units=1,spread={all},first=0", platform::DEADLINE_MS);
-    let (customer, request) = ("0000000000000001", "00000000000000aa");
-    let program = std::env::current_exe().map_or("gatewayctl".into(), |p| p.display().to_string());
-    let (addresses, agent) = (table(&["NAME", "WHAT", "ADDRESS"], &rows), &world.agent);
-    let till = world.backends.first().map_or("till-0", |b| &b.spec.name);
-    let lines = [
+    rows.push(row("agent", "agent", fleet.agent.to_string()));
+    rows
+}
+
+fn example_lines(fleet: &LocalFleet, gateway: &Gateway) -> Vec<String> {
+    let (host, port) = (gateway.address.ip(), gateway.address.port());
+    let fan_out = fleet.gateways.len();
+    let options = format!("c=safe,t=free,d={},units=1,spread={fan_out},first=0", platform::DEADLINE_MS);
+    let program = std::env::current_exe().map_or("gatewayctl".into(), |path| path.display().to_string());
+    let backend = fleet.backends.first().map_or("till-0", |backend| &backend.spec.name);
+    vec![
         String::new(),
         "send a request, with any RESP client:".to_string(),
-        format!("  redis-cli -h {host} -p {port} API.READ {customer} {request} {terms}"),
+        format!("  redis-cli -h {host} -p {port} API.READ {EXAMPLE_CUSTOMER} {EXAMPLE_REQUEST} {options}"),
         "look and order, from another terminal:".to_string(),
-        format!("  export BEECHRUDDER_AGENT={agent}"),
+        format!("  export BEECHRUDDER_AGENT={}", fleet.agent),
         format!("  {program} status"),
-        format!("  {program} drain {till} --wait"),
-        format!("  {program} undrain {till}"),
+        format!("  {program} drain {backend} --wait"),
+        format!("  {program} undrain {backend}"),
         "Ctrl-C ends all of it.".to_string(),
-    ];
-    format!("{addresses}{}\n", lines.join("\n"))
+    ]
 }
 
-/// The same for programs.
-pub fn described(world: &World) -> Value {
-    let backends =
-        world.backends.iter().map(|b| json!({"name": b.spec.name, "address": b.address.to_string()}));
-    let gateway = |g: &super::local_fleet::Gateway| {
-        json!({"name": g.name, "address": g.address.to_string(), "admin": g.admin.to_string(),
-               "pid": g.process.id()})
-    };
+/// The addresses as JSON.
+pub fn description(fleet: &LocalFleet) -> Value {
+    let backends = fleet
+        .backends
+        .iter()
+        .map(|backend| json!({"name": backend.spec.name, "address": backend.address.to_string()}));
+    let gateways = fleet.gateways.iter().map(|gateway| {
+        json!({"name": gateway.name, "address": gateway.address.to_string(),
+               "admin": gateway.admin.to_string(), "pid": gateway.process.id()})
+    });
     json!({
-        "discovery": world.discovery.address.to_string(),
-        "counter": world.counter.address.to_string(),
+        "discovery": fleet.discovery.address.to_string(),
+        "counter": fleet.counter.address.to_string(),
         "backends": backends.collect::<Vec<_>>(),
-        "gateways": world.gateways.iter().map(gateway).collect::<Vec<_>>(),
-        "agent": world.agent.to_string(),
+        "gateways": gateways.collect::<Vec<_>>(),
+        "agent": fleet.agent.to_string(),
     })
 }
 
-/// The status line.
-pub fn status(tally: &Tally, per_second: f64, load: &Load) -> String {
+/// The status line; without a rate if it is 0.
+pub fn status_line(tally: &Tally, served_per_s: f64, load: &Load) -> String {
     let Tally { asked, served, refused, failed, lost, held_back, .. } = tally;
-    let rate = if per_second > 0.0 { format!(" ({per_second:.0}/s)") } else { String::new() };
+    let rate = if served_per_s > 0.0 { format!(" ({served_per_s:.0}/s)") } else { String::new() };
     let held = if *held_back > 0 { format!(", {held_back} held back") } else { String::new() };
     let (p50, p99) = (load.latency_ms(0.5), load.latency_ms(0.99));
     let answers = format!("served {served}{rate}, refused {refused}, failed {failed}, lost {lost}{held}");
     format!("asked {asked}, {answers}, p50 {p50:.1} ms, p99 {p99:.1} ms")
 }
+
+/// What the load came to, as JSON.
+pub fn result(load: &Load, verdict: &Verdict) -> Value {
+    let tally = load.tally();
+    let breaches = verdict.as_ref().ok().map(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>());
+    json!({
+        "asked": tally.asked, "served": tally.served, "refused": tally.refused, "failed": tally.failed,
+        "lost": tally.lost, "held_back": tally.held_back, "p50_ms": load.latency_ms(0.5),
+        "p99_ms": load.latency_ms(0.99), "breaches": breaches, "not_judged": verdict.as_ref().err(),
+    })
+}
+
+/// Whether a rule was broken, and the first breaches.
+pub fn verdict_text(verdict: &Verdict) -> String {
+    match verdict {
+        Ok(breaches) if breaches.is_empty() => "the five rules held\n".to_string(),
+        Ok(breaches) => {
+            breaches.iter().take(MAX_BREACHES_SHOWN).map(|breach| format!("BROKEN {breach}\n")).collect()
+        }
+        Err(reason) => format!("not judged: {reason}\n"),
+    }
+}
