--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,88 +1,56 @@
-//! Hosts gateways on the bench's wire: batches on standard input, replies on standard output.
+//! Hosts gateways on the simulator's wire: batches on standard input, replies on standard output.
 
+mod host;
 mod wire;
 
-use std::collections::BTreeMap;
+use std::fmt;
 use std::io::{self, Read, Write};
-use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use slatelock::interface::{Action, BackendEntry};
-use slatelock::{settings, Gateway};
-use wire::{Frame, Malformed, Record, Reply};
-
-const LISTS: usize = 16;
-
-#[derive(Default)]
-struct Host {
-    gateways: BTreeMap<u16, Gateway>,
-    lists: Vec<Vec<BackendEntry>>,
+use host::Host;
+use wire::{Frame, Malformed};
+
+/// Bytes that are read from standard input at once.
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
+
+/// Why the adapter ended early.
+#[derive(Debug)]
+enum RunError {
+    /// What came is no frame.
+    Frame(Malformed),
+    /// A record of a batch makes no sense.
+    Batch { number: u32, error: Malformed },
+    /// The reply could not be written.
+    Reply(io::Error),
 }
 
-impl Host {
-    /// Plays one batch and gives the reply.
-    fn play(&mut self, frame: &Frame) -> Result<Reply, Malformed> {
-        let mut reply = Reply::new(frame.number);
-        let mut current: Option<u16> = None;
-        let mut actions = Vec::new();
-        for record in frame.records() {
-            let (code, mut fields) = record?;
-            match wire::record(code, &mut fields)? {
-                Record::Context(instance) => current = Some(instance),
-                Record::Directory(bank, entries) => self.lists[bank] = entries,
-                Record::Create { seed, settings } => {
-                    let gateway = settings::parse(settings)
-                        .and_then(|s| Gateway::new(s, seed, frame.now))
-                        .map_err(|e| Malformed::new(e.to_string()))?;
-                    self.gateways.insert(instance(current)?, gateway);
-                }
-                Record::PowerOff => {
-                    self.gateways.remove(&instance(current)?);
-                }
-                Record::Event(event) => {
-                    let instance = instance(current)?;
-                    let event = event.resolve(&self.lists)?;
-                    let Some(gateway) = self.gateways.get_mut(&instance) else {
-                        return Err(Malformed::new(format!("event for instance {instance}, never created")));
-                    };
-                    actions.clear();
-                    let run = || gateway.handle(frame.now, event, &mut actions);
-                    if let Err(panic) = catch_unwind(AssertUnwindSafe(run)) {
-                        reply.bug(instance, &panic_text(&*panic));
-                        return Ok(reply);
-                    }
-                    actions.iter().for_each(|action: &Action| reply.action(instance, action));
-                }
-            }
+impl fmt::Display for RunError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RunError::Frame(error) => error.fmt(f),
+            RunError::Batch { number, error } => write!(f, "batch {number}: {error}"),
+            RunError::Reply(error) => write!(f, "reply: {error}"),
         }
-        Ok(reply)
     }
 }
 
-fn instance(current: Option<u16>) -> Result<u16, Malformed> {
-    current.ok_or_else(|| Malformed::new("a record before any Context"))
-}
-
-fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
-    let text = panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic").to_string()
-}
-
-fn run(input: &mut dyn Read, output: &mut dyn Write) -> Result<(), String> {
-    let mut host = Host { lists: vec![Vec::new(); LISTS], ..Host::default() };
-    while let Some(frame) = Frame::read(input).map_err(|e| e.to_string())? {
-        let reply = host.play(&frame).map_err(|e| format!("batch {}: {e}", frame.number))?;
-        output.write_all(&reply.finish()).and_then(|()| output.flush()).map_err(|e| format!("reply: {e}"))?;
+/// Answers batches until the input ends.
+fn run(input: &mut dyn Read, output: &mut dyn Write) -> Result<(), RunError> {
+    let mut host = Host::new();
+    while let Some(frame) = Frame::read(input).map_err(RunError::Frame)? {
+        let played = host.play(&frame);
+        let reply = played.map_err(|error| RunError::Batch { number: frame.number, error })?;
+        output.write_all(&reply.finish()).and_then(|()| output.flush()).map_err(RunError::Reply)?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    let mut input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     match run(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("slatelock-benchlink: {message}");
+        Err(error) => {
+            eprintln!("slatelock-benchlink: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/benchlink/src/wire/record.rs
@@ -0,0 +1,257 @@
+//! Records of a batch, decoded.
+
+use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness, Request};
+
+use super::fields::Fields;
+use super::{Malformed, LISTS};
+
+/// Codes of the records that the simulator writes, by its names.
+mod code {
+    pub const PROBED: u8 = 0;
+    pub const BACKENDS_CHANGED: u8 = 1;
+    pub const RESULT: u8 = 2;
+    pub const CREATE: u8 = 3;
+    pub const RECKONED: u8 = 4;
+    pub const POWER_OFF: u8 = 5;
+    pub const CONTEXT: u8 = 6;
+    pub const DIRECTORY: u8 = 7;
+    pub const FLOWING: u8 = 8;
+    pub const NEIGHBOUR_SAYS: u8 = 9;
+    pub const NEW_REQUEST: u8 = 10;
+    pub const DROPPED: u8 = 11;
+    pub const RING: u8 = 12;
+}
+
+/// Bytes of an endpoint in a list.
+const ENDPOINT_BYTES: usize = 21;
+/// The bit of a request's flags that marks a client's retry.
+const RETRY_FLAG: u8 = 2;
+/// Metered use is told in hundredths, and one above so that 0 is none.
+const METERED_UNIT: f64 = 100.0;
+
+/// A record of a batch.
+pub enum Record<'a> {
+    /// The records that follow are for this gateway.
+    Context(u16),
+    /// An endpoint list, to be referred to by its number.
+    Directory(usize, Vec<BackendEntry>),
+    /// The gateway starts.
+    Create {
+        seed: u64,
+        settings: &'a [u8],
+    },
+    /// The gateway is killed.
+    PowerOff,
+    Event(DecodedEvent<'a>),
+}
+
+/// An event that owns what the interface's [`Event`] borrows, or refers to it.
+pub enum DecodedEvent<'a> {
+    Backends { scope: ListScope, list: usize },
+    Ended(EndedAttempt),
+    Probed { backend: u32, outcome: Outcome, load: Vec<f32> },
+    Peer { from: u32, body: &'a [u8] },
+    Plain(Event<'static>),
+}
+
+/// How an attempt ended, and what its answer told.
+pub struct EndedAttempt {
+    id: u64,
+    attempt: u32,
+    backend: u32,
+    outcome: Outcome,
+    latency_ms: f64,
+    closed: bool,
+    metered: Option<f64>,
+    charged: Option<f64>,
+    load: Vec<f32>,
+}
+
+impl DecodedEvent<'_> {
+    /// The event, with its endpoint list.
+    pub fn resolve<'a>(&'a self, lists: &'a [Vec<BackendEntry>]) -> Result<Event<'a>, Malformed> {
+        Ok(match self {
+            DecodedEvent::Backends { scope: ListScope::Failed, .. } => {
+                Event::Backends { scope: ListScope::Failed, entries: &[] }
+            }
+            DecodedEvent::Backends { scope, list } => {
+                let entries = lists.get(*list).ok_or_else(|| Malformed::new(format!("no list {list}")))?;
+                Event::Backends { scope: *scope, entries }
+            }
+            DecodedEvent::Ended(ended) => ended.event(),
+            DecodedEvent::Probed { backend, outcome, load } => {
+                Event::Probed { backend: *backend, outcome: *outcome, load }
+            }
+            DecodedEvent::Peer { from, body } => Event::Peer { from: *from, body },
+            DecodedEvent::Plain(event) => event.clone(),
+        })
+    }
+}
+
+impl EndedAttempt {
+    fn event(&self) -> Event<'_> {
+        Event::Ended {
+            id: self.id,
+            attempt: self.attempt,
+            backend: self.backend,
+            outcome: self.outcome,
+            latency_ms: self.latency_ms,
+            closed: self.closed,
+            metered: self.metered,
+            charged: self.charged,
+            load: &self.load,
+        }
+    }
+}
+
+impl<'a> Record<'a> {
+    /// Decodes the fields of a record.
+    pub fn decode(code: u8, fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
+        Ok(match code {
+            code::CONTEXT => Record::Context(fields.u16("Context")?),
+            code::DIRECTORY => directory(fields)?,
+            code::CREATE => create(fields)?,
+            code::POWER_OFF => Record::PowerOff,
+            _ => Record::Event(event(code, fields)?),
+        })
+    }
+}
+
+fn directory<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
+    let list = usize::from(fields.u8("Directory")?);
+    if list >= LISTS {
+        return Err(Malformed::new(format!("Directory: no list {list}")));
+    }
+    let count = fields.u32("Directory")? as usize;
+    let bytes = fields.bytes(count.saturating_mul(ENDPOINT_BYTES), "Directory")?;
+    let endpoints = bytes.chunks_exact(ENDPOINT_BYTES).map(|bytes| endpoint(&mut Fields::new(bytes)));
+    Ok(Record::Directory(list, endpoints.collect::<Result<_, _>>()?))
+}
+
+fn create<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
+    let seed = fields.u64("Create")?;
+    let length = fields.u32("Create")? as usize;
+    Ok(Record::Create { seed, settings: fields.bytes(length, "Create")? })
+}
+
+fn event<'a>(code: u8, fields: &mut Fields<'a>) -> Result<DecodedEvent<'a>, Malformed> {
+    Ok(match code {
+        code::BACKENDS_CHANGED => backends_changed(fields)?,
+        code::NEW_REQUEST => DecodedEvent::Plain(Event::Request(request(fields)?)),
+        code::RESULT => DecodedEvent::Ended(ended(fields)?),
+        code::NEIGHBOUR_SAYS => peer(fields)?,
+        code::RECKONED => counted(fields)?,
+        code::DROPPED => DecodedEvent::Plain(Event::ClientGone { id: fields.u64("Dropped")? }),
+        code::PROBED => probed(fields)?,
+        code::FLOWING => stream_started(fields)?,
+        code::RING => DecodedEvent::Plain(Event::Timer { token: fields.u64("Ring")? }),
+        other => return Err(Malformed::new(format!("unknown event code {other}"))),
+    })
+}
+
+fn backends_changed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+    let scope = match fields.u8("BackendsChanged")? {
+        0 => ListScope::Delta,
+        1 => ListScope::Full,
+        2 => ListScope::Cached,
+        3 => ListScope::Failed,
+        other => return Err(Malformed::new(format!("BackendsChanged: unknown scope {other}"))),
+    };
+    let _version = fields.u32("BackendsChanged")?;
+    Ok(DecodedEvent::Backends { scope, list: usize::from(fields.u8("BackendsChanged")?) })
+}
+
+fn peer<'a>(fields: &mut Fields<'a>) -> Result<DecodedEvent<'a>, Malformed> {
+    let from = fields.u32("NeighbourSays")?;
+    let length = usize::from(fields.u16("NeighbourSays")?);
+    Ok(DecodedEvent::Peer { from, body: fields.bytes(length, "NeighbourSays")? })
+}
+
+fn counted(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+    let name = fields.u64("Reckoned")?;
+    let outcome = outcome(fields.u8("Reckoned")?)?;
+    let total = fields.f32("Reckoned")?;
+    Ok(DecodedEvent::Plain(Event::Counted { name, outcome, total }))
+}
+
+fn probed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+    let backend = fields.u32("Probed")?;
+    let _latency_ms = fields.f64("Probed")?;
+    let outcome = outcome(fields.u8("Probed")?)?;
+    Ok(DecodedEvent::Probed { backend, outcome, load: fields.load_report()? })
+}
+
+fn stream_started(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+    let id = fields.u64("Flowing")?;
+    let attempt = u32::from(fields.u16("Flowing")?);
+    let backend = fields.u32("Flowing")?;
+    Ok(DecodedEvent::Plain(Event::StreamStarted { id, attempt, backend }))
+}
+
+fn endpoint(fields: &mut Fields<'_>) -> Result<BackendEntry, Malformed> {
+    let state = match fields.u8("Directory")? {
+        1 => Readiness::Ready,
+        2 => Readiness::Draining,
+        3 => Readiness::Gone,
+        other => return Err(Malformed::new(format!("Directory: unknown state {other}"))),
+    };
+    let id = fields.u32("Directory")?;
+    let cell = u32::from(fields.u16("Directory")?);
+    let zone = u32::from(fields.u8("Directory")?);
+    let started_ms = fields.f64("Directory")?;
+    let weight = fields.f32("Directory")?;
+    // Numbers are the same at all gateways here.
+    let key = u64::from(id);
+    Ok(BackendEntry { id, key, state, cell, zone, started_ms, weight, ..BackendEntry::default() })
+}
+
+fn request(fields: &mut Fields<'_>) -> Result<Request, Malformed> {
+    let message = "NewRequest";
+    let id = fields.u64(message)?;
+    let width = fields.f32(message)?;
+    let _unused = fields.f32(message)?;
+    let retry = fields.u8(message)? & RETRY_FLAG != 0;
+    let plan = usize::from(fields.u16(message)?);
+    let units = fields.f32(message)?;
+    let expires_ms = fields.f64(message)?;
+    let class = usize::from(fields.u8(message)?);
+    let customer = fields.u64(message)?;
+    Ok(Request { id, customer, plan, class, units, width, expires_ms, retry })
+}
+
+fn ended(fields: &mut Fields<'_>) -> Result<EndedAttempt, Malformed> {
+    let message = "Result";
+    let id = fields.u64(message)?;
+    let attempt = u32::from(fields.u16(message)?);
+    let backend = fields.u32(message)?;
+    let outcome = outcome(fields.u8(message)?)?;
+    let latency_ms = fields.f64(message)?;
+    let closed = fields.u8(message)? != 0;
+    let metered = fields.u16(message)?;
+    let charged = fields.u16(message)?;
+    Ok(EndedAttempt {
+        id,
+        attempt,
+        backend,
+        outcome,
+        latency_ms,
+        closed,
+        metered: (metered > 0).then(|| f64::from(metered - 1) / METERED_UNIT),
+        charged: (charged > 0).then(|| f64::from(charged)),
+        load: fields.load_report()?,
+    })
+}
+
+fn outcome(code: u8) -> Result<Outcome, Malformed> {
+    Ok(match code {
+        0 => Outcome::Error,
+        1 => Outcome::Ok,
+        2 => Outcome::Full,
+        3 => Outcome::Timeout,
+        4 => Outcome::ConnectFailed,
+        5 => Outcome::Reset,
+        6 => Outcome::Cancelled,
+        7 => Outcome::Moot,
+        other => return Err(Malformed::new(format!("unknown reason {other}"))),
+    })
+}
--- a/crates/benchlink/src/wire/tests.rs
+++ b/crates/benchlink/src/wire/tests.rs
@@ -1,9 +1,10 @@
 //! Replies that no conversation brings forth: a message to the other gateways, and the report of a panic.
 
 use super::*;
+use slatelock::interface::Action;
 
 #[test]
-fn a_message_to_the_other_gateways_is_written_byte_for_byte() {
+fn message_to_peers_is_written_byte_for_byte() {
     let mut reply = Reply::new(258);
     reply.action(3, &Action::Tell { body: b"abc".to_vec() });
     let expected = [
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn the_report_of_a_panic_is_written_byte_for_byte_and_cut_to_its_length_field() {
+fn panic_report_is_written_byte_for_byte_and_truncated() {
     let mut reply = Reply::new(1);
     reply.bug(2, "oh");
     let expected =
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn an_attempt_is_told_without_its_write_deadline() {
+fn attempt_is_written_without_its_write_deadline() {
     let mut reply = Reply::new(1);
     for begin_by_ms in [None, Some(1.0)] {
         reply.action(2, &Action::Send { id: 9, backend: 77, begin_by_ms });
--- a/crates/benchlink/tests/link.rs
+++ b/crates/benchlink/tests/link.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn empty_batches_are_answered_and_the_end_of_input_ends_it() {
+fn empty_batches_are_answered_until_the_end_of_input() {
     let output = run(&[batch(1, 0.0, &[]), batch(2, 1.0, &[])].concat());
     assert!(output.status.success());
     assert_eq!(output.stdout, [reply(1, &[]), reply(2, &[])].concat());
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_request_is_sent_on_byte_for_byte() {
+fn request_is_sent_byte_for_byte() {
     let records =
         [context(3), create(SETTINGS), directory(0, 77), changed(2, 0), ask(9, 5_000.0, b"later fields")];
     let output = run(&batch(12, 1_000.0, &records));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn list_numbers_are_resolved_in_event_order_and_a_killed_gateway_starts_afresh() {
+fn lists_resolve_in_event_order_and_killed_gateways_start_afresh() {
     let records = [
         context(0),
         create(SETTINGS),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_it() {
+fn malformed_input_is_reported_and_ends_the_adapter() {
     let lacking = SETTINGS.replace("\"group-size\": 2,", "");
     let odd = SETTINGS.replace("\"me\": 0", "\"me\": 9");
     let cases: [(Vec<u8>, &str); 10] = [
--- a/crates/pacing/tests/pauses.rs
+++ b/crates/pacing/tests/pauses.rs
@@ -23,7 +23,7 @@
     /// However many there are, a gateway is never later than it may be; and as far as that allows, all of
     /// them that fail all the time call no more often than the service bears, and spread out.
     #[test]
-    fn none_is_late_and_all_together_spread_their_calls(gateways in 1u32..=1_000, seed: u64) {
+    fn no_gateway_is_late_and_calls_are_spread(gateways in 1u32..=1_000, seed: u64) {
         let mut calls = Vec::new();
         for pauses in &mut fleet(gateways, seed) {
             let mut at = pauses.start(EACH, START, gateways);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_few_gateways_pause_as_one_does() {
+fn few_gateways_pause_like_one() {
     for gateways in [0, 1, 2] {
         let mut pauses = Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
         assert!(pauses.failed() < FIRST * 3 / 2);
--- a/crates/records/tests/records.rs
+++ b/crates/records/tests/records.rs
@@ -2,15 +2,15 @@
 
 use std::collections::HashMap;
 
-use beechrudder_records::{Full, Kept, Records};
+use beechrudder_records::{BoundedCache, Evictable, Evicted, Full};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 #[derive(Debug)]
 struct Debt(Option<f64>);
 
-impl Kept for Debt {
-    fn cost(&mut self, _: f64) -> Option<f64> {
+impl Evictable for Debt {
+    fn eviction_cost(&mut self, _: f64) -> Option<f64> {
         self.0
     }
 }
@@ -21,11 +21,11 @@
 
 proptest! {
     #[test]
-    fn there_are_never_more_and_what_must_stay_stays(
+    fn cache_keeps_its_bound_and_the_records_that_must_stay(
         most in 1usize..40,
         steps in vec(step(), 1..400),
     ) {
-        let (mut records, mut must, mut cost) = (Records::<Debt>::new(most), HashMap::new(), 0.0);
+        let (mut records, mut must, mut cost) = (BoundedCache::<Debt>::new(most), HashMap::new(), 0.0);
         for (key, debt, settles) in steps {
             if let Some(record) = records.get_mut(key) {
                 if settles {
@@ -49,8 +49,8 @@
             }
             prop_assert!(records.len() <= most);
             prop_assert!(must.keys().all(|key| records.get(*key).is_some()), "one that must stay is gone");
-            prop_assert!(records.forgotten().1 >= cost);
-            cost = records.forgotten().1;
+            prop_assert!(records.evicted().cost >= cost);
+            cost = records.evicted().cost;
         }
         // A sweep that finds all empty leaves none, so each was in the order exactly once.
         let all = records.len();
@@ -60,19 +60,19 @@
 }
 
 #[test]
-fn the_cheapest_of_those_looked_at_goes_first() {
-    let mut records = Records::new(8);
+fn cheapest_sampled_record_is_evicted_first() {
+    let mut records = BoundedCache::new(8);
     for key in 0..8u64 {
         records.insert(0.0, key, Debt(Some(10.0 - key as f64))).expect("room");
     }
     records.insert(0.0, 100, Debt(None)).expect("one goes");
     assert!(records.get(7).is_none() && records.get(0).is_some());
-    assert_eq!(records.forgotten(), (1, 3.0));
+    assert_eq!(records.evicted(), Evicted { records: 1, cost: 3.0 });
 }
 
 #[test]
-fn where_none_may_go_a_newcomer_is_turned_away_until_one_settles() {
-    let mut records = Records::new(100);
+fn full_cache_rejects_newcomers_until_a_record_may_go() {
+    let mut records = BoundedCache::new(100);
     for key in 0..100 {
         records.insert(0.0, key, Debt(None)).expect("room");
     }
@@ -85,11 +85,11 @@
 }
 
 #[test]
-fn what_fits_is_within_its_bytes_with_the_doubling_and_more_bytes_fit_more() {
+fn capacity_fits_its_bytes_and_grows_with_them() {
     let slot = size_of::<Debt>() + 17;
     let mut last = 0;
     for bytes in [1, 1_000, 100_000, 1 << 20, 8 << 20, 64 << 20] {
-        let fits = Records::<Debt>::fit(bytes);
+        let fits = BoundedCache::<Debt>::capacity_for(bytes);
         // The table that a doubling makes and the one before it, half as large.
         let slots = (fits * 8).div_ceil(7).next_power_of_two();
         assert!(fits == 1 || slots * slot * 3 / 2 <= bytes, "{fits} in {bytes}");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,23 +1,31 @@
-//! Where a request of a gateway may go, at a cost that does not grow with the fleet.
+//! The backends that a gateway knows, indexed so that selecting one for a request costs the same however
+//! many there are.
 //!
 //! It does no I/O, reads no clock and decides nothing: the decisions draw candidates from it and read its
 //! sums. Times are milliseconds on the caller's clock, which never runs backwards.
 //!
 //! ```text
-//!   the list ──────▶ Index ─┬─ slots, by number           the caller's record of each backend
-//!   what is learned ─▶      ├─ groups: fleet, home, each zone, cell and type
-//!                           │     open │ ejected           drawn from by chance, in constant time
-//!                           │     draining, cold           counts
-//!                           ├─ warm push                   sums that fade, in place of scans
-//!                           ├─ agendas                     who is warm by now; who is to be looked at
-//!                           └─ Subset                      which backends are this gateway's home
+//!   endpoint list ─────▶ Index ─┬─ slots                     the caller's record of each backend
+//!   what is learned ───▶        ├─ groups: fleet, subset, each zone, cell and instance type
+//!                               │     available │ ejected    drawn from by chance, in constant time
+//!                               │     draining, warming up   counts
+//!                               ├─ warm push                 decayed sums, in place of scans
+//!                               ├─ schedules                 who is warm by now; who is due for a check
+//!                               └─ membership                which backends are this gateway's subset
 //! ```
 
-mod agenda;
 mod group;
+mod groups;
 mod index;
+mod membership;
+mod push;
+mod schedule;
 mod subset;
 
 pub use group::Counts;
-pub use index::{Facts, Filed, From, Index, Listing, Reach, HOME_LEAST};
+pub use groups::Scope;
+pub use index::{Attributes, Index, Indexed, ListState, Sampling};
+pub use membership::LEAST_SUBSET;
+/// The older name of [`LEAST_SUBSET`], which `cold-start` still imports.
+pub use membership::LEAST_SUBSET as HOME_LEAST;
 pub use subset::Subset;
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,36 +1,40 @@
-//! Which backends are a gateway's own. Rendezvous hashing (Thaler and Ravishankar, 1998) from the backends'
-//! side: each takes the gateways that weigh most for it, so that it is the backends that get equal numbers.
+//! Which backends a gateway prefers: its subset. Rendezvous hashing (Thaler and Ravishankar, 1998) from the
+//! backends' side: each takes the gateways that weigh most for it, so that it is the backends that get
+//! equal numbers.
 
 /// A gateway's place among all, and how many backends it wants.
 #[derive(Clone, Copy, Debug)]
 pub struct Subset {
+    /// This gateway's number, from 0.
     me: u32,
     gateways: u32,
+    /// Backends that a gateway wants.
     size: f64,
-    least: f64,
+    /// Gateways that each backend has at least, where there are as many.
+    coverage: f64,
 }
 
 impl Subset {
     /// For gateway `me` of `gateways`, numbered from 0: `size` backends, and as many more as give each
-    /// backend `least` gateways, or all where there are no more.
+    /// backend `coverage` gateways, or all where there are no more.
     #[must_use]
-    pub fn new(me: u32, gateways: u32, size: u32, least: u32) -> Subset {
+    pub fn new(me: u32, gateways: u32, size: u32, coverage: u32) -> Subset {
         let gateways = gateways.max(1);
-        let least = f64::from(least.clamp(1, gateways));
-        Subset { me, gateways, size: f64::from(size.max(1)), least }
+        let coverage = f64::from(coverage.clamp(1, gateways));
+        Subset { me, gateways, size: f64::from(size.max(1)), coverage }
     }
 
     /// Gateways that each backend has while so many are ready. Not whole: some have one more than others,
     /// so that it moves as little with one backend as the fleet does.
     ///
-    /// A home is the sum of what makes evidence and of a part of the load. Danger: a hundred gateways of
-    /// little traffic before backends that each of them meets once in seconds: most meetings cost a
-    /// handshake, and none tells in time who is slow. Harm: a gateway sees less of the fleet, and spills over
-    /// sooner.
+    /// A subset is as large as it takes to learn from answers who is slow, and to cover a part of the load.
+    /// If a hundred gateways of little traffic used all backends, each would meet each of them once in
+    /// seconds: most meetings would cost a handshake, and none would tell in time who is slow. With a
+    /// subset a gateway sees less of the fleet, and spills over sooner.
     #[must_use]
     pub fn degree(&self, ready: usize) -> f64 {
         let all = f64::from(self.gateways);
-        (self.size * all / ready.max(1) as f64 + self.least).min(all)
+        (self.size * all / ready.max(1) as f64 + self.coverage).min(all)
     }
 
     /// The degree above which a backend belongs to this gateway: how many gateways weigh more for it, and a
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -17,7 +17,7 @@
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_backend_has_as_many_gateways_as_any_other(gateways in 1u32..=120, backends in 1u32..=2_000) {
+    fn gateways_per_backend_are_balanced(gateways in 1u32..=120, backends in 1u32..=2_000) {
         let all: Vec<Vec<f64>> = (0..gateways).map(|me| thresholds(me, gateways, backends)).collect();
         let degree = degree(gateways, backends as usize);
         prop_assert!(degree >= f64::from(gateways.min(3)) && degree <= f64::from(gateways));
@@ -25,7 +25,7 @@
             let has = all.iter().filter(|t| t[b] < degree).count();
             prop_assert!(has == degree.floor() as usize || has == degree.ceil() as usize);
         }
-        // Homes differ by chance alone: five deviations of a binomial spread.
+        // Subsets differ by chance alone: five deviations of a binomial spread.
         let mean = degree * f64::from(backends) / f64::from(gateways);
         for t in &all {
             let size = t.iter().filter(|t| **t < degree).count() as f64;
@@ -34,7 +34,7 @@
     }
 
     #[test]
-    fn one_backend_more_or_less_moves_no_more_than_its_own_gateways(
+    fn one_backend_more_or_less_moves_only_its_own_gateways(
         gateways in 1u32..=500, backends in 1u32..=10_000,
     ) {
         // Seen from one gateway: what it gains or loses in the mean is its part of the degree.
@@ -47,7 +47,7 @@
     }
 
     #[test]
-    fn one_gateway_more_takes_its_part_and_the_others_keep_theirs(
+    fn one_gateway_more_takes_only_its_share(
         gateways in 2u32..=500, backends in 100u32..=3_000,
     ) {
         let (me, k) = (gateways / 2, 3.0);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn one_gateway_alone_has_all_and_a_small_fleet_is_everybodys() {
+fn single_gateways_and_small_fleets_use_every_backend() {
     assert!(thresholds(0, 1, 4_000).into_iter().all(|t| t < degree(1, 4_000)));
     for (gateways, backends) in [(2, 10), (3, 14), (4, 20), (5, 12)] {
         let most = degree(gateways, backends as usize);
@@ -71,6 +71,6 @@
     }
     assert_eq!(degree(60, 1_000), 3.3);
     // Many gateways before few backends keep to some of them.
-    let home = degree(100, 60) * 60.0 / 100.0;
-    assert!((6.5..7.5).contains(&home), "{home}");
+    let size = degree(100, 60) * 60.0 / 100.0;
+    assert!((6.5..7.5).contains(&size), "{size}");
 }
--- /dev/null
+++ b/crates/slatelock/src/interface/mod.rs
@@ -0,0 +1,15 @@
+//! Settings, events and actions of a [`Gateway`](crate::Gateway), as plain types.
+//!
+//! Times are milliseconds on the caller's clock, which never runs backwards.
+
+mod actions;
+mod endpoints;
+mod events;
+mod settings;
+
+pub use actions::Action;
+pub use endpoints::{BackendEntry, ListScope, Readiness};
+pub use events::{Event, Outcome, Request, Untold};
+pub use settings::{
+    Class, Effect, Group, Limits, LoadField, Plan, Routing, Settings, SettingsError, SlowStart,
+};
--- a/crates/slatelock/src/lib.rs
+++ b/crates/slatelock/src/lib.rs
@@ -8,8 +8,6 @@
 mod policy;
 #[cfg(feature = "settings")]
 pub mod settings;
-mod state;
-mod store;
 #[cfg(feature = "settings")]
 pub mod terms;
 mod view;
--- a/crates/slatelock/src/policy/admission.rs
+++ b/crates/slatelock/src/policy/admission.rs
@@ -1,183 +1,214 @@
-//! Who is let in: quota, ceiling, room, and how pressed the fleet is.
+//! Whether a request is admitted: concurrency limit, ceiling, quota, then room on the backends.
 
-use super::{Gateway, CALL_LEAST, COUNT_WAIT, FEW, KEEP, LEAST_BEARABLE, PRIOR, UNSEEN_WEIGHT};
+use super::counter_calls::Report;
+use super::endpoint_selection::Selection;
+use super::quota::{CustomerContext, CustomerQuota, QuotaCheck};
+use super::timers::TimerKind;
+use super::Gateway;
 use crate::interface::{Action, Request};
-use crate::state::{roll, Ratio};
-use crate::store::Customer;
 
-/// Part of the room for records that is taken when newcomers have no local part.
-const PRESSED: f64 = 0.75;
+/// Part of the room for customers' records from which on newcomers have no local allowance.
+const RECORDS_SCARCE_FROM: f64 = 0.75;
 /// Demand, as a part of the rate, up to which a customer needs no call while the counter is crowded.
 const CALM_DEMAND: f64 = 0.5;
-/// How cheap a request beyond the quota is at the most: 1 and this much less than its worth.
-const CHEAP_MOST: f64 = 1.15;
-/// Least chance of a call for a calm customer while the counter is well, so that totals tell of it.
-const CALM_LEAST: f64 = 0.2;
-/// Times its own charge that a call tells for requests without one, at most.
-const BESIDE_MOST: f64 = 2.0;
-/// Part of a class's aim that waiting for the counter may take.
-const COUNT_WAIT_PART: f64 = 0.125;
-/// Part of the requests that is refused for want of room when refusing is no cure.
-const MOSTLY: f64 = 0.75;
-/// Answers in which the least slowness rises to the present one.
-const CALM_RISE: f64 = 4000.0;
+/// Times its own charge that a call reports for requests without one, at most.
+const MOST_EXTRA_REPORT: f64 = 2.0;
+/// Part of a class's latency objective that waiting for the counter may take.
+const COUNTER_WAIT_FRACTION: f64 = 0.125;
+
+/// What lets a request pass its quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Evidence {
+    /// A total of the shared counter.
+    Total,
+    /// This gateway's own estimate.
+    Estimate,
+}
+
+/// A request that this gateway must not charge without asking, and what speaks for a call.
+#[derive(Clone, Copy, Debug)]
+struct UncoveredCharge {
+    id: u64,
+    customer: u64,
+    class: usize,
+    units: f64,
+    selection: Selection,
+    /// The bucket covers it but for what is only assumed of other gateways.
+    doubtful: bool,
+    /// A call decides nothing.
+    dispensable: bool,
+    /// The customer's use over all gateways, as a part of its rate.
+    demand: f64,
+    over_quota_penalty: f64,
+    /// Part of the charge that need not be reported now.
+    deferred_fraction: f64,
+}
 
 impl Gateway {
-    /// Decides on a request that just came: quota, ceiling, room; then sends, calls or refuses.
+    /// Decides on a request that just came: quota, ceiling, room; then sends it, calls the counter or
+    /// rejects.
     pub(super) fn admit(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request.clone();
-        let (customer, units) = (request.customer, request.units);
-        let width = if request.width >= 1.0 { request.width } else { f64::from(self.settings.gateways) };
-        let prior = self.settings.max_units.max(1.0);
-        if self.customers.get(customer).is_none() {
-            let plan = self.settings.plans.get(request.plan).cloned().unwrap_or_default();
-            let mut new = Customer::new(customer, plan, width, now, self.born, self.settings.counter);
-            // Danger: charges of a crowd of newcomers that no total holds, so that none could be forgotten.
-            // They are told at once. Harm: each waits for the counter, as far as calls have a chance.
-            new.local = if self.customers.filled() > PRESSED { 0.0 } else { new.local };
-            new.shared_by(self.processes);
-            if self.customers.insert(now, customer, new).is_err() {
-                return self.give_up(now, id, actions);
-            }
+        let Some(check) = self.check_quota(now, &request) else {
+            return self.give_up(id, actions);
+        };
+        let selection = if check.exceeded { None } else { self.find_capacity(now, id) };
+        let Some(selection) = selection else {
+            return self.give_up(id, actions);
+        };
+        let quota = self.customers.get_mut(request.customer).expect("checked above");
+        if quota.plan.rate <= 0.0 {
+            return self.send_first(now, id, Some(selection), Evidence::Estimate, actions);
         }
-        let c = self.customers.get_mut(customer).expect("just put there");
-        c.refill(now);
-        let cap = (f64::from(c.plan.open) * c.share(prior).max(1.0 / c.width) / c.processes).max(1.0);
-        let over_open = c.plan.open > 0 && f64::from(c.open) + 1.0 > cap;
-        let scarce = c.plan.ceiling_rate > 0.0 && c.ceiling < units;
-        let over_ceiling = scarce && !c.totals_keep;
-        // Danger: what is only assumed of others refuses, so that no call is made that would tell better.
-        let doubtful = c.level < units && c.level + c.assumed >= units;
-        let over_quota = c.plan.rate > 0.0 && c.level < units && !doubtful;
-        let chosen = if over_open || over_ceiling || over_quota { None } else { self.room(now, id) };
-        if chosen.is_none() {
-            return self.give_up(now, id, actions);
+        if !check.doubtful && quota.spend_locally(request.units) {
+            self.requests.get_mut(&id).expect("just arrived").charge = request.units;
+            return self.send_first(now, id, Some(selection), Evidence::Estimate, actions);
         }
-        let c = self.customers.get_mut(customer).expect("just put there");
-        if c.plan.rate <= 0.0 {
-            return self.forward(now, id, chosen, false, actions);
+        let charge = self.uncovered_charge(&request, selection, &check);
+        self.decide_on_call(now, &charge, actions);
+    }
+
+    /// Checks a request against its customer's limits; none if there is no room for the customer's record.
+    fn check_quota(&mut self, now: f64, request: &Request) -> Option<QuotaCheck> {
+        self.ensure_customer(now, request)?;
+        let share_prior = self.share_prior();
+        let quota = self.customers.get_mut(request.customer)?;
+        quota.refill(now);
+        Some(quota.check(request.units, share_prior))
+    }
+
+    /// Creates the customer's record if there is none yet; none if there is no room for one.
+    fn ensure_customer(&mut self, now: f64, request: &Request) -> Option<()> {
+        if self.customers.get(request.customer).is_some() {
+            return Some(());
         }
-        let held = self.requests.get_mut(&id).expect("held");
-        if !doubtful && (c.width <= 1.0 || c.local >= units) {
-            c.local -= units;
-            held.charge = units;
-            c.spend(units);
-            return self.forward(now, id, chosen, false, actions);
+        let plan = self.settings.plans.get(request.plan).cloned().unwrap_or_default();
+        let known = request.width >= 1.0;
+        let fan_out = if known { request.width } else { f64::from(self.settings.gateways) };
+        let mut quota = CustomerQuota::new(request.customer, plan, &self.customer_context(now, fan_out));
+        // Charges of a crowd of newcomers that no total holds could not be forgotten. They are reported at
+        // once, so each newcomer waits for the counter, as far as calls have a chance.
+        if self.customers.filled() > RECORDS_SCARCE_FROM {
+            quota.withhold_local_allowance();
         }
-        // Danger: more calls than a counter can take, or one that is down. While calls fail or wait, fewer
-        // are made, and first left out are those that decide nothing: of customers who, as far as anyone
-        // told, use little or came just now, and whose store is half full after all. Their charges go with
-        // a later call. Harm: one who asks much from the first is found out only at half the store.
-        let demand = c.demand.with_prior(1.0, units);
-        let calm = (c.heard == f64::MIN || demand < CALM_DEMAND) && c.level - units >= c.plan.burst / 2.0;
-        // A total is what lets it pass under the ceiling.
-        let calm = calm && !scarce;
-        // Of these the first are of plans whose requests cost least beyond the quota. Danger: an order that
-        // leaves all calls where all cost the same, so that a lower chance lessens none. It is relative to
-        // the requests that come: on the whole calls fall as fast as if there was no order.
-        let cheap = CHEAP_MOST - c.plan.over_cost.min(1.0);
-        self.cheap.add(cheap, 1.0, KEEP.1);
-        let first = cheap / self.cheap.with_prior(cheap, f64::MIN_POSITIVE);
-        let (room, less, least) = if calm { (1.0, 2.0 * first, CALM_LEAST) } else { (2.0, 2.0, CALL_LEAST) };
-        let chance = (room - (1.0 - self.call_chance) * less).clamp(least.min(self.call_chance), 1.0);
-        let kept = c.kept_part(self.mean_units.with_prior(1.0, f64::MIN_POSITIVE));
-        if !self.settings.counter || roll(&mut self.rng) >= chance {
-            // Danger: what was never charged, given back.
-            let passes = self.call_chance >= 1.0 || roll(&mut self.rng) * demand < 1.0;
-            if doubtful || !(passes || self.settings.counter && calm) {
-                return self.give_up(now, id, actions);
-            }
-            held.charge = units;
-            if self.settings.counter && calm {
-                c.spend(units);
-                held.beside = (kept - 1.0) * units;
-                c.unreported += held.beside;
-                return self.forward(now, id, chosen, false, actions);
-            }
-            return self.uncounted(now, id, actions);
+        quota.share_among(self.processes);
+        self.customers.insert(now, request.customer, quota).ok()
+    }
+
+    /// What a new customer's record begins with.
+    pub(super) fn customer_context(&self, now: f64, fan_out: f64) -> CustomerContext {
+        let (gateway_started_at, has_counter) = (self.started_at, self.settings.counter);
+        CustomerContext { now, gateway_started_at, fan_out, has_counter }
+    }
+
+    /// Units that an even share of a customer's use is worth until more is known.
+    pub(super) fn share_prior(&self) -> f64 {
+        self.settings.max_units.max(1.0)
+    }
+
+    fn uncovered_charge(
+        &self,
+        request: &Request,
+        selection: Selection,
+        check: &QuotaCheck,
+    ) -> UncoveredCharge {
+        let units = request.units;
+        let quota = self.customers.get(request.customer).expect("checked by the caller");
+        let demand = quota.demand(units);
+        // As far as anyone told, the customer uses little or came just now, and its bucket is half full
+        // after all. One who asks much from the first is found out only at half the bucket.
+        let calm = (quota.is_new() || demand < CALM_DEMAND) && quota.is_half_full_after(units);
+        UncoveredCharge {
+            id: request.id,
+            customer: request.customer,
+            class: request.class,
+            units,
+            selection,
+            doubtful: check.doubtful,
+            // A total is what lets it pass under a scarce ceiling.
+            dispensable: calm && !check.ceiling_scarce,
+            demand,
+            over_quota_penalty: quota.plan.over_cost,
+            deferred_fraction: quota.deferred_fraction(self.latency.mean_units()),
         }
-        c.roll(now);
-        c.spend(units);
-        (held.charge, held.counting) = (units, true);
-        held.beside = units * (1.0 - kept) * (1.0 / chance - 1.0).min(BESIDE_MOST);
-        let beside = held.beside;
-        self.call(now, id, customer, (0.0, beside), actions);
-        let longest = self.settings.counter_timeout_ms;
-        let wait = (self.settings.classes[request.class].aim_ms * COUNT_WAIT_PART).min(longest);
-        actions.push(Action::Timer { token: id << 2 | COUNT_WAIT, at_ms: now + wait });
     }
 
-    /// Danger: queues no answer comes out of in time (the design's store does not see them), or load
-    /// that wears servers down. Whether some backend is expected to leave every class enough of its aim.
-    /// Gives that one.
-    pub(super) fn room(&mut self, now: f64, id: u64) -> Option<(usize, f64)> {
-        let some = self.choose(now, id).filter(|(_, slow)| *slow <= self.fleet.bearable);
-        let pressure = self.pressure(now);
-        // Danger: clients with little time left. What is not expected to be done by then is not begun.
-        let Request { class, units, expires_ms, .. } = self.requests[&id].request;
-        let in_time = self.work(class, units) * self.fleet.calm * pressure <= expires_ms - now;
-        let room = some.filter(|_| in_time && pressure <= self.fleet.bearable);
-        self.fleet.refused += (1.0 - KEEP.1) * (f64::from(u8::from(room.is_none())) - self.fleet.refused);
-        room
+    /// Calls the counter for a charge, or proceeds without. While calls fail or wait, fewer are made.
+    fn decide_on_call(&mut self, now: f64, charge: &UncoveredCharge, actions: &mut Vec<Action>) {
+        let chance = self.call_throttle.chance_of_call(charge.dispensable, charge.over_quota_penalty);
+        if self.settings.counter && self.random.fraction() < chance {
+            self.charge_with_call(now, charge, chance, actions);
+        } else {
+            self.charge_without_call(now, charge, actions);
+        }
     }
 
-    /// Present slowness of the fleet against its calm. Danger: few answers, and none from backends that
-    /// stall. So time spent counts, answered or not, over what was expected of the answers.
-    pub(super) fn pressure(&self, now: f64) -> f64 {
-        let f = &self.fleet;
-        let keep = (-(now - f.at) / self.longest.0).exp().max(f64::EPSILON);
-        let prior = f.mean_work * PRIOR / keep;
-        // What is usually out counts as well where the gateway is one of many, and sees little else.
-        let few = (FEW / f64::from(self.settings.gateways)).min(1.0);
-        // Danger: a gateway that begins knows no usual load, and takes its first requests for a jam. Until it
-        // has some answers, what is out is usual for as long as it may take.
-        let unseen = (1.0 - f.answers / UNSEEN_WEIGHT).max(0.0);
-        let or_now = |usual: f64, now: f64| usual + unseen * (now - usual).max(0.0);
-        let usual_open = or_now(f.open_mean * few, f.waiting.0 * f.mean_work);
-        let time = (f.lately.seen + f.open(now) - usual_open).max(0.0);
-        let time = Ratio { seen: time, ..f.lately };
-        let queueing = time.with_prior(f.calm, prior) / f.calm - 1.0;
-        // What this gateway has out tells of the whole as far as the others are few.
-        let others = f64::from(self.settings.gateways);
-        1.0 + queueing * (f.out + others) / (or_now(f.out_mean, f.out) + others)
+    /// Charges a request and asks the counter for the total; the request waits for that.
+    fn charge_with_call(
+        &mut self,
+        now: f64,
+        charge: &UncoveredCharge,
+        chance: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let quota = self.customers.get_mut(charge.customer).expect("checked by the caller");
+        quota.enter_window(now);
+        quota.spend(charge.units);
+        let without_call = (1.0 / chance - 1.0).min(MOST_EXTRA_REPORT);
+        let extra = charge.units * (1.0 - charge.deferred_fraction) * without_call;
+        let open = self.requests.get_mut(&charge.id).expect("just arrived");
+        open.charge = charge.units;
+        open.awaits_total = true;
+        open.extra_report = extra;
+        let report = Report { overflow: 0.0, extra };
+        self.call_counter(now, Some(charge.id), charge.customer, report, actions);
+        let longest_ms = self.settings.counter_timeout_ms;
+        let wait_ms = (self.settings.classes[charge.class].aim_ms * COUNTER_WAIT_FRACTION).min(longest_ms);
+        let token = TimerKind::CounterWait.token(charge.id);
+        actions.push(Action::Timer { token, at_ms: now + wait_ms });
     }
 
-    /// Takes in an answer, or that none came in time: what is overdue would tell of a queue long past.
-    pub(super) fn lately(&mut self, now: f64, seen: f64, work: f64) {
-        let fade = (-(now - self.fleet.at) / (2.0 * self.longest.0)).exp().min(KEEP.1);
-        self.fleet.lately.add(seen, work, fade);
-        let weight = (1.0 - fade).max(1.0 / (self.fleet.answers + 1.0));
-        self.fleet.open_mean += weight * (self.fleet.open(now) - self.fleet.open_mean);
-        self.fleet.at = now;
+    /// Charges a request for which no call is made, and sends or rejects it.
+    fn charge_without_call(&mut self, now: f64, charge: &UncoveredCharge, actions: &mut Vec<Action>) {
+        let passes = self.call_throttle.unthrottled() || self.random.fraction() * charge.demand < 1.0;
+        let left_out = self.settings.counter && charge.dispensable;
+        // What was only assumed of others, and is still doubtful, must not be given back without a total.
+        if charge.doubtful || !(passes || left_out) {
+            return self.give_up(charge.id, actions);
+        }
+        let open = self.requests.get_mut(&charge.id).expect("just arrived");
+        open.charge = charge.units;
+        if !left_out {
+            return self.proceed_without_total(now, charge.id, actions);
+        }
+        let quota = self.customers.get_mut(charge.customer).expect("checked by the caller");
+        quota.spend(charge.units);
+        open.extra_report = (charge.deferred_fraction - 1.0) * charge.units;
+        quota.unreported += open.extra_report;
+        self.send_first(now, charge.id, Some(charge.selection), Evidence::Estimate, actions);
     }
 
-    /// Sends an admitted request on for the first time, to the backend that was chosen; `total` says whether
-    /// a total let it pass.
-    pub(super) fn forward(
+    /// Sends an admitted request for the first time, to the backend that was selected.
+    pub(super) fn send_first(
         &mut self,
         now: f64,
         id: u64,
-        chosen: Option<(usize, f64)>,
-        total: bool,
+        selection: Option<Selection>,
+        evidence: Evidence,
         actions: &mut Vec<Action>,
     ) {
-        let request = &self.requests[&id].request;
-        let c = self.customers.get_mut(request.customer).filter(|_| chosen.is_some());
-        // The ceiling once more: it may have been spent while a call was out.
-        let under = c.is_none_or(|c| c.draw_ceiling(request.units, total, roll(&mut self.rng)));
-        match chosen {
-            Some((place, finish)) if under => self.send(now, id, place, finish, actions),
-            _ => self.give_up(now, id, actions),
+        let selection = selection.filter(|_| self.draw_ceiling(id, evidence));
+        match selection {
+            Some(selection) => self.send(now, id, selection, actions),
+            None => self.give_up(id, actions),
         }
     }
 
-    /// Least slowness of late: the yardstick for load. It rises slowly, lest a long trouble become it.
-    pub(super) fn learn_calm(&mut self) {
-        let fleet = self.fleet.slowness();
-        // Danger: an idle fleet slower than was assumed. Where most is refused and it is still slow, it is.
-        let f = &self.fleet;
-        let rise = if f.refused > MOSTLY && f.calm < LEAST_BEARABLE { 10.0 } else { 1.0 } / CALM_RISE;
-        let pace = if fleet < f.calm { 1.0 - KEEP.0 } else { rise };
-        self.fleet.calm += pace * (fleet - self.fleet.calm);
+    /// Draws a request from the ceiling, if that is allowed. It is checked once more here, as it may have
+    /// been spent while a counter call was in flight.
+    fn draw_ceiling(&mut self, id: u64, evidence: Evidence) -> bool {
+        let request = &self.requests[&id].request;
+        let Some(quota) = self.customers.get_mut(request.customer) else { return true };
+        quota.draw_ceiling(request.units, evidence == Evidence::Total, self.random.fraction())
     }
 }
--- /dev/null
+++ b/crates/slatelock/src/policy/counter_calls.rs
@@ -0,0 +1,198 @@
+//! Calls to the shared counter: what is reported, what a total decides, and what is done without one.
+
+use std::collections::{HashMap, VecDeque};
+
+use super::admission::Evidence;
+use super::quota::WINDOW_MS;
+use super::random::mix;
+use super::request::OpenRequest;
+use super::Gateway;
+use crate::interface::{Action, Outcome};
+
+/// A call in flight.
+#[derive(Debug)]
+pub(super) struct CounterCall {
+    /// The request that waits for it, if any.
+    request: Option<u64>,
+    customer: u64,
+    window: u64,
+    /// Charges that it reports.
+    pub(super) charge: f64,
+    /// Overflow that it reports: refill that found the bucket full.
+    pub(super) overflow: f64,
+    /// Charges that it stands for, of requests for which no call was made.
+    pub(super) extra: f64,
+    made_at: f64,
+}
+
+impl CounterCall {
+    /// What the call adds to the total.
+    pub(super) fn amount(&self) -> f64 {
+        self.charge + self.overflow + self.extra
+    }
+}
+
+/// Calls in flight by key; the counter answers those of a key in order.
+#[derive(Debug, Default)]
+pub(super) struct CallsInFlight {
+    by_key: HashMap<u64, VecDeque<CounterCall>>,
+}
+
+impl CallsInFlight {
+    fn push(&mut self, key: u64, call: CounterCall) {
+        self.by_key.entry(key).or_default().push_back(call);
+    }
+
+    /// Removes and returns the oldest call of a key.
+    fn pop(&mut self, key: u64) -> Option<CounterCall> {
+        let calls = self.by_key.get_mut(&key)?;
+        let call = calls.pop_front();
+        if calls.is_empty() {
+            self.by_key.remove(&key);
+        }
+        call
+    }
+}
+
+/// What a call reports beside the charges that the customer's record has for it.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Report {
+    pub(super) overflow: f64,
+    pub(super) extra: f64,
+}
+
+impl Gateway {
+    /// Reports to the counter what is unreported of a customer in this window. `request` waits for the
+    /// total.
+    pub(super) fn call_counter(
+        &mut self,
+        now: f64,
+        request: Option<u64>,
+        customer: u64,
+        report: Report,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(quota) = self.customers.get_mut(customer) else { return };
+        let charge = quota.start_call(report.overflow);
+        let window = quota.window;
+        let Report { overflow, extra } = report;
+        let call = CounterCall { request, customer, window, charge, overflow, extra, made_at: now };
+        let key = mix(customer ^ mix(window));
+        actions.push(Action::Count { name: key, amount: call.amount(), forget_after_ms: 2.0 * WINDOW_MS });
+        self.counter_calls.push(key, call);
+    }
+
+    /// A counter call ended.
+    pub(super) fn counter_call_finished(
+        &mut self,
+        now: f64,
+        key: u64,
+        outcome: Outcome,
+        total: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(call) = self.counter_calls.pop(key) else { return };
+        let total = Some(total).filter(|total| outcome == Outcome::Ok && total.is_finite());
+        self.call_throttle.call_finished(now, call.made_at, outcome, self.settings.counter_timeout_ms);
+        let covered = self.learn_from_call(now, &call, outcome, total, actions);
+        let Some(id) = call.request else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        if !open.awaits_total || open.answered {
+            return;
+        }
+        if total.is_none() {
+            return self.proceed_without_total(now, id, actions);
+        }
+        open.awaits_total = false;
+        if covered {
+            let selection = self.select_backend(now, id);
+            self.send_first(now, id, selection, Evidence::Total, actions);
+        } else {
+            self.give_up(id, actions);
+            self.take_back_rejected_charge(now, call.customer, actions);
+        }
+    }
+
+    /// Updates the customer's record with the result of a call, and reports overflow that it showed.
+    /// Returns whether the bucket covers what was charged.
+    fn learn_from_call(
+        &mut self,
+        now: f64,
+        call: &CounterCall,
+        outcome: Outcome,
+        total: Option<f64>,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let spare = self.random.fraction() < self.call_throttle.surplus_chance();
+        let Some(quota) = self.customers.get_mut(call.customer) else { return true };
+        quota.refill(now);
+        quota.end_call(call);
+        let overflow = match total {
+            None => {
+                quota.learn_no_total(call, outcome);
+                0.0
+            }
+            Some(total) if call.window == quota.window => quota.learn_total(now, total, call, spare),
+            Some(_) => 0.0,
+        };
+        let covered = quota.level >= 0.0;
+        // The total holds charges that were rejected; the bucket itself can't be so far below nothing.
+        quota.level = quota.level.max(-self.settings.max_units);
+        if overflow != 0.0 {
+            self.call_counter(now, None, call.customer, Report { overflow, extra: 0.0 }, actions);
+        }
+        covered
+    }
+
+    /// Rejected charges that stand in the total would empty the buckets of all gateways, and these would
+    /// then let no call pass that would take them back. It is a second call where the quota is spent, so
+    /// there is none while the counter is crowded.
+    fn take_back_rejected_charge(&mut self, now: f64, customer: u64, actions: &mut Vec<Action>) {
+        let in_window = self.customers.get(customer).is_some_and(|quota| quota.in_window(now));
+        if in_window && self.random.fraction() < self.call_throttle.correction_chance() {
+            self.call_counter(now, None, customer, Report::default(), actions);
+        }
+    }
+
+    /// A silent counter must not use up the request's time: the request proceeds without the total.
+    pub(super) fn counter_wait_expired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
+        let waits = |open: &OpenRequest| open.awaits_total && !open.answered;
+        if self.requests.get(&id).is_some_and(waits) {
+            self.proceed_without_total(now, id, actions);
+        }
+    }
+
+    /// Continues a request for which no call was made, or whose call brought no total. The bucket decides
+    /// alone; what it lets pass is charged for the gateways unseen as well, by this one's learned share.
+    pub(super) fn proceed_without_total(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
+        let open = self.requests.get_mut(&id).expect("the caller found it");
+        let charged = std::mem::take(&mut open.awaits_total);
+        let (customer, units) = (open.request.customer, open.request.units);
+        if !self.charge_without_total(customer, units, charged) {
+            return self.give_up(id, actions);
+        }
+        let selection = self.select_backend(now, id);
+        self.send_first(now, id, selection, Evidence::Estimate, actions);
+    }
+
+    /// Charges a request for all gateways, if that is not done yet, and returns whether it passes.
+    fn charge_without_total(&mut self, customer: u64, units: f64, charged: bool) -> bool {
+        let share_prior = self.share_prior();
+        let Some(quota) = self.customers.get_mut(customer).filter(|quota| quota.plan.rate > 0.0) else {
+            return true;
+        };
+        quota.spend(if charged { 0.0 } else { units });
+        if quota.level < 0.0 {
+            return false;
+        }
+        let unseen = units * (1.0 / quota.own_share(share_prior) - 1.0);
+        if unseen <= quota.plan.burst {
+            quota.assume_of_others(unseen);
+            return true;
+        }
+        // The gateway's share is under one request, and none would ever pass. Such pass by chance, so that
+        // all gateways together pass the rate.
+        let rejected = self.random.fraction() * quota.demand(units) >= 1.0;
+        !rejected
+    }
+}
--- /dev/null
+++ b/crates/slatelock/src/policy/endpoint_list.rs
@@ -0,0 +1,116 @@
+//! What the endpoint list and load reports tell of the backends.
+
+use std::collections::HashSet;
+
+use super::backend::Backend;
+use super::timers::TimerKind;
+use super::Gateway;
+use crate::interface::{Action, BackendEntry, ListScope, LoadField, Readiness};
+
+/// Part of the time within which a gateway must ask for the list that it waits after a failure.
+const POLL_AGAIN_FRACTION: f64 = 0.1;
+
+impl Gateway {
+    /// Applies an update of the endpoint list.
+    pub(super) fn update_list(
+        &mut self,
+        now: f64,
+        scope: ListScope,
+        entries: &[BackendEntry],
+        actions: &mut Vec<Action>,
+    ) {
+        if self.settings.ask_for_list {
+            self.schedule_watch(now, scope, actions);
+        }
+        if matches!(scope, ListScope::Full | ListScope::Cached) {
+            self.remove_unlisted(now, entries);
+        }
+        for entry in entries {
+            self.update_backend(now, entry);
+        }
+    }
+
+    /// Schedules another request for the list where this update brings nothing new.
+    fn schedule_watch(&self, now: f64, scope: ListScope, actions: &mut Vec<Action>) {
+        let wait_ms = match scope {
+            ListScope::Failed => self.settings.ask_within_ms * POLL_AGAIN_FRACTION,
+            ListScope::Cached => 0.0,
+            ListScope::Delta | ListScope::Full => return,
+        };
+        actions.push(Action::Timer { token: TimerKind::WATCH_TOKEN, at_ms: now + wait_ms });
+    }
+
+    /// Removes the backends that a full list does not name.
+    fn remove_unlisted(&mut self, now: f64, entries: &[BackendEntry]) {
+        let listed: HashSet<u32> = entries.iter().map(|entry| entry.id).collect();
+        let known = self.backends.slots().map(|slot| self.backends.get(slot).entry.id);
+        let unlisted: Vec<u32> = known.filter(|id| !listed.contains(id)).collect();
+        for id in unlisted {
+            let removed = BackendEntry { id, state: Readiness::Gone, ..BackendEntry::default() };
+            self.update_backend(now, &removed);
+        }
+    }
+
+    /// Applies the list's entry of one backend.
+    fn update_backend(&mut self, now: f64, entry: &BackendEntry) {
+        let removed = entry.state == Readiness::Gone;
+        let Some(slot) = self.backends.find(entry.id) else {
+            if !removed {
+                self.backends.insert(now, Backend::new(now, entry, &self.settings));
+            }
+            return;
+        };
+        let known = self.backends.get(slot);
+        if removed {
+            self.backends.update(now, slot, |backend| backend.entry.state = entry.state);
+        } else if entry.cold_from_ms() > known.entry.cold_from_ms() {
+            // What was learned of the process before says nothing of this one.
+            let restarted = Backend {
+                in_flight: known.in_flight,
+                last_seen_at: known.last_seen_at,
+                ..Backend::new(now, entry, &self.settings)
+            };
+            self.backends.renew(now, slot, restarted);
+        } else {
+            self.backends.update(now, slot, |backend| backend.entry = entry.clone());
+        }
+        self.backends.check_at(slot, now);
+        self.forget_if_removed(now, entry.id);
+    }
+
+    /// Forgets a backend that is removed and has nothing in flight.
+    pub(super) fn forget_if_removed(&mut self, now: f64, id: u32) {
+        let Some(slot) = self.backends.find(id) else { return };
+        let backend = self.backends.get(slot);
+        if backend.is_removed() && backend.in_flight <= 0.0 {
+            self.backends.remove(now, slot);
+        }
+    }
+
+    /// The record of a backend, for what it is not filed by.
+    pub(super) fn backend_mut(&mut self, id: u32) -> Option<&mut Backend> {
+        let slot = self.backends.find(id)?;
+        Some(self.backends.get_mut(slot))
+    }
+
+    /// Records a backend's load report; an empty one is none.
+    pub(super) fn learn_load(&mut self, now: f64, id: u32, load: &[f32]) {
+        if load.is_empty() {
+            return;
+        }
+        let Some(slot) = self.backends.find(id) else { return };
+        let backend = self.backends.get_mut(slot);
+        backend.last_seen_at = now;
+        for (field, value) in self.settings.load_fields.iter().zip(load) {
+            match (field, f64::from(*value)) {
+                (LoadField::Waiting, n) if n.is_finite() => backend.waiting = n.max(0.0),
+                (LoadField::Active, n) if n.is_finite() => {
+                    backend.waiting = (n - backend.in_flight).max(0.0);
+                }
+                _ => continue,
+            }
+            backend.reported_at = now;
+            self.fleet.queue_reported(backend.waiting);
+        }
+    }
+}
--- /dev/null
+++ b/crates/slatelock/src/policy/final_answer.rs
@@ -0,0 +1,60 @@
+//! How a request ends: with one final answer, and everything else of it called off.
+
+use super::Gateway;
+use crate::interface::{Action, Request};
+
+impl Gateway {
+    /// Ends a request with the best answer that is legal: rejected where nothing ran, else failed.
+    pub(super) fn give_up(&mut self, id: u64, actions: &mut Vec<Action>) {
+        let Some(open) = self.requests.get(&id) else { return };
+        if open.answered || open.streaming {
+            return;
+        }
+        let answer = if self.may_reject(open) {
+            Action::Refuse { id, retry_after_ms: self.retry_after_ms(&open.request) }
+        } else {
+            Action::Surrender { id }
+        };
+        actions.push(answer);
+        self.finish(id, actions);
+    }
+
+    /// When a rejected client is told to come again, if it is told: once its quota covers the request.
+    fn retry_after_ms(&self, request: &Request) -> Option<f64> {
+        if !self.settings.limits.retry_advice {
+            return None;
+        }
+        let quota = self.customers.get(request.customer).filter(|quota| quota.plan.rate > 0.0)?;
+        let wait_ms = quota.time_to_cover_ms(request.units);
+        (wait_ms > 0.0).then(|| wait_ms.min(self.settings.limits.max_retry_after_ms))
+    }
+
+    /// Marks a request as answered, or as one that needs no answer any more.
+    pub(super) fn finish(&mut self, id: u64, actions: &mut Vec<Action>) {
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        open.answered = true;
+        // What was never sent is not charged.
+        if open.attempts.is_empty() {
+            if let Some(quota) = self.customers.get_mut(open.request.customer) {
+                quota.withdraw(open.charge, open.extra_report);
+            }
+        }
+        if !open.has_pending_attempt() {
+            self.requests.remove(&id);
+        }
+        self.cancel_attempts(id, None, actions);
+    }
+
+    /// Cancels what is still in flight for a request, but for one attempt.
+    pub(super) fn cancel_attempts(&self, id: u64, except: Option<u32>, actions: &mut Vec<Action>) {
+        if !self.settings.limits.cancel {
+            return;
+        }
+        let Some(open) = self.requests.get(&id) else { return };
+        for (number, attempt) in (0..).zip(&open.attempts) {
+            if attempt.pending && Some(number) != except {
+                actions.push(Action::Cancel { id, attempt: number });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/slatelock/src/policy/quota/totals.rs
@@ -0,0 +1,177 @@
+//! What a call to the shared counter tells of a customer's quota, or that it told nothing.
+
+use super::{CustomerQuota, WINDOW_MS};
+use crate::interface::Outcome;
+use crate::policy::counter_calls::CounterCall;
+
+/// A total below this part of the last one is that of a counter that began anew.
+const RESTARTED_BELOW: f64 = 0.5;
+/// Overflow that is worth a call, units. Up to so much may pass beyond the quota in a spike.
+const LEAST_OVERFLOW: f64 = 1.0;
+/// Part of the overflow that a call added from which on others had added the same before.
+const ADDED_TWICE_FROM: f64 = 0.8;
+/// Difference of two totals up to which they are equal, units: a counter keeps seven digits.
+const TOTAL_ROUNDING: f64 = 0.01;
+
+/// Where a total stands against what was known before.
+#[derive(Clone, Copy, Debug)]
+struct Continuity {
+    /// The counter lost what it held.
+    counter_restarted: bool,
+    /// Nothing is known of the totals before: the window began, or the counter restarted.
+    fresh: bool,
+    /// The total holds this call alone.
+    first_call: bool,
+    /// No total of this customer came before.
+    new_customer: bool,
+}
+
+/// The level that a total tells, and how it compares to what is possible.
+#[derive(Clone, Copy, Debug)]
+struct Reading {
+    level: f64,
+    /// How far the level is above what it can be: overflow that no total holds.
+    excess: f64,
+    /// The most that it can be.
+    bound: f64,
+    /// Charges of this gateway that the total does not hold.
+    not_in_total: f64,
+}
+
+impl CustomerQuota {
+    /// A call ended without a total. An amount that was added, or may have been, must not be reported a
+    /// second time.
+    pub(in crate::policy) fn learn_no_total(&mut self, call: &CounterCall, outcome: Outcome) {
+        match outcome {
+            Outcome::Ok | Outcome::Timeout => self.uncertain += call.charge + call.extra,
+            Outcome::Reset => {
+                self.uncertain += call.charge + call.extra;
+                self.lost_in_transit += call.charge.max(0.0);
+            }
+            _ => self.unreported += call.charge,
+        }
+        self.totals_lack_overflow |= call.overflow != 0.0;
+    }
+
+    /// Updates the quota with a total of the last call's window, as it stood after a call. Returns the
+    /// overflow that is to be added to it: 0 for none, below 0 where it was added twice. Where there is no
+    /// call to `spare`, small overflow is left.
+    pub(in crate::policy) fn learn_total(
+        &mut self,
+        now: f64,
+        total: f64,
+        call: &CounterCall,
+        spare: bool,
+    ) -> f64 {
+        let continuity = self.continuity(total, call);
+        if !continuity.fresh {
+            self.learn_others_use(now, total, call);
+        }
+        let reading = self.read_level(now, total, call, &continuity);
+        let added_twice = self.overflow_added_twice(call, &reading);
+        let level = added_twice.map_or(reading.level, |twice| reading.level + twice).min(reading.bound);
+        self.take_level(now, total, level - call.charge - reading.not_in_total);
+        let due = self.is_overflow_due(&reading, &continuity, spare);
+        self.totals_lack_overflow = reading.excess >= LEAST_OVERFLOW && !due;
+        match added_twice {
+            Some(twice) => -twice,
+            None if due => reading.excess,
+            None => 0.0,
+        }
+    }
+
+    fn continuity(&self, total: f64, call: &CounterCall) -> Continuity {
+        let amount = call.amount();
+        let least = self.last_total.min(self.last_total + amount) * RESTARTED_BELOW;
+        let counter_restarted = total < least - TOTAL_ROUNDING;
+        Continuity {
+            counter_restarted,
+            fresh: self.last_total == 0.0 || counter_restarted,
+            first_call: (total - amount).abs() < TOTAL_ROUNDING,
+            new_customer: self.is_new(),
+        }
+    }
+
+    /// Learns what others charged from what a total grew by, beside what is known. They spent at least what
+    /// refill that overflowed here does not explain.
+    fn learn_others_use(&mut self, now: f64, total: f64, call: &CounterCall) {
+        let surely_added = self.uncertain - self.lost_in_transit;
+        let grown = total - self.last_total - call.amount() - surely_added - self.overflow;
+        let others = (grown - self.settle_lost_in_transit(now, grown)).max(0.0);
+        let given = self.plan.rate * (now - self.last_total_at).max(0.0) / 1000.0;
+        let charged = others + call.charge.max(0.0) + call.extra.max(0.0);
+        self.demand.add(charged, given, self.memory_factor(given));
+        self.others_use += others;
+    }
+
+    /// Of the charges that a broken connection took, those that a total shows to be there when it grew by
+    /// so much. What others are expected to have charged comes first; else charges that are not there would
+    /// be lost for good, and such that are there reported twice. Those that are not there are reported with
+    /// the next call.
+    fn settle_lost_in_transit(&mut self, now: f64, grown: f64) -> f64 {
+        let lost = std::mem::take(&mut self.lost_in_transit);
+        let others = self.expected_of_others(now - self.last_total_at);
+        let arrived = (grown - others).clamp(0.0, lost);
+        self.unreported += lost - arrived;
+        arrived
+    }
+
+    /// What others are expected to have charged in so many ms, by what they did of late.
+    fn expected_of_others(&self, ms: f64) -> f64 {
+        let fades_in_ms =
+            self.plan.burst * super::MEMORY_FILLS / self.plan.rate.max(f64::MIN_POSITIVE) * 1000.0;
+        self.others_use * (ms / fades_in_ms.max(f64::MIN_POSITIVE)).min(1.0)
+    }
+
+    /// Reads the level off a total.
+    fn read_level(&self, now: f64, total: f64, call: &CounterCall, continuity: &Continuity) -> Reading {
+        let burst = self.plan.burst;
+        // An answer that comes when its window is over is read by the time in that window, not in the next.
+        let in_window_ms = (self.windows(now) - self.window as f64) * WINDOW_MS;
+        // What was assumed of others meanwhile is given back, unless the counter can't tell of it any more.
+        let given_back = if continuity.counter_restarted { 0.0 } else { self.assumed_of_others };
+        // Charges that the total does not hold yet; taken off once.
+        let not_in_total = self.reporting + self.unreported - self.withdrawn;
+        let estimate = (self.level + call.charge + not_in_total + given_back).min(burst);
+        // A counter back empty, and a window that began, know of no debts. The estimate here does.
+        let estimate_binds = continuity.fresh || self.totals_lack_overflow || self.reporting_overflow;
+        let bound = if estimate_binds { estimate } else { burst };
+        let level = burst + self.plan.rate * in_window_ms / 1000.0 - (total - call.charge - call.extra);
+        Reading { level, excess: level - bound, bound, not_in_total }
+    }
+
+    /// The overflow that a call added though others had added most of it; it is taken back. Two gateways
+    /// that see the same overflow at the same time and both add it would empty the bucket.
+    fn overflow_added_twice(&self, call: &CounterCall, reading: &Reading) -> Option<f64> {
+        let twice = call.overflow - (call.overflow + reading.excess).max(0.0);
+        let much = call.overflow > self.plan.burst && twice > call.overflow * ADDED_TWICE_FROM;
+        much.then_some(twice)
+    }
+
+    fn take_level(&mut self, now: f64, total: f64, level: f64) {
+        self.level = level;
+        self.last_total = total;
+        self.last_total_at = now;
+        self.overflow = 0.0;
+        self.forget_uncertain();
+    }
+
+    /// Whether overflow is to be added with a call.
+    ///
+    /// Of a window that begins only the first to call may know all of it: others would meet it halfway. For
+    /// a customer that was never seen before, a call that nobody made one before is worth no second one, as
+    /// crowds are seen once; but in a fleet in which each gateway meets a customer for the first time none
+    /// would report, so who finds that others called before it does.
+    ///
+    /// While the counter is crowded (no call to `spare`), up to a burst is borne. More is worth a call:
+    /// else the bucket would read as full until its gateways have passed all of it once more.
+    fn is_overflow_due(&self, reading: &Reading, continuity: &Continuity, spare: bool) -> bool {
+        let ours_to_report = if continuity.new_customer {
+            !continuity.first_call
+        } else {
+            continuity.first_call || !continuity.fresh
+        };
+        let worth_a_call = spare || reading.excess > self.plan.burst;
+        worth_a_call && ours_to_report && !self.reporting_overflow && reading.excess >= LEAST_OVERFLOW
+    }
+}
--- /dev/null
+++ b/crates/slatelock/src/policy/repeat_safety.rs
@@ -0,0 +1,67 @@
+//! Whether a request may be attempted again, or rejected, without running twice.
+//!
+//! This is the one place that says so. A rejection promises that nothing ran, so it is safe only where
+//! another attempt would be.
+
+use super::backend::Backend;
+use super::request::{Attempt, OpenRequest};
+use super::Gateway;
+use crate::interface::{Class, Effect, Group};
+
+impl Gateway {
+    fn class_of(&self, open: &OpenRequest) -> &Class {
+        &self.settings.classes[open.request.class]
+    }
+
+    /// Whether a request may be rejected.
+    pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
+        let class = self.class_of(open);
+        match class.effect {
+            Effect::Safe => true,
+            Effect::Unsafe => !open.may_have_run(),
+            Effect::Keyed => class.group == Group::All || !open.may_have_run(),
+        }
+    }
+
+    /// Whether an attempt of a request may be sent to a backend.
+    pub(super) fn may_attempt(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
+        self.has_attempt_left(open) && self.is_repeat_safe(open, to, now)
+    }
+
+    fn has_attempt_left(&self, open: &OpenRequest) -> bool {
+        let spent = open.attempts.len() >= open.max_attempts as usize;
+        let beside_another = open.has_pending_attempt() && !self.settings.limits.hedges;
+        !(open.answered || open.streaming || spent || beside_another)
+    }
+
+    fn is_repeat_safe(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
+        match self.class_of(open).effect {
+            Effect::Safe => true,
+            Effect::Unsafe => !open.may_have_run(),
+            Effect::Keyed => {
+                open.possibly_run().all(|attempt| self.drops_repeats_of(open, attempt, to))
+                    && self.write_deadline(open).is_none_or(|deadline| now < deadline)
+            }
+        }
+    }
+
+    /// Whether a backend drops repeats of an attempt: it is in the same deduplication scope.
+    fn drops_repeats_of(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
+        match self.class_of(open).group {
+            Group::All => true,
+            Group::Zone => attempt.zone == backend.entry.zone,
+            Group::Cell => attempt.cell == backend.entry.cell,
+        }
+    }
+
+    /// Until when a repeat of a request may be written: for a keyed one, while the backends of its scope
+    /// still drop repeats of the earliest attempt that may have run. None: as long as it has time.
+    pub(super) fn write_deadline(&self, open: &OpenRequest) -> Option<f64> {
+        let class = self.class_of(open);
+        if class.effect != Effect::Keyed {
+            return None;
+        }
+        let earliest = open.possibly_run().map(|attempt| attempt.sent_at).min_by(f64::total_cmp)?;
+        Some(earliest + class.window_ms - self.settings.tick_ms)
+    }
+}
--- a/crates/slatelock/src/settings.rs
+++ b/crates/slatelock/src/settings.rs
@@ -1,4 +1,6 @@
-//! The JSON that a gateway starts with, to [`Settings`]; the one reader for all programs.
+//! Reads [`Settings`] from the JSON that a gateway starts with. All programs read it here.
+//!
+//! The keys are those of the protocol; here they are mapped to the names of the interface.
 
 use std::cell::RefCell;
 
@@ -8,10 +10,10 @@
     Class, Effect, Group, Limits, LoadField, Plan, Routing, Settings, SettingsError, SlowStart,
 };
 
-/// Cost of a request beyond the quota, as a part of its worth, where the settings tell none.
-const COST_UNTOLD: f64 = 0.5;
-/// Customers whose store is held, at most, unless the program sets it by its memory.
-const CUSTOMERS: usize = 1 << 20;
+/// The over-quota penalty, as a part of a request's weight, where the settings have none.
+const DEFAULT_OVER_QUOTA_PENALTY: f64 = 0.5;
+/// Customers whose record is kept, at most, unless the program sets it by its memory.
+const DEFAULT_CUSTOMERS: usize = 1 << 20;
 
 /// Reads the settings from text.
 ///
@@ -51,9 +53,10 @@
 pub fn names(top: &Keys<'_>) -> Result<Names, SettingsError> {
     let named = |keys: &Keys<'_>| keys.text("name").map(str::to_string);
     let classes = top.each("profiles", named)?;
-    // Danger: two classes of one name, of which requests go by either.
+    // Requests name their class, so that two of one name could not be told apart.
     let twice = classes.iter().enumerate().any(|(i, name)| classes[..i].contains(name));
-    top.or(if twice { Err(top.wrong("profiles", "two have one name")) } else { Ok(()) }, ())?;
+    let distinct = if twice { Err(top.wrong("profiles", "two have one name")) } else { Ok(()) };
+    top.or(distinct, ())?;
     Ok(Names {
         classes: classes.into_iter().map(Some).collect(),
         plans: top.each("tariffs", named)?,
@@ -102,7 +105,7 @@
             overload_for_ms: contract.number("overload-for-ms")?,
         },
         routing: Routing::default(),
-        customers: CUSTOMERS,
+        customers: DEFAULT_CUSTOMERS,
         load_fields: feedback.each("fields", load_field)?,
         ask_for_list: top.text("registry-mode")? == "ask",
         ask_within_ms: contract.number("ask-within-ms")?,
@@ -142,11 +145,18 @@
         open: keys.whole("concurrency")?,
         ceiling_rate: keys.number("hard-rate")?,
         ceiling_burst: keys.number("cap-depth")?,
-        over_cost: keys.value("over-cost").map_or(Ok(COST_UNTOLD), |_| keys.number("over-cost"))?,
+        over_cost: over_quota_penalty(keys)?,
         value: keys.number("value-factor")?,
     })
 }
 
+fn over_quota_penalty(keys: &Keys<'_>) -> Result<f64, SettingsError> {
+    match keys.value("over-cost") {
+        Some(_) => keys.number("over-cost"),
+        None => Ok(DEFAULT_OVER_QUOTA_PENALTY),
+    }
+}
+
 fn load_field(keys: &Keys<'_>) -> Result<LoadField, SettingsError> {
     Ok(match keys.word()? {
         "active" => LoadField::Active,
@@ -173,8 +183,10 @@
     sink: Option<&'a RefCell<Vec<SettingsError>>>,
 }
 
-#[allow(missing_docs, clippy::missing_errors_doc)] // Each reads what its name says, or names the field.
+// Each names the field in its error, if the value is missing or of another kind.
+#[allow(clippy::missing_errors_doc)]
 impl<'a> Keys<'a> {
+    /// Reads `value`, which errors name `at`; the first error ends it.
     #[must_use]
     pub fn new(at: &str, value: &'a Value) -> Self {
         Keys { at: at.to_string(), value, sink: None }
@@ -200,7 +212,7 @@
         }
     }
 
-    /// Whether nothing was found wrong so far.
+    /// Whether no error was found so far.
     #[must_use]
     pub fn sound(&self) -> bool {
         self.sink.is_none_or(|sink| sink.borrow().is_empty())
@@ -210,11 +222,13 @@
         Keys { at: format!("{}.{key}", self.at), value, sink: self.sink }
     }
 
+    /// An error in the name of a key.
     #[must_use]
     pub fn wrong(&self, key: &str, problem: &'static str) -> SettingsError {
         wrong(format!("{}.{key}", self.at), problem)
     }
 
+    /// A value that must be there.
     pub fn get(&self, key: &str) -> Result<&'a Value, SettingsError> {
         self.value.get(key).ok_or_else(|| self.wrong(key, "missing"))
     }
@@ -225,6 +239,7 @@
         self.value.get(key)
     }
 
+    /// An object.
     pub fn section(&self, key: &str) -> Result<Keys<'a>, SettingsError> {
         let section = self.get(key).and_then(|value| {
             if value.is_object() {
@@ -246,28 +261,34 @@
         self.or(self.get(key).and_then(|value| read(value).ok_or_else(|| self.wrong(key, wanted))), instead)
     }
 
+    /// A number.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         self.read(key, 1.0, "a number is wanted", Value::as_f64)
     }
 
+    /// A whole number of 32 bits.
     pub fn whole(&self, key: &str) -> Result<u32, SettingsError> {
         let whole = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
         self.read(key, 1, "a whole number is wanted", whole)
     }
 
+    /// True or false.
     pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         self.read(key, false, "true or false is wanted", Value::as_bool)
     }
 
+    /// A string.
     pub fn text(&self, key: &str) -> Result<&'a str, SettingsError> {
         self.read(key, "", "a word is wanted", Value::as_str)
     }
 
+    /// The value itself, as a string.
     pub fn word(&self) -> Result<&'a str, SettingsError> {
         let word = self.value.as_str().ok_or_else(|| wrong(self.at.clone(), "a word is wanted"));
         self.or(word, "")
     }
 
+    /// The entries of a list, each read by `read`.
     pub fn each<T>(
         &self,
         key: &str,
--- a/crates/slatelock/src/terms.rs
+++ b/crates/slatelock/src/terms.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use crate::interface::{Settings, SettingsError};
+use crate::interface::{Class, Settings, SettingsError};
 use crate::settings::Names;
 
 /// The most places of the table: classes, and those that open requests still hold.
@@ -27,44 +27,56 @@
     /// # Errors
     /// The class for which the table has no place; nothing is changed.
     pub fn changed(&self, new: &Terms, free: impl Fn(usize) -> bool) -> Result<Terms, SettingsError> {
-        let (mut settings, mut names) = (self.settings.clone(), self.names.clone());
-        (settings.limits, settings.slow_start) =
-            (new.settings.limits.clone(), new.settings.slow_start.clone());
-        names.idle_close_ms = new.names.idle_close_ms;
-        // Those that are free now, and not by this change: a request may be on its way with one of them.
-        let mut spare: Vec<usize> =
-            (0..names.classes.len()).filter(|i| names.classes[*i].is_none() && free(*i)).collect();
-        spare.reverse();
-        let mut named = vec![None; names.classes.len()];
-        let mut fresh = Vec::new();
+        let mut changed = self.clone();
+        changed.settings.limits = new.settings.limits.clone();
+        changed.settings.slow_start = new.settings.slow_start.clone();
+        changed.names.idle_close_ms = new.names.idle_close_ms;
+        changed.place_classes(new, self.reusable_places(free))?;
+        changed.settings.check()?;
+        Ok(changed)
+    }
+
+    /// Places that are free now, and not by this change (a request may be on its way with one of them), the
+    /// last first.
+    fn reusable_places(&self, free: impl Fn(usize) -> bool) -> Vec<usize> {
+        let places = (0..self.names.classes.len()).rev();
+        places.filter(|place| self.names.classes[*place].is_none() && free(*place)).collect()
+    }
+
+    /// Gives each class of the new terms its place: the one it has, else one that can be reused, else another
+    /// at the end.
+    fn place_classes(&mut self, new: &Terms, mut reusable: Vec<usize>) -> Result<(), SettingsError> {
+        let mut names = vec![None; self.names.classes.len()];
+        let mut without_place = Vec::new();
         for (name, class) in new.names.classes.iter().zip(&new.settings.classes) {
-            let held = self.names.classes.iter().position(|n| n == name);
-            match held.filter(|i| self.settings.classes[*i].same_rules(class)) {
-                Some(place) => named[place] = name.clone(),
-                None => fresh.push((name, class)),
+            match self.place_of(name, class) {
+                Some(place) => names[place].clone_from(name),
+                None => without_place.push((name, class)),
             }
         }
-        for (name, class) in fresh {
-            let place = spare.pop().unwrap_or(named.len());
+        for (name, class) in without_place {
+            let place = reusable.pop().unwrap_or(names.len());
             if place >= CLASSES_MOST {
-                let field = format!("settings.profiles: {}", name.as_deref().unwrap_or_default());
-                return Err(SettingsError {
-                    field,
-                    problem: "too many classes that open requests still hold",
-                });
+                return Err(no_place_for(name.as_deref()));
             }
-            if place == named.len() {
-                named.push(None);
-                settings.classes.push(class.clone());
+            if place == names.len() {
+                names.push(None);
+                self.settings.classes.push(class.clone());
             }
-            (named[place], settings.classes[place]) = (name.clone(), class.clone());
+            names[place].clone_from(name);
+            self.settings.classes[place] = class.clone();
         }
-        names.classes = named;
-        for (class, name) in settings.classes.iter_mut().zip(&names.classes) {
+        self.names.classes = names;
+        for (class, name) in self.settings.classes.iter_mut().zip(&self.names.classes) {
             class.dropped = name.is_none();
         }
-        settings.check()?;
-        Ok(Terms { settings, names })
+        Ok(())
+    }
+
+    /// The place of a class that is there already, with the same rules.
+    fn place_of(&self, name: &Option<String>, class: &Class) -> Option<usize> {
+        let place = self.names.classes.iter().position(|known| known == name)?;
+        self.settings.classes[place].same_rules(class).then_some(place)
     }
 
     /// Sections in which new terms differ beyond what may change in service: they need a restart.
@@ -87,6 +99,13 @@
     }
 }
 
+fn no_place_for(name: Option<&str>) -> SettingsError {
+    SettingsError {
+        field: format!("settings.profiles: {}", name.unwrap_or_default()),
+        problem: "too many classes that open requests still hold",
+    }
+}
+
 /// The first key that a value has and another lacks, with its place, as in `settings.profiles[1].aim-ms`.
 /// Each entry of a list has to have what all entries of the list before have. `but` names keys that may be
 /// missing.
--- a/crates/slatelock/src/view.rs
+++ b/crates/slatelock/src/view.rs
@@ -1,10 +1,8 @@
 //! What a gateway knows, to be looked at. Nothing is decided here, and nothing changed.
 
-use beechrudder_records::Records;
+use beechrudder_records::BoundedCache;
 
-use crate::interface::Readiness;
-use crate::policy::Gateway;
-use crate::store::Customer;
+use crate::policy::{CustomerQuota, Gateway};
 
 /// A backend as the gateway knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,26 +18,29 @@
 impl Gateway {
     /// The backends on the list, in no order, at `now` (ms, the caller's clock).
     pub fn backends(&self, now: f64) -> impl Iterator<Item = BackendView> + '_ {
-        let all = self.backends.places().map(|place| self.backends.get(place));
-        all.filter(|b| b.entry.state != Readiness::Gone).map(move |b| {
-            let warmth = b.warmth(now, &self.settings);
-            BackendView { id: b.entry.id, ejected: b.ejected, warmth }
+        let known = self.backends.slots().map(|slot| self.backends.get(slot));
+        let listed = known.filter(|backend| !backend.is_removed());
+        listed.map(move |backend| BackendView {
+            id: backend.entry.id,
+            ejected: backend.ejected,
+            warmth: backend.warmth(now, &self.settings),
         })
     }
 
-    /// How many customers' stores fit some bytes.
+    /// How many customers' records fit some bytes.
     #[must_use]
     pub fn customers_in(bytes: usize) -> usize {
-        Records::<Customer>::fit(bytes)
+        BoundedCache::<CustomerQuota>::capacity_for(bytes)
     }
 
-    /// How many stores were dropped to make room, and the units that these may pass again.
+    /// How many records were dropped to make room, and the units that their customers may pass again.
     #[must_use]
     pub fn forgotten(&self) -> (u64, f64) {
-        self.customers.forgotten()
+        let evicted = self.customers.evicted();
+        (evicted.records, evicted.cost)
     }
 
-    /// Customers whose store is held.
+    /// Customers whose record is kept.
     #[must_use]
     pub fn customers(&self) -> usize {
         self.customers.len()
--- a/crates/slatelock/tests/ceiling.rs
+++ b/crates/slatelock/tests/ceiling.rs
@@ -159,10 +159,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Danger: refill that was lost while a customer was quiet and that nobody tells, as the counter is
-    /// crowded. Each gateway lets it pass once more. The slack of the rule is 14 units here, of 66.
+    /// Refill that overflowed while a customer was quiet, and that nobody reports as the counter is crowded,
+    /// would pass once more at each gateway. The slack of the rule is 14 units here, of 66.
     #[test]
-    fn a_customer_back_from_a_quiet_time_keeps_the_ceiling(
+    fn ceiling_holds_after_a_quiet_time(
         gateways in 2u32..=8, quiet in 1u64..=24, lost in 0u64..=30, seed in any::<u64>(),
     ) {
         let beyond = play(gateways, quiet * 1_000, lost, seed);
@@ -212,18 +212,18 @@
     sent
 }
 
-/// Danger: two processes that serve as one gateway, and pass twice what it may.
+/// Two processes that serve as one gateway must not pass twice what it may.
 #[test]
-fn processes_of_one_gateway_share_its_part_of_a_ceiling() {
+fn processes_of_one_gateway_share_its_ceiling() {
     let (alone, shared) = (two_processes(false), two_processes(true));
     assert!(alone > 220.0, "each passes all of it where they do not know of each other: {alone}");
     assert!(shared <= 20.0 + 100.0 + 2.0, "{shared}");
     assert!(shared > 100.0, "{shared}: little is forgone");
 }
 
-/// Danger: charges that a process had not told by its end, told by nobody or by both.
+/// Charges that a process had not reported by its end must be reported by the next one, and once.
 #[test]
-fn what_a_process_did_not_tell_is_told_by_the_next_and_by_it_alone() {
+fn unreported_charges_are_reported_once_by_the_next_process() {
     let mut told = settings();
     (told.counter, told.limits.hedges) = (true, false);
     told.plans[0] = Plan { rate: 1.0, burst: 200.0, value: 1.0, ..Plan::default() };
--- a/crates/slatelock/tests/health.rs
+++ b/crates/slatelock/tests/health.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_silent_backend_gets_nothing_new_is_probed_and_comes_back() {
+fn silent_backend_is_ejected_probed_and_readmitted() {
     let mut rig = Rig::new(settings(), 4);
     learn(&mut rig, 100, 0, |_| 50.0);
     // Backend 0 falls silent with a request of its own out.
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_burst_of_own_sends_is_not_taken_for_silence() {
+fn burst_of_sends_is_not_silence() {
     let mut rig = Rig::new(settings(), 2);
     learn(&mut rig, 100, 0, |_| 100.0);
     let out: Vec<_> = (1_000..1_012)
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_backend_that_fails_fast_attracts_no_work() {
+fn fast_failing_backend_attracts_no_work() {
     let mut rig = Rig::new(settings(), 4);
     learn(&mut rig, 100, 0, |_| 50.0);
     let mut failing = 0;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_whole_fleet_is_never_ejected() {
+fn whole_fleet_is_never_ejected() {
     let mut rig = Rig::new(settings(), 4);
     let mut passed = 0;
     for id in 0..200 {
@@ -139,7 +139,7 @@
 
 /// Latency grows with what is out: refusals start, and end when the load is gone.
 #[test]
-fn a_fleet_slow_for_all_refuses_at_arrival_and_opens_again() {
+fn slow_fleet_rejects_at_arrival_and_recovers() {
     for gateways in [1, 12] {
         let mut s = settings();
         s.gateways = gateways;
@@ -164,7 +164,7 @@
 
 /// Nothing learned yet and no answers: time spent by what is out is the only sign, at every size.
 #[test]
-fn a_gateway_that_knows_nothing_stops_when_no_answer_comes() {
+fn new_gateway_stops_admitting_without_answers() {
     for gateways in [1, 4, 400] {
         let mut rig = Rig::new(Settings { gateways, ..settings() }, 8);
         let sent = (0..200).filter(|id| {
@@ -177,9 +177,9 @@
     }
 }
 
-/// Danger: a gateway that has just started takes its first requests, still on their way, for a jam.
+/// A gateway that has just started must not take its first requests, still in flight, for overload.
 #[test]
-fn the_first_requests_of_a_start_are_no_jam() {
+fn first_requests_after_a_start_are_not_overload() {
     for gateways in [1, 4] {
         let mut rig = Rig::new(Settings { gateways, ..settings() }, 8);
         // One each 5 ms, each answered after 100 ms: twenty are out at any time.
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_started_stream_has_no_deadline_and_no_further_attempts() {
+fn started_stream_has_no_deadline_and_no_retries() {
     let mut s = settings();
     s.classes[0].streaming = true;
     let mut rig = Rig::new(s, 4);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() {
+fn endpoint_list_is_polled_and_polled_again_after_a_failure() {
     let mut rig = Rig::new(Settings { ask_for_list: true, ..settings() }, 0);
     let mut ring = |scope| {
         let actions = rig.on(Event::Backends { scope, entries: &[] });
@@ -238,14 +238,14 @@
 }
 
 #[test]
-fn without_backends_a_request_is_refused() {
+fn request_without_backends_is_rejected() {
     let mut rig = Rig::new(settings(), 0);
     let r = fresh(&rig, 1);
     assert!(refused(&rig.ask(r)));
 }
 
 #[test]
-fn settings_that_cannot_work_are_named() {
+fn invalid_settings_are_named() {
     type Spoil = fn(&mut Settings);
     let cases: [(&str, Spoil); 6] = [
         ("gateways", |s| s.me = 2),
@@ -264,9 +264,9 @@
     }
 }
 
-/// Danger: a backend that turns one plan away, slowly, though it has room, takes that plan's time.
+/// A backend that rejects one plan, slowly, though it has room, would take that plan's time.
 #[test]
-fn a_backend_that_turns_a_plan_away_as_full_comes_last_for_it_alone() {
+fn backend_full_for_a_plan_comes_last_for_that_plan_only() {
     let mut rig = Rig::new(Settings { gateways: 100, ..settings() }, 4);
     let mut sent = [[0u32; 4]; 2];
     for id in 0..400 {
@@ -286,10 +286,10 @@
     assert!(sent[1][1] > 25, "the other plan goes on there: {sent:?}");
 }
 
-/// Danger: with each gateway's part under one request a cold backend would get nothing until warm, or
+/// With each gateway's share under one request a backend that warms up would get nothing until it is warm, or
 /// too much. Counted over all gateways, which see the same start.
 #[test]
-fn many_gateways_together_give_a_cold_backend_its_part() {
+fn gateways_together_give_a_warming_backend_its_share() {
     let gateways = 200;
     let (mut cold, mut all) = (0.0, 0.0);
     for me in 0..gateways {
@@ -305,9 +305,9 @@
     assert!(cold > 0.05 * even && cold < 0.6 * even, "{cold} of an even part of {even}, at a fifth");
 }
 
-/// Danger: an old report of an empty queue draws all to a backend that has long been full.
+/// An old report of an empty queue would draw all work to a backend that has long been full.
 #[test]
-fn an_old_report_of_an_empty_queue_is_no_idleness() {
+fn stale_report_of_an_empty_queue_is_not_idleness() {
     let mut s = Settings { gateways: 100, ..settings() };
     s.load_fields = vec![LoadField::Waiting];
     let mut rig = Rig::new(s, 4);
@@ -331,10 +331,10 @@
     assert!(new > 30 && old < 25, "{new} to it while the report was new, {old} a minute later");
 }
 
-/// Danger: reports that are seconds old when they come, as of an empty queue that has long been full,
-/// drawing work to a backend whose answers tell otherwise.
+/// Reports that are seconds old when they come, as of an empty queue that has long been full, must not draw
+/// work to a backend whose answers tell otherwise.
 #[test]
-fn reports_that_come_seconds_late_do_not_outweigh_what_answers_tell() {
+fn late_reports_do_not_outweigh_answers() {
     let late_ms = 4_800.0;
     let mut s = Settings { gateways: 3, ..settings() };
     s.load_fields = vec![LoadField::Waiting];
@@ -358,9 +358,9 @@
     assert!(to_slow[1] > 100 && to_slow[0] * 8 < to_slow[1], "{to_slow:?}: an even part is a quarter");
 }
 
-/// Danger: what each of many gateways saved for further attempts adds up to a storm at the first trouble.
+/// What each of many gateways saved for retries would add up to a storm at the first fault.
 #[test]
-fn many_gateways_together_send_few_further_attempts_when_all_fails() {
+fn gateways_together_retry_little_when_all_fails() {
     let (mut firsts, mut further) = (0, 0);
     for me in 0..100 {
         let mut rig = Rig::seeded(Settings { gateways: 100, me, ..settings() }, 10, u64::from(me));
@@ -379,9 +379,9 @@
     assert!(firsts > 300 && further * 3 < firsts, "{further} further attempts for {firsts}");
 }
 
-/// Danger: work for a client that will have left by the time it is done.
+/// Work is wasted on a client that will have left by the time it is done.
 #[test]
-fn a_request_with_less_time_left_than_it_takes_is_not_begun() {
+fn request_without_enough_time_is_not_sent() {
     let mut rig = Rig::new(settings(), 4);
     learn(&mut rig, 200, 0, |_| 200.0);
     let r = Request { expires_ms: rig.now + 60.0, ..fresh(&rig, 1_000) };
@@ -390,9 +390,9 @@
     assert!(sent_to(&rig.ask(r)).is_some());
 }
 
-/// Danger: a backend that answers nothing, made to look healthy by each time-out.
+/// A backend that answers nothing must not look healthy by its time-outs.
 #[test]
-fn a_time_out_is_no_sign_of_health() {
+fn timeout_is_not_a_sign_of_health() {
     let rig = &mut Rig::new(settings(), 2);
     let errors = [Outcome::Error; 3];
     let mut outcomes = errors.into_iter().chain([Outcome::Timeout; 5]).chain([Outcome::Error]);
--- a/crates/slatelock/tests/large_fleet.rs
+++ b/crates/slatelock/tests/large_fleet.rs
@@ -62,7 +62,7 @@
     sum
 }
 
-/// Danger: an even share of the ceiling is under one request, and none passes.
+/// An even share of the ceiling may be under one request, and none would pass.
 #[test]
 fn totals_let_the_whole_quota_pass_under_a_ceiling() {
     let quota = 32.0 + 16.0 * 20.0;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_ceiling_holds_without_totals_and_for_guesses_far_above_the_truth() {
+fn ceiling_holds_without_totals_and_for_high_estimates() {
     let ceiling = 80.0 + 40.0 * 20.0;
     for seed in 1..4 {
         let sum = passed(seed, 4.0, 4.0, true);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn while_calls_are_few_those_that_cost_least_beyond_the_quota_are_left_out_first() {
+fn throttled_calls_skip_cheapest_over_quota_plans_first() {
     let all = 20 * GATEWAYS as usize;
     let well = newcomers(0).map(|(calls, ..)| calls);
     assert_eq!(well, [all; 3], "a counter that is well is asked for all");
@@ -125,9 +125,9 @@
     assert!(cheap * 2 < dear && dear < all, "{cheap} and {dear} of {all}");
 }
 
-/// Danger: charges of requests without a call, which no total ever holds.
+/// Charges of requests without a call would be in no total.
 #[test]
-fn calls_that_are_made_stand_for_those_that_are_not() {
+fn made_calls_report_for_skipped_ones() {
     let [_, _, (calls, told, sent)] = newcomers(1);
     assert!(calls < 20 * GATEWAYS as usize);
     assert!((0.85..1.15).contains(&(told / sent)), "{told} told of {sent}");
--- a/crates/slatelock/tests/limits.rs
+++ b/crates/slatelock/tests/limits.rs
@@ -1,8 +1,12 @@
-//! Limits of the sources: length of the decisions, width of lines, where decisions may stand.
+//! Limits of the sources: which files hold decisions and how long they are, width of lines, and what the
+//! decisions must not use.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
+/// Lines of a file that holds decision logic, at most; blank ones do not count.
+const MOST_LINES: usize = 400;
+
 fn sources(dir: &Path, into: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(dir).expect("a folder") {
         let path = entry.expect("an entry").path();
@@ -22,21 +26,40 @@
     here().join("../..")
 }
 
-#[test]
-fn the_decisions_fit_1_200_lines() {
-    let (mut files, mut lines) = (Vec::new(), 0);
+/// The files that hold decision logic, with their paths from the root, as the deploy file names them.
+fn decision_files() -> Vec<(PathBuf, String)> {
+    let mut files = Vec::new();
     sources(&here().join("src/policy"), &mut files);
     assert!(files.len() > 3);
-    let named = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
-    for file in files {
-        let name = file.file_name().and_then(|name| name.to_str()).expect("a name");
-        assert!(named.contains(&format!("crates/slatelock/src/policy/{name}")), "{name} is not named there");
-        let text = fs::read_to_string(&file).expect("a policy file");
-        lines += text.lines().filter(|l| !l.trim().is_empty()).count();
+    let from_root = |file: &PathBuf| {
+        let inner = file.strip_prefix(here()).expect("a file of this crate").display().to_string();
+        format!("crates/{}/{inner}", here().file_name().and_then(|name| name.to_str()).expect("a name"))
+    };
+    files.into_iter().map(|file| (file.clone(), from_root(&file))).collect()
+}
+
+#[test]
+fn deploy_file_names_exactly_the_decision_files() {
+    let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
+    let (_, list) = deploy.split_once("policy = [").expect("a list of decision files");
+    let (list, _) = list.split_once(']').expect("the list ends");
+    let mut named: Vec<&str> = list.split('"').skip(1).step_by(2).collect();
+    let files = decision_files();
+    let mut present: Vec<&str> = files.iter().map(|(_, from_root)| from_root.as_str()).collect();
+    named.sort_unstable();
+    present.sort_unstable();
+    assert_eq!(named, present);
+}
+
+#[test]
+fn decision_files_are_short_and_name_their_interface() {
+    for (file, name) in decision_files() {
+        let text = fs::read_to_string(&file).expect("a decision file");
+        let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
+        assert!(lines <= MOST_LINES, "{name}: {lines} lines");
     }
-    assert!(lines <= 1_200, "{lines} lines");
     let text = fs::read_to_string(here().join("src/policy/mod.rs")).expect("mod.rs");
-    assert!(text.lines().take(3).any(|l| l.contains("src/interface.rs")), "names its interface at the top");
+    assert!(text.lines().take(3).any(|l| l.contains("src/interface")), "names its interface at the top");
 }
 
 #[test]
@@ -56,7 +79,8 @@
 
 #[test]
 fn the_library_reads_no_clock_and_starts_no_thread() {
-    let mut files = vec![here().join("src/interface.rs"), here().join("src/store.rs")];
+    let mut files = Vec::new();
+    sources(&here().join("src/interface"), &mut files);
     sources(&here().join("src/policy"), &mut files);
     let before = files.len();
     sources(&root().join("crates/routing/src"), &mut files);
--- a/crates/slatelock/tests/quota.rs
+++ b/crates/slatelock/tests/quota.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_store_starts_full_is_charged_the_units_and_fills_at_the_rate() {
+fn bucket_starts_full_and_refills_at_the_rate() {
     let (mut rig, plan) = alone(0, 4);
     assert_eq!(passes(&mut rig, plan, 4.0, 0), 4, "burst 16");
     rig.now += 3_000.0;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn units_are_settled_from_the_answer() {
+fn actual_units_are_settled_from_the_answer() {
     let (mut rig, plan) = alone(0, 4);
     let mut r = request(1, 0, plan, 4.0);
     r.width = 1.0;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_store_and_odd_units_are_refused_or_answered() {
+fn oversized_requests_and_odd_units_are_answered() {
     for units in [17.0, f64::INFINITY, f64::NAN, -1.0, 0.0] {
         let (mut rig, plan) = alone(0, 4);
         let actions = rig.ask(request(1, 0, plan, units));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn beyond_the_local_part_the_total_decides() {
+fn total_decides_beyond_the_local_allowance() {
     for (others, passes) in [(0.0, true), (8.0, true), (12.0, false)] {
         let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
         let actions = counter.ask(&mut rig, request(1, 0, 0, 2.0));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_known_empty_store_refuses_without_a_call() {
+fn empty_bucket_rejects_without_a_call() {
     let mut rig = Rig::new(with_counter(), 4);
     let (name, _) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
     rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 100.0 });
@@ -100,9 +100,10 @@
     assert_eq!(counted(&actions), None);
 }
 
-/// Danger: a total that others lessened, taken for one of a counter back empty and charged whole once more.
+/// A total that others lessened must not be taken for one of a restarted counter, and charged in full once
+/// more.
 #[test]
-fn a_total_that_others_lessened_is_no_counter_begun_anew() {
+fn total_lessened_by_others_is_not_a_counter_restart() {
     let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
     let (name, _) = counted(&counter.ask(&mut rig, request(1, 0, 0, 1.0))).expect("one call");
     counter.ask(&mut rig, request(20, 0, 0, 1.0));
@@ -114,9 +115,9 @@
     assert_eq!(passed.count(), 5, "16 but for 8 and 3");
 }
 
-/// Danger: an amount told twice, and calls left out as if the counter were busy.
+/// An amount must not be reported twice, nor calls be skipped as if the counter were busy.
 #[test]
-fn a_total_that_cannot_be_read_was_added_and_lessens_no_calls() {
+fn unreadable_total_counts_as_added_and_throttles_no_calls() {
     for (outcome, total) in [(Outcome::Ok, f64::NAN), (Outcome::Reset, 0.0)] {
         for customer in 0..20 {
             let mut rig = Rig::new(with_counter(), 4);
@@ -129,9 +130,9 @@
     }
 }
 
-/// Danger: a charge refused in one window, given back in the next, lets that one pass too much.
+/// A charge rejected in one window and withdrawn in the next would let that one pass too much.
 #[test]
-fn a_refused_charge_is_taken_back_at_once_and_within_its_window_alone() {
+fn rejected_charge_is_withdrawn_within_its_window_only() {
     // After 40 s each is in another window.
     for wait_ms in [0.0, 40_000.0] {
         let back = (0..40).filter(|customer| {
@@ -150,10 +151,10 @@
     }
 }
 
-/// Danger: at size each gateway comes to a window that others have long used. Its total decides; a
-/// customer that spent no more than the rate gave since the start is not refused for want of watching.
+/// In a large fleet each gateway comes to a window that others have long used. Its total decides; a customer
+/// that spent no more than the rate gave since the start is not rejected for want of watching.
 #[test]
-fn windows_long_past_say_nothing_of_the_present_one() {
+fn past_windows_do_not_affect_the_present_one() {
     let mut rig = Rig::new(with_counter(), 4);
     for id in 0..10 {
         let actions = rig.ask(request(id, 0, 0, 4.0));
@@ -165,9 +166,9 @@
     }
 }
 
-/// Danger: calls that a counter can't take. They become rare while they fail, and come back.
+/// A counter must not get more calls than it can take. They become rare while they fail, and come back.
 #[test]
-fn a_silent_counter_holds_no_request_is_called_rarely_and_again_when_it_answers() {
+fn silent_counter_holds_no_request_and_is_called_rarely() {
     let mut rig = Rig::new(with_counter(), 16);
     let mut calls = [0; 3];
     for id in 0..900 {
@@ -200,9 +201,9 @@
     counted(&rig.ask(Request { customer, expires_ms: rig.now + 4_000.0, ..request(id, 0, 0, 2.0) }))
 }
 
-/// Danger: one call's charge told for those of others as well, which empties stores of a few requests.
+/// One call's charge, reported for those of others as well, would empty buckets of a few requests.
 #[test]
-fn the_charge_of_a_call_left_out_for_one_who_came_just_now_is_told_whole_with_a_later_call() {
+fn skipped_charge_of_a_new_customer_is_reported_in_full_later() {
     let mut slow = with_counter();
     slow.plans[0].rate = 0.02;
     let mut rig = Rig::new(slow, 4);
@@ -222,9 +223,9 @@
     assert!((3.7..=4.0).contains(&told), "{told}: both, but for what was filled since");
 }
 
-/// Danger: what is only assumed of others refuses, and no call is made that would tell better.
+/// What is only assumed of others must not reject, as no call would be made that tells better.
 #[test]
-fn a_store_that_only_assumed_charges_emptied_asks_the_counter() {
+fn bucket_emptied_by_assumed_charges_calls_the_counter() {
     let mut rig = Rig::new(with_counter(), 4);
     for id in 1..3 {
         let (name, _) = counted(&rig.ask(request(id, 0, 0, 4.0))).expect("one call");
@@ -247,9 +248,9 @@
     }
 }
 
-/// Danger: latency that grows, borne until calls end too late for all.
+/// Latency that grows must not be borne until calls end too late for all.
 #[test]
-fn calls_become_fewer_as_answers_begin_to_wait() {
+fn calls_are_throttled_as_answers_slow_down() {
     let calls = |latency: f64| {
         let mut rig = Rig::new(with_counter(), 4);
         let called = |id| {
@@ -266,9 +267,9 @@
     assert!(calls(25.0) < 100);
 }
 
-/// Danger: charges assumed of others while a call had no answer, kept though the next total shows none.
+/// Charges assumed of others while a call had no answer must not stay when the next total shows none.
 #[test]
-fn what_others_did_not_spend_is_given_back_with_the_next_total() {
+fn assumed_charges_are_returned_with_the_next_total() {
     let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
     let (name, amount) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
     counter.add(name, amount);
@@ -296,7 +297,7 @@
 }
 
 #[test]
-fn a_counter_back_empty_does_not_refuse_and_learns_what_was_spent() {
+fn restarted_counter_rejects_nothing_and_learns_charges() {
     let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
     assert!(sent_to(&counter.ask(&mut rig, request(1, 0, 0, 4.0))).is_some());
     counter = Counter::default();
@@ -307,9 +308,9 @@
     assert!(refused(&counter.ask(&mut other, request(20, 0, 0, 4.0))));
 }
 
-/// Danger: debts on their way to a counter that is back empty; a total that lacks them, read as a full store.
+/// A total of a restarted counter that lacks debts still on their way must not be read as a full bucket.
 #[test]
-fn a_total_that_comes_before_a_debt_is_told_opens_nothing() {
+fn total_that_lacks_a_debt_admits_nothing() {
     let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
     let passed = (1..7).filter(|id| sent_to(&counter.ask(&mut rig, request(*id, 0, 0, 2.0))).is_some());
     assert_eq!(passed.count(), 6);
@@ -328,7 +329,7 @@
 }
 
 #[test]
-fn a_cap_on_open_attempts_is_held_without_a_rate() {
+fn concurrency_limit_holds_without_a_rate() {
     let mut s = settings();
     s.plans[2].open = 4;
     let mut rig = Rig::new(s, 4);
@@ -337,10 +338,9 @@
     assert!((1..=4).contains(&passed), "{passed} out of a cap of 4");
 }
 
-/// Danger: seconds without totals after an outage, in which customers pass unasked though the counter is
-/// back.
+/// After an outage customers must not pass without totals for seconds though the counter is back.
 #[test]
-fn calls_are_back_soon_after_an_outage_of_many_failures() {
+fn calls_resume_soon_after_an_outage() {
     let (mut in_outage, mut back) = (0, 0);
     for seed in 1..=8 {
         let mut rig = Rig::seeded(with_counter(), 16, seed);
--- a/crates/slatelock/tests/records.rs
+++ b/crates/slatelock/tests/records.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_flood_of_new_customers_is_served_within_the_bound() {
+fn flood_of_new_customers_is_served_within_capacity() {
     let (mut rig, mut counter, mut served) = (rig(true), Counter::default(), 0);
     for id in 0..50_000 {
         rig.now += 1.0 / 26.0;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_spent_ceiling_outlives_a_flood() {
+fn spent_ceiling_survives_a_flood() {
     let (mut rig, mut counter) = (rig(true), Counter::default());
     rig.now += 60_000.0;
     // Plan 1: a ceiling of 40 units over two gateways, so 20 here.
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn charges_that_no_total_holds_outlive_a_flood_and_newcomers_are_refused() {
+fn unreported_charges_survive_a_flood_that_is_rejected() {
     // Without a counter nothing can be told, so nobody may be forgotten before its store is full again.
     let (mut rig, mut counter, mut kept) = (rig(false), Counter::default(), Vec::new());
     for id in 0..5_000 {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_forgotten_customer_passes_no_more_than_was_missing_from_its_store() {
+fn evicted_customer_passes_no_more_than_its_bucket_lacked() {
     let (mut rig, mut counter) = (rig(true), Counter::default());
     // It spends what it has: 16 units of burst, told to the counter.
     let spent = (0..40).filter(|id| one(&mut rig, &mut counter, *id, 7, 0, 1.0)).count();
@@ -90,7 +90,7 @@
 /// The bound that a gateway sets by its memory: a number that operators read, and that follows from the bytes
 /// of one record.
 #[test]
-fn memory_for_customers_is_counted_by_the_bytes_of_a_record() {
+fn customer_capacity_follows_from_the_bytes_of_a_record() {
     assert_eq!(Gateway::customers_in(0), 1);
     for doubled in [1 << 4, 1 << 12, 1 << 20] {
         // Half of what a table holds once it has doubled, and the room for both while it does.
--- a/crates/slatelock/tests/room.rs
+++ b/crates/slatelock/tests/room.rs
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn scatter_of_the_work_is_no_want_of_room() {
+fn scattered_work_is_not_overload() {
     let parts: Vec<f64> = (1..=8).map(|seed| refused_part(seed, 33.0, 50.0, 1.0)).collect();
     let mean = parts.iter().sum::<f64>() / parts.len() as f64;
     assert!(mean < 0.01, "{parts:?}");
 }
 
 #[test]
-fn slowness_that_leaves_most_of_the_aim_refuses_little_and_more_refuses_much() {
+fn rejections_grow_with_slowness() {
     let mean = |slower: f64| (1..=8).map(|seed| refused_part(seed, 33.0, 50.0, slower)).sum::<f64>() / 8.0;
     let parts = [1.5, 6.0].map(mean);
     assert!(parts[0] < 0.05 && parts[1] > 0.3, "{parts:?}");
--- a/crates/slatelock/tests/routing.rs
+++ b/crates/slatelock/tests/routing.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_gateway_keeps_to_its_own_backends_and_uses_them_all_alike() {
+fn gateway_uses_its_subset_evenly() {
     let got = served(&mut rig(1), 0, 6_400);
     assert!((40..=90).contains(&got.len()), "{} backends", got.len());
     // Which of them seem a little slower is chance, and they get less while nothing presses.
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn one_slow_answer_keeps_no_backend_without_work_for_long() {
+fn one_slow_answer_does_not_starve_a_backend() {
     // Of all first answers half are slow, as those on new connections are; all later ones are quick.
     let mut rig = rig(6);
     let mut got: BTreeMap<u32, u32> = BTreeMap::new();
@@ -85,10 +85,10 @@
     assert_eq!(first.len(), again.len(), "each was tried within twenty seconds");
 }
 
-/// Danger: one of a few that comes back, whose first answer takes long as its connection is new, and which is
-/// taken for as slow as the mean at best while chance alone puts another a tenth before that.
+/// A backend of a small fleet that returns has a slow first answer, as its connection is new. It must not be
+/// taken for as slow as the mean at best, while chance alone puts another a tenth before that.
 #[test]
-fn one_of_a_few_that_comes_back_has_work_again() {
+fn returned_backend_of_a_small_fleet_gets_work() {
     for seed in 1..=12 {
         let mut rig = Rig::seeded(settings(), 5, seed);
         let mut dice = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_home_that_is_lost_spills_over_to_the_fleet_and_back() {
+fn lost_subset_spills_over_to_the_fleet_and_back() {
     let mut rig = rig(2);
     let home: BTreeSet<u32> = served(&mut rig, 0, 6_400).into_keys().collect();
     // All of its own refuse connections; the others serve.
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn ejections_are_passed_over_only_when_most_of_the_fleet_has_them() {
+fn ejections_are_ignored_only_when_most_of_the_fleet_has_them() {
     let mut rig = rig(3);
     // Each backend that is tried fails; so in the end more than half of all are ejected.
     let (mut tried, mut sent) = (BTreeSet::new(), 0);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_cold_backend_gets_nothing_from_a_gateway_that_it_is_no_home_of() {
+fn warming_backend_outside_the_subset_gets_nothing() {
     let mut rig = rig(7);
     let home: BTreeSet<u32> = served(&mut rig, 0, 6_400).into_keys().collect();
     // Every second one outside begins anew, and all of the home refuses connections.
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_further_attempt_never_goes_where_one_was() {
+fn retry_never_goes_to_a_tried_backend() {
     let mut rig = rig(4);
     let mut further = 0;
     for id in 0..3_000 {
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_keeps_to_its_cell_beyond_the_home() {
+fn keyed_retry_stays_in_its_cell_beyond_the_subset() {
     let mut rig = rig(5);
     let mut further = 0;
     for id in 0..2_000 {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_backend_that_is_gone_is_kept_while_something_is_out_and_no_longer() {
+fn removed_backend_is_kept_only_while_attempts_are_in_flight() {
     let mut rig = rig(6);
     let to = ask(&mut rig, 1, 2).expect("sent");
     let gone = BackendEntry { id: to, state: Readiness::Gone, ..BackendEntry::default() };
--- a/crates/slatelock/tests/rules.rs
+++ b/crates/slatelock/tests/rules.rs
@@ -9,7 +9,7 @@
 const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_sent_again_nor_refused() {
+fn unsafe_request_that_may_have_run_is_neither_retried_nor_rejected() {
     for outcome in MAY_HAVE_RUN {
         let mut rig = Rig::new(settings(), 4);
         let backend = sent_to(&rig.ask(request(1, 2, 3, 1.0))).expect("sent");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_is_sent_again() {
+fn unsafe_request_that_never_ran_is_retried() {
     for outcome in NEVER_RAN {
         let mut rig = Rig::new(settings(), 4);
         let backend = sent_to(&rig.ask(request(1, 2, 3, 1.0))).expect("sent");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_the_cell_and_within_the_window() {
+fn keyed_retry_stays_in_its_cell_and_window() {
     for outcome in MAY_HAVE_RUN {
         let mut rig = Rig::new(settings(), 8);
         let first = sent_to(&rig.ask(request(1, 1, 3, 1.0))).expect("sent");
@@ -44,9 +44,9 @@
     }
 }
 
-/// Danger: a repeat that is chosen in time and begins too late, as its connection comes up late.
+/// A retry that is chosen in time may begin too late, as its connection comes up late.
 #[test]
-fn a_keyed_repeat_says_until_when_it_may_begin_counted_from_the_earliest_that_may_have_run() {
+fn keyed_retry_has_a_write_deadline_from_the_earliest_attempt() {
     let begin_by = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Send { begin_by_ms, .. } => Some(*begin_by_ms),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_keyed_request_of_all_backends_may_be_refused_and_sent_anywhere_in_time() {
+fn fleet_wide_keyed_request_is_rejected_after_its_window() {
     let mut rig = Rig::new(settings(), 8);
     let first = sent_to(&rig.ask(request(1, 3, 3, 1.0))).expect("sent");
     rig.now += 500.0;
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn no_attempt_beyond_the_limit() {
+fn attempts_stop_at_the_limit() {
     let mut rig = Rig::new(settings(), 12);
     let mut actions = rig.ask(request(1, 0, 3, 1.0));
     let mut attempts = 0;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn every_request_has_one_final_answer_before_its_time_is_up() {
+fn every_request_has_one_final_answer_before_its_deadline() {
     for (class, answer_is_refusal) in [(0, true), (1, false), (2, false), (3, true)] {
         let mut rig = Rig::new(settings(), 4);
         let mut r = request(1, class, 3, 1.0);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_drain_is_obeyed_at_once_and_a_missing_line_is_gone() {
+fn draining_and_unlisted_backends_get_nothing_at_once() {
     let mut rig = Rig::new(settings(), 3);
     let mut drained = backends(1);
     drained[0].state = Readiness::Draining;
@@ -140,14 +140,14 @@
 }
 
 #[test]
-fn a_failed_list_keeps_the_old_one() {
+fn failed_list_keeps_the_old_one() {
     let mut rig = Rig::new(settings(), 2);
     rig.on(Event::Backends { scope: ListScope::Failed, entries: &[] });
     assert!(sent_to(&rig.ask(request(1, 0, 3, 1.0))).is_some());
 }
 
 #[test]
-fn a_cold_backend_gets_a_small_part_of_its_budget_from_each_gateway() {
+fn warming_backend_gets_a_small_part_of_its_budget_from_each_gateway() {
     // Work is expected at an eighth of the aim: 125 ms. The cold one may do 0.2 x 2 s of each core's.
     let mut s = settings();
     s.gateways = 3;
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn the_ceiling_holds_over_two_gateways_and_a_restart() {
+fn ceiling_holds_over_two_gateways_and_a_restart() {
     let mut total = 0.0;
     for _ in 0..2 {
         let mut first = Rig::new(settings(), 4);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn the_ceiling_holds_when_every_call_to_the_counter_is_lost() {
+fn ceiling_holds_when_every_counter_call_is_lost() {
     let mut rig = Rig::new(Settings { counter: true, ..settings() }, 4);
     let mut passed = 0.0;
     for id in 0..400 {
@@ -233,9 +233,9 @@
     assert!((20.0..=0.5 * 4.0 * 20.0).contains(&passed), "{passed}");
 }
 
-/// Danger: an answer that is being passed on, cut off as another attempt of its request ends.
+/// An answer that is being streamed must not be cut off as another attempt of its request ends.
 #[test]
-fn an_answer_in_passing_outlasts_the_other_attempt_and_is_never_overdue() {
+fn streamed_answer_outlasts_the_other_attempt() {
     let mut rig = Rig::new(settings(), 4);
     let actions = rig.ask(request(1, 0, 3, 1.0));
     let first = sent_to(&actions).expect("sent");
--- a/crates/slatelock/tests/shared_store.rs
+++ b/crates/slatelock/tests/shared_store.rs
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn gateways_that_read_one_total_pass_little_beyond_the_quota_and_refuse_little_within() {
+fn shared_totals_pass_little_beyond_the_quota_and_reject_little_within() {
     let (beyond, missing, calls) = play(Trouble::None);
     println!("{beyond:.4} beyond, {missing:.4} missing, {calls:.2} calls a try");
     assert!(beyond < 0.015 && missing < 0.02, "{beyond} beyond, {missing} missing");
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_counter_that_was_silent_or_is_back_empty_neither_opens_nor_shuts_the_quota() {
+fn counter_outage_or_restart_neither_opens_nor_shuts_the_quota() {
     for empty in [false, true] {
         let (from, to) = (25, 37);
         let (beyond, missing, _) = play(Trouble::Silent { from, to, empty });
@@ -294,19 +294,19 @@
     }
 }
 
-/// Danger: charges that went with a silent connection, which no total holds and nobody tells again.
+/// Charges that went with a silent connection would be in no total if nobody reported them again.
 #[test]
-fn charges_that_went_with_a_silent_connection_are_told_again_and_those_that_were_added_are_not() {
+fn only_charges_lost_with_a_connection_are_reported_again() {
     let (beyond, missing, _) = play(Trouble::Lines);
     println!("lines: {beyond:.4} beyond, {missing:.4} missing");
     // A quarter of all calls; without the doubts 12 of 100 are beyond, and 5 missing if all are told again.
     assert!(beyond < 0.07 && missing < 0.02, "{beyond} beyond, {missing} missing");
 }
 
-/// Danger: a wave of shops that come once while the counter is gone and as it is back: they are refused for
-/// want of totals, or crowd out the calls of those that are near their quotas.
+/// A wave of customers that come once, while the counter is gone and as it is back, must not be rejected for
+/// want of totals, nor crowd out the calls of those that are near their quotas.
 #[test]
-fn a_counter_back_after_seven_seconds_with_a_wave_of_new_shops_holds_the_quotas_of_the_others() {
+fn returned_counter_holds_quotas_during_a_wave_of_newcomers() {
     for (seed, empty) in [(1, false), (2, true), (3, false)] {
         let (from, to) = (25, 32);
         let mut world = World::new(seed, Trouble::Silent { from, to, empty });
@@ -321,10 +321,10 @@
     }
 }
 
-/// Danger: while the counter is gone, shares that were learned long before, of customers whose traffic has
+/// While the counter is gone, shares that were learned long before are wrong for customers whose traffic has
 /// moved.
 #[test]
-fn while_the_counter_is_gone_a_meter_of_use_keeps_the_shares_true() {
+fn usage_meter_keeps_shares_true_during_a_counter_outage() {
     let beyond = |metered: bool| {
         let runs = (1..=4).map(|seed| {
             let mut world = World::new(seed, Trouble::Silent { from: 20, to: 50, empty: false });
--- a/crates/slatelock/tests/shares.rs
+++ b/crates/slatelock/tests/shares.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_share_of_a_quarter_gets_about_a_quarter_of_the_work_idle_or_loaded() {
+fn quarter_share_gets_about_a_quarter_of_the_work() {
     for out in [0, 1, 4] {
         let got = spread(out);
         let others: usize = got[1..].iter().sum();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_small_share_is_no_drain_where_nobody_else_is_left() {
+fn small_share_serves_all_where_no_other_backend_is_left() {
     let mut rig = Rig::new(settings(), 1);
     let mut entries = backends(1);
     entries[0].share = 0.0001;
--- a/crates/slatelock/tests/sizes.rs
+++ b/crates/slatelock/tests/sizes.rs
@@ -36,7 +36,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Danger: a gateway that meets each backend seldom, and throws out a good one for a failure or two.
+    /// A gateway that meets each backend seldom must not eject a good one for a failure or two.
     #[test]
     fn few_failures_eject_nobody_and_many_do(
         gateways in 1u32..=500, backends in 2u32..=1_000, failures in 1usize..=8, seed in any::<u64>(),
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Danger: all is bad, and nothing is tried any more, or each request is tried everywhere.
+    /// Where every backend fails, requests must still be tried, and not each of them everywhere.
     #[test]
-    fn where_all_fails_each_request_is_tried_and_attempts_keep_to_their_budget(
+    fn total_failure_tries_each_request_within_the_retry_budget(
         gateways in 1u32..=500, backends in 1u32..=1_000, seed in any::<u64>(),
     ) {
         let mut rig = rig(gateways, backends, seed);
@@ -81,9 +81,9 @@
     }
 }
 
-/// Danger: a start that lies ahead, by another clock or in another unit: cold for years.
+/// A start that lies ahead, by another clock or in another unit, must not keep a backend cold for years.
 #[test]
-fn a_start_in_the_future_is_one_of_now() {
+fn future_start_counts_as_now() {
     for ahead in [50.0, 1e6, 1e15] {
         let mut rig = rig(1, 4, 1);
         let started_ms = rig.now + ahead;
--- a/crates/slatelock/tests/terms.rs
+++ b/crates/slatelock/tests/terms.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_class_that_changes_has_a_new_place_and_the_old_one_keeps_its_rules() {
+fn changed_class_has_a_new_place_and_the_old_one_keeps_its_rules() {
     let one = terms(&told(&[(0, 100, true), (1, 200, true)], 3)).expect("sound");
     let two = terms(&told(&[(1, 200, false), (2, 300, true)], 5)).expect("sound");
     let changed = one.changed(&two, |_| false).expect("room");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn classes_that_requests_hold_for_good_do_not_fill_the_memory() {
+fn class_table_is_bounded() {
     let mut now = terms(&told(&[(0, 1, true)], 3)).expect("sound");
     for deadline in 2.. {
         match now.changed(&terms(&told(&[(0, deadline, true)], 3)).expect("sound"), |_| false) {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn each_key_that_is_taken_out_is_missed() {
+fn removed_keys_are_reported() {
     fn places(value: &Value, at: &str, into: &mut Vec<String>) {
         match value {
             Value::Object(keys) => keys.iter().for_each(|(key, value)| {
@@ -129,7 +129,7 @@
     /// After any files, what requests can name is what the last good one says; and a place that a request may
     /// hold keeps its class.
     #[test]
-    fn the_last_good_file_holds(
+    fn last_good_file_stays_in_force(
         files in prop::collection::vec(
             (prop::collection::btree_map(0usize..6, (0u32..4, any::<bool>()), 0..5), 0u32..4), 1..20),
         held in prop::collection::vec(any::<bool>(), 64),
