--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use slatelock::interface::{Action, BackendEntry};
-use slatelock::{settings, Gateway};
+use slatelock::interface::{Action, BackendEndpoint};
+use slatelock::{settings, Policy};
 
 use crate::wire::{DecodedEvent, Frame, Malformed, Record, Reply, LISTS};
 
 /// Gateways by instance, and the endpoint lists that events refer to.
 pub struct Host {
-    gateways: BTreeMap<u16, Gateway>,
-    lists: Vec<Vec<BackendEntry>>,
+    gateways: BTreeMap<u16, Policy>,
+    lists: Vec<Vec<BackendEndpoint>>,
     /// What the event at hand has to be answered with; kept so that its memory is used again.
     actions: Vec<Action>,
 }
@@ -92,8 +92,8 @@
     }
 }
 
-fn create(seed: u64, settings: &[u8], now: f64) -> Result<Gateway, Malformed> {
-    let gateway = settings::parse(settings).and_then(|settings| Gateway::new(settings, seed, now));
+fn create(seed: u64, settings: &[u8], now: f64) -> Result<Policy, Malformed> {
+    let gateway = settings::parse(settings).and_then(|settings| Policy::new(settings, seed, now));
     gateway.map_err(|e| Malformed::new(e.to_string()))
 }
 
--- a/crates/benchlink/src/wire/record.rs
+++ b/crates/benchlink/src/wire/record.rs
@@ -1,6 +1,6 @@
 //! Records of a batch, decoded.
 
-use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness, Request};
+use slatelock::interface::{BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope};
 
 use super::fields::Fields;
 use super::{Malformed, LISTS};
@@ -34,7 +34,7 @@
     /// The records that follow are for this gateway.
     Context(u16),
     /// An endpoint list, to be referred to by its number.
-    Directory(usize, Vec<BackendEntry>),
+    Directory(usize, Vec<BackendEndpoint>),
     /// The gateway starts.
     Create {
         seed: u64,
@@ -47,7 +47,7 @@
 
 /// An event that owns what the interface's [`Event`] borrows, or refers to it.
 pub enum DecodedEvent<'a> {
-    Backends { scope: ListScope, list: usize },
+    Backends { scope: UpdateScope, list: usize },
     Ended(EndedAttempt),
     Probed { backend: u32, outcome: Outcome, load: Vec<f32> },
     Peer { from: u32, body: &'a [u8] },
@@ -69,20 +69,20 @@
 
 impl DecodedEvent<'_> {
     /// The event, with its endpoint list.
-    pub fn resolve<'a>(&'a self, lists: &'a [Vec<BackendEntry>]) -> Result<Event<'a>, Malformed> {
+    pub fn resolve<'a>(&'a self, lists: &'a [Vec<BackendEndpoint>]) -> Result<Event<'a>, Malformed> {
         Ok(match self {
-            DecodedEvent::Backends { scope: ListScope::Failed, .. } => {
-                Event::Backends { scope: ListScope::Failed, entries: &[] }
+            DecodedEvent::Backends { scope: UpdateScope::Failed, .. } => {
+                Event::EndpointsUpdated { scope: UpdateScope::Failed, endpoints: &[] }
             }
             DecodedEvent::Backends { scope, list } => {
                 let entries = lists.get(*list).ok_or_else(|| Malformed::new(format!("no list {list}")))?;
-                Event::Backends { scope: *scope, entries }
+                Event::EndpointsUpdated { scope: *scope, endpoints: entries }
             }
             DecodedEvent::Ended(ended) => ended.event(),
             DecodedEvent::Probed { backend, outcome, load } => {
-                Event::Probed { backend: *backend, outcome: *outcome, load }
+                Event::ProbeEnded { backend: *backend, outcome: *outcome, load }
             }
-            DecodedEvent::Peer { from, body } => Event::Peer { from: *from, body },
+            DecodedEvent::Peer { from, body } => Event::PeerMessage { from: *from, body },
             DecodedEvent::Plain(event) => event.clone(),
         })
     }
@@ -90,15 +90,15 @@
 
 impl EndedAttempt {
     fn event(&self) -> Event<'_> {
-        Event::Ended {
+        Event::AttemptEnded {
             id: self.id,
             attempt: self.attempt,
             backend: self.backend,
             outcome: self.outcome,
             latency_ms: self.latency_ms,
-            closed: self.closed,
-            metered: self.metered,
-            charged: self.charged,
+            answered: self.closed,
+            metered_use: self.metered,
+            actual_units: self.charged,
             load: &self.load,
         }
     }
@@ -141,20 +141,20 @@
         code::RESULT => DecodedEvent::Ended(ended(fields)?),
         code::NEIGHBOUR_SAYS => peer(fields)?,
         code::RECKONED => counted(fields)?,
-        code::DROPPED => DecodedEvent::Plain(Event::ClientGone { id: fields.u64("Dropped")? }),
+        code::DROPPED => DecodedEvent::Plain(Event::ClientDisconnected { id: fields.u64("Dropped")? }),
         code::PROBED => probed(fields)?,
         code::FLOWING => stream_started(fields)?,
-        code::RING => DecodedEvent::Plain(Event::Timer { token: fields.u64("Ring")? }),
+        code::RING => DecodedEvent::Plain(Event::TimerExpired { token: fields.u64("Ring")? }),
         other => return Err(Malformed::new(format!("unknown event code {other}"))),
     })
 }
 
 fn backends_changed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
     let scope = match fields.u8("BackendsChanged")? {
-        0 => ListScope::Delta,
-        1 => ListScope::Full,
-        2 => ListScope::Cached,
-        3 => ListScope::Failed,
+        0 => UpdateScope::Delta,
+        1 => UpdateScope::Full,
+        2 => UpdateScope::Cached,
+        3 => UpdateScope::Failed,
         other => return Err(Malformed::new(format!("BackendsChanged: unknown scope {other}"))),
     };
     let _version = fields.u32("BackendsChanged")?;
@@ -171,7 +171,7 @@
     let name = fields.u64("Reckoned")?;
     let outcome = outcome(fields.u8("Reckoned")?)?;
     let total = fields.f32("Reckoned")?;
-    Ok(DecodedEvent::Plain(Event::Counted { name, outcome, total }))
+    Ok(DecodedEvent::Plain(Event::CounterReplied { key: name, outcome, total }))
 }
 
 fn probed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
@@ -188,11 +188,11 @@
     Ok(DecodedEvent::Plain(Event::StreamStarted { id, attempt, backend }))
 }
 
-fn endpoint(fields: &mut Fields<'_>) -> Result<BackendEntry, Malformed> {
+fn endpoint(fields: &mut Fields<'_>) -> Result<BackendEndpoint, Malformed> {
     let state = match fields.u8("Directory")? {
-        1 => Readiness::Ready,
-        2 => Readiness::Draining,
-        3 => Readiness::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
+        3 => EndpointState::Removed,
         other => return Err(Malformed::new(format!("Directory: unknown state {other}"))),
     };
     let id = fields.u32("Directory")?;
@@ -202,7 +202,7 @@
     let weight = fields.f32("Directory")?;
     // Numbers are the same at all gateways here.
     let key = u64::from(id);
-    Ok(BackendEntry { id, key, state, cell, zone, started_ms, weight, ..BackendEntry::default() })
+    Ok(BackendEndpoint { id, key, state, cell, zone, started_ms, weight, ..BackendEndpoint::default() })
 }
 
 fn request(fields: &mut Fields<'_>) -> Result<Request, Malformed> {
@@ -216,7 +216,7 @@
     let expires_ms = fields.f64(message)?;
     let class = usize::from(fields.u8(message)?);
     let customer = fields.u64(message)?;
-    Ok(Request { id, customer, plan, class, units, width, expires_ms, retry })
+    Ok(Request { id, customer, plan, class, units, fan_out: width, deadline_ms: expires_ms, retry })
 }
 
 fn ended(fields: &mut Fields<'_>) -> Result<EndedAttempt, Malformed> {
@@ -246,12 +246,12 @@
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(Malformed::new(format!("unknown reason {other}"))),
     })
 }
--- a/crates/benchlink/src/wire/reply.rs
+++ b/crates/benchlink/src/wire/reply.rs
@@ -68,35 +68,35 @@
     pub fn action(&mut self, instance: u16, action: &Action) {
         match action {
             // The simulator has no write deadline: what is sent begins at once.
-            Action::Send { id, backend, begin_by_ms: _ } => {
+            Action::SendAttempt { id, backend, write_deadline_ms: _ } => {
                 let fields: [&[u8]; 3] =
                     [&id.to_be_bytes(), &backend.to_be_bytes(), &NO_WAIT_MS.to_be_bytes()];
                 self.put(instance, code::SEND, &fields);
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let attempt = *attempt as u16;
                 self.put(instance, code::CANCEL, &[&id.to_be_bytes(), &attempt.to_be_bytes()]);
             }
-            Action::Refuse { id, retry_after_ms } => {
+            Action::Reject { id, retry_after_ms } => {
                 let advice_ms = retry_after_ms.unwrap_or(NO_ADVICE_MS);
                 self.put(instance, code::REJECT, &[&id.to_be_bytes(), &advice_ms.to_be_bytes()]);
             }
-            Action::Surrender { id } => self.put(instance, code::FAIL, &[&id.to_be_bytes()]),
+            Action::Fail { id } => self.put(instance, code::FAIL, &[&id.to_be_bytes()]),
             Action::Probe { backend } => self.put(instance, code::PROBE, &[&backend.to_be_bytes()]),
-            Action::Count { name, amount, forget_after_ms } => {
+            Action::IncrementCounter { key: name, amount, ttl_ms: forget_after_ms } => {
                 let amount = *amount as f32;
                 let fields: [&[u8]; 3] =
                     [&name.to_be_bytes(), &amount.to_be_bytes(), &forget_after_ms.to_be_bytes()];
                 self.put(instance, code::COUNT, &fields);
             }
-            Action::Timer { token, at_ms } => {
+            Action::ScheduleTimer { token, at_ms } => {
                 self.put(instance, code::TIMER, &[&token.to_be_bytes(), &at_ms.to_be_bytes()]);
             }
-            Action::Tell { body } => {
+            Action::BroadcastToPeers { body } => {
                 let length = body.len() as u16;
                 self.put(instance, code::TELL, &[&ALL_PEERS.to_be_bytes(), &length.to_be_bytes(), body]);
             }
-            Action::Watch => self.put(instance, code::WATCH, &[&[1]]),
+            Action::PollEndpoints => self.put(instance, code::WATCH, &[&[1]]),
         }
     }
 
--- a/crates/benchlink/src/wire/tests.rs
+++ b/crates/benchlink/src/wire/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn message_to_peers_is_written_byte_for_byte() {
     let mut reply = Reply::new(258);
-    reply.action(3, &Action::Tell { body: b"abc".to_vec() });
+    reply.action(3, &Action::BroadcastToPeers { body: b"abc".to_vec() });
     let expected = [
         &[0, 0, 1, 2, 0, 0, 0, 19][..],
         &[4, 0, 0, 0, 2, 0, 3],
@@ -34,7 +34,7 @@
 fn attempt_is_written_without_its_write_deadline() {
     let mut reply = Reply::new(1);
     for begin_by_ms in [None, Some(1.0)] {
-        reply.action(2, &Action::Send { id: 9, backend: 77, begin_by_ms });
+        reply.action(2, &Action::SendAttempt { id: 9, backend: 77, write_deadline_ms: begin_by_ms });
     }
     let send = [&[6, 0, 0, 0, 20][..], &9u64.to_be_bytes(), &77u32.to_be_bytes(), &[0; 8]].concat();
     let expected = [&[0, 0, 0, 1, 0, 0, 0, 57][..], &[4, 0, 0, 0, 2, 0, 2], &send, &send];
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::{BackendEntry, Outcome, Readiness};
+use slatelock::interface::{BackendEndpoint, Outcome, EndpointState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -196,8 +196,8 @@
 
     /// Takes in a line of the list. Gives the backends that are not at its address any more, as one that
     /// started later is; the one of the line may be among them.
-    pub fn update(&mut self, entry: &BackendEntry, address: SocketAddr) -> Vec<u32> {
-        if entry.state == Readiness::Gone {
+    pub fn update(&mut self, entry: &BackendEndpoint, address: SocketAddr) -> Vec<u32> {
+        if entry.state == EndpointState::Removed {
             self.remove(entry.id);
             return Vec::new();
         }
@@ -209,7 +209,7 @@
             return vec![entry.id];
         }
         replaced.iter().for_each(|id| self.remove(*id));
-        let (started, ready) = (entry.started_ms, entry.state == Readiness::Ready);
+        let (started, ready) = (entry.started_ms, entry.state == EndpointState::Ready);
         let old = self.pools.get(&entry.id);
         // Danger: connections to a process that is no more, and requests reset on them.
         if old.is_some_and(|p| p.address == address && p.started == started && p.ready == ready) {
@@ -497,7 +497,7 @@
     let BytesFrame::Error(line) = frame else { return None };
     let mut words = line.split(' ');
     let outcome = match words.next() {
-        Some("BUSY") => Outcome::Full,
+        Some("BUSY") => Outcome::Rejected,
         Some("ERR") => Outcome::Error,
         _ => return None,
     };
@@ -547,7 +547,7 @@
         for id in 1..=3 {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
             let address = listener.local_addr().expect("bound");
-            backends.update(&BackendEntry { id, ..BackendEntry::default() }, address);
+            backends.update(&BackendEndpoint { id, ..BackendEndpoint::default() }, address);
             listeners.push(listener);
         }
         let mut open = Vec::new();
@@ -575,14 +575,14 @@
         let mut backends = Backends::new(1, 60_000.0, limit);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let address = listener.local_addr().expect("bound");
-        let entry = |id, state| BackendEntry { id, state, ..BackendEntry::default() };
-        backends.update(&entry(1, Readiness::Ready), address);
+        let entry = |id, state| BackendEndpoint { id, state, ..BackendEndpoint::default() };
+        backends.update(&entry(1, EndpointState::Ready), address);
         let Way::New(dial) = backends.way(1, Instant::now()) else { panic!("a new one is wanted") };
         let connection = dial.open(limit).await.expect("it listens");
         backends.put_back(1, connection);
-        backends.update(&entry(1, Readiness::Gone), address);
+        backends.update(&entry(1, EndpointState::Removed), address);
         assert_eq!(backends.idle(), 0);
-        backends.update(&entry(2, Readiness::Ready), address);
+        backends.update(&entry(2, EndpointState::Ready), address);
         assert!(matches!(backends.way(2, Instant::now()), Way::New(_)));
     }
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use slatelock::terms::Terms;
+use slatelock::terms::ServiceSettings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch, Notify, OwnedSemaphorePermit, Semaphore};
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Clients {
     /// What requests are read by.
-    pub terms: watch::Receiver<Arc<Terms>>,
+    pub terms: watch::Receiver<Arc<ServiceSettings>>,
     pub inbox: mpsc::Sender<Input>,
     /// Bytes of requests and answers that there may be yet.
     pub room: Arc<Semaphore>,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -9,8 +9,8 @@
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
 use slatelock::interface::SettingsError;
-use slatelock::settings::{self, Keys};
-use slatelock::terms::{self, Terms};
+use slatelock::settings::{self, SettingsReader};
+use slatelock::terms::{self, ServiceSettings};
 
 use crate::listing::List;
 
@@ -37,7 +37,7 @@
     pub sockets: usize,
     pub memory_mb: usize,
     pub known: List,
-    pub terms: Terms,
+    pub terms: ServiceSettings,
     /// The text of it but for `known`; a later one may lack none of its keys.
     told: Value,
 }
@@ -83,7 +83,7 @@
 
     pub fn parse(text: &[u8]) -> Result<Config, SettingsError> {
         let (known, json) = Text::read(text)?;
-        let config = Config::from(known, &Keys::new("configuration", &json))?;
+        let config = Config::from(known, &SettingsReader::new("configuration", &json))?;
         Ok(Config { told: json, ..config })
     }
 
@@ -92,7 +92,7 @@
     /// # Errors
     /// The first that it lacks.
     pub fn has_all_of(&self, before: &Config) -> Result<(), SettingsError> {
-        match terms::lacks(&before.told, &self.told, "configuration", &MAY_LACK) {
+        match terms::first_missing_key(&before.told, &self.told, "configuration", &MAY_LACK) {
             Some(field) => Err(SettingsError { field, problem: "missing; the file before has it" }),
             None => Ok(()),
         }
@@ -105,7 +105,7 @@
             Err(e) => return vec![e],
         };
         let all = RefCell::new(Vec::new());
-        let last = Config::from(known, &Keys::collecting("configuration", &json, &all)).err();
+        let last = Config::from(known, &SettingsReader::collecting("configuration", &json, &all)).err();
         let mut all = all.into_inner();
         // What is found by looking at all of it counts only where its parts are right.
         if all.is_empty() {
@@ -120,27 +120,27 @@
         all
     }
 
-    fn from(known: Option<&RawValue>, top: &Keys<'_>) -> Result<Config, SettingsError> {
+    fn from(known: Option<&RawValue>, top: &SettingsReader<'_>) -> Result<Config, SettingsError> {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let address = |key: &str| {
             let parsed = top.get(key).and_then(|value| {
                 let parsed = value.as_str().and_then(|text| text.parse().ok());
-                parsed.ok_or_else(|| top.wrong(key, "an address with a port is wanted"))
+                parsed.ok_or_else(|| top.invalid(key, "an address with a port is wanted"))
             });
-            top.or(parsed, nowhere)
+            top.recover(parsed, nowhere)
         };
         let told = top.section("settings")?;
-        let settings = settings::read(&told)?;
+        let settings = settings::read_settings(&told)?;
         // What stands in for a value that is wrong may fit no other.
-        if top.sound() {
-            top.or(settings.check(), ())?;
+        if top.is_valid() {
+            top.recover(settings.check(), ())?;
         }
         let seed = top.get("seed").and_then(|value| {
             let seed = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-            seed.ok_or_else(|| top.wrong("seed", "a hex number is wanted"))
+            seed.ok_or_else(|| top.invalid("seed", "a hex number is wanted"))
         });
-        let known = known.ok_or_else(|| top.wrong("known", "missing")).and_then(|text| {
-            List::read(text.get().as_bytes()).map_err(|_| top.wrong("known", "a list of backends is wanted"))
+        let known = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
+            List::read(text.get().as_bytes()).map_err(|_| top.invalid("known", "a list of backends is wanted"))
         });
         Ok(Config {
             name: top.get("name").ok().and_then(|name| name.as_str()).unwrap_or_default().to_string(),
@@ -150,11 +150,11 @@
                 discovery: address("discovery")?,
                 counter: if settings.counter { Some(address("counter")?) } else { None },
             },
-            seed: top.or(seed, 0)?,
+            seed: top.recover(seed, 0)?,
             sockets: top.section("limits")?.whole("sockets")? as usize,
             memory_mb: top.section("limits")?.whole("memory_mb")? as usize,
-            known: top.or(known, List::empty())?,
-            terms: Terms { names: settings::names(&told)?, settings },
+            known: top.recover(known, List::empty())?,
+            terms: ServiceSettings { names: settings::read_names(&told)?, settings },
             told: Value::Null,
         })
     }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -122,7 +122,7 @@
         match (written, self.seen.line(place, made).alone(self.wait)) {
             (true, true) => Outcome::Reset,
             (true, false) => Outcome::Timeout,
-            (false, true) => Outcome::Moot,
+            (false, true) => Outcome::NotSent,
             (false, false) => Outcome::ConnectFailed,
         }
     }
@@ -225,7 +225,7 @@
                     }
                     // Danger: so many that none is taken in any more, and nobody looks at the line again.
                     if self.out.len() >= CALLS_MOST {
-                        self.report(call.number, Outcome::Full, 0.0).await;
+                        self.report(call.number, Outcome::Rejected, 0.0).await;
                         continue;
                     }
                     if let Err(call) = self.write(&mut stream, call).await {
@@ -290,7 +290,7 @@
 fn read(line: &str) -> Option<(Outcome, f64)> {
     match line.split_once(' ') {
         Some(("ok", total)) => total.parse().ok().filter(|t: &f64| t.is_finite()).map(|t| (Outcome::Ok, t)),
-        _ if line == "busy" => Some((Outcome::Full, 0.0)),
+        _ if line == "busy" => Some((Outcome::Rejected, 0.0)),
         _ if line == "error" => Some((Outcome::Error, 0.0)),
         _ => None,
     }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use beechrudder_coldstart::Calendar;
-use beechrudder_pacing::Pauses;
-use slatelock::interface::ListScope;
+use beechrudder_pacing::Backoff;
+use slatelock::interface::UpdateScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
@@ -41,7 +41,7 @@
 /// News of the list.
 #[derive(Debug)]
 pub struct News {
-    pub scope: ListScope,
+    pub scope: UpdateScope,
     pub endpoints: Vec<Endpoint>,
     /// Backends whose lines could not be read: what is known of them stays.
     pub unsaid: Vec<String>,
@@ -50,7 +50,7 @@
 impl News {
     /// The text of an answer that is this whole list, with its version.
     fn text(&self, index: u64) -> Option<(u64, String)> {
-        (self.scope == ListScope::Full).then(|| (index, List::text(index, &self.endpoints)))
+        (self.scope == UpdateScope::Full).then(|| (index, List::text(index, &self.endpoints)))
     }
 }
 
@@ -81,8 +81,8 @@
         return paced::follow(agent, known.index, calendar, clock, ordering, inbox).await;
     }
     let Known { mut index, gateways, stop_within, seed, .. } = known;
-    let mut pauses = Pauses::new(PAUSE.0, PAUSE.1, EACH, PAUSE_LIMIT, gateways, seed);
-    sleep(pauses.start(EACH, stop_within.mul_f64(START_PART), gateways)).await;
+    let mut pauses = Backoff::new(PAUSE.0, PAUSE.1, EACH, PAUSE_LIMIT, gateways, seed);
+    sleep(pauses.initial_delay(EACH, stop_within.mul_f64(START_PART), gateways)).await;
     let (mut unreadable, mut silent) = (false, false);
     let soon = stop_within.mul_f64(START_PART);
     loop {
@@ -106,17 +106,17 @@
             End::Lost { heard } | End::Silent { heard } => {
                 index = None;
                 if heard {
-                    pauses.answered();
+                    pauses.reset();
                 }
             }
             // Danger: a discovery that is too busy for this call, asked for the whole list in its place.
             End::TurnedAway { heard } => {
                 if heard {
-                    pauses.answered();
+                    pauses.reset();
                 }
             }
         }
-        sleep(if silent { pauses.start(EACH, soon, gateways) } else { pauses.failed() }).await;
+        sleep(if silent { pauses.initial_delay(EACH, soon, gateways) } else { pauses.next_delay() }).await;
     }
 }
 
@@ -174,7 +174,7 @@
         }
         let news = *index != Some(list.index);
         *index = Some(list.index);
-        let scope = if list.snapshot { ListScope::Full } else { ListScope::Delta };
+        let scope = if list.snapshot { UpdateScope::Full } else { UpdateScope::Delta };
         let unsaid = list.unsaid();
         if inbox.send(News { scope, endpoints: list.endpoints, unsaid }.into()).await.is_err() {
             return End::Lost { heard };
--- a/crates/gateway/src/discovery/paced.rs
+++ b/crates/gateway/src/discovery/paced.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beechrudder_coldstart::{Calendar, Call, Calls, Came};
-use slatelock::interface::ListScope;
+use slatelock::interface::UpdateScope;
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
@@ -89,7 +89,7 @@
             return None;
         }
         self.index = Some(list.index);
-        Some(News { scope: ListScope::Cached, endpoints: list.endpoints, unsaid: Vec::new() })
+        Some(News { scope: UpdateScope::Cached, endpoints: list.endpoints, unsaid: Vec::new() })
     }
 
     /// One call, until it is given up; for the whole list if that is wanted.
@@ -136,7 +136,7 @@
         }
         let came = if self.index == Some(list.index) { Came::Same } else { Came::News };
         self.index = Some(list.index);
-        let scope = if list.snapshot { ListScope::Full } else { ListScope::Delta };
+        let scope = if list.snapshot { UpdateScope::Full } else { UpdateScope::Delta };
         let unsaid = list.unsaid();
         (came, Some(News { scope, endpoints: list.endpoints, unsaid }))
     }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -12,10 +12,10 @@
 
 use beechrudder_coldstart::Allowance;
 use bytes::Bytes;
-use slatelock::interface::{Action, BackendEntry, Event, ListScope, Outcome, Readiness, Request};
-use slatelock::settings::Names;
-use slatelock::terms::Terms;
-use slatelock::Gateway;
+use slatelock::interface::{Action, BackendEndpoint, Event, UpdateScope, Outcome, EndpointState, Request};
+use slatelock::settings::SettingNames;
+use slatelock::terms::ServiceSettings;
+use slatelock::Policy;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::AbortHandle;
 use tokio::time::{interval, Instant};
@@ -96,7 +96,7 @@
     pub passing: Arc<Semaphore>,
     pub overseen: Overseen,
     /// What requests are read by.
-    pub terms: watch::Sender<Arc<Terms>>,
+    pub terms: watch::Sender<Arc<ServiceSettings>>,
     /// What other processes of this gateway may have a part of.
     pub parts: Vec<Part>,
     /// First connections to backends by turns; none: as requests need them.
@@ -107,10 +107,10 @@
 
 /// The driver and all it owns.
 pub struct Driver {
-    gateway: Gateway,
+    gateway: Policy,
     clock: Clock,
-    names: Names,
-    terms: watch::Sender<Arc<Terms>>,
+    names: SettingNames,
+    terms: watch::Sender<Arc<ServiceSettings>>,
     parts: Vec<Part>,
     opening: Option<Opening>,
     allowance: Option<Allowance>,
@@ -142,7 +142,7 @@
 }
 
 impl Driver {
-    pub fn new(gateway: Gateway, clock: Clock, around: Around) -> Self {
+    pub fn new(gateway: Policy, clock: Clock, around: Around) -> Self {
         let Around { backends, counter, inbox, room, passing, overseen, terms, parts, opening, allowance } =
             around;
         let names = terms.borrow().names.clone();
@@ -206,7 +206,7 @@
     /// that: a call that is never out of time, an attempt that is never overdue.
     fn rang(&mut self, timer: &Expired<Due>) {
         let Due::Timer(token) = timer.get_ref() else { return };
-        let held = Gateway::timer_request(*token).and_then(|id| self.held.get_mut(&id));
+        let held = Policy::request_of_timer(*token).and_then(|id| self.held.get_mut(&id));
         held.into_iter().for_each(|h| h.timers.retain(|key| *key != timer.key()));
     }
 
@@ -223,7 +223,7 @@
             Input::Request { id, call, answer } => self.request(id, call, answer),
             Input::Gone { id } => {
                 if self.owed(id).is_some() {
-                    self.handle(Event::ClientGone { id });
+                    self.handle(Event::ClientDisconnected { id });
                     self.let_go(id);
                 }
             }
@@ -244,14 +244,14 @@
             Input::Counted(Counted { number, outcome, total }) => {
                 if let Some(Counting { name, timer, .. }) = self.calls.remove(&number) {
                     self.timers.try_remove(&timer);
-                    self.handle(Event::Counted { name, outcome, total });
+                    self.handle(Event::CounterReplied { key: name, outcome, total });
                 }
             }
             Input::Due(Due::Call(number)) => {
                 if let Some(Counting { name, made, .. }) = self.calls.remove(&number) {
                     let outcome =
                         self.counter.as_ref().map_or(Outcome::Timeout, |c| c.overdue(number, name, made));
-                    self.handle(Event::Counted { name, outcome, total: 0.0 });
+                    self.handle(Event::CounterReplied { key: name, outcome, total: 0.0 });
                 }
             }
             Input::Counter(counter) => {
@@ -265,7 +265,7 @@
                 self.next.extend(out.into_iter().map(settled));
             }
             Input::List(News { scope, endpoints, unsaid }) => self.list(scope, endpoints, &unsaid),
-            Input::Due(Due::Timer(token)) => self.handle(Event::Timer { token }),
+            Input::Due(Due::Timer(token)) => self.handle(Event::TimerExpired { token }),
             Input::Asked { ask, say } => {
                 let answer = self.asked(ask);
                 // Fails only when whoever asked is gone.
@@ -277,7 +277,7 @@
                 let ids: Vec<u64> = self.held.keys().copied().collect();
                 for id in ids {
                     self.answer(id, Answer::Failed);
-                    self.handle(Event::ClientGone { id });
+                    self.handle(Event::ClientDisconnected { id });
                 }
             }
         }
@@ -306,8 +306,8 @@
             plan: call.plan,
             class: call.class,
             units: call.units,
-            width: call.width,
-            expires_ms,
+            fan_out: call.width,
+            deadline_ms: expires_ms,
             retry: call.retry,
         };
         let (answer, timers) = (Some(answer), Vec::with_capacity(3));
@@ -317,20 +317,20 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, backend, begin_by_ms } => self.send(id, backend, begin_by_ms),
-            Action::Cancel { id, attempt } => self.cancel((id, attempt)),
-            Action::Refuse { id, retry_after_ms } => {
+            Action::SendAttempt { id, backend, write_deadline_ms: begin_by_ms } => self.send(id, backend, begin_by_ms),
+            Action::CancelAttempt { id, attempt } => self.cancel((id, attempt)),
+            Action::Reject { id, retry_after_ms } => {
                 // Danger: a time rounded down is a time too early.
                 let after = retry_after_ms.map(|ms| ms.ceil().max(1.0) as u64);
                 self.answer(id, Answer::Refused(after));
             }
-            Action::Surrender { id } => self.answer(id, Answer::Failed),
+            Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Probe { backend } => self.probe(backend, Purpose::Health),
-            Action::Count { name, amount, forget_after_ms } => {
+            Action::IncrementCounter { key: name, amount, ttl_ms: forget_after_ms } => {
                 self.count(name, amount, forget_after_ms);
             }
-            Action::Timer { token, at_ms } => {
-                let held = Gateway::timer_request(token).map(|id| self.held.get_mut(&id));
+            Action::ScheduleTimer { token, at_ms } => {
+                let held = Policy::request_of_timer(token).map(|id| self.held.get_mut(&id));
                 if matches!(held, Some(None)) {
                     return;
                 }
@@ -338,7 +338,7 @@
                 held.flatten().into_iter().for_each(|h| h.timers.push(timer));
             }
             // Gateways have no way to talk to each other here, and discovery is always watched.
-            Action::Tell { .. } | Action::Watch => {}
+            Action::BroadcastToPeers { .. } | Action::PollEndpoints => {}
         }
     }
 
@@ -383,7 +383,7 @@
         // A call that is left out is one too many.
         let may = self.allowance.as_mut().is_none_or(|allowance| allowance.take(now));
         if !may || !self.counter.as_ref().is_some_and(|c| c.call(call)) {
-            self.next.push_back(Input::Counted(Counted { number, outcome: Outcome::Full, total: 0.0 }));
+            self.next.push_back(Input::Counted(Counted { number, outcome: Outcome::Rejected, total: 0.0 }));
         }
     }
 
@@ -420,7 +420,7 @@
             }
             // Danger: the gateway's own want of connections, or a list that changed, told as the backend's
             // fault.
-            Way::Full | Way::Closed => self.over(key, backend, Outcome::Moot),
+            Way::Full | Way::Closed => self.over(key, backend, Outcome::NotSent),
         }
     }
 
@@ -444,12 +444,12 @@
     fn connected(&mut self, key: Key, backend: u32, connection: Option<Connection>) {
         match connection {
             // Danger: a request written to a backend that drains by now.
-            Some(c) if !self.backends.current(backend, &c) => self.over(key, backend, Outcome::Moot),
+            Some(c) if !self.backends.current(backend, &c) => self.over(key, backend, Outcome::NotSent),
             Some(c) if self.may_begin(key) => self.write(key, c),
             // The connection may still serve others.
             Some(c) => {
                 self.backends.put_back(backend, c);
-                self.over(key, backend, Outcome::Moot);
+                self.over(key, backend, Outcome::NotSent);
             }
             None => self.over(key, backend, Outcome::ConnectFailed),
         }
@@ -507,7 +507,7 @@
     fn cancel(&mut self, key: Key) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let outcome = match &attempt.phase {
-            Phase::Connecting => Outcome::Moot,
+            Phase::Connecting => Outcome::NotSent,
             Phase::Writing(task) => {
                 task.abort();
                 Outcome::Cancelled
@@ -534,23 +534,23 @@
             }
             Reply::Failed(outcome, facts) => (outcome, facts),
         };
-        self.handle(Event::Ended {
+        self.handle(Event::AttemptEnded {
             id,
             attempt: number,
             backend: attempt.backend,
             outcome,
             // Danger: a peer that writes for seconds, taken for one with a queue.
             latency_ms: attempt.began_ms.unwrap_or_else(|| self.clock.now_ms()) - attempt.sent_ms,
-            closed: self.held.get(&id).is_none_or(|h| h.answer.is_none()),
-            metered,
-            charged,
+            answered: self.held.get(&id).is_none_or(|h| h.answer.is_none()),
+            metered_use: metered,
+            actual_units: charged,
             load: &load,
         });
         self.let_go(id);
     }
 
-    fn list(&mut self, scope: ListScope, endpoints: Vec<Endpoint>, unsaid: &[String]) {
-        if scope != ListScope::Cached {
+    fn list(&mut self, scope: UpdateScope, endpoints: Vec<Endpoint>, unsaid: &[String]) {
+        if scope != UpdateScope::Cached {
             let now = self.clock.now_ms();
             self.opening.as_mut().into_iter().for_each(|o| o.confirm(now));
         }
@@ -568,20 +568,20 @@
         self.lines(scope, lines);
         let reshared = self.roster.reshare(&self.names.zones);
         if !reshared.is_empty() {
-            self.lines(ListScope::Delta, reshared);
+            self.lines(UpdateScope::Delta, reshared);
         }
     }
 
     /// Takes lines of the list in, as discovery and operators make them together.
-    fn lines(&mut self, scope: ListScope, lines: Vec<(BackendEntry, SocketAddr)>) {
+    fn lines(&mut self, scope: UpdateScope, lines: Vec<(BackendEndpoint, SocketAddr)>) {
         let mut entries = Vec::with_capacity(lines.len());
         for (entry, address) in lines {
             // Danger: a request for a backend that is no more, sent to the one that has its address now.
             let replaced = self.backends.update(&entry, address);
             entries.push(entry);
             for id in replaced {
-                entries.retain(|e: &BackendEntry| e.id != id);
-                entries.push(BackendEntry { id, state: Readiness::Gone, ..BackendEntry::default() });
+                entries.retain(|e: &BackendEndpoint| e.id != id);
+                entries.push(BackendEndpoint { id, state: EndpointState::Removed, ..BackendEndpoint::default() });
             }
         }
         if matches!(scope, ListScope::Full | ListScope::Cached) {
@@ -592,7 +592,7 @@
         let backends = &self.backends;
         self.roster.keep_only(|id| backends.known(id));
         self.hold_back(scope, &mut entries);
-        self.handle(Event::Backends { scope, entries: &entries });
+        self.handle(Event::EndpointsUpdated { scope, endpoints: &entries });
         self.settle_opening();
     }
 }
--- a/crates/gateway/src/driver/opening.rs
+++ b/crates/gateway/src/driver/opening.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use beechrudder_coldstart::{Openings, Stage};
-use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
+use slatelock::interface::{BackendEndpoint, Event, UpdateScope, Outcome, EndpointState};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::time::delay_queue;
@@ -17,7 +17,7 @@
 pub struct Opening {
     openings: Openings,
     /// The last line of each that waits, as the decisions get it when it is open.
-    held_back: HashMap<u32, BackendEntry>,
+    held_back: HashMap<u32, BackendEndpoint>,
     /// The timer of the next turn, and its moment, Unix time in ms.
     timer: Option<(delay_queue::Key, f64)>,
     /// What was said last of how far it has come.
@@ -46,7 +46,7 @@
 
 impl Driver {
     /// Makes drains of the lines of backends that wait for their turn.
-    pub(super) fn hold_back(&mut self, scope: ListScope, entries: &mut [BackendEntry]) {
+    pub(super) fn hold_back(&mut self, scope: UpdateScope, entries: &mut [BackendEndpoint]) {
         let Some(Opening { openings, held_back, .. }) = &mut self.opening else { return };
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
@@ -54,12 +54,12 @@
             held_back.retain(|id, _| named.contains(id));
         }
         for entry in entries {
-            if entry.state != Readiness::Ready {
+            if entry.state != EndpointState::Ready {
                 openings.gone(entry.id);
                 held_back.remove(&entry.id);
-            } else if !openings.listed(entry.id, entry.key, entry.cold_from_ms()) {
+            } else if !openings.listed(entry.id, entry.key, entry.slow_start_from_ms()) {
                 held_back.insert(entry.id, entry.clone());
-                entry.state = Readiness::Draining;
+                entry.state = EndpointState::Draining;
             }
         }
     }
@@ -71,10 +71,10 @@
         let Some(opening) = &mut self.opening else { return };
         opening.openings.choose(now, out);
         let released = opening.openings.release(now);
-        let entries: Vec<BackendEntry> =
+        let entries: Vec<BackendEndpoint> =
             released.iter().filter_map(|id| opening.held_back.remove(id)).collect();
         if !entries.is_empty() {
-            self.handle(Event::Backends { scope: ListScope::Delta, entries: &entries });
+            self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
         }
         let Some(opening) = &mut self.opening else { return };
         let (stage, open) = (opening.openings.stage(), opening.openings.open());
@@ -111,7 +111,7 @@
             let now = self.clock.now_ms();
             let Some(opening) = &mut self.opening else { return };
             let Some(backend) = opening.openings.due(now) else { break };
-            let Some(life_ms) = opening.held_back.get(&backend).map(BackendEntry::cold_from_ms) else {
+            let Some(life_ms) = opening.held_back.get(&backend).map(BackendEndpoint::slow_start_from_ms) else {
                 continue;
             };
             self.probe(backend, Purpose::FirstConnection { life_ms });
@@ -128,7 +128,7 @@
         if opening.openings.tried(now, backend, life_ms, answered) {
             self.backends.opened(backend, Instant::now());
             if let Some(entry) = opening.held_back.remove(&backend) {
-                self.handle(Event::Backends { scope: ListScope::Delta, entries: &[entry] });
+                self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
             }
         }
         self.settle_opening();
--- a/crates/gateway/src/driver/overseen.rs
+++ b/crates/gateway/src/driver/overseen.rs
@@ -10,7 +10,7 @@
 use beechrudder_fleet::{Desired, OrderId, Subject};
 use beechrudder_maintenance::Book;
 use slatelock::interface::SettingsError;
-use slatelock::terms::Terms;
+use slatelock::terms::ServiceSettings;
 use slatelock::BackendView;
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
@@ -82,9 +82,9 @@
                 self.others(others);
                 let _ = say.send(());
             }
-            Order::Untold { say } => drop(say.send(self.gateway.untold())),
+            Order::Untold { say } => drop(say.send(self.gateway.take_unreported_charges())),
             Order::TakeOver { untold, say } => {
-                self.gateway.take_over(self.clock.now_ms(), &untold);
+                self.gateway.adopt_unreported_charges(self.clock.now_ms(), &untold);
                 let _ = say.send(());
             }
             Order::Change { terms, say } => drop(say.send(self.change(&terms))),
@@ -98,24 +98,24 @@
     /// Leaves other processes of this gateway their shares.
     pub fn others(&mut self, others: usize) {
         let processes = u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1);
-        self.gateway.share_with(self.clock.now_ms(), processes);
+        self.gateway.set_process_count(self.clock.now_ms(), processes);
         self.parts.iter_mut().for_each(|part| part.share(processes as usize));
     }
 
     /// Goes by new settings, as far as they may change in service.
-    fn change(&mut self, new: &Terms) -> Result<(), SettingsError> {
+    fn change(&mut self, new: &ServiceSettings) -> Result<(), SettingsError> {
         let (now, held) = (self.clock.now_ms(), Arc::clone(&self.terms.borrow()));
         let longest = held.settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         // Danger: a request that was read, and did not come here yet, with a class that has its place by
         // then.
         let free = |place: usize| {
             let since = self.dropped.get(&place).copied().unwrap_or(now);
-            now - since > longest + READ_MS && !self.gateway.holds_class(place)
+            now - since > longest + READ_MS && !self.gateway.has_request_of_class(place)
         };
         let terms = held.changed(new, free)?;
         let name = |place: usize| terms.names.classes.get(place)?.as_ref();
         let before = |place| held.names.classes.iter().position(|n| n.is_some() && n.as_ref() == name(place));
-        self.gateway.change(terms.settings.clone(), before);
+        self.gateway.update_settings(terms.settings.clone(), before);
         self.dropped.retain(|place, _| terms.settings.classes[*place].dropped);
         for (place, _) in terms.settings.classes.iter().enumerate().filter(|(_, c)| c.dropped) {
             self.dropped.entry(place).or_insert(now);
@@ -139,7 +139,7 @@
         let wanted = Wanted { desired: &self.overseen.desired, book: &self.overseen.book };
         let lines = self.roster.reorder(wanted, &self.names.zones);
         if !lines.is_empty() {
-            self.lines(slatelock::interface::ListScope::Delta, lines);
+            self.lines(slatelock::interface::UpdateScope::Delta, lines);
         }
         let overseen = &self.overseen;
         let drained = overseen.desired.gateway_drained(&overseen.name).is_some()
@@ -180,14 +180,14 @@
         let mut out: HashMap<u32, u64> = HashMap::new();
         self.attempts.values().for_each(|a| *out.entry(a.backend).or_default() += 1);
         let mut rows: Vec<BackendState> = Vec::new();
-        let (forgotten, forgotten_units) = self.gateway.forgotten();
+        let (forgotten, forgotten_units) = self.gateway.evictions();
         let mut figures = Figures {
             waiting: self.opening.as_ref().map_or(0, |o| o.waiting() as u32),
             requests: self.open.len() as u64,
             in_flight: self.attempts.len() as u64,
             idle_connections: self.backends.idle() as u32,
             client_connections: self.overseen.clients.len() as u32,
-            customers: self.gateway.customers() as u64,
+            customers: self.gateway.customer_count() as u64,
             forgotten,
             forgotten_units: forgotten_units.ceil() as u64,
             ..Figures::default()
--- a/crates/gateway/src/driver/probing.rs
+++ b/crates/gateway/src/driver/probing.rs
@@ -76,7 +76,7 @@
                     Reply::Served(_, facts) => (Outcome::Ok, facts),
                     Reply::Failed(outcome, facts) => (outcome, facts),
                 };
-                self.handle(Event::Probed { backend, outcome, load: &facts.load });
+                self.handle(Event::ProbeEnded { backend, outcome, load: &facts.load });
             }
             Purpose::FirstConnection { life_ms } => self.tried(backend, life_ms, &reply),
         }
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beechrudder_maintenance::{Book, Call, Done};
-use slatelock::interface::Untold;
+use slatelock::interface::UnreportedCharge;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
@@ -28,13 +28,13 @@
 const LOCK_TRIES: u32 = 40;
 const LOCK_PAUSE: Duration = Duration::from_millis(5);
 
-fn written(u: Untold) -> Charge {
-    (u.customer, u.plan as u64, u.width, u.units)
+fn written(u: UnreportedCharge) -> Charge {
+    (u.customer, u.plan as u64, u.fan_out, u.units)
 }
 
-fn read((customer, plan, width, units): Charge) -> Untold {
+fn read((customer, plan, width, units): Charge) -> UnreportedCharge {
     // A plan that no settings have is passed over by the decisions.
-    Untold { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), width, units }
+    UnreportedCharge { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), fan_out: width, units }
 }
 
 /// How far this process is.
@@ -158,7 +158,7 @@
     async fn take_over(&self) {
         let left = self.folder.as_ref().map(|folder| folder.claim::<Vec<Charge>>(UNTOLD)).unwrap_or_default();
         for untold in left {
-            let untold: Vec<Untold> = untold.into_iter().map(read).collect();
+            let untold: Vec<UnreportedCharge> = untold.into_iter().map(read).collect();
             tracing::info!("{} customers' charges taken over from a process that ended", untold.len());
             let (say, said) = oneshot::channel();
             if self.driver.send(Order::TakeOver { untold, say }).await.is_ok() {
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use slatelock::interface::Readiness;
+use slatelock::interface::EndpointState;
 
 /// The list of backends or a part of it.
 #[derive(Clone, Debug)]
@@ -49,12 +49,12 @@
     Deleted,
 }
 
-impl From<Status> for Readiness {
+impl From<Status> for EndpointState {
     fn from(status: Status) -> Self {
         match status {
-            Status::Serving => Readiness::Ready,
-            Status::Draining => Readiness::Draining,
-            Status::Deleted => Readiness::Gone,
+            Status::Serving => EndpointState::Ready,
+            Status::Draining => EndpointState::Draining,
+            Status::Deleted => EndpointState::Removed,
         }
     }
 }
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/order.rs
@@ -1,8 +1,8 @@
 //! What the keeper of operators' book asks of the driver, on a way of its own that is looked at first.
 
 use beechrudder_maintenance::Book;
-use slatelock::interface::{SettingsError, Untold};
-use slatelock::terms::Terms;
+use slatelock::interface::{SettingsError, UnreportedCharge};
+use slatelock::terms::ServiceSettings;
 use tokio::sync::oneshot;
 
 /// An order.
@@ -12,11 +12,11 @@
     /// So many other processes of this gateway live; answered when their shares are left to them.
     Others { others: usize, say: oneshot::Sender<()> },
     /// Takes off what the counter was not told, for another process to tell.
-    Untold { say: oneshot::Sender<Vec<Untold>> },
+    Untold { say: oneshot::Sender<Vec<UnreportedCharge>> },
     /// Tells the counter what another process did not, each with the next call for its customer.
-    TakeOver { untold: Vec<Untold>, say: oneshot::Sender<()> },
+    TakeOver { untold: Vec<UnreportedCharge>, say: oneshot::Sender<()> },
     /// Goes by what may change in service of new settings; answered when it does, or with why it does not.
-    Change { terms: Box<Terms>, say: oneshot::Sender<Result<(), SettingsError>> },
+    Change { terms: Box<ServiceSettings>, say: oneshot::Sender<Result<(), SettingsError>> },
     /// Puts a book in force if it is newer than the one that is; answered when it is.
     Adopt { book: Book, say: oneshot::Sender<()> },
 }
--- a/crates/gateway/src/resp.rs
+++ b/crates/gateway/src/resp.rs
@@ -6,8 +6,8 @@
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::encode::extend_encode;
 use redis_protocol::resp2::types::BytesFrame;
-use slatelock::interface::{Effect, Settings};
-use slatelock::settings::Names;
+use slatelock::interface::{Idempotency, Settings};
+use slatelock::settings::SettingNames;
 use tokio::sync::OwnedSemaphorePermit;
 
 use crate::long::Long;
@@ -218,7 +218,7 @@
 
 impl Command {
     /// Reads a client's command by the names of the settings.
-    pub fn read(frame: BytesFrame, settings: &Settings, names: &Names) -> Result<Command, Unknown> {
+    pub fn read(frame: BytesFrame, settings: &Settings, names: &SettingNames) -> Result<Command, Unknown> {
         let BytesFrame::Array(words) = frame else { return Err(Unknown("a command is an array")) };
         let words = words.into_iter().map(|word| match word {
             BytesFrame::BulkString(bytes) => Ok(bytes),
@@ -251,9 +251,9 @@
                 "d" => wait = whole(value, 1..=WAIT_MOST_MS).map(|ms| (ms, value)),
                 "k" => key = !value.is_empty(),
                 "r" => retry = value == "1",
-                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_units),
-                "spread" => spread = whole(value, 1..=settings.gateways),
-                "first" => first = whole(value, 0..=settings.gateways - 1),
+                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_request_units),
+                "spread" => spread = whole(value, 1..=settings.gateway_count),
+                "first" => first = whole(value, 0..=settings.gateway_count - 1),
                 _ => {}
             }
         }
@@ -265,10 +265,10 @@
         first.ok_or(Unknown("bad first"))?;
         let settings = &settings.classes[class];
         // Danger: a command that says safe of a class that is not, which a backend might run twice.
-        if (settings.effect == Effect::Safe) == write {
+        if (settings.effect == Idempotency::Idempotent) == write {
             return Err(Unknown("wrong command for the class"));
         }
-        if settings.effect == Effect::Keyed && !key {
+        if settings.effect == Idempotency::Keyed && !key {
             return Err(Unknown("no idempotency key"));
         }
         // Nobody waits longer than the class allows.
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -5,7 +5,7 @@
 
 use beechrudder_fleet::{Desired, Effect, Subject};
 use beechrudder_maintenance::Book;
-use slatelock::interface::{BackendEntry, Readiness};
+use slatelock::interface::{BackendEndpoint, EndpointState};
 
 use crate::listing::{Endpoint, Status};
 
@@ -67,7 +67,7 @@
 
     /// Takes a line of discovery's in, and gives the one that the decisions are to have; `None` for a
     /// backend that is gone and was not known.
-    pub fn take(&mut self, endpoint: Endpoint, wanted: Wanted<'_>, zones: &[String]) -> Option<BackendEntry> {
+    pub fn take(&mut self, endpoint: Endpoint, wanted: Wanted<'_>, zones: &[String]) -> Option<BackendEndpoint> {
         let name = endpoint.name.clone();
         self.changes += 1;
         match self.rows.get_mut(&name) {
@@ -88,7 +88,7 @@
     }
 
     /// What the decisions have of a backend, with its address.
-    pub fn held(&self, name: &str, zones: &[String]) -> Option<(BackendEntry, SocketAddr)> {
+    pub fn held(&self, name: &str, zones: &[String]) -> Option<(BackendEndpoint, SocketAddr)> {
         self.rows.get(name).map(|row| (self.entry(row, zones), row.endpoint.address))
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Works out anew what operators make of the list. Gives the lines that the decisions are to have.
-    pub fn reorder(&mut self, wanted: Wanted<'_>, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    pub fn reorder(&mut self, wanted: Wanted<'_>, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut changed = Vec::new();
         for (name, row) in &mut self.rows {
             if row.want(wanted) {
@@ -129,7 +129,7 @@
     }
 
     /// All lines, if the list has changed so that all shares have; else none.
-    pub fn reshare(&mut self, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    pub fn reshare(&mut self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         if self.weigh() {
             self.all(zones)
         } else {
@@ -137,7 +137,7 @@
         }
     }
 
-    fn all(&self, zones: &[String]) -> Vec<(BackendEntry, SocketAddr)> {
+    fn all(&self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut all: Vec<_> =
             self.rows.values().map(|row| (self.entry(row, zones), row.endpoint.address)).collect();
         all.sort_unstable_by_key(|(entry, _)| entry.id);
@@ -153,16 +153,16 @@
     }
 
     /// The line of a backend for the decisions. Discovery's DRAINING and DELETED win over every order.
-    fn entry(&self, row: &Row, zones: &[String]) -> BackendEntry {
+    fn entry(&self, row: &Row, zones: &[String]) -> BackendEndpoint {
         let endpoint = &row.endpoint;
         let zone = zones.iter().position(|z| *z == endpoint.zone);
-        let state = match Readiness::from(endpoint.status) {
-            Readiness::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
-                Readiness::Draining
+        let state = match EndpointState::from(endpoint.status) {
+            EndpointState::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
+                EndpointState::Draining
             }
             told => told,
         };
-        BackendEntry {
+        BackendEndpoint {
             id: row.number,
             state,
             cell: endpoint.group,
@@ -171,9 +171,9 @@
             key: hash(&endpoint.name),
             kind: hash(&endpoint.kind) as u32,
             started_ms: endpoint.since_ms,
-            returned_ms: row.returned_ms,
+            reenabled_ms: row.returned_ms,
             weight: endpoint.weight,
-            share: (row.effect.weight / self.greatest).min(1.0),
+            weight_share: (row.effect.weight / self.greatest).min(1.0),
         }
     }
 
@@ -221,7 +221,7 @@
         Wanted { desired, book: NONE.get_or_init(Book::default) }
     }
 
-    fn state(roster: &Roster, name: &str) -> Readiness {
+    fn state(roster: &Roster, name: &str) -> EndpointState {
         roster.entry(&roster.rows[name], &[]).state
     }
 
@@ -253,7 +253,7 @@
         }
         order(&mut desired, 1, "a", Change::Weight(0.5));
         assert_eq!(roster.reorder(only(&desired), &[]).len(), 1);
-        let share = |roster: &Roster, name: &str| roster.entry(&roster.rows[name], &[]).share;
+        let share = |roster: &Roster, name: &str| roster.entry(&roster.rows[name], &[]).weight_share;
         assert_eq!((share(&roster, "a"), share(&roster, "b")), (0.5, 1.0));
         order(&mut desired, 2, "b", Change::Weight(4.0));
         let changed = roster.reorder(only(&desired), &[]);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -10,8 +10,8 @@
 use beechrudder_coldstart::{Allowance, Calendar, Calls, Openings};
 use beechrudder_operator::{Admin, Operator};
 use beechrudder_routing::Subset;
-use slatelock::interface::{ListScope, Routing};
-use slatelock::Gateway;
+use slatelock::interface::{UpdateScope, Routing};
+use slatelock::Policy;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
@@ -108,7 +108,7 @@
             tracing::warn!("SIGHUP: {e}; the old configuration stays");
             continue;
         }
-        let restart = config.terms.need_restart(&new.terms);
+        let restart = config.terms.sections_needing_restart(&new.terms);
         tracing::info!("SIGHUP: the new configuration is in force");
         if !restart.is_empty() {
             tracing::warn!("SIGHUP: {} differ and need a restart", restart.join("; "));
@@ -166,8 +166,8 @@
     let settings = &mut terms.settings;
     let Operator { admin, routing, start, .. } = operator;
     let beechrudder_operator::Routing { whole, choices, subset, coverage } = routing;
-    settings.routing = Routing { whole, choices, subset, coverage };
-    settings.customers = Gateway::customers_in((memory_mb << 20) / RECORDS_PART);
+    settings.routing = Routing { scan_all_up_to: whole, choices, subset_size: subset, coverage };
+    settings.customers = Policy::customers_fitting((memory_mb << 20) / RECORDS_PART);
     let failed = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
     let mut terminate = signal(SignalKind::terminate()).map_err(failed("SIGTERM"))?;
     let hangup = signal(SignalKind::hangup()).map_err(failed("SIGHUP"))?;
@@ -184,7 +184,7 @@
     }
     let places = places / 2;
     let listener = clients_socket(listen).await?;
-    let gateway = Gateway::new(settings.clone(), seed, clock.now_ms()).map_err(|e| e.to_string())?;
+    let gateway = Policy::new(settings.clone(), seed, clock.now_ms()).map_err(|e| e.to_string())?;
 
     let (inbox, mut queue) = mpsc::channel(INBOX);
     let wait = Duration::from_secs_f64(settings.counter_timeout_ms / 1000.0);
@@ -251,7 +251,7 @@
     };
     discovery::name_wrong("known", &known);
     let unsaid = Vec::new();
-    driver.take(Input::List(News { scope: ListScope::Cached, endpoints: known.endpoints, unsaid }));
+    driver.take(Input::List(News { scope: UpdateScope::Cached, endpoints: known.endpoints, unsaid }));
     let ordering = match admin.as_ref().filter(|_| start.is_some_and(|start| start.ordered_by_agent)) {
         Some(Admin { agent: Some(agent), tls, .. }) => {
             let dialer = Dialer::new(tls.as_ref()).map_err(|e| format!("admin: {e}"))?;
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -18,15 +18,15 @@
 
 /// Pauses of one gateway between calls that fail.
 #[derive(Clone, Debug)]
-pub struct Pauses {
+pub struct Backoff {
     first: Duration,
-    longest: Duration,
+    max_delay: Duration,
     /// The pause after the next failure, before jitter.
     next: Duration,
     random: u64,
 }
 
-impl Pauses {
+impl Backoff {
     /// For one of `gateways` gateways (0 counts as 1) that share a service. The first pause after a success
     /// is `first` and the longest `most`, each longer where the fleet is so large that its share of the
     /// calls is less: one in `gateways x each`, where `each` is the time that the service is taken to need
@@ -43,31 +43,31 @@
         limit: Duration,
         gateways: u32,
         seed: u64,
-    ) -> Pauses {
+    ) -> Backoff {
         let share = each.saturating_mul(gateways.max(1));
         let limit = limit.mul_f64(1.0 / LONGEST_JITTER);
         let first = first.max(share).min(limit);
         let longest = most.max(share.saturating_mul(1 << DOUBLINGS)).min(limit).max(first);
-        Pauses { first, longest, next: first, random: seed }
+        Backoff { first, max_delay: longest, next: first, random: seed }
     }
 
     /// The pause before a call that none came before: from nothing up to this gateway's share of the calls,
     /// and to `limit`. Gateways that start together must not call together; nor may one wait so long for
     /// its turn that it uses an endpoint list from before its start for longer than it may.
-    pub fn start(&mut self, each: Duration, limit: Duration, gateways: u32) -> Duration {
+    pub fn initial_delay(&mut self, each: Duration, limit: Duration, gateways: u32) -> Duration {
         let chance = self.random_fraction();
         each.saturating_mul(gateways.saturating_sub(1)).min(limit).mul_f64(chance)
     }
 
     /// A call was answered: the next failure is a first one.
-    pub fn answered(&mut self) {
+    pub fn reset(&mut self) {
         self.next = self.first;
     }
 
     /// The pause after a call that failed: by chance from half of the present one to the whole and a half.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (pause * 2).min(self.longest);
+        self.next = (pause * 2).min(self.max_delay);
         let chance = self.random_fraction();
         pause.mul_f64(LEAST_JITTER + chance)
     }
@@ -75,7 +75,7 @@
     /// The longest pause there may be.
     #[must_use]
     pub fn longest(&self) -> Duration {
-        self.longest.mul_f64(LONGEST_JITTER)
+        self.max_delay.mul_f64(LONGEST_JITTER)
     }
 
     /// A number in [0, 1): SplitMix64 (Steele, Lea and Flood, 2014).
--- a/crates/pacing/tests/pauses.rs
+++ b/crates/pacing/tests/pauses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechrudder_pacing::Pauses;
+use beechrudder_pacing::Backoff;
 use proptest::prelude::*;
 
 const FIRST: Duration = Duration::from_millis(50);
@@ -12,9 +12,9 @@
 /// The longest that the first call may wait.
 const START: Duration = Duration::from_millis(250);
 
-fn fleet(gateways: u32, seed: u64) -> Vec<Pauses> {
+fn fleet(gateways: u32, seed: u64) -> Vec<Backoff> {
     let of = |g: u64| {
-        Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, seed ^ g.wrapping_mul(0x5851_f42d_4c95_7f2d))
+        Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, seed ^ g.wrapping_mul(0x5851_f42d_4c95_7f2d))
     };
     (0..u64::from(gateways)).map(of).collect()
 }
@@ -54,7 +54,7 @@
     /// The law has no brink: one gateway more makes the pauses longer by its share, or leaves them.
     #[test]
     fn one_gateway_more_changes_little(gateways in 1u32..500, seed: u64) {
-        let longest = |n: u32| Pauses::new(FIRST, MOST, EACH, LIMIT, n, seed).longest();
+        let longest = |n: u32| Backoff::new(FIRST, MOST, EACH, LIMIT, n, seed).longest();
         let (with, without) = (longest(gateways + 1), longest(gateways));
         prop_assert!(with >= without && with - without <= EACH * 6);
     }
@@ -62,13 +62,13 @@
     /// Pauses grow, stay within their bounds, and begin anew after an answer.
     #[test]
     fn pauses_double_within_their_bounds(gateways in 1u32..=500, seed: u64, failures in 1usize..20) {
-        let mut pauses = Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, seed);
+        let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, seed);
         for _ in 0..failures {
-            let pause = pauses.failed();
+            let pause = pauses.next_delay();
             prop_assert!(pause >= FIRST / 2 && pause <= pauses.longest());
         }
-        pauses.answered();
-        let again = pauses.failed();
+        pauses.reset();
+        let again = pauses.next_delay();
         prop_assert!(again <= FIRST.max(EACH * gateways) * 3 / 2);
     }
 }
@@ -76,7 +76,7 @@
 #[test]
 fn few_gateways_pause_like_one() {
     for gateways in [0, 1, 2] {
-        let mut pauses = Pauses::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
+        let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
         assert!(pauses.failed() < FIRST * 3 / 2);
         assert_eq!(pauses.longest(), MOST * 3 / 2);
     }
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// No record that was looked at may go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct CacheFull;
 
 /// The records that were evicted to make room.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -47,7 +47,7 @@
     /// The keys of all records, in the order in which they are looked at next.
     order: VecDeque<u64>,
     capacity: usize,
-    evicted: Evicted,
+    evictions: Evicted,
 }
 
 impl<T: Evictable> BoundedCache<T> {
@@ -58,13 +58,13 @@
             records: HashMap::new(),
             order: VecDeque::new(),
             capacity: capacity.max(1),
-            evicted: Evicted::default(),
+            evictions: Evicted::default(),
         }
     }
 
     /// How many records fit so many bytes, with what a table needs while it doubles.
     #[must_use]
-    pub fn capacity_for(bytes: usize) -> usize {
+    pub fn capacity_for_bytes(bytes: usize) -> usize {
         // A key and a byte of its own in the table, and the key once more in the order.
         let slot_bytes = size_of::<T>() + 2 * size_of::<u64>() + 1;
         // While a table doubles there are three times the old one's slots; twice are there after it.
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// [`Full`] if none of those may go. The next call looks at others.
-    pub fn insert(&mut self, now: f64, key: u64, record: T) -> Result<(), Full> {
+    pub fn insert(&mut self, now: f64, key: u64, record: T) -> Result<(), CacheFull> {
         if self.records.len() >= self.capacity {
             self.evict_one(now)?;
         }
@@ -99,16 +99,16 @@
         Ok(())
     }
 
-    fn evict_one(&mut self, now: f64) -> Result<(), Full> {
+    fn evict_one(&mut self, now: f64) -> Result<(), CacheFull> {
         let sample = EVICTION_SAMPLE.min(self.order.len());
         let victim = self.cheapest_of_next(now, sample);
         let evicted = victim.and_then(|victim| Some((self.order.remove(victim.position)?, victim.cost)));
         // Those that stay come last the next time.
         self.order.rotate_left(sample - usize::from(evicted.is_some()));
-        let (key, cost) = evicted.ok_or(Full)?;
+        let (key, cost) = evicted.ok_or(CacheFull)?;
         self.records.remove(&key);
-        self.evicted.records += 1;
-        self.evicted.cost += cost;
+        self.evictions.records += 1;
+        self.evictions.cost += cost;
         Ok(())
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Changes all records. It walks over all of them, so it is not for the path of a request.
-    pub fn change_all(&mut self, change: impl FnMut(&mut T)) {
+    pub fn for_each_mut(&mut self, change: impl FnMut(&mut T)) {
         self.records.values_mut().for_each(change);
     }
 
@@ -160,13 +160,13 @@
 
     /// Part of the capacity that is used, from 0 to 1.
     #[must_use]
-    pub fn filled(&self) -> f64 {
+    pub fn fill_ratio(&self) -> f64 {
         self.records.len() as f64 / self.capacity as f64
     }
 
     /// The records that were evicted to make room.
     #[must_use]
     pub fn evicted(&self) -> Evicted {
-        self.evicted
+        self.evictions
     }
 }
--- a/crates/records/tests/records.rs
+++ b/crates/records/tests/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use beechrudder_records::{BoundedCache, Evictable, Evicted, Full};
+use beechrudder_records::{BoundedCache, CacheFull, Evictable, Evicted};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -42,7 +42,7 @@
                         must.insert(key, ());
                     }
                 }
-                Err(Full) => {
+                Err(CacheFull) => {
                     prop_assert!(full && records.get(key).is_none());
                     prop_assert_eq!(records.len(), before);
                 }
@@ -89,7 +89,7 @@
     let slot = size_of::<Debt>() + 17;
     let mut last = 0;
     for bytes in [1, 1_000, 100_000, 1 << 20, 8 << 20, 64 << 20] {
-        let fits = BoundedCache::<Debt>::capacity_for(bytes);
+        let fits = BoundedCache::<Debt>::capacity_for_bytes(bytes);
         // The table that a doubling makes and the one before it, half as large.
         let slots = (fits * 8).div_ceil(7).next_power_of_two();
         assert!(fits == 1 || slots * slot * 3 / 2 <= bytes, "{fits} in {bytes}");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -25,7 +25,5 @@
 pub use group::Counts;
 pub use groups::Scope;
 pub use index::{Attributes, Index, Indexed, ListState, Sampling};
-pub use membership::LEAST_SUBSET;
-/// The older name of [`LEAST_SUBSET`], which `cold-start` still imports.
-pub use membership::LEAST_SUBSET as HOME_LEAST;
+pub use membership::MIN_SUBSET_SIZE;
 pub use subset::Subset;
--- a/crates/routing/src/membership.rs
+++ b/crates/routing/src/membership.rs
@@ -6,7 +6,7 @@
 use crate::subset::Subset;
 
 /// Backends that a subset has at least, where there are as many.
-pub const LEAST_SUBSET: usize = 4;
+pub const MIN_SUBSET_SIZE: usize = 4;
 
 /// A ready backend in the order in which backends join the subset: the bits of its threshold, which is
 /// never negative, so that they sort as it does; then its slot.
@@ -71,7 +71,7 @@
 
     /// The threshold below which there are [`LEAST_SUBSET`] backends, or all.
     fn below_for_least_subset(&self) -> f64 {
-        let last = self.ready.iter().nth(LEAST_SUBSET - 1).or(self.ready.last());
+        let last = self.ready.iter().nth(MIN_SUBSET_SIZE - 1).or(self.ready.last());
         last.map_or(0.0, |(threshold, _)| f64::from_bits(*threshold).next_up())
     }
 
--- a/crates/routing/tests/index.rs
+++ b/crates/routing/tests/index.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use beechrudder_routing::{
-    Attributes, Counts, Index, Indexed, ListState, Sampling, Scope, Subset, LEAST_SUBSET,
+    Attributes, Counts, Index, Indexed, ListState, Sampling, Scope, Subset, MIN_SUBSET_SIZE,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -81,7 +81,7 @@
     fn in_subset(&self, attributes: &Attributes) -> bool {
         let mut own: Vec<f64> = self.ready().map(|b| self.subset.threshold(b.0.key)).collect();
         own.sort_by(f64::total_cmp);
-        let least = own.iter().take(LEAST_SUBSET).next_back().map_or(0.0, |t| t.next_up());
+        let least = own.iter().take(MIN_SUBSET_SIZE).next_back().map_or(0.0, |t| t.next_up());
         let degree = self.subset.degree(self.ready().count()).max(least);
         attributes.state == ListState::Ready && self.subset.threshold(attributes.key) < degree
     }
--- a/crates/slatelock/benches/decision.rs
+++ b/crates/slatelock/benches/decision.rs
@@ -23,13 +23,13 @@
 impl World {
     fn new(listed: u32, whole: usize) -> World {
         let mut settings = settings();
-        settings.gateways = 60;
-        settings.routing.whole = whole;
+        settings.gateway_count = 60;
+        settings.routing.scan_all_up_to = whole;
         if whole > 10_000 {
-            settings.routing.subset = u32::MAX;
+            settings.routing.subset_size = u32::MAX;
         }
         let mut rig = Rig::new(settings, 0);
-        rig.on(Event::Backends { scope: ListScope::Full, entries: &backends(listed) });
+        rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &backends(listed) });
         World { rig, last: 0, out: VecDeque::new() }
     }
 
@@ -38,7 +38,7 @@
         self.last += 1;
         self.rig.now += 0.1;
         let (customer, expires_ms) = (self.last % 1_000, self.rig.now + 4_000.0);
-        let asked = Request { customer, expires_ms, ..request(self.last, 0, 3, 1.0) };
+        let asked = Request { customer, deadline_ms: expires_ms, ..request(self.last, 0, 3, 1.0) };
         let actions = self.rig.ask(asked);
         self.out.extend(sent_to(&actions).map(|to| (self.last, to)));
         if self.out.len() > OUT {
--- a/crates/slatelock/src/interface/endpoints.rs
+++ b/crates/slatelock/src/interface/endpoints.rs
@@ -2,25 +2,25 @@
 
 /// State of a backend, as the endpoint list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Readiness {
+pub enum EndpointState {
     /// Takes work.
     #[default]
     Ready,
     /// Finishes its work and takes no more.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A backend's record on the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BackendEntry {
+pub struct BackendEndpoint {
     /// Its number at this gateway.
     pub id: u32,
     /// What it is known by at all gateways.
     pub key: u64,
     /// Its state.
-    pub state: Readiness,
+    pub state: EndpointState,
     /// Its cell.
     pub cell: u32,
     /// Its zone.
@@ -30,41 +30,41 @@
     /// When it started; 0 for long ago.
     pub started_ms: f64,
     /// When operators gave it back after a ban, in which it was restarted; 0 for never.
-    pub returned_ms: f64,
+    pub reenabled_ms: f64,
     /// Its registered size against the others', where known.
     pub weight: f64,
     /// Its share of new work against those of share 1, as operators want it: above 0, at most 1.
-    pub share: f64,
+    pub weight_share: f64,
 }
 
-impl Default for BackendEntry {
+impl Default for BackendEndpoint {
     fn default() -> Self {
-        BackendEntry {
+        BackendEndpoint {
             id: 0,
             key: 0,
-            state: Readiness::Ready,
+            state: EndpointState::Ready,
             cell: 0,
             zone: 0,
             kind: 0,
             started_ms: 0.0,
-            returned_ms: 0.0,
+            reenabled_ms: 0.0,
             weight: 0.0,
-            share: 1.0,
+            weight_share: 1.0,
         }
     }
 }
 
-impl BackendEntry {
+impl BackendEndpoint {
     /// From when it warms up: its start, or its return after a ban, whichever came last.
     #[must_use]
-    pub fn cold_from_ms(&self) -> f64 {
-        self.started_ms.max(self.returned_ms)
+    pub fn slow_start_from_ms(&self) -> f64 {
+        self.started_ms.max(self.reenabled_ms)
     }
 }
 
 /// How an update of the endpoint list is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListScope {
+pub enum UpdateScope {
     /// Changed entries only.
     Delta,
     /// All entries.
--- a/crates/slatelock/src/interface/events.rs
+++ b/crates/slatelock/src/interface/events.rs
@@ -1,6 +1,6 @@
 //! What happens: the input of the decisions.
 
-use super::endpoints::{BackendEntry, ListScope};
+use super::endpoints::{BackendEndpoint, UpdateScope};
 
 /// How an attempt, a probe or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// Answered with an error; it may have run.
     Error,
     /// Rejected unseen, as full.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection.
@@ -20,13 +20,13 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the attempt is known not to have run.
     #[must_use]
-    pub fn never_ran(self) -> bool {
+    pub fn never_executed(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
     }
 }
@@ -45,22 +45,22 @@
     /// Units it counts; an estimate where they are settled later.
     pub units: f64,
     /// Fan-out: gateways through which this customer's requests may come.
-    pub width: f64,
+    pub fan_out: f64,
     /// When the client gives up.
-    pub expires_ms: f64,
+    pub deadline_ms: f64,
     /// Marked as a client's retry.
     pub retry: bool,
 }
 
 /// Unreported charges of a customer: those that the shared counter was not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Untold {
+pub struct UnreportedCharge {
     /// Whose they are.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
     /// Gateways through which the customer's requests may come.
-    pub width: f64,
+    pub fan_out: f64,
     /// Units, above 0.
     pub units: f64,
 }
@@ -69,16 +69,16 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The endpoint list changed.
-    Backends {
+    EndpointsUpdated {
         /// How to read it.
-        scope: ListScope,
+        scope: UpdateScope,
         /// Its entries.
-        entries: &'a [BackendEntry],
+        endpoints: &'a [BackendEndpoint],
     },
     /// A request came in.
     Request(Request),
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: u64,
         /// Which attempt, from 0.
@@ -90,12 +90,12 @@
         /// Time since it was sent.
         latency_ms: f64,
         /// The client has its answer, or has left; nothing is owed any more.
-        closed: bool,
+        answered: bool,
         /// The customer's use over all gateways by its usage meter, as a part of its rate (or of its
         /// concurrency limit).
-        metered: Option<f64>,
+        metered_use: Option<f64>,
         /// The actual units, in place of the estimate.
-        charged: Option<f64>,
+        actual_units: Option<f64>,
         /// Load report, empty for none.
         load: &'a [f32],
     },
@@ -109,12 +109,12 @@
         backend: u32,
     },
     /// The client has disconnected; nothing is owed any more.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         id: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The backend.
         backend: u32,
         /// How it ended.
@@ -123,23 +123,23 @@
         load: &'a [f32],
     },
     /// A counter call ended.
-    Counted {
+    CounterReplied {
         /// The key.
-        name: u64,
+        key: u64,
         /// How it ended.
         outcome: Outcome,
         /// The value after it, if it ended well; not finite if it was added and the value can't be read.
         total: f64,
     },
     /// A message of another gateway.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// The message.
         body: &'a [u8],
     },
     /// A timer fired.
-    Timer {
+    TimerExpired {
         /// Its token.
         token: u64,
     },
--- a/crates/slatelock/src/interface/mod.rs
+++ b/crates/slatelock/src/interface/mod.rs
@@ -8,8 +8,9 @@
 mod settings;
 
 pub use actions::Action;
-pub use endpoints::{BackendEntry, ListScope, Readiness};
-pub use events::{Event, Outcome, Request, Untold};
+pub use endpoints::{BackendEndpoint, EndpointState, UpdateScope};
+pub use events::{Event, Outcome, Request, UnreportedCharge};
 pub use settings::{
-    Class, Effect, Group, Limits, LoadField, Plan, Routing, Settings, SettingsError, SlowStart,
+    Class, DeduplicationScope, Idempotency, Limits, LoadField, Plan, Routing, Settings, SettingsError,
+    SlowStart,
 };
--- a/crates/slatelock/src/interface/settings.rs
+++ b/crates/slatelock/src/interface/settings.rs
@@ -4,18 +4,18 @@
 
 /// How often an effect may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the backends of one group, for a while.
     Keyed,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which backends drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -28,30 +28,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Latency objective: an answer within this time earns the full weight.
-    pub aim_ms: f64,
+    pub latency_objective_ms: f64,
     /// The longest a client waits for all its attempts.
     pub deadline_ms: f64,
     /// Priority weight: what a request in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Late weight: part of the weight that is left after the latency objective.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes, the deduplication scope: who drops repeats.
-    pub group: Group,
+    pub deduplication_scope: DeduplicationScope,
     /// For keyed classes, the deduplication window: how long they do.
-    pub window_ms: f64,
+    pub deduplication_window_ms: f64,
     /// Whether answers are streamed.
     pub streaming: bool,
     /// New settings dropped it: no request comes with it any more, and open ones keep it.
-    pub dropped: bool,
+    pub retired: bool,
 }
 
 impl Class {
     /// Whether two are one class, whether or not either was dropped.
     #[must_use]
     pub fn same_rules(&self, other: &Class) -> bool {
-        *self == Class { dropped: self.dropped, ..other.clone() }
+        *self == Class { retired: self.retired, ..other.clone() }
     }
 }
 
@@ -63,16 +63,16 @@
     /// Units the token bucket holds; it starts full.
     pub burst: f64,
     /// Concurrency limit: attempts in flight at once.
-    pub open: u32,
+    pub max_in_flight: u32,
     /// Units a second of the ceiling.
     pub ceiling_rate: f64,
     /// Units the ceiling's token bucket holds.
     pub ceiling_burst: f64,
     /// Over-quota penalty: what a request costs that is admitted beyond the quota, as a part of its weight;
     /// 0 or more, and above 1 counts as 1.
-    pub over_cost: f64,
+    pub over_quota_penalty: f64,
     /// Factor of a request's weight.
-    pub value: f64,
+    pub weight_factor: f64,
 }
 
 /// What a load report may tell, in the order of [`Settings::load_fields`].
@@ -113,31 +113,31 @@
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     /// Fraction of its capacity that a backend starts at, at least.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// It is warm after this, at the latest.
     pub warm_up_ms: f64,
     /// Work of more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long overloads it.
-    pub overload_for_ms: f64,
+    pub overload_window_ms: f64,
 }
 
 /// How many backends a gateway looks at for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Routing {
     /// Up to so many backends are all looked at for each request.
-    pub whole: usize,
+    pub scan_all_up_to: usize,
     /// So many are drawn and looked at where there are more.
     pub choices: usize,
     /// Size of a gateway's subset, beside its part of the backends that `coverage` calls for.
-    pub subset: u32,
+    pub subset_size: u32,
     /// Gateways in whose subset each backend is, where there are as many.
     pub coverage: u32,
 }
 
 impl Default for Routing {
     fn default() -> Self {
-        Routing { whole: 16, choices: 8, subset: 5, coverage: 3 }
+        Routing { scan_all_up_to: 16, choices: 8, subset_size: 5, coverage: 3 }
     }
 }
 
@@ -145,27 +145,27 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of this gateway, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Gateways in all.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Zone of this gateway.
     pub zone: u32,
     /// Shortest time between two events that are not at the same moment.
-    pub tick_ms: f64,
+    pub clock_granularity_ms: f64,
     /// Classes, by index.
     pub classes: Vec<Class>,
     /// Plans, by index.
     pub plans: Vec<Plan>,
     /// Whether there is a shared counter.
-    pub counter: bool,
+    pub shared_counter: bool,
     /// An unanswered call to the counter ends after this.
     pub counter_timeout_ms: f64,
     /// Period of the usage meter; 0 for none.
-    pub meter_ms: f64,
+    pub usage_meter_period_ms: f64,
     /// Messages a second that a gateway accepts from its peers; 0 where they can't talk.
     pub peer_messages_per_s: f64,
     /// The most units one request counts.
-    pub max_units: f64,
+    pub max_request_units: f64,
     /// What is allowed.
     pub limits: Limits,
     /// How backends warm up.
@@ -173,15 +173,15 @@
     /// How many backends are looked at.
     pub routing: Routing,
     /// Customers whose record is kept, at most.
-    pub customers: usize,
+    pub max_customers: usize,
     /// Values of load reports, in order.
     pub load_fields: Vec<LoadField>,
     /// The endpoint list must be polled.
-    pub ask_for_list: bool,
+    pub polls_endpoints: bool,
     /// A gateway that must poll does so within this time.
-    pub ask_within_ms: f64,
+    pub poll_within_ms: f64,
     /// For so long a backend may be sent to after the gateway was told that it is draining or removed.
-    pub stop_sending_ms: f64,
+    pub drain_grace_ms: f64,
     /// Cost of an attempt that crosses zones, as a part of a request's weight.
     pub cross_zone_cost: f64,
 }
@@ -208,9 +208,9 @@
     ///
     /// # Errors
     /// A [`SettingsError`] that names the field.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         ensure(
-            self.gateways > 0 && self.me < self.gateways,
+            self.gateway_count > 0 && self.gateway_index < self.gateway_count,
             "gateways",
             "must be above the gateway's own number",
         )?;
@@ -223,7 +223,7 @@
         }
         self.slow_start.check()?;
         self.routing.check()?;
-        ensure(self.customers > 0, "customers", "must be above 0")?;
+        ensure(self.max_customers > 0, "customers", "must be above 0")?;
         self.limits.check()?;
         self.check_amounts()
     }
@@ -233,29 +233,37 @@
             ensure(amounts.iter().all(|amount| is_amount(*amount)), fields, "must be 0 or more")
         };
         not_negative(
-            &[self.tick_ms, self.counter_timeout_ms, self.meter_ms],
+            &[self.clock_granularity_ms, self.counter_timeout_ms, self.usage_meter_period_ms],
             "tick_ms, counter_timeout_ms, meter_ms",
         )?;
         not_negative(
-            &[self.max_units, self.peer_messages_per_s, self.ask_within_ms],
+            &[self.max_request_units, self.peer_messages_per_s, self.poll_within_ms],
             "max_units, peer_messages_per_s, ask_within_ms",
         )?;
-        not_negative(&[self.cross_zone_cost, self.stop_sending_ms], "cross_zone_cost, stop_sending_ms")
+        not_negative(&[self.cross_zone_cost, self.drain_grace_ms], "cross_zone_cost, stop_sending_ms")
     }
 }
 
 impl Class {
     fn check(&self, field: &str) -> Result<(), SettingsError> {
-        let times = is_positive(self.aim_ms) && is_positive(self.deadline_ms) && is_amount(self.window_ms);
-        let weights = is_amount(self.worth) && is_amount(self.late_worth);
+        let times = is_positive(self.latency_objective_ms)
+            && is_positive(self.deadline_ms)
+            && is_amount(self.deduplication_window_ms);
+        let weights = is_amount(self.priority_weight) && is_amount(self.late_weight);
         ensure(times && weights, field, "needs times above 0 and a worth of 0 or more")
     }
 }
 
 impl Plan {
     fn check(&self, field: &str) -> Result<(), SettingsError> {
-        let amounts =
-            [self.rate, self.burst, self.ceiling_rate, self.ceiling_burst, self.over_cost, self.value];
+        let amounts = [
+            self.rate,
+            self.burst,
+            self.ceiling_rate,
+            self.ceiling_burst,
+            self.over_quota_penalty,
+            self.weight_factor,
+        ];
         ensure(amounts.into_iter().all(is_amount), field, "needs finite numbers of 0 or more")?;
         let fills = self.rate <= 0.0 || self.burst > 0.0;
         ensure(fills, &format!("{field}.burst"), "must be above 0 where there is a rate")
@@ -264,14 +272,14 @@
 
 impl SlowStart {
     fn check(&self) -> Result<(), SettingsError> {
-        let start = is_positive(self.start_capacity) && self.start_capacity <= 1.0;
+        let start = is_positive(self.initial_capacity) && self.initial_capacity <= 1.0;
         ensure(
             start && is_amount(self.warm_up_ms),
             "slow_start",
             "needs a start capacity in (0, 1] and a warm-up of 0 or more",
         )?;
         ensure(
-            is_positive(self.tip_multiple) && is_amount(self.overload_for_ms),
+            is_positive(self.overload_multiple) && is_amount(self.overload_window_ms),
             "slow_start",
             "needs a multiple above 0 and a time of 0 or more",
         )
@@ -280,7 +288,7 @@
 
 impl Routing {
     fn check(&self) -> Result<(), SettingsError> {
-        let sound = self.choices > 0 && self.subset > 0 && self.coverage > 0;
+        let sound = self.choices > 0 && self.subset_size > 0 && self.coverage > 0;
         ensure(sound, "routing", "choices, subset and coverage must be above 0")
     }
 }
--- a/crates/slatelock/src/lib.rs
+++ b/crates/slatelock/src/lib.rs
@@ -7,10 +7,10 @@
 pub mod interface;
 mod policy;
 #[cfg(feature = "settings")]
-pub mod settings;
+pub mod reload;
 #[cfg(feature = "settings")]
-pub mod terms;
+pub mod settings;
 mod view;
 
-pub use policy::Gateway;
+pub use policy::Policy;
 pub use view::BackendView;
--- a/crates/slatelock/src/policy/admission.rs
+++ b/crates/slatelock/src/policy/admission.rs
@@ -4,7 +4,7 @@
 use super::endpoint_selection::Selection;
 use super::quota::{CustomerContext, CustomerQuota, QuotaCheck};
 use super::timers::TimerKind;
-use super::Gateway;
+use super::Policy;
 use crate::interface::{Action, Request};
 
 /// Part of the room for customers' records from which on newcomers have no local allowance.
@@ -44,7 +44,7 @@
     deferred_fraction: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// Decides on a request that just came: quota, ceiling, room; then sends it, calls the counter or
     /// rejects.
     pub(super) fn admit(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
@@ -83,12 +83,12 @@
             return Some(());
         }
         let plan = self.settings.plans.get(request.plan).cloned().unwrap_or_default();
-        let known = request.width >= 1.0;
-        let fan_out = if known { request.width } else { f64::from(self.settings.gateways) };
+        let known = request.fan_out >= 1.0;
+        let fan_out = if known { request.fan_out } else { f64::from(self.settings.gateway_count) };
         let mut quota = CustomerQuota::new(request.customer, plan, &self.customer_context(now, fan_out));
         // Charges of a crowd of newcomers that no total holds could not be forgotten. They are reported at
         // once, so each newcomer waits for the counter, as far as calls have a chance.
-        if self.customers.filled() > RECORDS_SCARCE_FROM {
+        if self.customers.fill_ratio() > RECORDS_SCARCE_FROM {
             quota.withhold_local_allowance();
         }
         quota.share_among(self.processes);
@@ -97,13 +97,13 @@
 
     /// What a new customer's record begins with.
     pub(super) fn customer_context(&self, now: f64, fan_out: f64) -> CustomerContext {
-        let (gateway_started_at, has_counter) = (self.started_at, self.settings.counter);
+        let (gateway_started_at, has_counter) = (self.started_at, self.settings.shared_counter);
         CustomerContext { now, gateway_started_at, fan_out, has_counter }
     }
 
     /// Units that an even share of a customer's use is worth until more is known.
     pub(super) fn share_prior(&self) -> f64 {
-        self.settings.max_units.max(1.0)
+        self.settings.max_request_units.max(1.0)
     }
 
     fn uncovered_charge(
@@ -136,7 +136,7 @@
     /// Calls the counter for a charge, or proceeds without. While calls fail or wait, fewer are made.
     fn decide_on_call(&mut self, now: f64, charge: &UncoveredCharge, actions: &mut Vec<Action>) {
         let chance = self.call_throttle.chance_of_call(charge.dispensable, charge.over_quota_penalty);
-        if self.settings.counter && self.random.fraction() < chance {
+        if self.settings.shared_counter && self.random.fraction() < chance {
             self.charge_with_call(now, charge, chance, actions);
         } else {
             self.charge_without_call(now, charge, actions);
@@ -165,13 +165,13 @@
         let longest_ms = self.settings.counter_timeout_ms;
         let wait_ms = (self.settings.classes[charge.class].aim_ms * COUNTER_WAIT_FRACTION).min(longest_ms);
         let token = TimerKind::CounterWait.token(charge.id);
-        actions.push(Action::Timer { token, at_ms: now + wait_ms });
+        actions.push(Action::ScheduleTimer { token, at_ms: now + wait_ms });
     }
 
     /// Charges a request for which no call is made, and sends or rejects it.
     fn charge_without_call(&mut self, now: f64, charge: &UncoveredCharge, actions: &mut Vec<Action>) {
         let passes = self.call_throttle.unthrottled() || self.random.fraction() * charge.demand < 1.0;
-        let left_out = self.settings.counter && charge.dispensable;
+        let left_out = self.settings.shared_counter && charge.dispensable;
         // What was only assumed of others, and is still doubtful, must not be given back without a total.
         if charge.doubtful || !(passes || left_out) {
             return self.give_up(charge.id, actions);
--- a/crates/slatelock/src/policy/arrival.rs
+++ b/crates/slatelock/src/policy/arrival.rs
@@ -2,13 +2,13 @@
 
 use super::request::OpenRequest;
 use super::timers::TimerKind;
-use super::Gateway;
+use super::Policy;
 use crate::interface::{Action, Request};
 
 /// Customers' records that each arrival looks at, to drop those that hold nothing.
 const RECORDS_SWEPT: usize = 2;
 
-impl Gateway {
+impl Policy {
     /// Accepts a request that arrived. One whose number is in use is ignored.
     pub(super) fn request_arrived(&mut self, now: f64, mut request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
@@ -17,15 +17,18 @@
         }
         request.units = self.sound_units(request.units);
         if !self.is_servable(now, &request) {
-            return actions.push(Action::Refuse { id, retry_after_ms: None });
+            return actions.push(Action::Reject { id, retry_after_ms: None });
         }
-        self.retry_budget.earn(self.settings.gateways);
+        self.retry_budget.earn(self.settings.gateway_count);
         self.latency.request_received(request.units);
         self.sweep_customers(now);
         self.check_silence(now, actions);
         // Each request has this timer, whatever else it waits for, so that each is answered in time.
-        let deadline_at = request.expires_ms - self.settings.tick_ms;
-        actions.push(Action::Timer { token: TimerKind::Deadline.token(id), at_ms: deadline_at.max(now) });
+        let deadline_at = request.deadline_ms - self.settings.clock_granularity_ms;
+        actions.push(Action::ScheduleTimer {
+            token: TimerKind::Deadline.token(id),
+            at_ms: deadline_at.max(now),
+        });
         let max_attempts = self.settings.limits.max_attempts;
         self.requests.insert(id, OpenRequest { request, max_attempts, ..OpenRequest::default() });
         self.admit(now, id, actions);
@@ -36,14 +39,14 @@
         if units.is_finite() && units >= 0.0 {
             units
         } else {
-            self.settings.max_units.max(1.0)
+            self.settings.max_request_units.max(1.0)
         }
     }
 
     /// Whether the settings know the request's class and it has time left; else it is rejected, as nothing
     /// was done.
     fn is_servable(&self, now: f64, request: &Request) -> bool {
-        request.class < self.settings.classes.len() && request.expires_ms.max(now) > now
+        request.class < self.settings.classes.len() && request.deadline_ms.max(now) > now
     }
 
     /// Drops records that hold nothing a new one would not: else customers seen once would fill the memory.
--- a/crates/slatelock/src/policy/attempt_results.rs
+++ b/crates/slatelock/src/policy/attempt_results.rs
@@ -2,7 +2,7 @@
 
 use super::latency::{AnsweredWork, BACKEND_MEMORY};
 use super::request::{Attempt, OpenRequest};
-use super::Gateway;
+use super::Policy;
 use crate::interface::{Outcome, Request};
 
 /// An answer counts as no slower than so many times the expected: costly requests condemn no backend.
@@ -32,7 +32,7 @@
     work_ms: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// Records how an attempt ended.
     pub(super) fn attempt_finished(&mut self, now: f64, end: &AttemptResult) {
         let Some(ended) = self.close_attempt(end) else { return };
@@ -54,7 +54,7 @@
         let open: &mut OpenRequest = self.requests.get_mut(&end.id)?;
         let attempt = open.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.pending)?;
         attempt.pending = false;
-        attempt.may_have_run = !end.outcome.never_ran();
+        attempt.may_have_run = !end.outcome.never_executed();
         let attempt = attempt.clone();
         self.fleet.attempt_finished(attempt.sent_at, attempt.overdue);
         let request = open.request.clone();
@@ -69,7 +69,7 @@
         let Some(quota) = self.customers.get_mut(request.customer) else { return };
         quota.attempts_in_flight = quota.attempts_in_flight.saturating_sub(1);
         // Without a counter, or while it is gone, a meter's use over all gateways tells this one's share.
-        let without_totals = !self.settings.counter || !self.call_throttle.answering();
+        let without_totals = !self.settings.shared_counter || !self.call_throttle.answering();
         if let Some(used) = end.metered.filter(|_| without_totals && quota.plan.rate > 0.0) {
             quota.learn_metered_use(used);
         }
@@ -87,7 +87,7 @@
         let entries = self.settings.plans.len() + self.settings.classes.len() + 1;
         let backend = self.backends.get_mut(slot);
         // Being full is no fault of the backend's health, but it is no room either.
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             backend.rejected_at.resize(entries, f64::MIN);
             for index in rejected {
                 backend.rejected_at[index] = now;
--- a/crates/slatelock/src/policy/attempts.rs
+++ b/crates/slatelock/src/policy/attempts.rs
@@ -4,7 +4,7 @@
 use super::fleet_load::OBJECTIVE_FRACTION;
 use super::request::{Attempt, InFlight, OpenRequest};
 use super::timers::TimerKind;
-use super::Gateway;
+use super::Policy;
 use crate::interface::Action;
 
 /// An attempt is overdue, and a hedge may be sent, after this many times its expected latency.
@@ -24,7 +24,7 @@
     work_ms: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// Sends an attempt of a request.
     pub(super) fn send(&mut self, now: f64, id: u64, selection: Selection, actions: &mut Vec<Action>) {
         let overdue_after_ms = self.overdue_after_ms(now, id, selection);
@@ -38,8 +38,9 @@
         if let Some(quota) = self.customers.get_mut(open.request.customer) {
             quota.attempts_in_flight += 1;
         }
-        actions.push(Action::Send { id, backend, begin_by_ms });
-        actions.push(Action::Timer { token: TimerKind::Hedge.token(id), at_ms: now + overdue_after_ms });
+        actions.push(Action::SendAttempt { id, backend, write_deadline_ms: begin_by_ms });
+        actions
+            .push(Action::ScheduleTimer { token: TimerKind::Hedge.token(id), at_ms: now + overdue_after_ms });
     }
 
     /// Time after which an attempt at a backend is overdue, ms.
@@ -89,7 +90,7 @@
 
     /// Marks an attempt of a request as overdue, if one is. One whose answer is streamed never is.
     fn mark_overdue(&mut self, now: f64, id: u64) -> Option<Overdue> {
-        let tick_ms = self.settings.tick_ms;
+        let tick_ms = self.settings.clock_granularity_ms;
         let open = self.requests.get_mut(&id).filter(|open| !open.streaming)?;
         let first_sent_at = open.attempts.first()?.sent_at;
         let attempt = open.attempts.iter_mut().find(|attempt| {
@@ -156,7 +157,7 @@
 
     fn retry_or_give_up(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let open = &self.requests[&id];
-        let late = now >= open.request.expires_ms - self.settings.tick_ms;
+        let late = now >= open.request.expires_ms - self.settings.clock_granularity_ms;
         let cost = self.retry_cost(now, open);
         let affordable = !late && self.retry_budget.covers(cost);
         let selection = if affordable { self.select_backend(now, id) } else { None };
--- a/crates/slatelock/src/policy/backend.rs
+++ b/crates/slatelock/src/policy/backend.rs
@@ -3,7 +3,7 @@
 use beechrudder_routing::{Attributes, Indexed, ListState};
 
 use super::ratio::DecayedRatio;
-use crate::interface::{BackendEntry, Outcome, Readiness, Settings};
+use crate::interface::{BackendEndpoint, EndpointState, Outcome, Settings};
 
 /// Failures, weighted to the recent, above which a backend is ejected.
 const EJECTED_ABOVE_FAILURES: f64 = 0.5;
@@ -17,7 +17,7 @@
 /// A backend as this gateway knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
-    pub(crate) entry: BackendEntry,
+    pub(crate) entry: BackendEndpoint,
     /// Last start that was told, or re-entry after silence.
     pub(crate) started_at: f64,
     /// It is warm after this time from then.
@@ -45,20 +45,20 @@
 }
 
 impl Backend {
-    pub(crate) fn new(now: f64, entry: &BackendEntry, settings: &Settings) -> Self {
+    pub(crate) fn new(now: f64, entry: &BackendEndpoint, settings: &Settings) -> Self {
         // A start that lies ahead, by another clock or in another unit, would keep it cold until then. By a
         // clock that goes a little before this one it is taken for that much warmer.
-        let started_at = entry.cold_from_ms().min(now);
+        let started_at = entry.slow_start_from_ms().min(now);
         let warm_up_ms = settings.slow_start.warm_up_ms;
         Backend { started_at, warm_up_ms, entry: entry.clone(), ..Backend::default() }
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        self.entry.state == Readiness::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     pub(crate) fn is_removed(&self) -> bool {
-        self.entry.state == Readiness::Gone
+        self.entry.state == EndpointState::Removed
     }
 
     /// Surely warm part of the capacity at `now`.
@@ -68,12 +68,12 @@
             return 1.0;
         }
         let grown = ((now - self.started_at) / slow_start.warm_up_ms).clamp(0.0, 1.0);
-        slow_start.start_capacity + (1.0 - slow_start.start_capacity) * grown
+        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * grown
     }
 
     /// Operators gave it back after a ban, and it has not started since.
     pub(crate) fn returned_from_ban(&self) -> bool {
-        self.entry.returned_ms > self.entry.started_ms
+        self.entry.reenabled_ms > self.entry.started_ms
     }
 
     /// An attempt ended, or is overdue, which counts for a failure or a success.
@@ -115,11 +115,11 @@
 
 impl Indexed for Backend {
     fn attributes(&self) -> Attributes {
-        let BackendEntry { id, key, zone, cell, kind, share, .. } = self.entry;
+        let BackendEndpoint { id, key, zone, cell, kind, weight_share: share, .. } = self.entry;
         let state = match self.entry.state {
-            Readiness::Ready => ListState::Ready,
-            Readiness::Draining => ListState::Draining,
-            Readiness::Gone => ListState::Removed,
+            EndpointState::Ready => ListState::Ready,
+            EndpointState::Draining => ListState::Draining,
+            EndpointState::Removed => ListState::Removed,
         };
         // One that started long ago, or says nothing, is warm.
         let warm_from = if self.started_at > 0.0 { self.started_at + self.warm_up_ms } else { 0.0 };
--- a/crates/slatelock/src/policy/call_throttle.rs
+++ b/crates/slatelock/src/policy/call_throttle.rs
@@ -115,7 +115,7 @@
             Outcome::Ok if self.is_slow(latency_ms, timeout_ms) => FACTOR_WHEN_SLOW,
             Outcome::Ok => 1.0,
             // A broken or silent connection says nothing of how busy the counter is.
-            Outcome::Reset | Outcome::Moot => 1.0,
+            Outcome::Reset | Outcome::NotSent => 1.0,
             _ => FACTOR_AFTER_FAILURE,
         }
     }
--- a/crates/slatelock/src/policy/counter_calls.rs
+++ b/crates/slatelock/src/policy/counter_calls.rs
@@ -6,7 +6,7 @@
 use super::quota::WINDOW_MS;
 use super::random::mix;
 use super::request::OpenRequest;
-use super::Gateway;
+use super::Policy;
 use crate::interface::{Action, Outcome};
 
 /// A call in flight.
@@ -61,7 +61,7 @@
     pub(super) extra: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// Reports to the counter what is unreported of a customer in this window. `request` waits for the
     /// total.
     pub(super) fn call_counter(
@@ -78,7 +78,7 @@
         let Report { overflow, extra } = report;
         let call = CounterCall { request, customer, window, charge, overflow, extra, made_at: now };
         let key = mix(customer ^ mix(window));
-        actions.push(Action::Count { name: key, amount: call.amount(), forget_after_ms: 2.0 * WINDOW_MS });
+        actions.push(Action::IncrementCounter { key, amount: call.amount(), ttl_ms: 2.0 * WINDOW_MS });
         self.counter_calls.push(key, call);
     }
 
@@ -137,7 +137,7 @@
         };
         let covered = quota.level >= 0.0;
         // The total holds charges that were rejected; the bucket itself can't be so far below nothing.
-        quota.level = quota.level.max(-self.settings.max_units);
+        quota.level = quota.level.max(-self.settings.max_request_units);
         if overflow != 0.0 {
             self.call_counter(now, None, call.customer, Report { overflow, extra: 0.0 }, actions);
         }
--- a/crates/slatelock/src/policy/endpoint_list.rs
+++ b/crates/slatelock/src/policy/endpoint_list.rs
@@ -4,22 +4,22 @@
 
 use super::backend::Backend;
 use super::timers::TimerKind;
-use super::Gateway;
-use crate::interface::{Action, BackendEntry, ListScope, LoadField, Readiness};
+use super::Policy;
+use crate::interface::{Action, BackendEndpoint, EndpointState, LoadField, UpdateScope};
 
 /// Part of the time within which a gateway must ask for the list that it waits after a failure.
 const POLL_AGAIN_FRACTION: f64 = 0.1;
 
-impl Gateway {
+impl Policy {
     /// Applies an update of the endpoint list.
     pub(super) fn update_list(
         &mut self,
         now: f64,
-        scope: ListScope,
-        entries: &[BackendEntry],
+        scope: UpdateScope,
+        entries: &[BackendEndpoint],
         actions: &mut Vec<Action>,
     ) {
-        if self.settings.ask_for_list {
+        if self.settings.polls_endpoints {
             self.schedule_watch(now, scope, actions);
         }
         if matches!(scope, ListScope::Full | ListScope::Cached) {
@@ -31,29 +31,29 @@
     }
 
     /// Schedules another request for the list where this update brings nothing new.
-    fn schedule_watch(&self, now: f64, scope: ListScope, actions: &mut Vec<Action>) {
+    fn schedule_watch(&self, now: f64, scope: UpdateScope, actions: &mut Vec<Action>) {
         let wait_ms = match scope {
-            ListScope::Failed => self.settings.ask_within_ms * POLL_AGAIN_FRACTION,
-            ListScope::Cached => 0.0,
-            ListScope::Delta | ListScope::Full => return,
+            UpdateScope::Failed => self.settings.poll_within_ms * POLL_AGAIN_FRACTION,
+            UpdateScope::Cached => 0.0,
+            UpdateScope::Delta | UpdateScope::Full => return,
         };
-        actions.push(Action::Timer { token: TimerKind::WATCH_TOKEN, at_ms: now + wait_ms });
+        actions.push(Action::ScheduleTimer { token: TimerKind::WATCH_TOKEN, at_ms: now + wait_ms });
     }
 
     /// Removes the backends that a full list does not name.
-    fn remove_unlisted(&mut self, now: f64, entries: &[BackendEntry]) {
+    fn remove_unlisted(&mut self, now: f64, entries: &[BackendEndpoint]) {
         let listed: HashSet<u32> = entries.iter().map(|entry| entry.id).collect();
         let known = self.backends.slots().map(|slot| self.backends.get(slot).entry.id);
         let unlisted: Vec<u32> = known.filter(|id| !listed.contains(id)).collect();
         for id in unlisted {
-            let removed = BackendEntry { id, state: Readiness::Gone, ..BackendEntry::default() };
+            let removed = BackendEndpoint { id, state: EndpointState::Removed, ..BackendEndpoint::default() };
             self.update_backend(now, &removed);
         }
     }
 
     /// Applies the list's entry of one backend.
-    fn update_backend(&mut self, now: f64, entry: &BackendEntry) {
-        let removed = entry.state == Readiness::Gone;
+    fn update_backend(&mut self, now: f64, entry: &BackendEndpoint) {
+        let removed = entry.state == EndpointState::Removed;
         let Some(slot) = self.backends.find(entry.id) else {
             if !removed {
                 self.backends.insert(now, Backend::new(now, entry, &self.settings));
@@ -63,7 +63,7 @@
         let known = self.backends.get(slot);
         if removed {
             self.backends.update(now, slot, |backend| backend.entry.state = entry.state);
-        } else if entry.cold_from_ms() > known.entry.cold_from_ms() {
+        } else if entry.slow_start_from_ms() > known.entry.slow_start_from_ms() {
             // What was learned of the process before says nothing of this one.
             let restarted = Backend {
                 in_flight: known.in_flight,
--- a/crates/slatelock/src/policy/endpoint_selection.rs
+++ b/crates/slatelock/src/policy/endpoint_selection.rs
@@ -6,8 +6,8 @@
 use super::fleet_load::PRIOR_REQUESTS;
 use super::random::Random;
 use super::request::OpenRequest;
-use super::Gateway;
-use crate::interface::{Effect, Group, Request};
+use super::Policy;
+use crate::interface::{DeduplicationScope, Idempotency, Request};
 
 /// Part of a group that may be ejected; beyond it the estimate is wrong or the trouble is shared.
 const MOST_EJECTED_FRACTION: f64 = 0.5;
@@ -82,7 +82,7 @@
     First,
 }
 
-impl Gateway {
+impl Policy {
     /// The backend of least expected finish for a further attempt of a request.
     pub(super) fn select_backend(&mut self, now: f64, id: u64) -> Option<Selection> {
         self.backends.advance(now);
@@ -141,10 +141,10 @@
     /// them: one gateway's view of its subset is no view of the fleet.
     fn groups_to_draw_from(&self, open: &OpenRequest) -> [Scope; 3] {
         let class = &self.settings.classes[open.request.class];
-        let ran = open.possibly_run().next().filter(|_| class.effect == Effect::Keyed);
+        let ran = open.possibly_run().next().filter(|_| class.effect == Idempotency::Keyed);
         match (ran, class.group) {
-            (Some(attempt), Group::Cell) => [Scope::Cell(attempt.cell); 3],
-            (Some(attempt), Group::Zone) => [Scope::Zone(attempt.zone); 3],
+            (Some(attempt), DeduplicationScope::Cell) => [Scope::Cell(attempt.cell); 3],
+            (Some(attempt), DeduplicationScope::Zone) => [Scope::Zone(attempt.zone); 3],
             _ if self.is_mostly_ejected(Scope::Subset) => [Scope::Fleet; 3],
             _ => [Scope::Subset, Scope::Subset, Scope::Fleet],
         }
@@ -218,7 +218,7 @@
     /// ones get of it, or of its part of one core's work. All gateways together would else overload it.
     fn warm_up_budget_ms(&self, warmth: f64, gateways: f64, warm_push: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
-        let core_ms = slow_start.tip_multiple * slow_start.overload_for_ms / gateways;
+        let core_ms = slow_start.overload_multiple * slow_start.overload_window_ms / gateways;
         warmth * core_ms.max(warm_push)
     }
 
@@ -267,7 +267,7 @@
     fn trust_in(&self, slot: usize, request: &Request, draw: &Draw) -> f64 {
         let backend = self.backends.get(slot);
         // An operator's weight: beyond its share of what others get, it comes last.
-        let share = backend.entry.share;
+        let share = backend.entry.weight_share;
         let sated = share < 1.0 && self.backends.pushed(slot, draw.now) > share * draw.warm_push;
         let avoided = backend.ejected || self.rejected_of_late(backend, request, draw.now) || sated;
         let trust = if avoided { AVOIDED_TRUST } else { 1.0 };
--- a/crates/slatelock/src/policy/final_answer.rs
+++ b/crates/slatelock/src/policy/final_answer.rs
@@ -1,9 +1,9 @@
 //! How a request ends: with one final answer, and everything else of it called off.
 
-use super::Gateway;
+use super::Policy;
 use crate::interface::{Action, Request};
 
-impl Gateway {
+impl Policy {
     /// Ends a request with the best answer that is legal: rejected where nothing ran, else failed.
     pub(super) fn give_up(&mut self, id: u64, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
@@ -11,9 +11,9 @@
             return;
         }
         let answer = if self.may_reject(open) {
-            Action::Refuse { id, retry_after_ms: self.retry_after_ms(&open.request) }
+            Action::Reject { id, retry_after_ms: self.retry_after_ms(&open.request) }
         } else {
-            Action::Surrender { id }
+            Action::Fail { id }
         };
         actions.push(answer);
         self.finish(id, actions);
@@ -53,7 +53,7 @@
         let Some(open) = self.requests.get(&id) else { return };
         for (number, attempt) in (0..).zip(&open.attempts) {
             if attempt.pending && Some(number) != except {
-                actions.push(Action::Cancel { id, attempt: number });
+                actions.push(Action::CancelAttempt { id, attempt: number });
             }
         }
     }
--- a/crates/slatelock/src/policy/handover.rs
+++ b/crates/slatelock/src/policy/handover.rs
@@ -2,15 +2,15 @@
 //! charges that the old one did not report pass to the new one.
 
 use super::quota::CustomerQuota;
-use super::Gateway;
-use crate::interface::Untold;
+use super::Policy;
+use crate::interface::UnreportedCharge;
 
-impl Gateway {
+impl Policy {
     /// Sets how many processes serve as this gateway, this one among them: while one takes over from
     /// another, all that a gateway may do without asking is shared between them.
-    pub fn share_with(&mut self, now: f64, processes: u32) {
+    pub fn set_process_count(&mut self, now: f64, processes: u32) {
         let processes = f64::from(processes.max(1));
-        self.customers.change_all(|quota| {
+        self.customers.for_each_mut(|quota| {
             quota.refill(now);
             quota.share_among(processes);
         });
@@ -19,32 +19,37 @@
 
     /// Removes and returns the charges that were not reported to the counter, so that another process
     /// reports them: of all customers whose plan the settings have.
-    pub fn untold(&mut self) -> Vec<Untold> {
+    pub fn take_unreported_charges(&mut self) -> Vec<UnreportedCharge> {
         let plans = &self.settings.plans;
         let mut unreported = Vec::new();
-        self.customers.change_all(|quota| {
+        self.customers.for_each_mut(|quota| {
             let Some(plan) = plans.iter().position(|plan| *plan == quota.plan) else { return };
             let Some(units) = quota.take_unreported() else { return };
-            unreported.push(Untold { customer: quota.customer, plan, width: quota.fan_out, units });
+            unreported.push(UnreportedCharge {
+                customer: quota.customer,
+                plan,
+                fan_out: quota.fan_out,
+                units,
+            });
         });
         unreported
     }
 
     /// Reports charges that another process did not, each with the next call for its customer. What can't
     /// be charges is passed over.
-    pub fn take_over(&mut self, now: f64, untold: &[Untold]) {
+    pub fn adopt_unreported_charges(&mut self, now: f64, untold: &[UnreportedCharge]) {
         for charge in untold {
-            let sound = charge.units.is_finite() && charge.units > 0.0 && charge.width >= 1.0;
+            let sound = charge.units.is_finite() && charge.units > 0.0 && charge.fan_out >= 1.0;
             if sound {
                 self.take_over_charge(now, charge);
             }
         }
     }
 
-    fn take_over_charge(&mut self, now: f64, charge: &Untold) {
+    fn take_over_charge(&mut self, now: f64, charge: &UnreportedCharge) {
         let Some(plan) = self.settings.plans.get(charge.plan).cloned() else { return };
         if self.customers.get(charge.customer).is_none() {
-            let context = self.customer_context(now, charge.width);
+            let context = self.customer_context(now, charge.fan_out);
             let mut quota = CustomerQuota::new(charge.customer, plan, &context);
             quota.share_among(self.processes);
             // Where there is no room for the record the charge is lost, and its units may pass again.
--- a/crates/slatelock/src/policy/latency.rs
+++ b/crates/slatelock/src/policy/latency.rs
@@ -16,7 +16,7 @@
 
 /// Latency of a mean request of a class on an idle backend before any was seen, ms.
 fn unseen_work_ms(class: &Class) -> f64 {
-    class.aim_ms * UNSEEN_LATENCY
+    class.latency_objective_ms * UNSEEN_LATENCY
 }
 
 /// What is known of a class.
@@ -139,6 +139,9 @@
 impl LongestTimes {
     pub(crate) fn of(settings: &Settings) -> LongestTimes {
         let longest = |time: fn(&Class) -> f64| settings.classes.iter().map(time).fold(1.0, f64::max);
-        LongestTimes { objective_ms: longest(|c| c.aim_ms), deadline_ms: longest(|c| c.deadline_ms) }
+        LongestTimes {
+            objective_ms: longest(|c| c.latency_objective_ms),
+            deadline_ms: longest(|c| c.deadline_ms),
+        }
     }
 }
--- a/crates/slatelock/src/policy/load_shedding.rs
+++ b/crates/slatelock/src/policy/load_shedding.rs
@@ -1,9 +1,9 @@
 //! Whether there is room for a request: rejected is what no backend is expected to answer in time.
 
 use super::endpoint_selection::Selection;
-use super::Gateway;
+use super::Policy;
 
-impl Gateway {
+impl Policy {
     /// The backend for a request that just came, if some backend is expected to leave every class enough of
     /// its latency objective. Quotas do not see queues that no answer comes out of in time, or load that
     /// wears backends down.
@@ -25,7 +25,7 @@
 
     /// Present slowness of the fleet against its baseline.
     fn pressure(&self, now: f64) -> f64 {
-        let gateways = f64::from(self.settings.gateways);
+        let gateways = f64::from(self.settings.gateway_count);
         self.fleet.pressure(now, gateways, self.longest.objective_ms)
     }
 
--- a/crates/slatelock/src/policy/mod.rs
+++ b/crates/slatelock/src/policy/mod.rs
@@ -68,7 +68,7 @@
 
 /// Decides for one gateway.
 #[derive(Debug)]
-pub struct Gateway {
+pub struct Policy {
     pub(crate) settings: Settings,
     /// When this incarnation started.
     started_at: f64,
@@ -88,24 +88,29 @@
     processes: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// A gateway that starts at `now` with nothing known.
     ///
     /// # Errors
     /// A [`SettingsError`] if the settings can't be worked with.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let routing = &settings.routing;
-        let subset = Subset::new(settings.me, settings.gateways, routing.subset, routing.coverage);
-        let sampling = Sampling { whole_up_to: routing.whole, choices: routing.choices };
-        Ok(Gateway {
+        let subset = Subset::new(
+            settings.gateway_index,
+            settings.gateway_count,
+            routing.subset_size,
+            routing.coverage,
+        );
+        let sampling = Sampling { whole_up_to: routing.scan_all_up_to, choices: routing.choices };
+        Ok(Policy {
             started_at: now,
             random: Random::new(seed),
             requests: HashMap::new(),
-            customers: BoundedCache::new(settings.customers),
+            customers: BoundedCache::new(settings.max_customers),
             counter_calls: CallsInFlight::default(),
             call_throttle: CallThrottle::new(now),
-            backends: Index::new(subset, sampling, settings.slow_start.overload_for_ms),
+            backends: Index::new(subset, sampling, settings.slow_start.overload_window_ms),
             drawn: Vec::new(),
             longest: LongestTimes::of(&settings),
             latency: LatencyEstimates::new(&settings.classes),
@@ -119,7 +124,7 @@
     /// Changes the classes, limits and slow-start figures. A class at the place that it had before is the
     /// same one; what was learned of a class that changed goes with its name, which `before` tells as the
     /// place of each that is new. Open requests keep the class and the attempts they came with.
-    pub fn change(&mut self, settings: Settings, before: impl Fn(usize) -> Option<usize>) {
+    pub fn update_settings(&mut self, settings: Settings, before: impl Fn(usize) -> Option<usize>) {
         self.latency.change_classes(&self.settings.classes, &settings.classes, before);
         self.longest = LongestTimes::of(&settings);
         self.settings = settings;
@@ -127,14 +132,14 @@
 
     /// Whether a request that is open came with the class at a place.
     #[must_use]
-    pub fn holds_class(&self, place: usize) -> bool {
+    pub fn has_request_of_class(&self, place: usize) -> bool {
         self.requests.values().any(|open| open.request.class == place)
     }
 
     /// The request that a timer is for, if any. When that has its final answer and no attempt in flight,
     /// the timer need not ring.
     #[must_use]
-    pub fn timer_request(token: u64) -> Option<u64> {
+    pub fn request_of_timer(token: u64) -> Option<u64> {
         let (kind, request) = TimerKind::of(token);
         (kind != TimerKind::Watch).then_some(request)
     }
@@ -142,9 +147,21 @@
     /// Handles an event, and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Backends { scope, entries } => self.update_list(now, scope, entries, actions),
+            Event::EndpointsUpdated { scope, endpoints: entries } => {
+                self.update_list(now, scope, entries, actions)
+            }
             Event::Request(request) => self.request_arrived(now, request, actions),
-            Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load } => {
+            Event::AttemptEnded {
+                id,
+                attempt,
+                backend,
+                outcome,
+                latency_ms,
+                answered: closed,
+                metered_use: metered,
+                actual_units: charged,
+                load,
+            } => {
                 self.learn_load(now, backend, load);
                 self.attempt_finished(
                     now,
@@ -156,16 +173,16 @@
             Event::StreamStarted { id, attempt, backend } => {
                 self.stream_started(now, id, attempt, backend, actions);
             }
-            Event::ClientGone { id } => self.finish(id, actions),
-            Event::Probed { backend, outcome, load } => {
+            Event::ClientDisconnected { id } => self.finish(id, actions),
+            Event::ProbeEnded { backend, outcome, load } => {
                 self.learn_load(now, backend, load);
                 self.probe_finished(now, backend, outcome);
             }
-            Event::Counted { name, outcome, total } => {
+            Event::CounterReplied { key: name, outcome, total } => {
                 self.counter_call_finished(now, name, outcome, total, actions);
             }
-            Event::Peer { .. } => {}
-            Event::Timer { token } => self.timer_fired(now, token, actions),
+            Event::PeerMessage { .. } => {}
+            Event::TimerExpired { token } => self.timer_fired(now, token, actions),
         }
     }
 
@@ -175,7 +192,7 @@
             TimerKind::Deadline => self.give_up(id, actions),
             TimerKind::Hedge => self.overdue_timer_fired(now, id, actions),
             TimerKind::CounterWait => self.counter_wait_expired(now, id, actions),
-            TimerKind::Watch => actions.push(Action::Watch),
+            TimerKind::Watch => actions.push(Action::PollEndpoints),
         }
     }
 }
--- a/crates/slatelock/src/policy/outlier_ejection.rs
+++ b/crates/slatelock/src/policy/outlier_ejection.rs
@@ -1,13 +1,13 @@
 //! Backends that fail or fall silent get no work until a trial succeeds.
 
 use super::backend::Backend;
-use super::Gateway;
+use super::Policy;
 use crate::interface::{Action, Outcome};
 
 /// No answer from a backend for this many times its expected latency: it may be silent.
 const SILENT_AFTER_LATENCIES: f64 = 5.0;
 
-impl Gateway {
+impl Policy {
     /// Ejects silent backends, and starts trials of those whose pause is over.
     pub(super) fn check_silence(&mut self, now: f64, actions: &mut Vec<Action>) {
         while let Some(slot) = self.backends.next_due(now) {
@@ -79,7 +79,7 @@
         if outcome != Outcome::Ok || !self.backends.get(slot).ejected {
             return;
         }
-        let restart_ms = self.settings.slow_start.overload_for_ms;
+        let restart_ms = self.settings.slow_start.overload_window_ms;
         self.backends.update(now, slot, |backend| backend.readmit(now, restart_ms));
         self.backends.check_at(slot, now);
     }
--- a/crates/slatelock/src/policy/quota/mod.rs
+++ b/crates/slatelock/src/policy/quota/mod.rs
@@ -219,8 +219,8 @@
     /// Whether this gateway's part of the concurrency limit is in flight.
     fn is_at_concurrency_limit(&self, share_prior: f64) -> bool {
         let share = self.own_share(share_prior).max(1.0 / self.fan_out);
-        let limit = (f64::from(self.plan.open) * share / self.processes).max(1.0);
-        self.plan.open > 0 && f64::from(self.attempts_in_flight) + 1.0 > limit
+        let limit = (f64::from(self.plan.max_in_flight) * share / self.processes).max(1.0);
+        self.plan.max_in_flight > 0 && f64::from(self.attempts_in_flight) + 1.0 > limit
     }
 
     /// Whether a request needs no total: no other gateway has the customer, or the local allowance covers
--- a/crates/slatelock/src/policy/repeat_safety.rs
+++ b/crates/slatelock/src/policy/repeat_safety.rs
@@ -5,10 +5,10 @@
 
 use super::backend::Backend;
 use super::request::{Attempt, OpenRequest};
-use super::Gateway;
-use crate::interface::{Class, Effect, Group};
+use super::Policy;
+use crate::interface::{Class, DeduplicationScope, Idempotency};
 
-impl Gateway {
+impl Policy {
     fn class_of(&self, open: &OpenRequest) -> &Class {
         &self.settings.classes[open.request.class]
     }
@@ -16,10 +16,12 @@
     /// Whether a request may be rejected.
     pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
         let class = self.class_of(open);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => !open.may_have_run(),
-            Effect::Keyed => class.group == Group::All || !open.may_have_run(),
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => !open.may_have_run(),
+            Idempotency::Keyed => {
+                class.deduplication_scope == DeduplicationScope::All || !open.may_have_run()
+            }
         }
     }
 
@@ -35,10 +37,10 @@
     }
 
     fn is_repeat_safe(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
-        match self.class_of(open).effect {
-            Effect::Safe => true,
-            Effect::Unsafe => !open.may_have_run(),
-            Effect::Keyed => {
+        match self.class_of(open).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => !open.may_have_run(),
+            Idempotency::Keyed => {
                 open.possibly_run().all(|attempt| self.drops_repeats_of(open, attempt, to))
                     && self.write_deadline(open).is_none_or(|deadline| now < deadline)
             }
@@ -47,10 +49,10 @@
 
     /// Whether a backend drops repeats of an attempt: it is in the same deduplication scope.
     fn drops_repeats_of(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
-        match self.class_of(open).group {
-            Group::All => true,
-            Group::Zone => attempt.zone == backend.entry.zone,
-            Group::Cell => attempt.cell == backend.entry.cell,
+        match self.class_of(open).deduplication_scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => attempt.zone == backend.entry.zone,
+            DeduplicationScope::Cell => attempt.cell == backend.entry.cell,
         }
     }
 
@@ -58,10 +60,10 @@
     /// still drop repeats of the earliest attempt that may have run. None: as long as it has time.
     pub(super) fn write_deadline(&self, open: &OpenRequest) -> Option<f64> {
         let class = self.class_of(open);
-        if class.effect != Effect::Keyed {
+        if class.idempotency != Idempotency::Keyed {
             return None;
         }
         let earliest = open.possibly_run().map(|attempt| attempt.sent_at).min_by(f64::total_cmp)?;
-        Some(earliest + class.window_ms - self.settings.tick_ms)
+        Some(earliest + class.deduplication_window_ms - self.settings.clock_granularity_ms)
     }
 }
--- a/crates/slatelock/src/policy/request.rs
+++ b/crates/slatelock/src/policy/request.rs
@@ -1,6 +1,6 @@
 //! Requests that are in flight, and their attempts.
 
-use crate::interface::{BackendEntry, Request};
+use crate::interface::{BackendEndpoint, Request};
 
 /// A request from its arrival until its last attempt has ended.
 #[derive(Clone, Debug, Default)]
@@ -64,7 +64,7 @@
 
 impl Attempt {
     pub(crate) fn new(
-        to: &BackendEntry,
+        to: &BackendEndpoint,
         now: f64,
         overdue_after_ms: f64,
         in_flight_at_send: InFlight,
--- a/crates/slatelock/src/terms.rs
+++ b/crates/slatelock/src/reload.rs
@@ -6,27 +6,31 @@
 use serde_json::Value;
 
 use crate::interface::{Class, Settings, SettingsError};
-use crate::settings::Names;
+use crate::settings::SettingNames;
 
 /// The most places of the table: classes, and those that open requests still hold.
 pub const CLASSES_MOST: usize = 256;
 
 /// Settings and the names in them.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ServiceSettings {
     /// What the decisions go by.
     pub settings: Settings,
     /// How it is named.
-    pub names: Names,
+    pub names: SettingNames,
 }
 
-impl Terms {
+impl ServiceSettings {
     /// These terms with what may change in service taken from new ones. `free` tells of a place whose class
     /// was dropped whether no request can hold it any more.
     ///
     /// # Errors
     /// The class for which the table has no place; nothing is changed.
-    pub fn changed(&self, new: &Terms, free: impl Fn(usize) -> bool) -> Result<Terms, SettingsError> {
+    pub fn reloaded(
+        &self,
+        new: &ServiceSettings,
+        free: impl Fn(usize) -> bool,
+    ) -> Result<ServiceSettings, SettingsError> {
         let mut changed = self.clone();
         changed.settings.limits = new.settings.limits.clone();
         changed.settings.slow_start = new.settings.slow_start.clone();
@@ -45,7 +49,11 @@
 
     /// Gives each class of the new terms its place: the one it has, else one that can be reused, else another
     /// at the end.
-    fn place_classes(&mut self, new: &Terms, mut reusable: Vec<usize>) -> Result<(), SettingsError> {
+    fn place_classes(
+        &mut self,
+        new: &ServiceSettings,
+        mut reusable: Vec<usize>,
+    ) -> Result<(), SettingsError> {
         let mut names = vec![None; self.names.classes.len()];
         let mut without_place = Vec::new();
         for (name, class) in new.names.classes.iter().zip(&new.settings.classes) {
@@ -81,20 +89,25 @@
 
     /// Sections in which new terms differ beyond what may change in service: they need a restart.
     #[must_use]
-    pub fn need_restart(&self, new: &Terms) -> Vec<&'static str> {
+    pub fn sections_needing_restart(&self, new: &ServiceSettings) -> Vec<&'static str> {
         let (a, b) = (&self.settings, &new.settings);
         let mut other = Vec::new();
         let mut note = |same: bool, what| other.extend((!same).then_some(what));
-        note((a.me, a.gateways, a.zone) == (b.me, b.gateways, b.zone), "me, group-size, zone");
-        note(a.tick_ms == b.tick_ms, "granularity-ms");
+        note(
+            (a.gateway_index, a.gateway_count, a.zone) == (b.gateway_index, b.gateway_count, b.zone),
+            "me, group-size, zone",
+        );
+        note(a.clock_granularity_ms == b.clock_granularity_ms, "granularity-ms");
         note(a.plans == b.plans && self.names.plans == new.names.plans, "tariffs");
         note(self.names.zones == new.names.zones, "zones");
-        let info = |s: &Settings| (s.counter, s.counter_timeout_ms, s.meter_ms, s.max_units);
+        let info = |s: &Settings| {
+            (s.shared_counter, s.counter_timeout_ms, s.usage_meter_period_ms, s.max_request_units)
+        };
         note(info(a) == info(b) && a.peer_messages_per_s == b.peer_messages_per_s, "family-info");
         note(self.names.load_fields == new.names.load_fields, "feedback");
-        note((a.ask_for_list, a.ask_within_ms) == (b.ask_for_list, b.ask_within_ms), "registry-mode");
+        note((a.polls_endpoints, a.poll_within_ms) == (b.polls_endpoints, b.poll_within_ms), "registry-mode");
         note(a.cross_zone_cost == b.cross_zone_cost, "prices");
-        note(a.stop_sending_ms == b.stop_sending_ms, "contract.stop-sending-within-ms");
+        note(a.drain_grace_ms == b.drain_grace_ms, "contract.stop-sending-within-ms");
         other
     }
 }
@@ -110,7 +123,7 @@
 /// Each entry of a list has to have what all entries of the list before have. `but` names keys that may be
 /// missing.
 #[must_use]
-pub fn lacks(before: &Value, after: &Value, at: &str, but: &[&str]) -> Option<String> {
+pub fn first_missing_key(before: &Value, after: &Value, at: &str, but: &[&str]) -> Option<String> {
     match (before, after) {
         (Value::Object(before), Value::Object(after)) => before.iter().find_map(|(key, value)| {
             if but.contains(&key.as_str()) {
@@ -118,7 +131,7 @@
             }
             let place = format!("{at}.{key}");
             match after.get(key) {
-                Some(now) => lacks(value, now, &place, but),
+                Some(now) => first_missing_key(value, now, &place, but),
                 None => Some(place),
             }
         }),
@@ -126,7 +139,7 @@
             let (first, others) = before.split_first()?;
             let all = others.iter().fold(first.clone(), |all, other| common(&all, other));
             let mut each = after.iter().enumerate();
-            each.find_map(|(i, now)| lacks(&all, now, &format!("{at}[{i}]"), but))
+            each.find_map(|(i, now)| first_missing_key(&all, now, &format!("{at}[{i}]"), but))
         }
         _ => None,
     }
--- a/crates/slatelock/src/settings.rs
+++ b/crates/slatelock/src/settings.rs
@@ -7,7 +7,8 @@
 use serde_json::Value;
 
 use crate::interface::{
-    Class, Effect, Group, Limits, LoadField, Plan, Routing, Settings, SettingsError, SlowStart,
+    Class, DeduplicationScope, Idempotency, Limits, LoadField, Plan, Routing, Settings, SettingsError,
+    SlowStart,
 };
 
 /// The over-quota penalty, as a part of a request's weight, where the settings have none.
@@ -20,7 +21,7 @@
 /// # Errors
 /// A [`SettingsError`] that names what is missing or of the wrong kind.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
-    read(&Keys::new("settings", &from_json("settings", text)?))
+    read_settings(&SettingsReader::new("settings", &from_json("settings", text)?))
 }
 
 /// Reads JSON.
@@ -33,7 +34,7 @@
 
 /// How the settings name what the decisions know by number, and what they leave to the program.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct SettingNames {
     /// Classes, by index; none where the class was dropped and open requests may still hold it.
     pub classes: Vec<Option<String>>,
     /// Plans, by index.
@@ -50,17 +51,17 @@
 ///
 /// # Errors
 /// A [`SettingsError`] that names what is missing or of the wrong kind.
-pub fn names(top: &Keys<'_>) -> Result<Names, SettingsError> {
-    let named = |keys: &Keys<'_>| keys.text("name").map(str::to_string);
-    let classes = top.each("profiles", named)?;
+pub fn read_names(top: &SettingsReader<'_>) -> Result<SettingNames, SettingsError> {
+    let named = |keys: &SettingsReader<'_>| keys.text("name").map(str::to_string);
+    let classes = top.list("profiles", named)?;
     // Requests name their class, so that two of one name could not be told apart.
     let twice = classes.iter().enumerate().any(|(i, name)| classes[..i].contains(name));
-    let distinct = if twice { Err(top.wrong("profiles", "two have one name")) } else { Ok(()) };
-    top.or(distinct, ())?;
-    Ok(Names {
+    let distinct = if twice { Err(top.invalid("profiles", "two have one name")) } else { Ok(()) };
+    top.recover(distinct, ())?;
+    Ok(SettingNames {
         classes: classes.into_iter().map(Some).collect(),
-        plans: top.each("tariffs", named)?,
-        zones: top.each("zones", |keys| keys.word().map(str::to_string))?,
+        plans: top.list("tariffs", named)?,
+        zones: top.list("zones", |keys| keys.word().map(str::to_string))?,
         load_fields: top.section("feedback")?.each("fields", |keys| keys.word().map(str::to_string))?,
         idle_close_ms: top.section("policy-limits")?.number("idle-close-ms")?,
     })
@@ -70,7 +71,7 @@
 ///
 /// # Errors
 /// A [`SettingsError`] that names what is missing or of the wrong kind.
-pub fn read(top: &Keys<'_>) -> Result<Settings, SettingsError> {
+pub fn read_settings(top: &SettingsReader<'_>) -> Result<Settings, SettingsError> {
     let info = top.section("family-info")?;
     let limits = top.section("policy-limits")?;
     let contract = top.section("contract")?;
@@ -78,17 +79,17 @@
     let feedback = top.section("feedback")?;
     let peers = limits.flag("may-tell")?;
     Ok(Settings {
-        me: top.whole("me")?,
-        gateways: top.whole("group-size")?,
-        zone: top.whole("zone")?,
-        tick_ms: top.number("granularity-ms")?,
-        classes: top.each("profiles", class)?,
-        plans: top.each("tariffs", plan)?,
-        counter: info.flag("shared-counter")?,
+        gateway_index: top.integer("me")?,
+        gateway_count: top.integer("group-size")?,
+        zone: top.integer("zone")?,
+        clock_granularity_ms: top.number("granularity-ms")?,
+        classes: top.list("profiles", class)?,
+        plans: top.list("tariffs", plan)?,
+        shared_counter: info.flag("shared-counter")?,
         counter_timeout_ms: info.number("count-wait-ms")?,
-        meter_ms: info.number("meter-period-ms")?,
+        usage_meter_period_ms: info.number("meter-period-ms")?,
         peer_messages_per_s: if peers { info.number("peer-intake")? } else { 0.0 },
-        max_units: info.number("units-top")?,
+        max_request_units: info.number("units-top")?,
         limits: Limits {
             max_attempts: limits.whole("max-attempts")?,
             cancel: limits.flag("cancel")?,
@@ -99,66 +100,66 @@
             connect_timeout_ms: limits.number("connect-timeout-ms")?,
         },
         slow_start: SlowStart {
-            start_capacity: contract.number("start-capacity")?,
+            initial_capacity: contract.number("start-capacity")?,
             warm_up_ms: contract.number("warm-up-ms")?,
-            tip_multiple: contract.number("tip-multiple")?,
-            overload_for_ms: contract.number("overload-for-ms")?,
+            overload_multiple: contract.number("tip-multiple")?,
+            overload_window_ms: contract.number("overload-for-ms")?,
         },
         routing: Routing::default(),
-        customers: DEFAULT_CUSTOMERS,
+        max_customers: DEFAULT_CUSTOMERS,
         load_fields: feedback.each("fields", load_field)?,
-        ask_for_list: top.text("registry-mode")? == "ask",
-        ask_within_ms: contract.number("ask-within-ms")?,
-        stop_sending_ms: contract.number("stop-sending-within-ms")?,
+        polls_endpoints: top.text("registry-mode")? == "ask",
+        poll_within_ms: contract.number("ask-within-ms")?,
+        drain_grace_ms: contract.number("stop-sending-within-ms")?,
         cross_zone_cost: prices.number("cross-zone")?,
     })
 }
 
-fn class(keys: &Keys<'_>) -> Result<Class, SettingsError> {
+fn class(keys: &SettingsReader<'_>) -> Result<Class, SettingsError> {
     Ok(Class {
-        aim_ms: keys.number("aim-ms")?,
+        latency_objective_ms: keys.number("aim-ms")?,
         deadline_ms: keys.number("deadline-ms")?,
-        worth: keys.number("credit")?,
-        late_worth: keys.number("late-worth")?,
-        effect: match keys.text("effect")? {
-            "read_like" => Effect::Safe,
-            "idempotency_key" => Effect::Keyed,
-            "non_idempotent" => Effect::Unsafe,
-            _ => return Err(keys.wrong("effect", "unknown word")),
+        priority_weight: keys.number("credit")?,
+        late_weight: keys.number("late-worth")?,
+        idempotency: match keys.text("effect")? {
+            "read_like" => Idempotency::Idempotent,
+            "idempotency_key" => Idempotency::Keyed,
+            "non_idempotent" => Idempotency::NonIdempotent,
+            _ => return Err(keys.invalid("effect", "unknown word")),
         },
-        group: match keys.text("group")? {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
-            _ => return Err(keys.wrong("group", "unknown word")),
+        deduplication_scope: match keys.text("group")? {
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
+            _ => return Err(keys.invalid("group", "unknown word")),
         },
-        window_ms: keys.number("window-ms")?,
-        streaming: keys.flag("streaming")?,
-        dropped: false,
+        deduplication_window_ms: keys.number("window-ms")?,
+        streaming: keys.boolean("streaming")?,
+        retired: false,
     })
 }
 
-fn plan(keys: &Keys<'_>) -> Result<Plan, SettingsError> {
+fn plan(keys: &SettingsReader<'_>) -> Result<Plan, SettingsError> {
     Ok(Plan {
         rate: keys.number("quota-rate")?,
         burst: keys.number("store-size")?,
-        open: keys.whole("concurrency")?,
+        max_in_flight: keys.integer("concurrency")?,
         ceiling_rate: keys.number("hard-rate")?,
         ceiling_burst: keys.number("cap-depth")?,
-        over_cost: over_quota_penalty(keys)?,
-        value: keys.number("value-factor")?,
+        over_quota_penalty: over_quota_penalty(keys)?,
+        weight_factor: keys.number("value-factor")?,
     })
 }
 
-fn over_quota_penalty(keys: &Keys<'_>) -> Result<f64, SettingsError> {
+fn over_quota_penalty(keys: &SettingsReader<'_>) -> Result<f64, SettingsError> {
     match keys.value("over-cost") {
         Some(_) => keys.number("over-cost"),
         None => Ok(DEFAULT_OVER_QUOTA_PENALTY),
     }
 }
 
-fn load_field(keys: &Keys<'_>) -> Result<LoadField, SettingsError> {
-    Ok(match keys.word()? {
+fn load_field(keys: &SettingsReader<'_>) -> Result<LoadField, SettingsError> {
+    Ok(match keys.own_text()? {
         "active" => LoadField::Active,
         "waiting" => LoadField::Waiting,
         "cpu" => LoadField::Busy,
@@ -176,7 +177,7 @@
 
 /// A JSON value and where it stands.
 #[derive(Debug)]
-pub struct Keys<'a> {
+pub struct SettingsReader<'a> {
     at: String,
     value: &'a Value,
     /// Where errors go while reading goes on, if it is to.
@@ -185,21 +186,21 @@
 
 // Each names the field in its error, if the value is missing or of another kind.
 #[allow(clippy::missing_errors_doc)]
-impl<'a> Keys<'a> {
+impl<'a> SettingsReader<'a> {
     /// Reads `value`, which errors name `at`; the first error ends it.
     #[must_use]
     pub fn new(at: &str, value: &'a Value) -> Self {
-        Keys { at: at.to_string(), value, sink: None }
+        SettingsReader { at: at.to_string(), value, sink: None }
     }
 
     /// Reads on past errors, so that each is found: they go to `sink`, and something stands in for the value.
     #[must_use]
     pub fn collecting(at: &str, value: &'a Value, sink: &'a RefCell<Vec<SettingsError>>) -> Self {
-        Keys { at: at.to_string(), value, sink: Some(sink) }
+        SettingsReader { at: at.to_string(), value, sink: Some(sink) }
     }
 
     /// A result, or what stands in for it where errors are collected.
-    pub fn or<T>(&self, result: Result<T, SettingsError>, instead: T) -> Result<T, SettingsError> {
+    pub fn recover<T>(&self, result: Result<T, SettingsError>, instead: T) -> Result<T, SettingsError> {
         match (result, self.sink) {
             (Err(e), Some(sink)) => {
                 // What is in a section that is missing is not missing by itself.
@@ -214,23 +215,23 @@
 
     /// Whether no error was found so far.
     #[must_use]
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.sink.is_none_or(|sink| sink.borrow().is_empty())
     }
 
-    fn at(&self, key: &str, value: &'a Value) -> Keys<'a> {
-        Keys { at: format!("{}.{key}", self.at), value, sink: self.sink }
+    fn at(&self, key: &str, value: &'a Value) -> SettingsReader<'a> {
+        SettingsReader { at: format!("{}.{key}", self.at), value, sink: self.sink }
     }
 
     /// An error in the name of a key.
     #[must_use]
-    pub fn wrong(&self, key: &str, problem: &'static str) -> SettingsError {
+    pub fn invalid(&self, key: &str, problem: &'static str) -> SettingsError {
         wrong(format!("{}.{key}", self.at), problem)
     }
 
     /// A value that must be there.
     pub fn get(&self, key: &str) -> Result<&'a Value, SettingsError> {
-        self.value.get(key).ok_or_else(|| self.wrong(key, "missing"))
+        self.value.get(key).ok_or_else(|| self.invalid(key, "missing"))
     }
 
     /// A value that may be missing.
@@ -240,15 +241,15 @@
     }
 
     /// An object.
-    pub fn section(&self, key: &str) -> Result<Keys<'a>, SettingsError> {
+    pub fn section(&self, key: &str) -> Result<SettingsReader<'a>, SettingsError> {
         let section = self.get(key).and_then(|value| {
             if value.is_object() {
                 Ok(value)
             } else {
-                Err(self.wrong(key, "a section is wanted"))
+                Err(self.invalid(key, "a section is wanted"))
             }
         });
-        Ok(self.at(key, self.or(section, &NOTHING)?))
+        Ok(self.at(key, self.recover(section, &NOTHING)?))
     }
 
     fn read<T>(
@@ -258,7 +259,10 @@
         wanted: &'static str,
         read: impl FnOnce(&'a Value) -> Option<T>,
     ) -> Result<T, SettingsError> {
-        self.or(self.get(key).and_then(|value| read(value).ok_or_else(|| self.wrong(key, wanted))), instead)
+        self.recover(
+            self.get(key).and_then(|value| read(value).ok_or_else(|| self.invalid(key, wanted))),
+            instead,
+        )
     }
 
     /// A number.
@@ -267,13 +271,13 @@
     }
 
     /// A whole number of 32 bits.
-    pub fn whole(&self, key: &str) -> Result<u32, SettingsError> {
+    pub fn integer(&self, key: &str) -> Result<u32, SettingsError> {
         let whole = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
         self.read(key, 1, "a whole number is wanted", whole)
     }
 
     /// True or false.
-    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
+    pub fn boolean(&self, key: &str) -> Result<bool, SettingsError> {
         self.read(key, false, "true or false is wanted", Value::as_bool)
     }
 
@@ -283,24 +287,24 @@
     }
 
     /// The value itself, as a string.
-    pub fn word(&self) -> Result<&'a str, SettingsError> {
+    pub fn own_text(&self) -> Result<&'a str, SettingsError> {
         let word = self.value.as_str().ok_or_else(|| wrong(self.at.clone(), "a word is wanted"));
-        self.or(word, "")
+        self.recover(word, "")
     }
 
     /// The entries of a list, each read by `read`.
-    pub fn each<T>(
+    pub fn list<T>(
         &self,
         key: &str,
-        read: impl Fn(&Keys<'a>) -> Result<T, SettingsError>,
+        read: impl Fn(&SettingsReader<'a>) -> Result<T, SettingsError>,
     ) -> Result<Vec<T>, SettingsError> {
         let list =
-            self.get(key).and_then(|v| v.as_array().ok_or_else(|| self.wrong(key, "a list is wanted")));
-        let list = self.or(list.map(Vec::as_slice), &[])?;
+            self.get(key).and_then(|v| v.as_array().ok_or_else(|| self.invalid(key, "a list is wanted")));
+        let list = self.recover(list.map(Vec::as_slice), &[])?;
         let mut all = Vec::with_capacity(list.len());
         for (i, value) in list.iter().enumerate() {
             let item = read(&self.at(&format!("{key}[{i}]"), value)).map(Some);
-            all.extend(self.or(item, None)?);
+            all.extend(self.recover(item, None)?);
         }
         Ok(all)
     }
--- a/crates/slatelock/src/view.rs
+++ b/crates/slatelock/src/view.rs
@@ -2,7 +2,7 @@
 
 use beechrudder_records::BoundedCache;
 
-use crate::policy::{CustomerQuota, Gateway};
+use crate::policy::{CustomerQuota, Policy};
 
 /// A backend as the gateway knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,10 +12,10 @@
     /// It gets no work, as it failed or fell silent.
     pub ejected: bool,
     /// Part of its capacity that it is taken to have, above 0, at most 1.
-    pub warmth: f64,
+    pub capacity_fraction: f64,
 }
 
-impl Gateway {
+impl Policy {
     /// The backends on the list, in no order, at `now` (ms, the caller's clock).
     pub fn backends(&self, now: f64) -> impl Iterator<Item = BackendView> + '_ {
         let known = self.backends.slots().map(|slot| self.backends.get(slot));
@@ -23,26 +23,26 @@
         listed.map(move |backend| BackendView {
             id: backend.entry.id,
             ejected: backend.ejected,
-            warmth: backend.warmth(now, &self.settings),
+            capacity_fraction: backend.warmth(now, &self.settings),
         })
     }
 
     /// How many customers' records fit some bytes.
     #[must_use]
-    pub fn customers_in(bytes: usize) -> usize {
-        BoundedCache::<CustomerQuota>::capacity_for(bytes)
+    pub fn customers_fitting(bytes: usize) -> usize {
+        BoundedCache::<CustomerQuota>::capacity_for_bytes(bytes)
     }
 
     /// How many records were dropped to make room, and the units that their customers may pass again.
     #[must_use]
-    pub fn forgotten(&self) -> (u64, f64) {
+    pub fn evictions(&self) -> (u64, f64) {
         let evicted = self.customers.evicted();
         (evicted.records, evicted.cost)
     }
 
     /// Customers whose record is kept.
     #[must_use]
-    pub fn customers(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 }
--- a/crates/slatelock/tests/ceiling.rs
+++ b/crates/slatelock/tests/ceiling.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use slatelock::interface::*;
-use slatelock::Gateway;
+use slatelock::Policy;
 use support::{backends, settings, Counter, T0};
 
 const CHAIN: u64 = 7;
@@ -24,7 +24,7 @@
 }
 
 struct Fleet {
-    gateways: Vec<Gateway>,
+    gateways: Vec<Policy>,
     counter: Counter,
     due: BinaryHeap<Reverse<(u64, u64, Due)>>,
     /// Requests of the customer that were sent on: when, ms, and units.
@@ -51,19 +51,19 @@
         self.gateways[gateway].handle(T0 + now as f64, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, backend, .. } => {
+                Action::SendAttempt { id, backend, .. } => {
                     if let Some(units) = self.asked.get(&(gateway, id)) {
                         self.sent.push((now as f64, *units));
                     }
                     self.later(now + 20, Due::Ended { gateway, id, backend });
                 }
-                Action::Count { name, amount, .. } => {
+                Action::IncrementCounter { key: name, amount, .. } => {
                     let ok = self.roll(100) >= lost;
                     let total_bits = self.counter.add(name, amount).to_bits();
                     let at = now + if ok { 5 + self.roll(ANSWER_MS) } else { GIVE_UP_MS };
                     self.later(at, Due::Counted { gateway, name, total_bits, ok });
                 }
-                Action::Timer { token, at_ms } => {
+                Action::ScheduleTimer { token, at_ms } => {
                     self.later((at_ms - T0).ceil() as u64, Due::Timer { gateway, token });
                 }
                 _ => {}
@@ -78,8 +78,16 @@
             self.asked.insert((gateway, id), units);
         }
         let (width, expires_ms) = (self.gateways.len() as f64, T0 + now as f64 + 3_000.0);
-        let request =
-            Request { id, customer, plan: 0, class: 0, units, width, expires_ms, ..Request::default() };
+        let request = Request {
+            id,
+            customer,
+            plan: 0,
+            class: 0,
+            units,
+            fan_out: width,
+            deadline_ms: expires_ms,
+            ..Request::default()
+        };
         self.tell(now, gateway, Event::Request(request), lost);
     }
 }
@@ -89,18 +97,19 @@
 fn play(gateways: u32, quiet_ms: u64, lost: u64, seed: u64) -> f64 {
     let gateway = |me: u32| {
         let mut told = settings();
-        (told.me, told.gateways, told.counter, told.counter_timeout_ms) = (me, gateways, true, 80.0);
+        (told.gateway_index, told.gateway_count, told.shared_counter, told.counter_timeout_ms) =
+            (me, gateways, true, 80.0);
         (told.limits.hedges, told.limits.probes) = (false, false);
         told.plans[0] = Plan {
             rate: 19.0,
             burst: 32.0,
             ceiling_rate: 40.0,
             ceiling_burst: 66.0,
-            value: 1.0,
+            weight_factor: 1.0,
             ..Plan::default()
         };
-        let mut gateway = Gateway::new(told, seed + u64::from(me), T0).expect("settings");
-        let event = Event::Backends { scope: ListScope::Full, entries: &backends(8) };
+        let mut gateway = Policy::new(told, seed + u64::from(me), T0).expect("settings");
+        let event = Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &backends(8) };
         gateway.handle(T0, event, &mut Vec::new());
         gateway
     };
@@ -120,19 +129,21 @@
                 Due::Counted { gateway, name, total_bits, ok } => {
                     let (outcome, total) =
                         if ok { (Outcome::Ok, f64::from_bits(total_bits)) } else { (Outcome::Timeout, 0.0) };
-                    fleet.tell(now, gateway, Event::Counted { name, outcome, total }, lost);
+                    fleet.tell(now, gateway, Event::CounterReplied { key: name, outcome, total }, lost);
                 }
                 Due::Ended { gateway, id, backend } => {
                     let (outcome, latency_ms) = (Outcome::Ok, 20.0);
                     let (attempt, closed, load) = (0, true, &[][..]);
                     let (metered, charged) = (None, None);
                     #[rustfmt::skip]
-                    let ended = Event::Ended {
-                        id, attempt, backend, outcome, latency_ms, closed, metered, charged, load,
+                    let ended = Event::AttemptEnded {
+                        id, attempt, backend, outcome, latency_ms, answered: closed, metered_use: metered, actual_units: charged, load,
                     };
                     fleet.tell(now, gateway, ended, lost);
                 }
-                Due::Timer { gateway, token } => fleet.tell(now, gateway, Event::Timer { token }, lost),
+                Due::Timer { gateway, token } => {
+                    fleet.tell(now, gateway, Event::TimerExpired { token }, lost)
+                }
             }
         }
         // Others, each seldom seen.
@@ -176,12 +187,13 @@
 fn two_processes(shared: bool) -> f64 {
     let process = |seed: u64| {
         let mut told = settings();
-        (told.counter, told.limits.hedges) = (false, false);
-        told.plans[0] = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, value: 1.0, ..Plan::default() };
-        let mut gateway = Gateway::new(told, seed, T0).expect("settings");
+        (told.shared_counter, told.limits.hedges) = (false, false);
+        told.plans[0] =
+            Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, weight_factor: 1.0, ..Plan::default() };
+        let mut gateway = Policy::new(told, seed, T0).expect("settings");
         gateway.handle(
             T0,
-            Event::Backends { scope: ListScope::Full, entries: &backends(8) },
+            Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &backends(8) },
             &mut Vec::new(),
         );
         gateway
@@ -197,15 +209,30 @@
             id += 1;
             let mut actions = Vec::new();
             let expires_ms = now + 3_000.0;
-            let request =
-                Request { id, customer: CHAIN, units: 1.0, width: 1.0, expires_ms, ..Request::default() };
+            let request = Request {
+                id,
+                customer: CHAIN,
+                units: 1.0,
+                fan_out: 1.0,
+                deadline_ms: expires_ms,
+                ..Request::default()
+            };
             gateway.handle(now, Event::Request(request), &mut actions);
             let Some(backend) = support::sent_to(&actions) else { continue };
             sent += 1.0;
             let (outcome, latency_ms, closed, load) = (Outcome::Ok, 10.0, true, &[][..]);
             let (attempt, metered, charged) = (0, None, None);
-            let ended =
-                Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load };
+            let ended = Event::AttemptEnded {
+                id,
+                attempt,
+                backend,
+                outcome,
+                latency_ms,
+                answered: closed,
+                metered_use: metered,
+                actual_units: charged,
+                load,
+            };
             gateway.handle(now, ended, &mut Vec::new());
         }
     }
@@ -225,17 +252,17 @@
 #[test]
 fn unreported_charges_are_reported_once_by_the_next_process() {
     let mut told = settings();
-    (told.counter, told.limits.hedges) = (true, false);
-    told.plans[0] = Plan { rate: 1.0, burst: 200.0, value: 1.0, ..Plan::default() };
+    (told.shared_counter, told.limits.hedges) = (true, false);
+    told.plans[0] = Plan { rate: 1.0, burst: 200.0, weight_factor: 1.0, ..Plan::default() };
     let mut old = support::Rig::new(told.clone(), 8);
     // Of its local part, without a call.
-    let actions = old.ask(Request { plan: 0, width: 2.0, units: 3.0, ..support::request(1, 0, 0, 3.0) });
+    let actions = old.ask(Request { plan: 0, fan_out: 2.0, units: 3.0, ..support::request(1, 0, 0, 3.0) });
     assert_eq!(support::counted(&actions), None);
-    let untold = old.gateway.untold();
+    let untold = old.gateway.take_unreported_charges();
     assert_eq!(untold.iter().map(|u| (u.customer, u.units)).collect::<Vec<_>>(), [(7, 3.0)]);
     assert!(old.gateway.untold().is_empty(), "taken off");
     let mut new = support::Rig::new(told, 8);
-    new.gateway.take_over(T0, &untold);
+    new.gateway.adopt_unreported_charges(T0, &untold);
     // Its next call for the customer tells it.
     let amount = (2..40).find_map(|id| {
         let actions = new.ask(support::request(id, 0, 0, 5.0));
@@ -245,7 +272,7 @@
     assert!(amount.is_some_and(|amount| amount % 5.0 == 3.0), "{amount:?}");
     // What can't be charges changes nothing.
     for units in [f64::NAN, -1.0, f64::INFINITY] {
-        new.gateway.take_over(T0, &[Untold { units, ..untold[0] }]);
-        new.gateway.take_over(T0, &[Untold { plan: 99, ..untold[0] }]);
+        new.gateway.adopt_unreported_charges(T0, &[UnreportedCharge { units, ..untold[0] }]);
+        new.gateway.adopt_unreported_charges(T0, &[UnreportedCharge { plan: 99, ..untold[0] }]);
     }
 }
--- a/crates/slatelock/tests/health.rs
+++ b/crates/slatelock/tests/health.rs
@@ -7,14 +7,24 @@
 
 fn fresh(rig: &Rig, id: u64) -> Request {
     // Plan 3 has no limits; each request is of another customer.
-    Request { customer: id, expires_ms: rig.now + 4_000.0, ..request(id, 0, 3, 1.0) }
+    Request { customer: id, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 3, 1.0) }
 }
 
 fn answer(rig: &mut Rig, id: u64, backend: u32, latency_ms: f64) -> Vec<Action> {
     let (metered, charged) = (None, None);
     let outcome = Outcome::Ok;
     let (attempt, closed, load) = (0, true, &[][..]);
-    rig.on(Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load })
+    rig.on(Event::AttemptEnded {
+        id,
+        attempt,
+        backend,
+        outcome,
+        latency_ms,
+        answered: closed,
+        metered_use: metered,
+        actual_units: charged,
+        load,
+    })
 }
 
 /// Plays `n` requests one after the other; each takes what its backend takes.
@@ -64,7 +74,7 @@
     }
     assert!((1..=4).contains(&probes), "{probes} probes in two seconds");
     rig.end(id, 0, 0, Outcome::Timeout);
-    rig.on(Event::Probed { backend: 0, outcome: Outcome::Ok, load: &[] });
+    rig.on(Event::ProbeEnded { backend: 0, outcome: Outcome::Ok, load: &[] });
     rig.now += 20_000.0;
     assert!(learn(&mut rig, 200, 3_000, |_| 50.0).contains(&0), "back after a probe that succeeded");
 }
@@ -142,7 +152,7 @@
 fn slow_fleet_rejects_at_arrival_and_recovers() {
     for gateways in [1, 12] {
         let mut s = settings();
-        s.gateways = gateways;
+        s.gateway_count = gateways;
         let mut rig = Rig::new(s, 24);
         learn(&mut rig, 300, 0, |_| 100.0);
         let mut refusals = 0;
@@ -166,7 +176,7 @@
 #[test]
 fn new_gateway_stops_admitting_without_answers() {
     for gateways in [1, 4, 400] {
-        let mut rig = Rig::new(Settings { gateways, ..settings() }, 8);
+        let mut rig = Rig::new(Settings { gateway_count: gateways, ..settings() }, 8);
         let sent = (0..200).filter(|id| {
             rig.now += 10.0;
             let r = fresh(&rig, *id);
@@ -181,7 +191,7 @@
 #[test]
 fn first_requests_after_a_start_are_not_overload() {
     for gateways in [1, 4] {
-        let mut rig = Rig::new(Settings { gateways, ..settings() }, 8);
+        let mut rig = Rig::new(Settings { gateway_count: gateways, ..settings() }, 8);
         // One each 5 ms, each answered after 100 ms: twenty are out at any time.
         let mut out = std::collections::VecDeque::new();
         for id in 0..200 {
@@ -199,11 +209,11 @@
 
 #[test]
 fn one_customer_after_another_leaves_no_memory_behind_that_hinders() {
-    let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { gateway_count: 1, ..settings() }, 4);
     for id in 0..5_000 {
         rig.now += 50.0;
         let mut r = fresh(&rig, id);
-        (r.plan, r.width) = (0, 1.0);
+        (r.plan, r.fan_out) = (0, 1.0);
         let backend = sent_to(&rig.ask(r)).expect("a new customer's store is full");
         answer(&mut rig, id, backend, 50.0);
     }
@@ -226,12 +236,12 @@
 
 #[test]
 fn endpoint_list_is_polled_and_polled_again_after_a_failure() {
-    let mut rig = Rig::new(Settings { ask_for_list: true, ..settings() }, 0);
+    let mut rig = Rig::new(Settings { polls_endpoints: true, ..settings() }, 0);
     let mut ring = |scope| {
-        let actions = rig.on(Event::Backends { scope, entries: &[] });
+        let actions = rig.on(Event::EndpointsUpdated { scope, endpoints: &[] });
         let (token, at) = timers(&actions)[0];
         assert!(at <= T0 + 10_000.0);
-        rig.on(Event::Timer { token })
+        rig.on(Event::TimerExpired { token })
     };
     assert_eq!(ring(ListScope::Cached), [Action::Watch]);
     assert_eq!(ring(ListScope::Failed), [Action::Watch]);
@@ -248,17 +258,17 @@
 fn invalid_settings_are_named() {
     type Spoil = fn(&mut Settings);
     let cases: [(&str, Spoil); 6] = [
-        ("gateways", |s| s.me = 2),
+        ("gateways", |s| s.gateway_index = 2),
         ("classes", |s| s.classes.clear()),
         ("classes[1]", |s| s.classes[1].aim_ms = f64::NAN),
         ("plans[0].burst", |s| s.plans[0].burst = 0.0),
         ("limits.max_attempts", |s| s.limits.max_attempts = 0),
-        ("slow_start", |s| s.slow_start.start_capacity = 0.0),
+        ("slow_start", |s| s.slow_start.initial_capacity = 0.0),
     ];
     for (field, spoil) in cases {
         let mut s = settings();
         spoil(&mut s);
-        let error = slatelock::Gateway::new(s, 1, 0.0).expect_err(field);
+        let error = slatelock::Policy::new(s, 1, 0.0).expect_err(field);
         assert_eq!(error.field, field);
         assert!(error.to_string().contains(field));
     }
@@ -267,7 +277,7 @@
 /// A backend that rejects one plan, slowly, though it has room, would take that plan's time.
 #[test]
 fn backend_full_for_a_plan_comes_last_for_that_plan_only() {
-    let mut rig = Rig::new(Settings { gateways: 100, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { gateway_count: 100, ..settings() }, 4);
     let mut sent = [[0u32; 4]; 2];
     for id in 0..400 {
         rig.now += 500.0;
@@ -277,7 +287,7 @@
         for attempt in 0.. {
             sent[plan - 2][backend as usize] += 1;
             let full = plan == 2 && backend == 1;
-            let actions = rig.end(id, attempt, backend, if full { Outcome::Full } else { Outcome::Ok });
+            let actions = rig.end(id, attempt, backend, if full { Outcome::Rejected } else { Outcome::Ok });
             let Some(next) = sent_to(&actions) else { break };
             backend = next;
         }
@@ -293,10 +303,14 @@
     let gateways = 200;
     let (mut cold, mut all) = (0.0, 0.0);
     for me in 0..gateways {
-        let mut rig = Rig::seeded(Settings { gateways, me, ..settings() }, 10, u64::from(me));
+        let mut rig = Rig::seeded(
+            Settings { gateway_count: gateways, gateway_index: me, ..settings() },
+            10,
+            u64::from(me),
+        );
         learn(&mut rig, 20, 0, |_| 50.0);
-        let entry = BackendEntry { id: 3, cell: 1, started_ms: rig.now, ..BackendEntry::default() };
-        rig.on(Event::Backends { scope: ListScope::Delta, entries: &[entry] });
+        let entry = BackendEndpoint { id: 3, cell: 1, started_ms: rig.now, ..BackendEndpoint::default() };
+        rig.on(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
         let went = learn(&mut rig, 10, 1_000, |_| 50.0);
         cold += went.iter().filter(|b| **b == 3).count() as f64;
         all += went.len() as f64;
@@ -308,12 +322,12 @@
 /// An old report of an empty queue would draw all work to a backend that has long been full.
 #[test]
 fn stale_report_of_an_empty_queue_is_not_idleness() {
-    let mut s = Settings { gateways: 100, ..settings() };
+    let mut s = Settings { gateway_count: 100, ..settings() };
     s.load_fields = vec![LoadField::Waiting];
     let mut rig = Rig::new(s, 4);
     for (backend, waiting) in [(0, 0.0), (1, 9.0), (2, 9.0), (3, 9.0)] {
         for _ in 0..100 {
-            rig.on(Event::Probed { backend, outcome: Outcome::Ok, load: &[waiting] });
+            rig.on(Event::ProbeEnded { backend, outcome: Outcome::Ok, load: &[waiting] });
         }
     }
     let firsts = |rig: &mut Rig, from: u64| {
@@ -336,7 +350,7 @@
 #[test]
 fn late_reports_do_not_outweigh_answers() {
     let late_ms = 4_800.0;
-    let mut s = Settings { gateways: 3, ..settings() };
+    let mut s = Settings { gateway_count: 3, ..settings() };
     s.load_fields = vec![LoadField::Waiting];
     let mut rig = Rig::new(s, 4);
     let mut to_slow = [0; 2];
@@ -345,7 +359,7 @@
         let (since, slow) = (rig.now - T0, |at: f64| at > 5_000.0);
         // Backend 0 is slow from 5 s on; its reports say so 4.8 s later.
         let waiting = if slow(since - late_ms) { 20.0 } else { 0.0 };
-        rig.on(Event::Probed { backend: 0, outcome: Outcome::Ok, load: &[waiting] });
+        rig.on(Event::ProbeEnded { backend: 0, outcome: Outcome::Ok, load: &[waiting] });
         let r = fresh(&rig, id);
         let Some(backend) = sent_to(&rig.ask(r)) else { continue };
         let latency = if backend == 0 && slow(since) { 600.0 } else { 50.0 };
@@ -363,7 +377,8 @@
 fn gateways_together_retry_little_when_all_fails() {
     let (mut firsts, mut further) = (0, 0);
     for me in 0..100 {
-        let mut rig = Rig::seeded(Settings { gateways: 100, me, ..settings() }, 10, u64::from(me));
+        let mut rig =
+            Rig::seeded(Settings { gateway_count: 100, gateway_index: me, ..settings() }, 10, u64::from(me));
         for id in 0..5 {
             rig.now += 1_000.0;
             let r = fresh(&rig, id);
@@ -384,9 +399,9 @@
 fn request_without_enough_time_is_not_sent() {
     let mut rig = Rig::new(settings(), 4);
     learn(&mut rig, 200, 0, |_| 200.0);
-    let r = Request { expires_ms: rig.now + 60.0, ..fresh(&rig, 1_000) };
+    let r = Request { deadline_ms: rig.now + 60.0, ..fresh(&rig, 1_000) };
     assert!(refused(&rig.ask(r)));
-    let r = Request { expires_ms: rig.now + 900.0, ..fresh(&rig, 1_001) };
+    let r = Request { deadline_ms: rig.now + 900.0, ..fresh(&rig, 1_001) };
     assert!(sent_to(&rig.ask(r)).is_some());
 }
 
@@ -407,7 +422,7 @@
         let (id, backend) = next(rig);
         if backend == 1 {
             rig.end(id, 0, backend, is);
-            rig.on(Event::ClientGone { id });
+            rig.on(Event::ClientDisconnected { id });
             outcome = outcomes.next();
         } else {
             answer(rig, id, backend, 1.0);
--- a/crates/slatelock/tests/large_fleet.rs
+++ b/crates/slatelock/tests/large_fleet.rs
@@ -10,19 +10,26 @@
 /// Plan 0 has a ceiling, plan 1 costs nothing beyond its quota, plan 2 as much as it is worth.
 fn fleet(seed: u64) -> Vec<Rig> {
     println!("seed {seed}");
-    let plan = Plan { rate: 16.0, burst: 32.0, value: 1.0, ..Plan::default() };
-    let ceiling = Plan { ceiling_rate: 40.0, ceiling_burst: 80.0, over_cost: 0.8, ..plan.clone() };
-    let (cheap, dear) = (Plan { over_cost: 0.0, ..plan.clone() }, Plan { over_cost: 1.0, ..plan });
+    let plan = Plan { rate: 16.0, burst: 32.0, weight_factor: 1.0, ..Plan::default() };
+    let ceiling = Plan { ceiling_rate: 40.0, ceiling_burst: 80.0, over_quota_penalty: 0.8, ..plan.clone() };
+    let (cheap, dear) =
+        (Plan { over_quota_penalty: 0.0, ..plan.clone() }, Plan { over_quota_penalty: 1.0, ..plan });
     let plans = vec![ceiling, cheap, dear];
     let of = |me| {
-        let settings = Settings { me, gateways: GATEWAYS, counter: true, plans: plans.clone(), ..settings() };
+        let settings = Settings {
+            gateway_index: me,
+            gateway_count: GATEWAYS,
+            shared_counter: true,
+            plans: plans.clone(),
+            ..settings()
+        };
         Rig::seeded(settings, 20, seed * 1_000 + u64::from(me))
     };
     (0..GATEWAYS).map(of).collect()
 }
 
 fn wide(id: u64, plan: usize, units: f64, now: f64) -> Request {
-    Request { width: f64::from(GATEWAYS), expires_ms: now + 4_000.0, ..request(id, 0, plan, units) }
+    Request { fan_out: f64::from(GATEWAYS), deadline_ms: now + 4_000.0, ..request(id, 0, plan, units) }
 }
 
 /// A customer that asks for `units` each 20 ms for 20 s, at one gateway after another, and whose requests
@@ -36,7 +43,9 @@
         let actions = if lost {
             let actions = rig.ask(asked);
             match counted(&actions) {
-                Some((name, _)) => rig.on(Event::Counted { name, outcome: Outcome::Timeout, total: 0.0 }),
+                Some((name, _)) => {
+                    rig.on(Event::CounterReplied { key: name, outcome: Outcome::Timeout, total: 0.0 })
+                }
                 None => actions,
             }
         } else {
@@ -44,15 +53,15 @@
         };
         let Some(backend) = sent_to(&actions) else { continue };
         sum += units;
-        let ended = rig.on(Event::Ended {
+        let ended = rig.on(Event::AttemptEnded {
             id,
             attempt: 0,
             backend,
             outcome: Outcome::Ok,
             latency_ms: 20.0,
-            closed: true,
-            metered: None,
-            charged: Some(true_units),
+            answered: true,
+            metered_use: None,
+            actual_units: Some(true_units),
             load: &[],
         });
         if !lost {
@@ -97,7 +106,7 @@
             rig.now += 10.0;
             let asked = Request { customer: 500_000 + id, ..wide(id, (id % 3) as usize, 2.0, rig.now) };
             if let Some((name, _)) = counted(&rig.ask(asked)) {
-                rig.on(Event::Counted { name, outcome: Outcome::Full, total: 0.0 });
+                rig.on(Event::CounterReplied { key: name, outcome: Outcome::Rejected, total: 0.0 });
                 turned += 1;
             }
         }
@@ -108,7 +117,8 @@
             *sent += if sent_to(&actions).is_some() { 2.0 } else { 0.0 };
             if let Some((name, amount)) = counted(&actions) {
                 (*calls, *told) = (*calls + 1, *told + amount);
-                let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: amount });
+                let actions =
+                    rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: amount });
                 *sent += if sent_to(&actions).is_some() { 2.0 } else { 0.0 };
             }
         }
--- a/crates/slatelock/tests/quota.rs
+++ b/crates/slatelock/tests/quota.rs
@@ -14,7 +14,7 @@
     let mut passed = 0;
     for id in first.. {
         let mut r = request(id, 0, plan, units);
-        r.width = 1.0;
+        r.fan_out = 1.0;
         let actions = rig.ask(r);
         match sent_to(&actions) {
             Some(backend) => rig.end(id, 0, backend, Outcome::Ok),
@@ -42,17 +42,17 @@
 fn actual_units_are_settled_from_the_answer() {
     let (mut rig, plan) = alone(0, 4);
     let mut r = request(1, 0, plan, 4.0);
-    r.width = 1.0;
+    r.fan_out = 1.0;
     let backend = sent_to(&rig.ask(r)).expect("sent");
-    rig.on(Event::Ended {
+    rig.on(Event::AttemptEnded {
         id: 1,
         attempt: 0,
         backend,
         outcome: Outcome::Ok,
         latency_ms: 50.0,
-        closed: true,
-        metered: None,
-        charged: Some(8.0),
+        answered: true,
+        metered_use: None,
+        actual_units: Some(8.0),
         load: &[],
     });
     assert_eq!(passes(&mut rig, plan, 4.0, 10), 2, "8 of 16 left");
@@ -69,7 +69,7 @@
 }
 
 fn with_counter() -> Settings {
-    Settings { counter: true, ..settings() }
+    Settings { shared_counter: true, ..settings() }
 }
 
 #[test]
@@ -94,7 +94,7 @@
 fn empty_bucket_rejects_without_a_call() {
     let mut rig = Rig::new(with_counter(), 4);
     let (name, _) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
-    rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 100.0 });
+    rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 100.0 });
     let actions = rig.ask(request(2, 0, 0, 4.0));
     assert!(refused(&actions));
     assert_eq!(counted(&actions), None);
@@ -141,7 +141,7 @@
             let (name, amount) = counted(&rig.ask(asked)).expect("one call");
             assert_eq!(amount, 4.0);
             rig.now += wait_ms;
-            let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 400.0 });
+            let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 400.0 });
             assert!(refused(&actions));
             let back = counted(&actions);
             back.into_iter().for_each(|back| assert_eq!(back, (name, -4.0)));
@@ -159,7 +159,7 @@
     for id in 0..10 {
         let actions = rig.ask(request(id, 0, 0, 4.0));
         let (name, amount) = counted(&actions).expect("one call");
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 8.0 + amount });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 8.0 + amount });
         let backend = sent_to(&actions).expect("12 of 16 in this window");
         rig.end(id, 0, backend, Outcome::Ok);
         rig.now += 40_000.0;
@@ -173,7 +173,7 @@
     let mut calls = [0; 3];
     for id in 0..900 {
         rig.now += 20.0;
-        let r = Request { customer: id, expires_ms: rig.now + 4_000.0, ..request(id, 0, 0, 1.0) };
+        let r = Request { customer: id, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 0, 1.0) };
         let actions = rig.ask(r);
         let Some((name, amount)) = counted(&actions) else {
             let backend = sent_to(&actions).expect("decided alone");
@@ -183,13 +183,13 @@
         calls[id as usize / 300] += 1;
         let answers = id >= 300;
         let sent = if answers {
-            sent_to(&rig.on(Event::Counted { name, outcome: Outcome::Ok, total: amount }))
+            sent_to(&rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: amount }))
         } else {
             let (token, at) = *timers(&actions).last().expect("a deadline on the call");
             assert!(at - rig.now <= 30.0);
             rig.now = at;
-            let sent = sent_to(&rig.on(Event::Timer { token }));
-            rig.on(Event::Counted { name, outcome: Outcome::Timeout, total: 0.0 });
+            let sent = sent_to(&rig.on(Event::TimerExpired { token }));
+            rig.on(Event::CounterReplied { key: name, outcome: Outcome::Timeout, total: 0.0 });
             sent
         };
         rig.end(id, 0, sent.expect("goes on"), Outcome::Ok);
@@ -198,7 +198,7 @@
 }
 
 fn call_of(rig: &mut Rig, customer: u64, id: u64) -> Option<(u64, f64)> {
-    counted(&rig.ask(Request { customer, expires_ms: rig.now + 4_000.0, ..request(id, 0, 0, 2.0) }))
+    counted(&rig.ask(Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 0, 2.0) }))
 }
 
 /// One call's charge, reported for those of others as well, would empty buckets of a few requests.
@@ -209,14 +209,14 @@
     let mut rig = Rig::new(slow, 4);
     let crowded = |rig: &mut Rig, customer| {
         let call = call_of(rig, customer, customer);
-        let busy = |(name, _)| Event::Counted { name, outcome: Outcome::Full, total: 0.0 };
+        let busy = |(name, _)| Event::CounterReplied { key: name, outcome: Outcome::Rejected, total: 0.0 };
         call.map(|call| rig.on(busy(call))).is_some()
     };
     let left_out = (0..100).find(|customer| !crowded(&mut rig, *customer)).expect("one is left out");
     for other in 1_000..1_100 {
         rig.now += 100.0;
         if let Some((name, total)) = call_of(&mut rig, other, other) {
-            rig.on(Event::Counted { name, outcome: Outcome::Ok, total });
+            rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total });
         }
     }
     let told = call_of(&mut rig, left_out, 2_000).map_or(0.0, |c| c.1);
@@ -229,21 +229,21 @@
     let mut rig = Rig::new(with_counter(), 4);
     for id in 1..3 {
         let (name, _) = counted(&rig.ask(request(id, 0, 0, 4.0))).expect("one call");
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Reset, total: 0.0 });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Reset, total: 0.0 });
         assert!(sent_to(&actions).is_some());
     }
     // Of 16 units 8 are spent, and as many assumed.
     let (name, _) = counted(&rig.ask(request(3, 0, 0, 4.0))).expect("one call");
-    let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 12.0 });
+    let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 12.0 });
     assert!(sent_to(&actions).is_some());
     // The store was full when the first came; the refill lost until then is told once a total shows it.
     let lost = counted(&actions).map_or(0.0, |(name, lost)| {
-        rig.on(Event::Counted { name, outcome: Outcome::Ok, total: 12.0 + lost });
+        rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 12.0 + lost });
         lost
     });
     for (id, total) in [(4, 16.0 + lost), (5, 32.0 + lost)] {
         let Some((name, _)) = counted(&rig.ask(request(id, 0, 0, 4.0))) else { continue };
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total });
         assert_eq!(sent_to(&actions).is_some(), id == 4);
     }
 }
@@ -257,7 +257,7 @@
             rig.now += 1.0;
             let (name, total) = call_of(&mut rig, id, id)?;
             rig.now += if id == 0 { 5.0 } else { latency };
-            let backend = sent_to(&rig.on(Event::Counted { name, outcome: Outcome::Ok, total }))?;
+            let backend = sent_to(&rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total }))?;
             rig.end(id, 0, backend, Outcome::Ok);
             Some(())
         };
@@ -273,7 +273,7 @@
     let (mut rig, mut counter) = (Rig::new(with_counter(), 4), Counter::default());
     let (name, amount) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
     counter.add(name, amount);
-    rig.on(Event::Counted { name, outcome: Outcome::Reset, total: 0.0 });
+    rig.on(Event::CounterReplied { key: name, outcome: Outcome::Reset, total: 0.0 });
     for id in 2..5 {
         assert!(sent_to(&counter.ask(&mut rig, request(id, 0, 0, 4.0))).is_some(), "{id}");
     }
@@ -286,7 +286,7 @@
     for id in 0..600 {
         rig.now += 100.0;
         let mut r = request(id, 0, 0, 2.0);
-        r.expires_ms = rig.now + 4_000.0;
+        r.deadline_ms = rig.now + 4_000.0;
         if let Some(backend) = sent_to(&rig.ask(r)) {
             passed += 2.0;
             rig.end(id, 0, backend, Outcome::Ok);
@@ -319,7 +319,7 @@
     let mut total = 0.0;
     let told = calls.map(|(name, amount)| {
         total += amount;
-        let actions = rig.on(Event::Counted { name, outcome: Outcome::Ok, total });
+        let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total });
         assert!(sent_to(&actions).is_some());
         counted(&actions).map_or(0.0, |(_, lost)| lost)
     });
@@ -350,14 +350,15 @@
             // 5 s in which each call fails, then answers at once. Customers are new, so calls for them are
             // the first to be left out.
             let (customer, expires_ms) = (1_000 + step, rig.now + 4_000.0);
-            let mut actions = rig.ask(Request { customer, expires_ms, ..request(step, 0, 0, 1.0) });
+            let mut actions =
+                rig.ask(Request { customer, deadline_ms: expires_ms, ..request(step, 0, 0, 1.0) });
             if let Some((name, amount)) = counted(&actions) {
                 let fails = step < 200;
                 in_outage += u32::from((160..200).contains(&step));
                 let first = if fails { step } else { *first.get_or_insert(step) };
                 back += u32::from(!fails && step - first < 40);
                 let (outcome, total) = if fails { (Outcome::Timeout, 0.0) } else { (Outcome::Ok, amount) };
-                actions = rig.on(Event::Counted { name, outcome, total });
+                actions = rig.on(Event::CounterReplied { key: name, outcome, total });
             }
             rig.end(step, 0, sent_to(&actions).expect("goes on"), Outcome::Ok);
         }
--- a/crates/slatelock/tests/records.rs
+++ b/crates/slatelock/tests/records.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use slatelock::interface::*;
-use slatelock::Gateway;
+use slatelock::Policy;
 use support::*;
 
 const MOST: usize = 500;
@@ -12,14 +12,14 @@
 
 fn rig(counter: bool) -> Rig {
     let mut settings = settings();
-    (settings.customers, settings.counter) = (MOST, counter);
+    (settings.max_customers, settings.shared_counter) = (MOST, counter);
     Rig::new(settings, 4)
 }
 
 /// One request, served at once if it is sent; a counter that works answers at once as well. Gives whether it
 /// was served.
 fn one(rig: &mut Rig, counter: &mut Counter, id: u64, customer: u64, plan: usize, units: f64) -> bool {
-    let asked = Request { customer, expires_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
+    let asked = Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
     let actions = counter.ask(rig, asked);
     let to = sent_to(&actions);
     to.into_iter().for_each(|to| drop(rig.end(id, 0, to, Outcome::Ok)));
@@ -35,7 +35,7 @@
         served += u32::from(one(&mut rig, &mut counter, id, 1_000 + id, 0, 0.5));
         assert!(rig.gateway.customers() <= MOST, "{} stores", rig.gateway.customers());
     }
-    let (forgotten, units) = rig.gateway.forgotten();
+    let (forgotten, units) = rig.gateway.evictions();
     // Each lacked what it had, and no more.
     assert!(served > 45_000 && forgotten > 40_000, "{served} served, {forgotten} forgotten");
     assert!(units <= forgotten as f64 * 0.501, "{units} units for {forgotten}");
--- a/crates/slatelock/tests/terms.rs
+++ b/crates/slatelock/tests/reload.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
+use slatelock::reload::{first_missing_key, ServiceSettings, CLASSES_MOST};
 use slatelock::settings;
-use slatelock::terms::{lacks, Terms, CLASSES_MOST};
 
 /// Settings of some classes, each a name, a deadline and an effect.
 fn told(classes: &[(usize, u32, bool)], attempts: u32) -> Value {
@@ -27,19 +27,20 @@
     })
 }
 
-fn terms(told: &Value) -> Result<Terms, String> {
-    let keys = settings::Keys::new("settings", told);
-    let read = settings::read(&keys).and_then(|settings| {
+fn terms(told: &Value) -> Result<ServiceSettings, String> {
+    let keys = settings::SettingsReader::new("settings", told);
+    let read = settings::read_settings(&keys).and_then(|settings| {
         settings.check()?;
-        Ok(Terms { names: settings::names(&keys)?, settings })
+        Ok(ServiceSettings { names: settings::read_names(&keys)?, settings })
     });
     read.map_err(|e| e.to_string())
 }
 
 /// The classes that requests can name, and their rules.
-fn named(terms: &Terms) -> Vec<(String, f64, bool)> {
+fn named(terms: &ServiceSettings) -> Vec<(String, f64, bool)> {
     let all = terms.names.classes.iter().zip(&terms.settings.classes);
-    let safe = |c: &slatelock::interface::Class| c.effect == slatelock::interface::Effect::Safe;
+    let safe =
+        |c: &slatelock::interface::Class| c.idempotency == slatelock::interface::Idempotency::Idempotent;
     let mut named: Vec<_> = all.filter_map(|(n, c)| Some((n.clone()?, c.deadline_ms, safe(c)))).collect();
     named.sort_by(|a, b| a.0.cmp(&b.0));
     named
@@ -116,7 +117,7 @@
         let (section, key) = place.rsplit_once('/').expect("a key");
         let mut after = before.clone();
         after.pointer_mut(section).and_then(Value::as_object_mut).expect("a section").remove(key);
-        let missed = lacks(&before, &after, "settings", &[]).unwrap_or_else(|| panic!("{place}"));
+        let missed = first_missing_key(&before, &after, "settings", &[]).unwrap_or_else(|| panic!("{place}"));
         assert!(missed.ends_with(key), "{missed} for {place}");
     }
     // Fewer classes, and other values, are no keys that are missing.
--- a/crates/slatelock/tests/room.rs
+++ b/crates/slatelock/tests/room.rs
@@ -33,16 +33,25 @@
     let (mut ends, mut out) = (BinaryHeap::new(), BTreeMap::new());
     let (mut asked, mut turned_away, mut next) = (0u64, 0u64, T0);
     // Answers out, by the time that they come in microseconds.
-    let end = |rig: &mut Rig,
-               out: &mut BTreeMap<(u64, u32), (u32, f64)>,
-               (at, id, attempt): (u64, u64, u32)| {
-        rig.now = at as f64 / 1000.0;
-        let Some((backend, latency_ms)) = out.remove(&(id, attempt)) else { return };
-        let closed = true;
-        let (outcome, load) = (Outcome::Ok, &[][..]);
-        let (metered, charged) = (None, None);
-        rig.on(Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load });
-    };
+    let end =
+        |rig: &mut Rig, out: &mut BTreeMap<(u64, u32), (u32, f64)>, (at, id, attempt): (u64, u64, u32)| {
+            rig.now = at as f64 / 1000.0;
+            let Some((backend, latency_ms)) = out.remove(&(id, attempt)) else { return };
+            let closed = true;
+            let (outcome, load) = (Outcome::Ok, &[][..]);
+            let (metered, charged) = (None, None);
+            rig.on(Event::AttemptEnded {
+                id,
+                attempt,
+                backend,
+                outcome,
+                latency_ms,
+                answered: closed,
+                metered_use: metered,
+                actual_units: charged,
+                load,
+            });
+        };
     while next < T0 + seconds * 1000.0 {
         while let Some(Reverse((at, id, attempt))) = ends.peek().copied() {
             if at as f64 / 1000.0 > next {
@@ -54,7 +63,7 @@
         rig.now = next;
         let class = usize::from(dice.roll() < 0.32);
         let mut asks = request(asked, class, 3, 1.0);
-        asks.expires_ms = rig.now + [3_000.0, 6_000.0][class];
+        asks.deadline_ms = rig.now + [3_000.0, 6_000.0][class];
         let actions = rig.ask(asks);
         match sent_to(&actions) {
             Some(backend) => {
--- a/crates/slatelock/tests/routing.rs
+++ b/crates/slatelock/tests/routing.rs
@@ -12,34 +12,44 @@
 /// A gateway of sixty before 600 backends in cells of ten: some 64 of them are its own.
 fn rig(seed: u64) -> Rig {
     let mut settings = settings();
-    settings.gateways = 60;
+    settings.gateway_count = 60;
     // Beside the thirty that three gateways for each backend call for.
-    settings.routing.subset = 34;
+    settings.routing.subset_size = 34;
     settings.limits.hedges = false;
     let mut rig = Rig::seeded(settings, 0, seed);
-    let entry = |id: u32| BackendEntry {
+    let entry = |id: u32| BackendEndpoint {
         id,
         key: u64::from(id),
         cell: id / 10,
         zone: id % 3,
-        ..BackendEntry::default()
+        ..BackendEndpoint::default()
     };
-    let entries: Vec<BackendEntry> = (0..LISTED).map(entry).collect();
-    rig.on(Event::Backends { scope: ListScope::Full, entries: &entries });
+    let entries: Vec<BackendEndpoint> = (0..LISTED).map(entry).collect();
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries });
     rig
 }
 
 fn ask(rig: &mut Rig, id: u64, class: usize) -> Option<u32> {
     rig.now += 5.0;
     let expires_ms = rig.now + 4_000.0;
-    sent_to(&rig.ask(Request { customer: id, expires_ms, ..request(id, class, 3, 1.0) }))
+    sent_to(&rig.ask(Request { customer: id, deadline_ms: expires_ms, ..request(id, class, 3, 1.0) }))
 }
 
 /// A first attempt is answered after so long.
 fn answered(rig: &mut Rig, id: u64, backend: u32, latency_ms: f64) {
     let (outcome, attempt, closed) = (Outcome::Ok, 0, true);
     let (metered, charged, load) = (None, None, &[][..]);
-    rig.on(Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load });
+    rig.on(Event::AttemptEnded {
+        id,
+        attempt,
+        backend,
+        outcome,
+        latency_ms,
+        answered: closed,
+        metered_use: metered,
+        actual_units: charged,
+        load,
+    });
 }
 
 /// Asks so often, each served at once; gives how often each backend was.
@@ -105,10 +115,16 @@
             got
         };
         ask_all(&mut rig, 0, 400);
-        let listed = |state| BackendEntry { state, ..backends(1)[0].clone() };
-        rig.on(Event::Backends { scope: ListScope::Delta, entries: &[listed(Readiness::Gone)] });
+        let listed = |state| BackendEndpoint { state, ..backends(1)[0].clone() };
+        rig.on(Event::EndpointsUpdated {
+            scope: UpdateScope::Delta,
+            endpoints: &[listed(EndpointState::Removed)],
+        });
         assert_eq!(ask_all(&mut rig, 1_000, 400)[0], 0, "gone");
-        rig.on(Event::Backends { scope: ListScope::Delta, entries: &[listed(Readiness::Ready)] });
+        rig.on(Event::EndpointsUpdated {
+            scope: UpdateScope::Delta,
+            endpoints: &[listed(EndpointState::Ready)],
+        });
         // Twenty seconds, 800 requests for each if they were even.
         let got = ask_all(&mut rig, 2_000, 4_000);
         assert!(got[0] > 50, "seed {seed}: {got:?}");
@@ -144,7 +160,7 @@
     assert!(outside.len() > 400, "work spread over {} of the others", outside.len());
     // They are back when probes say so.
     for backend in &home {
-        rig.on(Event::Probed { backend: *backend, outcome: Outcome::Ok, load: &[] });
+        rig.on(Event::ProbeEnded { backend: *backend, outcome: Outcome::Ok, load: &[] });
     }
     let back = served(&mut rig, 20_000, 2_000);
     assert!(back.keys().all(|b| home.contains(b)), "back home");
@@ -187,10 +203,10 @@
     let started_ms = rig.now;
     let entry = |id: u32| {
         let (key, cell, zone) = (u64::from(id), id / 10, id % 3);
-        BackendEntry { id, key, cell, zone, started_ms, ..BackendEntry::default() }
+        BackendEndpoint { id, key, cell, zone, started_ms, ..BackendEndpoint::default() }
     };
-    let entries: Vec<BackendEntry> = (0..LISTED).filter(|id| cold(*id)).map(entry).collect();
-    rig.on(Event::Backends { scope: ListScope::Delta, entries: &entries });
+    let entries: Vec<BackendEndpoint> = (0..LISTED).filter(|id| cold(*id)).map(entry).collect();
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
     let mut outside = 0;
     for id in 10_000..11_000 {
         let Some(mut to) = ask(&mut rig, id, 0) else { continue };
@@ -217,7 +233,7 @@
             assert!(tried.insert(to), "request {id} went to {to} again");
             // One in ten fails at first, and each of its further attempts.
             let bad = id % 10 == 0;
-            let actions = rig.end(id, attempt, to, if bad { Outcome::Full } else { Outcome::Ok });
+            let actions = rig.end(id, attempt, to, if bad { Outcome::Rejected } else { Outcome::Ok });
             let Some(next) = sent_to(&actions) else { break };
             (to, further) = (next, further + 1);
         }
@@ -234,15 +250,15 @@
             let outcome = if bad { Outcome::Error } else { Outcome::Ok };
             let (metered, charged, load, backend) = (None, None, &[][..], to);
             let (latency_ms, closed) = (if to == 0 { 10.0 } else { 80.0 }, !bad);
-            let actions = rig.on(Event::Ended {
+            let actions = rig.on(Event::AttemptEnded {
                 id,
                 attempt,
                 backend,
                 outcome,
                 latency_ms,
-                closed,
-                metered,
-                charged,
+                answered: closed,
+                metered_use: metered,
+                actual_units: charged,
                 load,
             });
             let Some(next) = sent_to(&actions) else { break };
@@ -275,8 +291,8 @@
 fn removed_backend_is_kept_only_while_attempts_are_in_flight() {
     let mut rig = rig(6);
     let to = ask(&mut rig, 1, 2).expect("sent");
-    let gone = BackendEntry { id: to, state: Readiness::Gone, ..BackendEntry::default() };
-    rig.on(Event::Backends { scope: ListScope::Delta, entries: std::slice::from_ref(&gone) });
+    let gone = BackendEndpoint { id: to, state: EndpointState::Removed, ..BackendEndpoint::default() };
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: std::slice::from_ref(&gone) });
     assert_eq!(rig.gateway.backends(rig.now).filter(|b| b.id == to).count(), 0);
     // One that waits for so long looks like a jam, so some of these are refused.
     let mut sent = 0;
@@ -289,7 +305,7 @@
     assert!(sent > 500, "{sent} sent");
     rig.end(1, 0, to, Outcome::Ok);
     // Back under its number with nothing of its past, and used again.
-    let back = BackendEntry { id: to, key: u64::from(to), cell: to / 10, ..BackendEntry::default() };
-    rig.on(Event::Backends { scope: ListScope::Delta, entries: std::slice::from_ref(&back) });
+    let back = BackendEndpoint { id: to, key: u64::from(to), cell: to / 10, ..BackendEndpoint::default() };
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: std::slice::from_ref(&back) });
     assert!(served(&mut rig, 10_000, 2_000).contains_key(&to));
 }
