--- a/crates/slatelock/tests/rules.rs
+++ b/crates/slatelock/tests/rules.rs
@@ -6,7 +6,7 @@
 use support::*;
 
 const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled];
-const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
+const NEVER_RAN: [Outcome; 2] = [Outcome::Rejected, Outcome::ConnectFailed];
 
 #[test]
 fn unsafe_request_that_may_have_run_is_neither_retried_nor_rejected() {
@@ -49,12 +49,12 @@
 fn keyed_retry_has_a_write_deadline_from_the_earliest_attempt() {
     let begin_by = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Send { begin_by_ms, .. } => Some(*begin_by_ms),
+            Action::SendAttempt { write_deadline_ms: begin_by_ms, .. } => Some(*begin_by_ms),
             _ => None,
         })
     };
     let settings = settings();
-    let window = settings.classes[1].window_ms - settings.tick_ms;
+    let window = settings.classes[1].window_ms - settings.clock_granularity_ms;
     let mut rig = Rig::new(settings.clone(), 8);
     let first = rig.ask(request(1, 1, 3, 1.0));
     assert_eq!(begin_by(&first), Some(None), "nothing ran yet");
@@ -93,7 +93,7 @@
     let mut actions = rig.ask(request(1, 0, 3, 1.0));
     let mut attempts = 0;
     while let Some(backend) = sent_to(&actions) {
-        actions = rig.end(1, attempts, backend, Outcome::Full);
+        actions = rig.end(1, attempts, backend, Outcome::Rejected);
         attempts += 1;
     }
     assert_eq!(attempts, 5);
@@ -105,18 +105,22 @@
     for (class, answer_is_refusal) in [(0, true), (1, false), (2, false), (3, true)] {
         let mut rig = Rig::new(settings(), 4);
         let mut r = request(1, class, 3, 1.0);
-        r.expires_ms = T0 + 300.0;
+        r.deadline_ms = T0 + 300.0;
         let actions = rig.ask(r);
         assert!(sent_to(&actions).is_some());
         let (token, at) = timers(&actions)[0];
         assert!(at <= T0 + 300.0 && at > T0);
         rig.now = at;
-        let last = rig.on(Event::Timer { token });
+        let last = rig.on(Event::TimerExpired { token });
         assert_eq!(refused(&last), answer_is_refusal, "class {class}");
         assert_eq!(surrendered(&last), !answer_is_refusal, "class {class}");
         // Nothing more, whatever comes: a late answer, the timer again, the client leaving.
         let backend = 0;
-        for event in [Event::Timer { token }, Event::ClientGone { id: 1 }, Event::Timer { token }] {
+        for event in [
+            Event::TimerExpired { token },
+            Event::ClientDisconnected { id: 1 },
+            Event::TimerExpired { token },
+        ] {
             assert!(rig.on(event).iter().all(|a| matches!(a, Action::Cancel { .. })));
         }
         assert!(rig.end(1, 0, backend, Outcome::Timeout).is_empty());
@@ -127,11 +131,11 @@
 fn draining_and_unlisted_backends_get_nothing_at_once() {
     let mut rig = Rig::new(settings(), 3);
     let mut drained = backends(1);
-    drained[0].state = Readiness::Draining;
-    rig.on(Event::Backends { scope: ListScope::Delta, entries: &drained });
-    rig.on(Event::Backends {
-        scope: ListScope::Full,
-        entries: &[drained[0].clone(), backends(2)[1].clone()],
+    drained[0].state = EndpointState::Draining;
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &drained });
+    rig.on(Event::EndpointsUpdated {
+        scope: UpdateScope::Full,
+        endpoints: &[drained[0].clone(), backends(2)[1].clone()],
     });
     for id in 0..3 {
         let actions = rig.ask(request(id, 0, 3, 1.0));
@@ -142,7 +146,7 @@
 #[test]
 fn failed_list_keeps_the_old_one() {
     let mut rig = Rig::new(settings(), 2);
-    rig.on(Event::Backends { scope: ListScope::Failed, entries: &[] });
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Failed, endpoints: &[] });
     assert!(sent_to(&rig.ask(request(1, 0, 3, 1.0))).is_some());
 }
 
@@ -150,10 +154,10 @@
 fn warming_backend_gets_a_small_part_of_its_budget_from_each_gateway() {
     // Work is expected at an eighth of the aim: 125 ms. The cold one may do 0.2 x 2 s of each core's.
     let mut s = settings();
-    s.gateways = 3;
+    s.gateway_count = 3;
     let mut rig = Rig::new(s, 1);
-    let cold = BackendEntry { id: 0, started_ms: T0, ..BackendEntry::default() };
-    rig.on(Event::Backends { scope: ListScope::Full, entries: &[cold] });
+    let cold = BackendEndpoint { id: 0, started_ms: T0, ..BackendEndpoint::default() };
+    rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &[cold] });
     let sent = (0..100).filter(|id| {
         let mut r = request(*id, 0, 3, 1.0);
         r.customer = *id;
@@ -169,7 +173,7 @@
     for step in 0..(seconds * 20.0) as u64 {
         rig.now += 50.0;
         let mut r = request(first + step, 0, 1, 4.0);
-        r.expires_ms = rig.now + 4_000.0;
+        r.deadline_ms = rig.now + 4_000.0;
         if let Some(backend) = sent_to(&rig.ask(r)) {
             passed += 4.0;
             rig.end(first + step, 0, backend, Outcome::Ok);
@@ -186,8 +190,8 @@
         total += flood(&mut first, 20.0, 0);
         // Killed and started again: what its earlier life spent is not there again.
         let now = first.now;
-        let mut second = Rig { gateway: slatelock::Gateway::new(settings(), 2, now).expect("settings"), now };
-        second.on(Event::Backends { scope: ListScope::Cached, entries: &backends(4) });
+        let mut second = Rig { gateway: slatelock::Policy::new(settings(), 2, now).expect("settings"), now };
+        second.on(Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &backends(4) });
         total += flood(&mut second, 20.0, 1_000);
     }
     assert!(total <= 40.0 + 4.0 * 40.0, "{total} units over the ceiling's store");
@@ -198,14 +202,14 @@
 fn stale_ids_and_timers_do_nothing() {
     let mut rig = Rig::new(settings(), 2);
     for event in [
-        Event::ClientGone { id: 9 },
-        Event::Timer { token: 9 << 2 },
-        Event::Timer { token: 9 << 2 | 1 },
-        Event::Timer { token: 9 << 2 | 2 },
-        Event::Counted { name: 9, outcome: Outcome::Ok, total: 1.0 },
-        Event::Probed { backend: 9, outcome: Outcome::Ok, load: &[1.0] },
+        Event::ClientDisconnected { id: 9 },
+        Event::TimerExpired { token: 9 << 2 },
+        Event::TimerExpired { token: 9 << 2 | 1 },
+        Event::TimerExpired { token: 9 << 2 | 2 },
+        Event::CounterReplied { key: 9, outcome: Outcome::Ok, total: 1.0 },
+        Event::ProbeEnded { backend: 9, outcome: Outcome::Ok, load: &[1.0] },
         Event::StreamStarted { id: 9, attempt: 0, backend: 9 },
-        Event::Peer { from: 3, body: &[1, 2] },
+        Event::PeerMessage { from: 3, body: &[1, 2] },
     ] {
         assert!(rig.on(event.clone()).is_empty(), "{event:?}");
     }
@@ -214,15 +218,15 @@
 
 #[test]
 fn ceiling_holds_when_every_counter_call_is_lost() {
-    let mut rig = Rig::new(Settings { counter: true, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { shared_counter: true, ..settings() }, 4);
     let mut passed = 0.0;
     for id in 0..400 {
         rig.now += 50.0;
         let mut r = request(id, 0, 1, 4.0);
-        r.expires_ms = rig.now + 4_000.0;
+        r.deadline_ms = rig.now + 4_000.0;
         let mut actions = rig.ask(r);
         if let Some((name, _)) = counted(&actions) {
-            actions = rig.on(Event::Counted { name, outcome: Outcome::Timeout, total: 0.0 });
+            actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Timeout, total: 0.0 });
         }
         if let Some(backend) = sent_to(&actions) {
             passed += 4.0;
@@ -244,20 +248,20 @@
     due.sort_by(|a, b| a.1.total_cmp(&b.1));
     let second = due.into_iter().find_map(|(token, at)| {
         rig.now = at;
-        sent_to(&rig.on(Event::Timer { token }))
+        sent_to(&rig.on(Event::TimerExpired { token }))
     });
     let second = second.expect("a second attempt");
     let began = rig.on(Event::StreamStarted { id: 1, attempt: 1, backend: second });
     assert!(began.contains(&Action::Cancel { id: 1, attempt: 0 }), "{began:?}");
-    let end = Event::Ended {
+    let end = Event::AttemptEnded {
         id: 1,
         attempt: 0,
         backend: first,
         outcome: Outcome::Cancelled,
         latency_ms: 10.0,
-        closed: true,
-        metered: None,
-        charged: None,
+        answered: true,
+        metered_use: None,
+        actual_units: None,
         load: &[],
     };
     let after = rig.on(end);
--- a/crates/slatelock/tests/settings.rs
+++ b/crates/slatelock/tests/settings.rs
@@ -14,11 +14,11 @@
     configuration["settings"].clone()
 }
 
-fn read(settings: &Value) -> Result<(Settings, settings::Names), SettingsError> {
-    let keys = settings::Keys::new("settings", settings);
-    let read = settings::read(&keys)?;
+fn read(settings: &Value) -> Result<(Settings, settings::SettingNames), SettingsError> {
+    let keys = settings::SettingsReader::new("settings", settings);
+    let read = settings::read_settings(&keys)?;
     read.check()?;
-    Ok((read, settings::names(&keys)?))
+    Ok((read, settings::read_names(&keys)?))
 }
 
 #[test]
@@ -55,48 +55,48 @@
 fn every_value_of_a_class_is_read() {
     let (read, _) = read(&sample()).expect("sound settings");
     let lookup = Class {
-        aim_ms: 120.0,
+        latency_objective_ms: 120.0,
         deadline_ms: 480.0,
-        worth: 1.5,
-        late_worth: 0.2,
-        effect: Effect::Safe,
-        group: Group::All,
-        window_ms: 0.0,
+        priority_weight: 1.5,
+        late_weight: 0.2,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 0.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     let order = Class {
-        aim_ms: 300.0,
+        latency_objective_ms: 300.0,
         deadline_ms: 1_500.0,
-        worth: 3.0,
-        late_worth: 0.4,
-        effect: Effect::Keyed,
-        group: Group::Zone,
-        window_ms: 5_000.0,
+        priority_weight: 3.0,
+        late_weight: 0.4,
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Zone,
+        deduplication_window_ms: 5_000.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     let note = Class {
-        aim_ms: 310.0,
+        latency_objective_ms: 310.0,
         deadline_ms: 1_600.0,
-        worth: 2.0,
-        late_worth: 0.0,
-        effect: Effect::Keyed,
-        group: Group::Cell,
-        window_ms: 4_000.0,
+        priority_weight: 2.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Cell,
+        deduplication_window_ms: 4_000.0,
         streaming: true,
-        dropped: false,
+        retired: false,
     };
     let pay = Class {
-        aim_ms: 500.0,
+        latency_objective_ms: 500.0,
         deadline_ms: 2_500.0,
-        worth: 4.25,
-        late_worth: 0.1,
-        effect: Effect::Unsafe,
-        group: Group::All,
-        window_ms: 1.0,
+        priority_weight: 4.25,
+        late_weight: 0.1,
+        idempotency: Idempotency::NonIdempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 1.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     assert_eq!(read.classes, [lookup, order, note, pay]);
 }
@@ -107,20 +107,20 @@
     let team = Plan {
         rate: 10.0,
         burst: 45.0,
-        open: 7,
+        max_in_flight: 7,
         ceiling_rate: 30.0,
         ceiling_burst: 90.0,
-        over_cost: 0.25,
-        value: 1.25,
+        over_quota_penalty: 0.25,
+        weight_factor: 1.25,
     };
     let free = Plan {
         rate: 2.0,
         burst: 16.0,
-        open: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        over_cost: 0.5,
-        value: 0.5,
+        over_quota_penalty: 0.5,
+        weight_factor: 0.5,
     };
     assert_eq!(read.plans, [team, free]);
 }
@@ -234,7 +234,7 @@
 fn collected_errors_name_every_missing_section_and_key_once() {
     let collected = |settings: &Value| -> Vec<String> {
         let errors = RefCell::new(Vec::new());
-        let keys = settings::Keys::collecting("settings", settings, &errors);
+        let keys = settings::SettingsReader::collecting("settings", settings, &errors);
         assert!(settings::read(&keys).is_ok() && settings::names(&keys).is_ok());
         assert!(!keys.sound());
         errors.into_inner().iter().map(ToString::to_string).collect()
--- a/crates/slatelock/tests/shared_store.rs
+++ b/crates/slatelock/tests/shared_store.rs
@@ -77,7 +77,7 @@
     number: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     what: BTreeMap<u64, Due>,
-    gateways: Vec<slatelock::Gateway>,
+    gateways: Vec<slatelock::Policy>,
     counter: Counter,
     trouble: Trouble,
     plan: Plan,
@@ -93,15 +93,15 @@
 impl World {
     fn new(seed: u64, trouble: Trouble) -> World {
         let mut told = settings();
-        (told.gateways, told.counter, told.counter_timeout_ms) = (GATEWAYS, true, 80.0);
+        (told.gateway_count, told.shared_counter, told.counter_timeout_ms) = (GATEWAYS, true, 80.0);
         (told.limits.hedges, told.limits.probes) = (false, false);
-        told.plans[0] = Plan { rate: 4.0, burst: 10.0, value: 1.0, ..Plan::default() };
+        told.plans[0] = Plan { rate: 4.0, burst: 10.0, weight_factor: 1.0, ..Plan::default() };
         let plan = told.plans[0].clone();
         let gateway = |me: u32| {
-            let told = Settings { me, ..told.clone() };
-            let mut gateway = slatelock::Gateway::new(told, seed * 10 + u64::from(me), T0).expect("settings");
+            let told = Settings { gateway_index: me, ..told.clone() };
+            let mut gateway = slatelock::Policy::new(told, seed * 10 + u64::from(me), T0).expect("settings");
             let entries = support::backends(8);
-            let list = Event::Backends { scope: ListScope::Full, entries: &entries };
+            let list = Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries };
             gateway.handle(T0, list, &mut Vec::new());
             gateway
         };
@@ -191,9 +191,9 @@
                     self.at(at + 80 - WAY_MS, Due::Answer { gateway, name, outcome, total });
                 }
                 Due::Answer { gateway, name, outcome, total } => {
-                    self.tell(gateway, Event::Counted { name, outcome, total });
+                    self.tell(gateway, Event::CounterReplied { key: name, outcome, total });
                 }
-                Due::Timer { gateway, token } => self.tell(gateway, Event::Timer { token }),
+                Due::Timer { gateway, token } => self.tell(gateway, Event::TimerExpired { token }),
             }
         }
         self.tally
@@ -215,7 +215,16 @@
         let (class, plan, retry) = (0, 0, false);
         self.tell(
             gateway,
-            Event::Request(Request { id, customer, plan, class, units, width, expires_ms, retry }),
+            Event::Request(Request {
+                id,
+                customer,
+                plan,
+                class,
+                units,
+                fan_out: width,
+                deadline_ms: expires_ms,
+                retry,
+            }),
         );
         let mean_ms = 1.5 * 1000.0 / (self.plan.rate * self.demand(customer));
         let wait = (-mean_ms * self.roll().ln()) as u64;
@@ -227,11 +236,11 @@
         self.gateways[gateway].handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Count { name, amount, .. } => {
+                Action::IncrementCounter { key: name, amount, .. } => {
                     self.tally.calls += 1;
                     self.at(self.now + WAY_MS, Due::Reach { gateway, name, amount });
                 }
-                Action::Send { id, backend, .. } => {
+                Action::SendAttempt { id, backend, .. } => {
                     let (customer, units) = self.asked[&id];
                     let (store, _) = self.stores.get_mut(&customer).expect("asked");
                     let inside = store.take(&self.plan, now, units);
@@ -245,20 +254,20 @@
                     self.tally.beyond += if inside { 0.0 } else { units };
                     self.tell(
                         gateway,
-                        Event::Ended {
+                        Event::AttemptEnded {
                             id,
                             attempt: 0,
                             backend,
                             outcome: Outcome::Ok,
                             latency_ms: 50.0,
-                            closed: true,
-                            metered,
-                            charged: None,
+                            answered: true,
+                            metered_use: metered,
+                            actual_units: None,
                             load: &[],
                         },
                     );
                 }
-                Action::Timer { token, at_ms } => {
+                Action::ScheduleTimer { token, at_ms } => {
                     self.at((at_ms - T0).ceil() as u64, Due::Timer { gateway, token });
                 }
                 _ => {}
--- a/crates/slatelock/tests/sizes.rs
+++ b/crates/slatelock/tests/sizes.rs
@@ -11,7 +11,7 @@
 
 fn rig(gateways: u32, backends: u32, seed: u64) -> Rig {
     let mut settings = settings();
-    settings.gateways = gateways;
+    settings.gateway_count = gateways;
     settings.limits.hedges = false;
     Rig::seeded(settings, backends, seed)
 }
@@ -20,7 +20,7 @@
 fn play(rig: &mut Rig, id: u64, mut how: impl FnMut(u32) -> Outcome) -> Vec<u32> {
     rig.now += 20.0;
     let expires_ms = rig.now + 4_000.0;
-    let mut actions = rig.ask(Request { customer: id, expires_ms, ..request(id, 0, 3, 1.0) });
+    let mut actions = rig.ask(Request { customer: id, deadline_ms: expires_ms, ..request(id, 0, 3, 1.0) });
     let mut sent = Vec::new();
     while let Some(to) = sent_to(&actions) {
         sent.push(to);
@@ -87,8 +87,11 @@
     for ahead in [50.0, 1e6, 1e15] {
         let mut rig = rig(1, 4, 1);
         let started_ms = rig.now + ahead;
-        let entry = BackendEntry { started_ms, ..backends(1)[0].clone() };
-        rig.on(Event::Backends { scope: ListScope::Delta, entries: std::slice::from_ref(&entry) });
+        let entry = BackendEndpoint { started_ms, ..backends(1)[0].clone() };
+        rig.on(Event::EndpointsUpdated {
+            scope: UpdateScope::Delta,
+            endpoints: std::slice::from_ref(&entry),
+        });
         let warmth = |rig: &Rig| {
             let now = rig.now;
             rig.gateway.backends(now).find(|b| b.id == 0).expect("listed").warmth
@@ -96,7 +99,7 @@
         assert!(warmth(&rig) < 0.3, "cold as it begins");
         rig.now += 5_000.0;
         // Told again, it is no other start.
-        rig.on(Event::Backends { scope: ListScope::Delta, entries: &[entry] });
+        rig.on(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
         assert!((0.5..0.7).contains(&warmth(&rig)), "{}", warmth(&rig));
         rig.now += 5_000.0;
         assert_eq!(warmth(&rig), 1.0, "{ahead} ms ahead");
--- a/crates/slatelock/tests/support/mod.rs
+++ b/crates/slatelock/tests/support/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use slatelock::interface::*;
-use slatelock::Gateway;
+use slatelock::Policy;
 
 pub const T0: f64 = 1_000_000.0;
 
@@ -10,22 +10,22 @@
 /// ceiling, 2 with only a cap on open attempts, 3 without limits.
 pub fn settings() -> Settings {
     let class = |effect, group| Class {
-        aim_ms: 1_000.0,
+        latency_objective_ms: 1_000.0,
         deadline_ms: 4_000.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group,
-        window_ms: 500.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window_ms: 500.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
-    let plan = Plan { rate: 2.0, burst: 16.0, value: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 2.0, burst: 16.0, weight_factor: 1.0, ..Plan::default() };
     Settings {
-        me: 0,
-        gateways: 2,
+        gateway_index: 0,
+        gateway_count: 2,
         zone: 0,
-        tick_ms: 4.0,
+        clock_granularity_ms: 4.0,
         classes: vec![
             class(Effect::Safe, Group::All),
             class(Effect::Keyed, Group::Cell),
@@ -38,11 +38,11 @@
             Plan { open: 4, value: 1.0, ..Plan::default() },
             Plan::default(),
         ],
-        counter: false,
+        shared_counter: false,
         counter_timeout_ms: 30.0,
-        meter_ms: 0.0,
+        usage_meter_period_ms: 0.0,
         peer_messages_per_s: 0.0,
-        max_units: 8.0,
+        max_request_units: 8.0,
         limits: Limits {
             max_attempts: 5,
             cancel: true,
@@ -53,34 +53,35 @@
             connect_timeout_ms: 250.0,
         },
         slow_start: SlowStart {
-            start_capacity: 0.2,
+            initial_capacity: 0.2,
             warm_up_ms: 10_000.0,
-            tip_multiple: 3.0,
-            overload_for_ms: 2_000.0,
+            overload_multiple: 3.0,
+            overload_window_ms: 2_000.0,
         },
         routing: Routing::default(),
-        customers: 10_000,
+        max_customers: 10_000,
         load_fields: Vec::new(),
-        ask_for_list: false,
-        ask_within_ms: 10_000.0,
-        stop_sending_ms: 500.0,
+        polls_endpoints: false,
+        poll_within_ms: 10_000.0,
+        drain_grace_ms: 500.0,
         cross_zone_cost: 0.0,
     }
 }
 
-pub fn backends(n: u32) -> Vec<BackendEntry> {
-    let entry = |id: u32| BackendEntry { id, key: u64::from(id), cell: id / 2, ..BackendEntry::default() };
+pub fn backends(n: u32) -> Vec<BackendEndpoint> {
+    let entry =
+        |id: u32| BackendEndpoint { id, key: u64::from(id), cell: id / 2, ..BackendEndpoint::default() };
     (0..n).map(entry).collect()
 }
 
 pub fn request(id: u64, class: usize, plan: usize, units: f64) -> Request {
     let (customer, expires_ms) = (7, T0 + 600_000.0);
-    Request { id, customer, class, plan, units, width: 2.0, expires_ms, retry: false }
+    Request { id, customer, class, plan, units, fan_out: 2.0, deadline_ms: expires_ms, retry: false }
 }
 
 /// A gateway with its clock and what it last wanted done.
 pub struct Rig {
-    pub gateway: Gateway,
+    pub gateway: Policy,
     pub now: f64,
 }
 
@@ -90,9 +91,9 @@
     }
 
     pub fn seeded(settings: Settings, n: u32, seed: u64) -> Rig {
-        let gateway = Gateway::new(settings, seed, T0).expect("settings");
+        let gateway = Policy::new(settings, seed, T0).expect("settings");
         let mut rig = Rig { gateway, now: T0 };
-        rig.on(Event::Backends { scope: ListScope::Cached, entries: &backends(n) });
+        rig.on(Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &backends(n) });
         rig
     }
 
@@ -107,15 +108,15 @@
     }
 
     pub fn end(&mut self, id: u64, attempt: u32, backend: u32, outcome: Outcome) -> Vec<Action> {
-        self.on(Event::Ended {
+        self.on(Event::AttemptEnded {
             id,
             attempt,
             backend,
             outcome,
             latency_ms: 50.0,
-            closed: outcome == Outcome::Ok,
-            metered: None,
-            charged: None,
+            answered: outcome == Outcome::Ok,
+            metered_use: None,
+            actual_units: None,
             load: &[],
         })
     }
@@ -123,7 +124,7 @@
 
 pub fn sent_to(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|a| match a {
-        Action::Send { backend, .. } => Some(*backend),
+        Action::SendAttempt { backend, .. } => Some(*backend),
         _ => None,
     })
 }
@@ -138,14 +139,14 @@
 
 pub fn counted(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::IncrementCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     })
 }
 
 pub fn timers(actions: &[Action]) -> Vec<(u64, f64)> {
     let timer = |a: &Action| match a {
-        Action::Timer { token, at_ms } => Some((*token, *at_ms)),
+        Action::ScheduleTimer { token, at_ms } => Some((*token, *at_ms)),
         _ => None,
     };
     actions.iter().filter_map(timer).collect()
@@ -169,9 +170,9 @@
         let mut all = Vec::new();
         let mut next = std::collections::VecDeque::from(actions);
         while let Some(action) = next.pop_front() {
-            if let Action::Count { name, amount, .. } = action {
+            if let Action::IncrementCounter { key: name, amount, .. } = action {
                 let total = self.add(name, amount);
-                next.extend(rig.on(Event::Counted { name, outcome: Outcome::Ok, total }));
+                next.extend(rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total }));
             }
             all.push(action);
         }
--- a/crates/testbed/src/rig.rs
+++ b/crates/testbed/src/rig.rs
@@ -175,10 +175,10 @@
             takes_ms: 20.0,
             aim: (10.0, 40.0),
             slow_start: SlowStart {
-                start_capacity: START_CAPACITY,
+                initial_capacity: START_CAPACITY,
                 warm_up_ms: WARM_UP_MS,
-                tip_multiple: TIP_MULTIPLE,
-                overload_for_ms: OVERLOAD_FOR_MS,
+                overload_multiple: TIP_MULTIPLE,
+                overload_window_ms: OVERLOAD_FOR_MS,
             },
             load: 0.6,
             lasts_ms: 4_000.0,
--- a/crates/testbed/src/rig/backend.rs
+++ b/crates/testbed/src/rig/backend.rs
@@ -107,7 +107,7 @@
         }
         let s = &self.slow_start;
         let grown = ((now - self.started) / s.warm_up_ms).clamp(0.0, 1.0);
-        s.start_capacity + (1.0 - s.start_capacity) * grown
+        s.initial_capacity + (1.0 - s.initial_capacity) * grown
     }
 
     /// How much longer than its work a request takes.
@@ -186,12 +186,12 @@
         let of = |send: &ColdSend| if send.told { send.work } else { 0.0 };
         for send in &self.cold {
             (sum, told) = (sum + send.work, told + of(send));
-            while send.at - self.cold[first].at > s.overload_for_ms {
+            while send.at - self.cold[first].at > s.overload_window_ms {
                 (sum, told) = (sum - self.cold[first].work, told - of(&self.cold[first]));
                 first += 1;
             }
             let warmth = self.warmth(self.cold[first].at);
-            let used = sum / (s.tip_multiple * warmth * f64::from(self.slots) * s.overload_for_ms);
+            let used = sum / (s.overload_multiple * warmth * f64::from(self.slots) * s.overload_window_ms);
             most = most.max(used);
             if told > 2.0 / 3.0 * sum {
                 of_told = of_told.max(used);
--- a/crates/testbed/src/rig/days.rs
+++ b/crates/testbed/src/rig/days.rs
@@ -1,8 +1,8 @@
 //! What happens to a fleet in a run: gateways are killed and start, backends are replaced, and the list
 //! comes late or not at all.
 
-use slatelock::interface::{BackendEntry, Event, ListScope, Outcome, Readiness};
-use slatelock::Gateway;
+use slatelock::interface::{BackendEndpoint, Event, UpdateScope, Outcome, EndpointState};
+use slatelock::Policy;
 
 use super::backend::Backend;
 use super::world::{settings, Happens, World, BEGIN_MS, WAY_MS};
@@ -24,15 +24,15 @@
     Close(u32, u32, u32, f64),
 }
 
-fn entry(number: u32, backend: &Backend) -> BackendEntry {
-    BackendEntry {
+fn entry(number: u32, backend: &Backend) -> BackendEndpoint {
+    BackendEndpoint {
         id: number,
         key: u64::from(number),
         cell: backend.cell,
         zone: backend.zone,
         started_ms: backend.started,
-        state: if backend.left { Readiness::Gone } else { Readiness::Ready },
-        ..BackendEntry::default()
+        state: if backend.left { EndpointState::Removed } else { EndpointState::Ready },
+        ..BackendEndpoint::default()
     }
 }
 
@@ -112,23 +112,23 @@
             return;
         }
         let from = std::mem::replace(&mut node.heard, self.changes.len());
-        let entries: Vec<BackendEntry> =
+        let entries: Vec<BackendEndpoint> =
             self.changes[from..].iter().map(|n| entry(*n, &self.backends[*n as usize])).collect();
         if !entries.is_empty() {
-            self.tell(g, Event::Backends { scope: ListScope::Delta, entries: &entries });
+            self.tell(g, Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
         }
     }
 
     /// The list of the run's start, as a gateway's own settings have it.
     pub(super) fn known(&mut self, g: u32) {
         let all = (0..self.shape.backends).zip(&self.backends);
-        let as_it_was = |(n, b): (u32, &Backend)| BackendEntry {
-            state: Readiness::Ready,
+        let as_it_was = |(n, b): (u32, &Backend)| BackendEndpoint {
+            state: EndpointState::Ready,
             started_ms: 0.0,
             ..entry(n, b)
         };
-        let entries: Vec<BackendEntry> = all.map(as_it_was).collect();
-        self.tell(g, Event::Backends { scope: ListScope::Cached, entries: &entries });
+        let entries: Vec<BackendEndpoint> = all.map(as_it_was).collect();
+        self.tell(g, Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &entries });
     }
 
     fn kill(&mut self, g: u32) {
@@ -160,7 +160,7 @@
         let (shape, now) = (self.shape, self.now);
         let node = &mut self.nodes[g as usize];
         let seed = shape.seed ^ u64::from(g) ^ (u64::from(node.boot) << 32);
-        node.begin(Gateway::new(settings(shape, g), seed, now).expect("sound settings"), now);
+        node.begin(Policy::new(settings(shape, g), seed, now).expect("sound settings"), now);
         let (boot, wait) = (node.boot, node.first_call());
         self.known(g);
         self.at(if shape.discovery.is_some() { wait } else { 0.0 }, Happens::Day(Day::Call(g, boot)));
--- a/crates/testbed/src/rig/node.rs
+++ b/crates/testbed/src/rig/node.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beechrudder_pacing::Pauses;
-use slatelock::Gateway;
+use beechrudder_pacing::Backoff;
+use slatelock::Policy;
 
 use super::Shape;
 
@@ -18,7 +18,7 @@
 type Idle = (f64, u32);
 
 pub(super) struct Node {
-    pub core: Gateway,
+    pub core: Policy,
     pub up: bool,
     /// How often it was started; what an earlier one waited for is not this one's.
     pub boot: u32,
@@ -27,12 +27,12 @@
     /// Changes of the list that it has heard.
     pub heard: usize,
     gateways: u32,
-    pauses: Pauses,
+    pauses: Backoff,
     idle: HashMap<u32, Vec<Idle>>,
 }
 
 impl Node {
-    pub fn new(core: Gateway, shape: &Shape, seed: u64) -> Node {
+    pub fn new(core: Policy, shape: &Shape, seed: u64) -> Node {
         Node {
             core,
             up: true,
@@ -40,17 +40,17 @@
             unlisted: None,
             heard: 0,
             gateways: shape.gateways,
-            pauses: Pauses::new(PAUSE.0, PAUSE.1, EACH, PAUSE_LIMIT, shape.gateways, seed),
+            pauses: Backoff::new(PAUSE.0, PAUSE.1, EACH, PAUSE_LIMIT, shape.gateways, seed),
             idle: HashMap::new(),
         }
     }
 
     /// It starts anew, with decisions that know nothing.
-    pub fn begin(&mut self, core: Gateway, now: f64) {
+    pub fn begin(&mut self, core: Policy, now: f64) {
         (self.core, self.up, self.heard) = (core, true, 0);
         self.boot += 1;
         self.unlisted = Some(now);
-        self.pauses.answered();
+        self.pauses.reset();
     }
 
     /// It is killed; gives the backends of its idle connections, with the lives that they were opened in.
@@ -63,12 +63,12 @@
 
     /// Time until its first call to discovery, ms.
     pub fn first_call(&mut self) -> f64 {
-        self.pauses.start(EACH, START_LIMIT, self.gateways).as_secs_f64() * 1_000.0
+        self.pauses.initial_delay(EACH, START_LIMIT, self.gateways).as_secs_f64() * 1_000.0
     }
 
     /// Time until its next call after one that was turned away, ms.
     pub fn next_call(&mut self) -> f64 {
-        self.pauses.failed().as_secs_f64() * 1_000.0
+        self.pauses.next_delay().as_secs_f64() * 1_000.0
     }
 
     /// Takes a connection that is idle; those of an earlier life of the backend are found closed.
--- a/crates/testbed/src/rig/world.rs
+++ b/crates/testbed/src/rig/world.rs
@@ -5,9 +5,9 @@
 
 use hdrhistogram::Histogram;
 use slatelock::interface::{
-    Action, Class, Effect, Event, Group, Limits, Outcome, Plan, Request, Routing, Settings,
+    Action, Class, Idempotency, Event, DeduplicationScope, Limits, Outcome, Plan, Request, Routing, Settings,
 };
-use slatelock::Gateway;
+use slatelock::Policy;
 
 use super::backend::{Backend, Job};
 use super::days::Day;
@@ -124,34 +124,34 @@
 pub(super) fn settings(shape: &Shape, me: u32) -> Settings {
     let (aim_ms, deadline_ms) = (shape.aim.0 * shape.takes_ms, shape.aim.1 * shape.takes_ms);
     let class = |effect| Class {
-        aim_ms,
+        latency_objective_ms: aim_ms,
         deadline_ms,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group: Group::Cell,
-        window_ms: 5_000.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: effect,
+        deduplication_scope: DeduplicationScope::Cell,
+        deduplication_window_ms: 5_000.0,
         streaming: false,
-        dropped: false,
+        retired: false,
     };
     let routing = match shape.chooser {
         Chooser::Whole => {
-            Routing { whole: usize::MAX, subset: u32::MAX, coverage: u32::MAX, ..Routing::default() }
+            Routing { scan_all_up_to: usize::MAX, subset_size: u32::MAX, coverage: u32::MAX, ..Routing::default() }
         }
         _ => Routing::default(),
     };
     Settings {
-        me,
-        gateways: shape.gateways,
+        gateway_index: me,
+        gateway_count: shape.gateways,
         zone: me % shape.zones.max(1),
-        tick_ms: 1.0,
+        clock_granularity_ms: 1.0,
         classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
         plans: vec![Plan { value: 1.0, ..Plan::default() }],
-        counter: false,
+        shared_counter: false,
         counter_timeout_ms: 50.0,
-        meter_ms: 0.0,
+        usage_meter_period_ms: 0.0,
         peer_messages_per_s: 0.0,
-        max_units: 4.0,
+        max_request_units: 4.0,
         limits: Limits {
             max_attempts: 4,
             cancel: true,
@@ -163,11 +163,11 @@
         },
         slow_start: shape.slow_start.clone(),
         routing,
-        customers: 1_000,
+        max_customers: 1_000,
         load_fields: Vec::new(),
-        ask_for_list: false,
-        ask_within_ms: 10_000.0,
-        stop_sending_ms: 500.0,
+        polls_endpoints: false,
+        poll_within_ms: 10_000.0,
+        drain_grace_ms: 500.0,
         cross_zone_cost: 0.0,
     }
 }
@@ -179,7 +179,7 @@
 #[must_use]
 pub fn run(shape: &Shape) -> Report {
     let node = |me| {
-        let core = Gateway::new(settings(shape, me), shape.seed ^ u64::from(me), BEGIN_MS);
+        let core = Policy::new(settings(shape, me), shape.seed ^ u64::from(me), BEGIN_MS);
         Node::new(core.expect("sound settings"), shape, shape.seed ^ u64::from(me))
     };
     let gateways = if shape.chooser == Chooser::Ideal { 0 } else { shape.gateways };
@@ -253,14 +253,14 @@
             Happens::Told(attempt, outcome) => self.told(attempt, outcome),
             Happens::Timer(g, boot, token) => {
                 // As in the gateway: what has its answer and nothing out needs no timer any more.
-                let open = Gateway::timer_request(token).is_none_or(|id| self.asked.contains_key(&id));
+                let open = Policy::request_of_timer(token).is_none_or(|id| self.asked.contains_key(&id));
                 if open && self.nodes[g as usize].boot == boot {
-                    self.tell(g, Event::Timer { token });
+                    self.tell(g, Event::TimerExpired { token });
                 }
             }
             Happens::Probed(g, boot, backend, ok) if self.nodes[g as usize].boot == boot => {
                 let outcome = if ok { Outcome::Ok } else { Outcome::ConnectFailed };
-                self.tell(g, Event::Probed { backend, outcome, load: &[] });
+                self.tell(g, Event::ProbeEnded { backend, outcome, load: &[] });
             }
             Happens::Probed(..) => {}
             Happens::Trouble(i, begins) => {
@@ -327,7 +327,7 @@
         }
         let expires_ms = self.now + s.aim.1 * s.takes_ms;
         let (customer, width) = (id % 500, f64::from(s.gateways));
-        let request = Request { id, customer, plan: 0, class, units: 1.0, width, expires_ms, retry: false };
+        let request = Request { id, customer, plan: 0, class, units: 1.0, fan_out: width, deadline_ms: expires_ms, retry: false };
         self.tell(gateway, Event::Request(request));
     }
 
@@ -338,7 +338,7 @@
         let best = all.filter(|(_, e)| e.is_finite()).min_by(|(_, a), (_, b)| a.total_cmp(b));
         match best.map(|(n, _)| n) {
             Some(backend) => self.send(id, backend),
-            None => self.answer(id, Outcome::Full),
+            None => self.answer(id, Outcome::Rejected),
         }
     }
 
@@ -348,23 +348,23 @@
         self.nodes[g as usize].core.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, backend, .. } => self.send(id, backend),
-                Action::Cancel { id, attempt } => {
+                Action::SendAttempt { id, backend, .. } => self.send(id, backend),
+                Action::CancelAttempt { id, attempt } => {
                     let place = self.asked.get(&id).map(|asked| asked.attempts[attempt as usize]);
                     if let Some(place) = place.filter(|place| !self.attempts[*place].settled) {
                         self.attempts[place].settled = true;
                         self.at(0.0, Happens::Told(place, Outcome::Cancelled));
                     }
                 }
-                Action::Refuse { id, .. } => self.answer(id, Outcome::Full),
-                Action::Surrender { id } => self.answer(id, Outcome::Error),
+                Action::Reject { id, .. } => self.answer(id, Outcome::Rejected),
+                Action::Fail { id } => self.answer(id, Outcome::Error),
                 Action::Probe { backend } => {
                     let b = &self.backends[backend as usize];
                     let ok = !b.dead() && !matches!(b.trouble, Some(What::Failing(_)));
                     self.at(2.0 * WAY_MS, Happens::Probed(g, boot, backend, ok));
                 }
-                Action::Timer { token, at_ms } => self.at(at_ms - self.now, Happens::Timer(g, boot, token)),
-                Action::Count { .. } | Action::Tell { .. } | Action::Watch => {}
+                Action::ScheduleTimer { token, at_ms } => self.at(at_ms - self.now, Happens::Timer(g, boot, token)),
+                Action::IncrementCounter { .. } | Action::BroadcastToPeers { .. } | Action::PollEndpoints => {}
             }
         }
     }
@@ -404,7 +404,7 @@
             self.attempts[place].connection = self.connect(backend);
             if self.attempts[place].connection.is_none() {
                 // As a service does that has no more of them.
-                return self.settle(place, WAY_MS, Outcome::Full);
+                return self.settle(place, WAY_MS, Outcome::Rejected);
             }
             let cost = self.shape.connections.filter(|_| !self.nodes.is_empty());
             work += cost.map_or(0.0, |c| c.cost_ms);
@@ -420,7 +420,7 @@
         match self.backends[backend as usize].take(Job { attempt: place, work }) {
             Some(true) => self.begin(place, work),
             Some(false) => {}
-            None => self.settle(place, WAY_MS, Outcome::Full),
+            None => self.settle(place, WAY_MS, Outcome::Rejected),
         }
     }
 
@@ -447,7 +447,7 @@
 
     fn settle(&mut self, place: usize, after: f64, outcome: Outcome) {
         self.attempts[place].settled = true;
-        self.report.never_ran += u64::from(outcome.never_ran());
+        self.report.never_ran += u64::from(outcome.never_executed());
         self.at(after, Happens::Told(place, outcome));
     }
 
@@ -473,7 +473,7 @@
             let attempt = nth;
             self.tell(
                 g,
-                Event::Ended { id, attempt, backend, outcome, latency_ms, closed, metered, charged, load },
+                Event::AttemptEnded { id, attempt, backend, outcome, latency_ms, answered: closed, metered_use: metered, actual_units: charged, load },
             );
         }
     }
@@ -491,7 +491,7 @@
                 self.report.in_time += u64::from(took <= self.shape.aim.0 * self.shape.takes_ms);
                 self.report.latencies.saturating_record((took * 1000.0) as u64);
             }
-            Outcome::Full => self.report.refused += 1,
+            Outcome::Rejected => self.report.refused += 1,
             _ => self.report.failed += 1,
         }
     }
--- a/crates/testbed/tests/figures.rs
+++ b/crates/testbed/tests/figures.rs
@@ -17,7 +17,7 @@
 }
 
 fn slow_start(start_capacity: f64, warm_up_ms: f64, tip_multiple: f64, overload_for_ms: f64) -> SlowStart {
-    SlowStart { start_capacity, warm_up_ms, tip_multiple, overload_for_ms }
+    SlowStart { initial_capacity: start_capacity, warm_up_ms, overload_multiple: tip_multiple, overload_window_ms: overload_for_ms }
 }
 
 fn deployments() -> [Figures; 3] {
