--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -27,11 +27,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use beechrudder_channel::{BindError, Dialer, Listener, TlsError};
-use beechrudder_fleet::wire::{LINE_MOST, TOOL_LINE_MOST};
-use beechrudder_fleet::{BadName, Name};
-use beechrudder_operator::{Agent, Gateway, Sources, Start};
+use fleet::wire::{MAX_LINE_BYTES, MAX_TOOL_LINE_BYTES};
+use fleet::{InvalidName, Name};
+use operator_config::{AgentConfig, GatewayConfig, SourcesConfig, StartConfig};
 use tokio::sync::{broadcast, mpsc, watch, Semaphore};
+use transport::{BindError, Connector, Listener, TlsError};
 
 use tools::Scope;
 
@@ -54,7 +54,7 @@
     /// The list can't be served: the socket, or a service.
     Sources(String),
     /// A gateway in the operator's file has a name that can't be one.
-    Name(BadName),
+    Name(InvalidName),
 }
 
 impl fmt::Display for AgentError {
@@ -79,23 +79,25 @@
 /// # Errors
 /// An [`AgentError`], at the start or once the log can't be written.
 pub async fn run(
-    config: &Agent,
-    gateways: &[Gateway],
-    sources: Option<&Sources>,
-    start: Option<&Start>,
+    config: &AgentConfig,
+    gateways: &[GatewayConfig],
+    sources: Option<&SourcesConfig>,
+    start: Option<&StartConfig>,
     ready: impl FnOnce(Option<SocketAddr>),
     end: impl std::future::Future<Output = ()>,
 ) -> Result<(), AgentError> {
-    let dialer = Dialer::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
-    let named = |g: &Gateway| Ok((g.name.parse::<Name>()?, g.admin.clone()));
-    let fixed = gateways.iter().map(named).collect::<Result<Vec<_>, BadName>>().map_err(AgentError::Name)?;
+    let dialer = Connector::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
+    let named = |g: &GatewayConfig| Ok((g.name.parse::<Name>()?, g.admin.clone()));
+    let fixed =
+        gateways.iter().map(named).collect::<Result<Vec<_>, InvalidName>>().map_err(AgentError::Name)?;
     // The log first: two agents on one log end here, before either speaks.
     let (log, contents) = Log::open(&config.log).map_err(AgentError::Log)?;
-    let listener = Listener::bind(&config.listen, None, TOOL_LINE_MOST).await.map_err(AgentError::Bind)?;
+    let listener =
+        Listener::bind(&config.listen, None, MAX_TOOL_LINE_BYTES).await.map_err(AgentError::Bind)?;
     let registers = match &config.register {
         Some(at) => {
             // A list that a gateway has fetched fits.
-            let listener = Listener::bind(at, config.tls.as_ref(), LINE_MOST).await;
+            let listener = Listener::bind(at, config.tls.as_ref(), MAX_LINE_BYTES).await;
             Some(listener.map_err(AgentError::Bind)?)
         }
         None => None,
@@ -109,7 +111,7 @@
         heartbeat: config.heartbeat(),
         answer: config.answer(),
         fan_out: Arc::new(Semaphore::new(config.fan_out)),
-        calls: Arc::new(Semaphore::new(link::CALLS_MOST)),
+        calls: Arc::new(Semaphore::new(link::MAX_CONNECTING)),
         published: receiver,
         reports,
     };
--- a/crates/agent/src/views.rs
+++ b/crates/agent/src/views.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use beechrudder_fleet::wire::BackendState;
-use beechrudder_fleet::Backend;
+use fleet::wire::BackendState;
+use fleet::Backend;
 
 #[derive(Debug)]
 struct Row {
@@ -112,7 +112,7 @@
             banned_ms: None,
             weight: 1.0,
             ejected: false,
-            warmth: 1.0,
+            capacity_fraction: 1.0,
             in_flight: 0,
         }
     }
--- a/crates/pacing/tests/pauses.rs
+++ b/crates/backoff/tests/pauses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechrudder_pacing::Backoff;
+use backoff::Backoff;
 use proptest::prelude::*;
 
 const FIRST: Duration = Duration::from_millis(50);
@@ -26,11 +26,11 @@
     fn no_gateway_is_late_and_calls_are_spread(gateways in 1u32..=1_000, seed: u64) {
         let mut calls = Vec::new();
         for pauses in &mut fleet(gateways, seed) {
-            let mut at = pauses.start(EACH, START, gateways);
+            let mut at = pauses.initial_delay(EACH, START, gateways);
             prop_assert!(at <= START, "the first call after {at:?}");
             while at < Duration::from_secs(90) {
                 calls.push(at);
-                let pause = pauses.failed();
+                let pause = pauses.next_delay();
                 prop_assert!(pause <= LIMIT, "a pause of {pause:?}");
                 at += pause;
             }
@@ -77,7 +77,7 @@
 fn few_gateways_pause_like_one() {
     for gateways in [0, 1, 2] {
         let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
-        assert!(pauses.failed() < FIRST * 3 / 2);
+        assert!(pauses.next_delay() < FIRST * 3 / 2);
         assert_eq!(pauses.longest(), MOST * 3 / 2);
     }
 }
--- a/crates/records/tests/records.rs
+++ b/crates/bounded-cache/tests/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use beechrudder_records::{BoundedCache, CacheFull, Evictable, Evicted};
+use bounded_cache::{BoundedCache, CacheFull, Evictable, Evicted};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -76,7 +76,7 @@
     for key in 0..100 {
         records.insert(0.0, key, Debt(None)).expect("room");
     }
-    assert_eq!(records.insert(0.0, 200, Debt(None)), Err(Full));
+    assert_eq!(records.insert(0.0, 200, Debt(None)), Err(Rejected));
     records.get_mut(63).expect("kept").0 = Some(1.0);
     // Each call looks at others, so the one that settled is found after a few.
     let tries = (0..10).position(|_| records.insert(0.0, 200, Debt(None)).is_ok());
--- a/crates/sources/src/lib.rs
+++ b/crates/endpoint-sources/src/lib.rs
@@ -3,7 +3,7 @@
 //! ```text
 //!  resolvers ◀─ UDP, TCP ─ resolver.rs ◀─ due ─ follow.rs ─ list ─▶ table.rs ─▶ serve.rs ◀─ gateways
 //!                                │ answer, or why    │             versions    GET /discovery/hosts
-//!                                └─────────────────▶ │ cache and catalogue of beechrudder-dnssd
+//!                                └─────────────────▶ │ cache and catalogue of dns-sd
 //! ```
 //!
 //! A gateway needs no change to take its list from here: its configuration names [`serve`]'s address as its
@@ -15,7 +15,7 @@
 mod serve;
 mod table;
 
-pub use follow::{follow, Ask, Following, Settings};
-pub use resolver::{Answered, Resolver, Unanswered};
+pub use follow::{follow, Follower, Settings, StatusRequest};
+pub use resolver::{QueryAnswer, QueryFailure, Resolver};
 pub use serve::serve;
-pub use table::{Line, Table, TOMBSTONES_MOST};
+pub use table::{EndpointTable, ListedEndpoint, MAX_TOMBSTONES};
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -6,26 +6,26 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest name of a backend, type or gateway, bytes: that of a domain name (RFC 1035, section 2.3.4).
-pub const NAME_MOST: usize = 253;
+pub const MAX_NAME_BYTES: usize = 253;
 /// The longest id of an order, bytes.
-pub const ORDER_ID_MOST: usize = 64;
+pub const MAX_ORDER_ID_BYTES: usize = 64;
 
 /// A name that can't be one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadName {
+pub struct InvalidName {
     what: &'static str,
     problem: String,
 }
 
-impl fmt::Display for BadName {
+impl fmt::Display for InvalidName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.what, self.problem)
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for InvalidName {}
 
-fn check(what: &'static str, text: &str, most: usize, fits: fn(char) -> bool) -> Result<(), BadName> {
+fn check(what: &'static str, text: &str, most: usize, fits: fn(char) -> bool) -> Result<(), InvalidName> {
     // Danger: a name of megabytes, or one that writes to a terminal, quoted in a message or a log.
     let problem = match text.chars().find(|c| !fits(*c)) {
         _ if text.is_empty() => "is empty".to_string(),
@@ -33,7 +33,7 @@
         Some(odd) => format!("holds {odd:?}, which no name holds"),
         None => return Ok(()),
     };
-    Err(BadName { what, problem })
+    Err(InvalidName { what, problem })
 }
 
 macro_rules! text {
@@ -52,17 +52,17 @@
         }
 
         impl FromStr for $name {
-            type Err = BadName;
+            type Err = InvalidName;
 
-            fn from_str(text: &str) -> Result<Self, BadName> {
+            fn from_str(text: &str) -> Result<Self, InvalidName> {
                 check($what, text, $most, $fits).map(|()| $name(text.into()))
             }
         }
 
         impl TryFrom<String> for $name {
-            type Error = BadName;
+            type Error = InvalidName;
 
-            fn try_from(text: String) -> Result<Self, BadName> {
+            fn try_from(text: String) -> Result<Self, InvalidName> {
                 text.parse()
             }
         }
@@ -82,11 +82,11 @@
 }
 
 text!(
-    /// Name of a backend, a type of backends or a gateway: 1 to [`NAME_MOST`] bytes, no white space and no
+    /// Name of a backend, an instance type or a gateway: 1 to [`MAX_NAME_BYTES`] bytes, no white space and no
     /// control characters.
-    Name, "name", NAME_MOST, |c| !c.is_whitespace() && !c.is_control()
+    Name, "name", MAX_NAME_BYTES, |c| !c.is_whitespace() && !c.is_control()
 );
 text!(
-    /// Id of an order, given by whoever made it: 1 to [`ORDER_ID_MOST`] letters, digits, `.`, `_`, `-`, `:`.
-    OrderId, "order id", ORDER_ID_MOST, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
+    /// Id of an order, given by its author: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
+    OrderId, "order id", MAX_ORDER_ID_BYTES, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
 );
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use gateway_policy::interface::SettingsError;
+use gateway_policy::reload::{self, ServiceSettings};
+use gateway_policy::settings::{self, SettingsReader};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
-use slatelock::interface::SettingsError;
-use slatelock::settings::{self, SettingsReader};
-use slatelock::terms::{self, ServiceSettings};
 
 use crate::listing::List;
 
@@ -92,7 +92,7 @@
     /// # Errors
     /// The first that it lacks.
     pub fn has_all_of(&self, before: &Config) -> Result<(), SettingsError> {
-        match terms::first_missing_key(&before.told, &self.told, "configuration", &MAY_LACK) {
+        match reload::first_missing_key(&before.told, &self.told, "configuration", &MAY_LACK) {
             Some(field) => Err(SettingsError { field, problem: "missing; the file before has it" }),
             None => Ok(()),
         }
@@ -133,14 +133,15 @@
         let settings = settings::read_settings(&told)?;
         // What stands in for a value that is wrong may fit no other.
         if top.is_valid() {
-            top.recover(settings.check(), ())?;
+            top.recover(settings.validate(), ())?;
         }
         let seed = top.get("seed").and_then(|value| {
             let seed = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
             seed.ok_or_else(|| top.invalid("seed", "a hex number is wanted"))
         });
         let known = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
-            List::read(text.get().as_bytes()).map_err(|_| top.invalid("known", "a list of backends is wanted"))
+            List::read(text.get().as_bytes())
+                .map_err(|_| top.invalid("known", "a list of backends is wanted"))
         });
         Ok(Config {
             name: top.get("name").ok().and_then(|name| name.as_str()).unwrap_or_default().to_string(),
@@ -148,11 +149,11 @@
             management: top.value("management").map(|_| address("management")).transpose()?,
             peers: Peers {
                 discovery: address("discovery")?,
-                counter: if settings.counter { Some(address("counter")?) } else { None },
+                counter: if settings.shared_counter { Some(address("counter")?) } else { None },
             },
             seed: top.recover(seed, 0)?,
-            sockets: top.section("limits")?.whole("sockets")? as usize,
-            memory_mb: top.section("limits")?.whole("memory_mb")? as usize,
+            sockets: top.section("limits")?.integer("sockets")? as usize,
+            memory_mb: top.section("limits")?.integer("memory_mb")? as usize,
             known: top.recover(known, List::empty())?,
             terms: ServiceSettings { names: settings::read_names(&told)?, settings },
             told: Value::Null,
--- a/crates/gateway/src/discovery/ordered.rs
+++ b/crates/gateway/src/discovery/ordered.rs
@@ -3,16 +3,17 @@
 
 use std::time::Duration;
 
-use beechrudder_channel::Dialer;
-use beechrudder_coldstart::Came;
-use beechrudder_fleet::wire::{
-    Ask, FirstCall, FirstCame, Numbered, Say, Starting, LINE_MOST, START_LIST_MOST,
+use cold_start::PollOutcome;
+use fleet::wire::{
+    Envelope, FirstCallOutcome, FirstCallReport, StartInstructions, ToolRequest, ToolResponse,
+    MAX_LINE_BYTES, MAX_START_LIST_BYTES,
 };
-use beechrudder_fleet::Name;
-use beechrudder_operator::Address;
+use fleet::Name;
+use operator_config::Address;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
+use transport::Connector;
 
 use crate::listing::List;
 
@@ -20,13 +21,13 @@
 /// gateway's slots go on meanwhile.
 const ANSWER: Duration = Duration::from_secs(1);
 /// The longest that a turn or the next question may lie ahead.
-const AHEAD_MOST_MS: f64 = 10_000.0;
+const MAX_CALL_DELAY_MS: f64 = 10_000.0;
 
 /// Who orders the start, and of whom.
 #[derive(Clone)]
 pub struct Ordering {
     pub agent: Address,
-    pub dialer: Dialer,
+    pub dialer: Connector,
     pub name: Name,
     /// The gateway's process.
     pub boot: u64,
@@ -43,7 +44,7 @@
 
 /// What the first call came to, after so long, and the list where it was to be fetched.
 pub struct First {
-    pub came: Came,
+    pub came: PollOutcome,
     pub took: Duration,
     pub fetched: Option<(u64, String)>,
 }
@@ -94,24 +95,26 @@
     };
     let Ok(First { came, took, fetched }) = first else { return };
     let came = match came {
-        Came::News | Came::Same => FirstCame::Told,
-        Came::TurnedAway(_) => FirstCame::TurnedAway,
-        Came::Silent => FirstCame::Silent,
-        Came::Older | Came::Broken => FirstCame::Failed,
+        PollOutcome::Updated | PollOutcome::Unchanged => FirstCallOutcome::Answered,
+        PollOutcome::Rejected(_) => FirstCallOutcome::Rejected,
+        PollOutcome::TimedOut => FirstCallOutcome::TimedOut,
+        PollOutcome::OlderVersion | PollOutcome::Failed => FirstCallOutcome::Failed,
     };
-    let list = fetched.filter(|(_, text)| text.len() <= START_LIST_MOST);
-    let call = FirstCall { came, took_ms: took.as_secs_f64() * 1_000.0, list };
+    let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
+    let call = FirstCallReport { outcome: came, took_ms: took.as_secs_f64() * 1_000.0, list };
     let Ordering { name, boot, .. } = ordering.clone();
     // Without it the agent goes by what others tell it.
-    let _ = ask(&ordering, Ask::Started { name, boot, call }).await;
+    let _ = ask(&ordering, ToolRequest::Started { name, incarnation: boot, call }).await;
 }
 
 /// Asks until there is a turn, or nothing to wait for.
 async fn line_up(ordering: &Ordering, mut held: Option<u64>, say: mpsc::Sender<Told>) -> Result<(), String> {
     loop {
         let Ordering { name, boot, gateways, .. } = ordering.clone();
-        let said = ask(ordering, Ask::Start { name, boot, gateways, held }).await?;
-        let Say::Starting(Starting { call_in_ms, fetch, ask_in_ms, list }) = said else {
+        let said =
+            ask(ordering, ToolRequest::Start { name, incarnation: boot, gateways, held_version: held })
+                .await?;
+        let ToolResponse::Starting(StartInstructions { call_in_ms, fetch, ask_in_ms, list }) = said else {
             return Err("it answered something else".to_string());
         };
         let list = list.and_then(|text| List::read(text.as_bytes()).ok()).filter(|list| list.snapshot);
@@ -120,7 +123,7 @@
             // Fails only when the gateway ends, as below.
             let _ = say.send(Told::List(list)).await;
         }
-        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, AHEAD_MOST_MS) / 1_000.0);
+        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, MAX_CALL_DELAY_MS) / 1_000.0);
         match (call_in_ms, ask_in_ms) {
             (Some(ms), _) => {
                 sleep(time(ms)).await;
@@ -133,13 +136,13 @@
     }
 }
 
-async fn ask(ordering: &Ordering, body: Ask) -> Result<Say, String> {
+async fn ask(ordering: &Ordering, body: ToolRequest) -> Result<ToolResponse, String> {
     let asked = async {
-        let lines = ordering.dialer.connect(&ordering.agent, ANSWER, LINE_MOST).await;
+        let lines = ordering.dialer.connect(&ordering.agent, ANSWER, MAX_LINE_BYTES).await;
         let mut lines = lines.map_err(|e| e.to_string())?;
-        lines.send(&Numbered { n: 1, body }).await.map_err(|e| e.to_string())?;
-        match lines.next::<Numbered<Say>>().await.map_err(|e| e.to_string())? {
-            Some(Numbered { body: Say::Fault(fault), .. }) => Err(fault.message),
+        lines.send(&Envelope { request_id: 1, body }).await.map_err(|e| e.to_string())?;
+        match lines.next::<Envelope<ToolResponse>>().await.map_err(|e| e.to_string())? {
+            Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(fault.message),
             Some(said) => Ok(said.body),
             None => Err("it ended the connection".to_string()),
         }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -10,12 +10,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechrudder_coldstart::Allowance;
 use bytes::Bytes;
-use slatelock::interface::{Action, BackendEndpoint, Event, UpdateScope, Outcome, EndpointState, Request};
-use slatelock::settings::SettingNames;
-use slatelock::terms::ServiceSettings;
-use slatelock::Policy;
+use cold_start::CallBudget;
+use gateway_policy::interface::{
+    Action, BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope,
+};
+use gateway_policy::reload::ServiceSettings;
+use gateway_policy::settings::SettingNames;
+use gateway_policy::Policy;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::AbortHandle;
 use tokio::time::{interval, Instant};
@@ -102,7 +104,7 @@
     /// First connections to backends by turns; none: as requests need them.
     pub opening: Option<Opening>,
     /// Calls to the counter after the start; none: all.
-    pub allowance: Option<Allowance>,
+    pub allowance: Option<CallBudget>,
 }
 
 /// The driver and all it owns.
@@ -113,7 +115,7 @@
     terms: watch::Sender<Arc<ServiceSettings>>,
     parts: Vec<Part>,
     opening: Option<Opening>,
-    allowance: Option<Allowance>,
+    allowance: Option<CallBudget>,
     /// Since when the class at a place is dropped, ms.
     dropped: HashMap<usize, f64>,
     backends: Backends,
@@ -317,7 +319,9 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::SendAttempt { id, backend, write_deadline_ms: begin_by_ms } => self.send(id, backend, begin_by_ms),
+            Action::SendAttempt { id, backend, write_deadline_ms: begin_by_ms } => {
+                self.send(id, backend, begin_by_ms)
+            }
             Action::CancelAttempt { id, attempt } => self.cancel((id, attempt)),
             Action::Reject { id, retry_after_ms } => {
                 // Danger: a time rounded down is a time too early.
@@ -376,12 +380,12 @@
         self.calls.insert(number, Counting { name, made: at, timer });
         let call = counter::Call { number, name, amount, life_ms, at };
         let now = self.clock.now_ms();
-        if self.allowance.is_some_and(|allowance| allowance.over(now)) {
+        if self.allowance.is_some_and(|allowance| allowance.is_over(now)) {
             self.allowance = None;
         }
         // Danger: a chance of calls that is learned of the counter alone, and so is one until the bound ends.
         // A call that is left out is one too many.
-        let may = self.allowance.as_mut().is_none_or(|allowance| allowance.take(now));
+        let may = self.allowance.as_mut().is_none_or(|allowance| allowance.try_take(now));
         if !may || !self.counter.as_ref().is_some_and(|c| c.call(call)) {
             self.next.push_back(Input::Counted(Counted { number, outcome: Outcome::Rejected, total: 0.0 }));
         }
@@ -581,10 +585,14 @@
             entries.push(entry);
             for id in replaced {
                 entries.retain(|e: &BackendEndpoint| e.id != id);
-                entries.push(BackendEndpoint { id, state: EndpointState::Removed, ..BackendEndpoint::default() });
+                entries.push(BackendEndpoint {
+                    id,
+                    state: EndpointState::Removed,
+                    ..BackendEndpoint::default()
+                });
             }
         }
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
             self.backends.keep_only(|id| named.contains(&id));
         }
--- a/crates/gateway/src/driver/opening.rs
+++ b/crates/gateway/src/driver/opening.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use beechrudder_coldstart::{Openings, Stage};
-use slatelock::interface::{BackendEndpoint, Event, UpdateScope, Outcome, EndpointState};
+use cold_start::{ConnectionRamp, RampStage};
+use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, Outcome, UpdateScope};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::time::delay_queue;
@@ -15,22 +15,22 @@
 
 /// Which backends are open, and the lines of those that wait for their turn.
 pub struct Opening {
-    openings: Openings,
+    openings: ConnectionRamp,
     /// The last line of each that waits, as the decisions get it when it is open.
     held_back: HashMap<u32, BackendEndpoint>,
     /// The timer of the next turn, and its moment, Unix time in ms.
     timer: Option<(delay_queue::Key, f64)>,
     /// What was said last of how far it has come.
-    stage: Stage,
+    stage: RampStage,
     /// Whether there is a backend to send to, or it is sure that the list names none.
     reached: watch::Sender<bool>,
 }
 
 impl Opening {
     /// With whether there is a backend to send to.
-    pub fn new(openings: Openings) -> (Opening, watch::Receiver<bool>) {
+    pub fn new(openings: ConnectionRamp) -> (Opening, watch::Receiver<bool>) {
         let (reached, told) = watch::channel(false);
-        (Opening { openings, held_back: HashMap::new(), timer: None, stage: Stage::Empty, reached }, told)
+        (Opening { openings, held_back: HashMap::new(), timer: None, stage: RampStage::Empty, reached }, told)
     }
 
     /// The list held is the one that there is.
@@ -40,7 +40,7 @@
 
     /// Backends on the list that the decisions may not have yet.
     pub fn waiting(&self) -> usize {
-        self.openings.waiting()
+        self.openings.waiting_count()
     }
 }
 
@@ -48,16 +48,16 @@
     /// Makes drains of the lines of backends that wait for their turn.
     pub(super) fn hold_back(&mut self, scope: UpdateScope, entries: &mut [BackendEndpoint]) {
         let Some(Opening { openings, held_back, .. }) = &mut self.opening else { return };
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
-            openings.keep_only(|id| named.contains(&id));
+            openings.retain(|id| named.contains(&id));
             held_back.retain(|id, _| named.contains(id));
         }
         for entry in entries {
             if entry.state != EndpointState::Ready {
-                openings.gone(entry.id);
+                openings.remove(entry.id);
                 held_back.remove(&entry.id);
-            } else if !openings.listed(entry.id, entry.key, entry.slow_start_from_ms()) {
+            } else if !openings.add(entry.id, entry.key, entry.slow_start_from_ms()) {
                 held_back.insert(entry.id, entry.clone());
                 entry.state = EndpointState::Draining;
             }
@@ -79,9 +79,9 @@
         let Some(opening) = &mut self.opening else { return };
         let (stage, open) = (opening.openings.stage(), opening.openings.open());
         if std::mem::replace(&mut opening.stage, stage) != stage {
-            tracing::info!("start: {stage}; {open} backends open, {} wait", opening.openings.waiting());
+            tracing::info!("start: {stage}; {open} backends open, {} wait", opening.openings.waiting_count());
         }
-        let none_listed = stage == Stage::Empty && opening.openings.confirmed();
+        let none_listed = stage == RampStage::Empty && opening.openings.confirmed();
         if open > 0 || none_listed {
             opening.reached.send_if_modified(|was| !std::mem::replace(was, true));
         }
@@ -111,7 +111,8 @@
             let now = self.clock.now_ms();
             let Some(opening) = &mut self.opening else { return };
             let Some(backend) = opening.openings.due(now) else { break };
-            let Some(life_ms) = opening.held_back.get(&backend).map(BackendEndpoint::slow_start_from_ms) else {
+            let Some(life_ms) = opening.held_back.get(&backend).map(BackendEndpoint::slow_start_from_ms)
+            else {
                 continue;
             };
             self.probe(backend, Purpose::FirstConnection { life_ms });
@@ -122,10 +123,10 @@
     /// Takes in what a first connection came to. The decisions have a backend from its first answer on.
     pub(super) fn tried(&mut self, backend: u32, life_ms: f64, reply: &Reply) {
         // One that is full answers.
-        let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Full, _));
+        let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Rejected, _));
         let now = self.clock.now_ms();
         let Some(opening) = &mut self.opening else { return };
-        if opening.openings.tried(now, backend, life_ms, answered) {
+        if opening.openings.first_connection_ended(now, backend, life_ms, answered) {
             self.backends.opened(backend, Instant::now());
             if let Some(entry) = opening.held_back.remove(&backend) {
                 self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
@@ -140,7 +141,7 @@
         match reply {
             Reply::Served(..) => self.backends.answered(backend, Instant::now()),
             Reply::Failed(Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout, _) => {
-                opening.openings.fault();
+                opening.openings.record_failure();
                 self.arm_opening();
             }
             Reply::Failed(..) => {}
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/order.rs
@@ -1,8 +1,8 @@
 //! What the keeper of operators' book asks of the driver, on a way of its own that is looked at first.
 
-use beechrudder_maintenance::Book;
-use slatelock::interface::{SettingsError, UnreportedCharge};
-use slatelock::terms::ServiceSettings;
+use gateway_policy::interface::{SettingsError, UnreportedCharge};
+use gateway_policy::reload::ServiceSettings;
+use maintenance::MaintenanceState;
 use tokio::sync::oneshot;
 
 /// An order.
@@ -18,5 +18,5 @@
     /// Goes by what may change in service of new settings; answered when it does, or with why it does not.
     Change { terms: Box<ServiceSettings>, say: oneshot::Sender<Result<(), SettingsError>> },
     /// Puts a book in force if it is newer than the one that is; answered when it is.
-    Adopt { book: Book, say: oneshot::Sender<()> },
+    Adopt { book: MaintenanceState, say: oneshot::Sender<()> },
 }
--- a/crates/beechrudder/src/call.rs
+++ b/crates/gatewayctl/src/call.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechrudder_maintenance::Call;
+use maintenance::Command;
 use serde::Serialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -16,7 +16,7 @@
 use crate::table::{out, table};
 
 /// The longest answer, bytes.
-const ANSWER_MOST: u64 = 4 * 1024;
+const MAX_ANSWER_BYTES: u64 = 4 * 1024;
 
 /// What became of a call at one address.
 #[derive(Debug, Serialize)]
@@ -30,13 +30,13 @@
 }
 
 impl GatewayCall {
-    fn parts(self) -> (Call, At) {
+    fn parts(self) -> (Command, At) {
         match self {
-            GatewayCall::Ready(at) => (Call::Ready, at),
-            GatewayCall::Disable { id, at } => (Call::Disable(id), at),
-            GatewayCall::Enable { id, at } => (Call::Enable(id), at),
-            GatewayCall::Drain(at) => (Call::Drain, at),
-            GatewayCall::Undrain(at) => (Call::Undrain, at),
+            GatewayCall::Ready(at) => (Command::Ready, at),
+            GatewayCall::Disable { id, at } => (Command::Disable(id), at),
+            GatewayCall::Enable { id, at } => (Command::Enable(id), at),
+            GatewayCall::Drain(at) => (Command::Drain, at),
+            GatewayCall::Undrain(at) => (Command::Undrain, at),
         }
     }
 }
@@ -46,7 +46,7 @@
     let (call, At { at, deadline }) = call.parts();
     // Danger: an id that is read as two words, or ends the line.
     let line = call.to_string();
-    if Call::read(line.as_bytes()).as_ref() != Ok(&call) {
+    if Command::read(line.as_bytes()).as_ref() != Ok(&call) {
         return Err(Failure::Usage("an id holds no spaces and no line ends".to_string()));
     }
     let mut asked = JoinSet::new();
@@ -91,7 +91,7 @@
     let mut stream = TcpStream::connect(at).await?;
     stream.write_all(format!("{call}\n").as_bytes()).await?;
     let mut answer = Vec::new();
-    stream.take(ANSWER_MOST).read_to_end(&mut answer).await?;
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut answer).await?;
     // Danger: bytes that write to a terminal.
     let text = String::from_utf8_lossy(&answer);
     Ok(text.trim_end().chars().filter(|c| !c.is_control()).collect())
--- a/crates/beechrudder/src/up/world.rs
+++ b/crates/gatewayctl/src/up/world.rs
@@ -4,20 +4,20 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use beechrudder_operator::Address;
-use beechrudder_testbed::backend::{Backend, Spec};
-use beechrudder_testbed::counter::Counter;
-use beechrudder_testbed::discovery::Discovery;
-use beechrudder_testbed::journal::Journal;
-use beechrudder_testbed::platform;
+use operator_config::Address;
 use tempfile::TempDir;
+use testbed::backend::{Backend, Spec};
+use testbed::counter::Counter;
+use testbed::discovery::Discovery;
+use testbed::journal::Journal;
+use testbed::platform;
 
 use super::process::Process;
 use crate::cli::Up;
 use crate::exit::Failure;
 
 /// Events that are kept for the auditor: some minutes of the usual load. Beyond that it can't judge.
-const EVENTS_MOST: usize = 400_000;
+const MAX_EVENTS: usize = 400_000;
 
 /// A gateway's process.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     /// Starts all of it, and waits until each part is ready.
     pub async fn start(args: &Up, progress: bool) -> Result<World, Failure> {
         let failed = |e: std::io::Error| Failure::Broken(format!("cannot start: {e}"));
-        let (folder, journal) = (folder()?, Journal::new(EVENTS_MOST));
+        let (folder, journal) = (folder()?, Journal::new(MAX_EVENTS));
         let (discovery, counter) =
             (Discovery::start().await.map_err(failed)?, Counter::start().await.map_err(failed)?);
         let mut backends = Vec::with_capacity(args.backends.into());
@@ -149,7 +149,7 @@
 
 /// A folder whose path is short. Danger: the path of a Unix socket holds some hundred bytes at most.
 fn folder() -> Result<TempDir, Failure> {
-    let made = tempfile::Builder::new().prefix("beechrudder-").tempdir();
+    let made = tempfile::Builder::new().prefix("gatewayctl-").tempdir();
     made.map_err(|e| Failure::Broken(format!("no folder for temporary files: {e}")))
 }
 
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -11,14 +11,18 @@
 //!  reserve, confirm, extend, release ─▶ Book: leases with fencing tokens, within what the ceiling leaves
 //! ```
 
-mod book;
 mod catalogue;
+mod catalogue_file;
 mod fence;
-mod file;
+mod reservations;
 mod timeline;
 
-pub use book::{Ask, Book, End, Ended, Refused, Reservation, State, Token, EACH_MOST, ENDED_MOST, LIVE_MOST};
-pub use catalogue::{Assignment, Catalogue, Plan, Wrong, CUSTOMERS_MOST, PLANS_MOST};
-pub use fence::{Fence, Taken};
-pub use file::{read, BadCatalogue, Fault};
-pub use timeline::{Terms, Timeline};
+pub use catalogue::{Assignment, Catalogue, CatalogueError, Plan, MAX_CUSTOMERS, MAX_PLANS};
+pub use catalogue_file::{read_catalogue, CatalogueFileError, FileFault};
+pub use fence::{CatalogueFence, FenceOutcome};
+pub use reservations::{
+    EndReason, EndedReservation, FencingToken, Reservation, ReservationError, ReservationLedger,
+    ReservationRequest, ReservationState, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
+    MAX_RESERVATIONS_PER_CUSTOMER,
+};
+pub use timeline::{PlanLimits, PlanTimeline};
--- a/crates/slatelock/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::{backends, request, sent_to, settings, Rig};
 
 /// Requests that are out at any time.
--- a/crates/slatelock/src/policy/endpoint_list.rs
+++ b/crates/policy/src/policy/endpoint_list.rs
@@ -22,7 +22,7 @@
         if self.settings.polls_endpoints {
             self.schedule_watch(now, scope, actions);
         }
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             self.remove_unlisted(now, entries);
         }
         for entry in entries {
--- a/crates/slatelock/src/reload.rs
+++ b/crates/policy/src/reload.rs
@@ -9,7 +9,7 @@
 use crate::settings::SettingNames;
 
 /// The most places of the table: classes, and those that open requests still hold.
-pub const CLASSES_MOST: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 
 /// Settings and the names in them.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
         }
         for (name, class) in without_place {
             let place = reusable.pop().unwrap_or(names.len());
-            if place >= CLASSES_MOST {
+            if place >= MAX_CLASSES {
                 return Err(no_place_for(name.as_deref()));
             }
             if place == names.len() {
--- a/crates/slatelock/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,6 +1,6 @@
 //! What a gateway knows, to be looked at. Nothing is decided here, and nothing changed.
 
-use beechrudder_records::BoundedCache;
+use bounded_cache::BoundedCache;
 
 use crate::policy::{CustomerQuota, Policy};
 
--- a/crates/slatelock/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use slatelock::interface::*;
-use slatelock::Policy;
+use gateway_policy::interface::*;
+use gateway_policy::Policy;
 use support::*;
 
 const MOST: usize = 500;
--- a/crates/slatelock/tests/reload.rs
+++ b/crates/policy/tests/reload.rs
@@ -1,9 +1,9 @@
 //! Settings that change in service: classes at their places, keys that are missing.
 
+use gateway_policy::reload::{first_missing_key, ServiceSettings, MAX_CLASSES};
+use gateway_policy::settings;
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use slatelock::reload::{first_missing_key, ServiceSettings, CLASSES_MOST};
-use slatelock::settings;
 
 /// Settings of some classes, each a name, a deadline and an effect.
 fn told(classes: &[(usize, u32, bool)], attempts: u32) -> Value {
@@ -39,8 +39,9 @@
 /// The classes that requests can name, and their rules.
 fn named(terms: &ServiceSettings) -> Vec<(String, f64, bool)> {
     let all = terms.names.classes.iter().zip(&terms.settings.classes);
-    let safe =
-        |c: &slatelock::interface::Class| c.idempotency == slatelock::interface::Idempotency::Idempotent;
+    let safe = |c: &gateway_policy::interface::Class| {
+        c.idempotency == gateway_policy::interface::Idempotency::Idempotent
+    };
     let mut named: Vec<_> = all.filter_map(|(n, c)| Some((n.clone()?, c.deadline_ms, safe(c)))).collect();
     named.sort_by(|a, b| a.0.cmp(&b.0));
     named
@@ -75,9 +76,9 @@
                 break;
             }
         }
-        assert!(now.settings.classes.len() <= CLASSES_MOST);
+        assert!(now.settings.classes.len() <= MAX_CLASSES);
     }
-    assert_eq!(now.settings.classes.len(), CLASSES_MOST);
+    assert_eq!(now.settings.classes.len(), MAX_CLASSES);
 }
 
 #[test]
--- a/crates/slatelock/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -2,9 +2,9 @@
 
 use std::cell::RefCell;
 
+use gateway_policy::interface::*;
+use gateway_policy::settings;
 use serde_json::{json, Value};
-use slatelock::interface::*;
-use slatelock::settings;
 
 const CONFIGURATION: &str = include_str!("data/configuration.json");
 const RECORDED_ERRORS: &str = include_str!("data/settings_errors.txt");
--- a/crates/slatelock/tests/shared_store.rs
+++ b/crates/policy/tests/shared_store.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use slatelock::interface::*;
+use gateway_policy::interface::*;
 use support::{settings, Counter, T0};
 
 const GATEWAYS: u32 = 3;
@@ -77,7 +77,7 @@
     number: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     what: BTreeMap<u64, Due>,
-    gateways: Vec<slatelock::Policy>,
+    gateways: Vec<gateway_policy::Policy>,
     counter: Counter,
     trouble: Trouble,
     plan: Plan,
@@ -99,7 +99,8 @@
         let plan = told.plans[0].clone();
         let gateway = |me: u32| {
             let told = Settings { gateway_index: me, ..told.clone() };
-            let mut gateway = slatelock::Policy::new(told, seed * 10 + u64::from(me), T0).expect("settings");
+            let mut gateway =
+                gateway_policy::Policy::new(told, seed * 10 + u64::from(me), T0).expect("settings");
             let entries = support::backends(8);
             let list = Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries };
             gateway.handle(T0, list, &mut Vec::new());
--- a/crates/routing/tests/index.rs
+++ b/crates/routing/tests/index.rs
@@ -2,11 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechrudder_routing::{
-    Attributes, Counts, Index, Indexed, ListState, Sampling, Scope, Subset, MIN_SUBSET_SIZE,
-};
 use proptest::collection::vec;
 use proptest::prelude::*;
+use routing::{Attributes, Counts, Index, Indexed, ListState, Sampling, Scope, Subset, MIN_SUBSET_SIZE};
 
 const WINDOW: f64 = 1_000.0;
 
--- a/crates/benchlink/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use slatelock::interface::{Action, BackendEndpoint};
-use slatelock::{settings, Policy};
+use gateway_policy::interface::{Action, BackendEndpoint};
+use gateway_policy::{settings, Policy};
 
 use crate::wire::{DecodedEvent, Frame, Malformed, Record, Reply, LISTS};
 
--- a/crates/testbed/src/rig/days.rs
+++ b/crates/testbed/src/rig/days.rs
@@ -1,8 +1,8 @@
 //! What happens to a fleet in a run: gateways are killed and start, backends are replaced, and the list
 //! comes late or not at all.
 
-use slatelock::interface::{BackendEndpoint, Event, UpdateScope, Outcome, EndpointState};
-use slatelock::Policy;
+use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, Outcome, UpdateScope};
+use gateway_policy::Policy;
 
 use super::backend::Backend;
 use super::world::{settings, Happens, World, BEGIN_MS, WAY_MS};
@@ -220,7 +220,7 @@
         let Some(connections) = self.shape.connections else { return };
         let attempt = &mut self.attempts[place];
         let (backend, Some(life)) = (attempt.backend, attempt.connection.take()) else { return };
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let Some(node) = self.nodes.get_mut(g as usize).filter(|_| answered) else {
             return self.disconnect(backend, life);
         };
--- a/crates/testbed/src/rig/node.rs
+++ b/crates/testbed/src/rig/node.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use beechrudder_pacing::Backoff;
-use slatelock::Policy;
+use backoff::Backoff;
+use gateway_policy::Policy;
 
 use super::Shape;
 
--- a/crates/testbed/src/rig/world.rs
+++ b/crates/testbed/src/rig/world.rs
@@ -3,11 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use hdrhistogram::Histogram;
-use slatelock::interface::{
-    Action, Class, Idempotency, Event, DeduplicationScope, Limits, Outcome, Plan, Request, Routing, Settings,
+use gateway_policy::interface::{
+    Action, Class, DeduplicationScope, Event, Idempotency, Limits, Outcome, Plan, Request, Routing, Settings,
 };
-use slatelock::Policy;
+use gateway_policy::Policy;
+use hdrhistogram::Histogram;
 
 use super::backend::{Backend, Job};
 use super::days::Day;
@@ -135,9 +135,12 @@
         retired: false,
     };
     let routing = match shape.chooser {
-        Chooser::Whole => {
-            Routing { scan_all_up_to: usize::MAX, subset_size: u32::MAX, coverage: u32::MAX, ..Routing::default() }
-        }
+        Chooser::Whole => Routing {
+            scan_all_up_to: usize::MAX,
+            subset_size: u32::MAX,
+            coverage: u32::MAX,
+            ..Routing::default()
+        },
         _ => Routing::default(),
     };
     Settings {
@@ -145,8 +148,12 @@
         gateway_count: shape.gateways,
         zone: me % shape.zones.max(1),
         clock_granularity_ms: 1.0,
-        classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
-        plans: vec![Plan { value: 1.0, ..Plan::default() }],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed),
+            class(Idempotency::NonIdempotent),
+        ],
+        plans: vec![Plan { weight_factor: 1.0, ..Plan::default() }],
         shared_counter: false,
         counter_timeout_ms: 50.0,
         usage_meter_period_ms: 0.0,
@@ -327,7 +334,16 @@
         }
         let expires_ms = self.now + s.aim.1 * s.takes_ms;
         let (customer, width) = (id % 500, f64::from(s.gateways));
-        let request = Request { id, customer, plan: 0, class, units: 1.0, fan_out: width, deadline_ms: expires_ms, retry: false };
+        let request = Request {
+            id,
+            customer,
+            plan: 0,
+            class,
+            units: 1.0,
+            fan_out: width,
+            deadline_ms: expires_ms,
+            retry: false,
+        };
         self.tell(gateway, Event::Request(request));
     }
 
@@ -363,8 +379,11 @@
                     let ok = !b.dead() && !matches!(b.trouble, Some(What::Failing(_)));
                     self.at(2.0 * WAY_MS, Happens::Probed(g, boot, backend, ok));
                 }
-                Action::ScheduleTimer { token, at_ms } => self.at(at_ms - self.now, Happens::Timer(g, boot, token)),
-                Action::IncrementCounter { .. } | Action::BroadcastToPeers { .. } | Action::PollEndpoints => {}
+                Action::ScheduleTimer { token, at_ms } => {
+                    self.at(at_ms - self.now, Happens::Timer(g, boot, token))
+                }
+                Action::IncrementCounter { .. } | Action::BroadcastToPeers { .. } | Action::PollEndpoints => {
+                }
             }
         }
     }
@@ -473,7 +492,17 @@
             let attempt = nth;
             self.tell(
                 g,
-                Event::AttemptEnded { id, attempt, backend, outcome, latency_ms, answered: closed, metered_use: metered, actual_units: charged, load },
+                Event::AttemptEnded {
+                    id,
+                    attempt,
+                    backend,
+                    outcome,
+                    latency_ms,
+                    answered: closed,
+                    metered_use: metered,
+                    actual_units: charged,
+                    load,
+                },
             );
         }
     }
