--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -74,7 +74,7 @@
 
     /// The longest pause there may be.
     #[must_use]
-    pub fn longest(&self) -> Duration {
+    pub fn max_delay(&self) -> Duration {
         self.max_delay.mul_f64(LONGEST_JITTER)
     }
 
--- a/crates/backoff/tests/pauses.rs
+++ b/crates/backoff/tests/pauses.rs
@@ -54,7 +54,7 @@
     /// The law has no brink: one gateway more makes the pauses longer by its share, or leaves them.
     #[test]
     fn one_gateway_more_changes_little(gateways in 1u32..500, seed: u64) {
-        let longest = |n: u32| Backoff::new(FIRST, MOST, EACH, LIMIT, n, seed).longest();
+        let longest = |n: u32| Backoff::new(FIRST, MOST, EACH, LIMIT, n, seed).max_delay();
         let (with, without) = (longest(gateways + 1), longest(gateways));
         prop_assert!(with >= without && with - without <= EACH * 6);
     }
@@ -65,7 +65,7 @@
         let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, seed);
         for _ in 0..failures {
             let pause = pauses.next_delay();
-            prop_assert!(pause >= FIRST / 2 && pause <= pauses.longest());
+            prop_assert!(pause >= FIRST / 2 && pause <= pauses.max_delay());
         }
         pauses.reset();
         let again = pauses.next_delay();
@@ -78,6 +78,6 @@
     for gateways in [0, 1, 2] {
         let mut pauses = Backoff::new(FIRST, MOST, EACH, LIMIT, gateways, 7);
         assert!(pauses.next_delay() < FIRST * 3 / 2);
-        assert_eq!(pauses.longest(), MOST * 3 / 2);
+        assert_eq!(pauses.max_delay(), MOST * 3 / 2);
     }
 }
--- a/crates/bounded-cache/src/lib.rs
+++ b/crates/bounded-cache/src/lib.rs
@@ -166,7 +166,7 @@
 
     /// The records that were evicted to make room.
     #[must_use]
-    pub fn evicted(&self) -> Evicted {
+    pub fn evictions(&self) -> Evicted {
         self.evictions
     }
 }
--- a/crates/bounded-cache/tests/records.rs
+++ b/crates/bounded-cache/tests/records.rs
@@ -49,8 +49,8 @@
             }
             prop_assert!(records.len() <= most);
             prop_assert!(must.keys().all(|key| records.get(*key).is_some()), "one that must stay is gone");
-            prop_assert!(records.evicted().cost >= cost);
-            cost = records.evicted().cost;
+            prop_assert!(records.evictions().cost >= cost);
+            cost = records.evictions().cost;
         }
         // A sweep that finds all empty leaves none, so each was in the order exactly once.
         let all = records.len();
@@ -67,7 +67,7 @@
     }
     records.insert(0.0, 100, Debt(None)).expect("one goes");
     assert!(records.get(7).is_none() && records.get(0).is_some());
-    assert_eq!(records.evicted(), Evicted { records: 1, cost: 3.0 });
+    assert_eq!(records.evictions(), Evicted { records: 1, cost: 3.0 });
 }
 
 #[test]
@@ -76,7 +76,7 @@
     for key in 0..100 {
         records.insert(0.0, key, Debt(None)).expect("room");
     }
-    assert_eq!(records.insert(0.0, 200, Debt(None)), Err(Rejected));
+    assert_eq!(records.insert(0.0, 200, Debt(None)), Err(CacheFull));
     records.get_mut(63).expect("kept").0 = Some(1.0);
     // Each call looks at others, so the one that settled is found after a few.
     let tries = (0..10).position(|_| records.insert(0.0, 200, Debt(None)).is_ok());
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! The cost of one decision, a request with its answer, as the list grows: `cargo bench -p slatelock`.
+//! The cost of one decision, a request with its answer, as the list grows: `cargo bench -p gateway-policy`.
 //!
 //! `subset` is a gateway of sixty with the routing of the defaults; `whole` looks at every backend.
 
@@ -51,7 +51,7 @@
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision");
     for listed in [8, 80, 800, 4_000, 10_000] {
-        for (name, whole) in [("subset", Routing::default().whole), ("whole", usize::MAX)] {
+        for (name, whole) in [("subset", Routing::default().scan_all_up_to), ("whole", usize::MAX)] {
             let mut world = World::new(listed, whole);
             (0..2_000).for_each(|_| world.step());
             assert!(world.out.len() >= OUT, "the work goes out");
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -27,7 +27,7 @@
     /// Whether the attempt is known not to have run.
     #[must_use]
     pub fn never_executed(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -128,7 +128,7 @@
             // A total is what lets it pass under a scarce ceiling.
             dispensable: calm && !check.ceiling_scarce,
             demand,
-            over_quota_penalty: quota.plan.over_cost,
+            over_quota_penalty: quota.plan.over_quota_penalty,
             deferred_fraction: quota.deferred_fraction(self.latency.mean_units()),
         }
     }
@@ -163,7 +163,8 @@
         let report = Report { overflow: 0.0, extra };
         self.call_counter(now, Some(charge.id), charge.customer, report, actions);
         let longest_ms = self.settings.counter_timeout_ms;
-        let wait_ms = (self.settings.classes[charge.class].aim_ms * COUNTER_WAIT_FRACTION).min(longest_ms);
+        let wait_ms = (self.settings.classes[charge.class].latency_objective_ms * COUNTER_WAIT_FRACTION)
+            .min(longest_ms);
         let token = TimerKind::CounterWait.token(charge.id);
         actions.push(Action::ScheduleTimer { token, at_ms: now + wait_ms });
     }
--- a/crates/policy/src/policy/attempt_results.rs
+++ b/crates/policy/src/policy/attempt_results.rs
@@ -39,7 +39,7 @@
         self.settle_charge(end, &ended.request);
         let Some(slot) = self.backends.find(ended.attempt.backend) else { return };
         self.backends.get_mut(slot).attempt_finished(now, end.outcome);
-        let unsent = matches!(end.outcome, Outcome::Moot | Outcome::Cancelled);
+        let unsent = matches!(end.outcome, Outcome::NotSent | Outcome::Cancelled);
         if unsent || !end.latency_ms.is_finite() {
             return;
         }
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -48,7 +48,7 @@
         let slowness = self.slowness(self.backends.get(selection.slot), now);
         let expected_ms = self.work_of(id) * selection.slowness.max(slowness);
         let class = self.requests[&id].request.class;
-        (expected_ms * OVERDUE_AFTER_LATENCIES).min(self.settings.classes[class].aim_ms)
+        (expected_ms * OVERDUE_AFTER_LATENCIES).min(self.settings.classes[class].latency_objective_ms)
     }
 
     /// Expected latency of a request on an idle backend, ms.
@@ -102,7 +102,7 @@
             backend: attempt.backend,
             sent_at: attempt.sent_at,
             first_sent_at,
-            objective_ms: self.settings.classes[open.request.class].aim_ms,
+            objective_ms: self.settings.classes[open.request.class].latency_objective_ms,
             work_ms: self.latency.work_ms(open.request.class, open.request.units),
         })
     }
@@ -157,7 +157,7 @@
 
     fn retry_or_give_up(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let open = &self.requests[&id];
-        let late = now >= open.request.expires_ms - self.settings.clock_granularity_ms;
+        let late = now >= open.request.deadline_ms - self.settings.clock_granularity_ms;
         let cost = self.retry_cost(now, open);
         let affordable = !late && self.retry_budget.covers(cost);
         let selection = if affordable { self.select_backend(now, id) } else { None };
--- a/crates/policy/src/policy/backend.rs
+++ b/crates/policy/src/policy/backend.rs
@@ -1,6 +1,6 @@
 //! One backend: what is known of it, and when it is ejected and readmitted.
 
-use beechrudder_routing::{Attributes, Indexed, ListState};
+use routing::{Attributes, Indexed, ListState};
 
 use super::ratio::DecayedRatio;
 use crate::interface::{BackendEndpoint, EndpointState, Outcome, Settings};
@@ -107,7 +107,7 @@
     /// Records that an attempt has ended here.
     pub(crate) fn attempt_finished(&mut self, now: f64, outcome: Outcome) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.last_seen_at = now;
         }
     }
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -1,6 +1,6 @@
 //! Which backend takes a request: the one of least expected finish among a few that are drawn.
 
-use beechrudder_routing::Scope;
+use routing::Scope;
 
 use super::backend::Backend;
 use super::fleet_load::PRIOR_REQUESTS;
@@ -141,8 +141,8 @@
     /// them: one gateway's view of its subset is no view of the fleet.
     fn groups_to_draw_from(&self, open: &OpenRequest) -> [Scope; 3] {
         let class = &self.settings.classes[open.request.class];
-        let ran = open.possibly_run().next().filter(|_| class.effect == Idempotency::Keyed);
-        match (ran, class.group) {
+        let ran = open.possibly_run().next().filter(|_| class.idempotency == Idempotency::Keyed);
+        match (ran, class.deduplication_scope) {
             (Some(attempt), DeduplicationScope::Cell) => [Scope::Cell(attempt.cell); 3],
             (Some(attempt), DeduplicationScope::Zone) => [Scope::Zone(attempt.zone); 3],
             _ if self.is_mostly_ejected(Scope::Subset) => [Scope::Fleet; 3],
--- a/crates/policy/src/policy/latency.rs
+++ b/crates/policy/src/policy/latency.rs
@@ -118,8 +118,8 @@
     /// The least of the classes' latency objectives, as a multiple of their work. Classes that were dropped
     /// do not count.
     pub(crate) fn tightest_objective(&self, classes: &[Class]) -> f64 {
-        let in_use = classes.iter().zip(&self.classes).filter(|(class, _)| !class.dropped);
-        in_use.map(|(class, known)| class.aim_ms / known.mean_work_ms).fold(f64::MAX, f64::min)
+        let in_use = classes.iter().zip(&self.classes).filter(|(class, _)| !class.retired);
+        in_use.map(|(class, known)| class.latency_objective_ms / known.mean_work_ms).fold(f64::MAX, f64::min)
     }
 }
 
--- a/crates/policy/src/policy/load_shedding.rs
+++ b/crates/policy/src/policy/load_shedding.rs
@@ -20,7 +20,7 @@
     fn is_done_in_time(&self, now: f64, id: u64, pressure: f64) -> bool {
         let request = &self.requests[&id].request;
         let work_ms = self.latency.work_ms(request.class, request.units);
-        work_ms * self.fleet.baseline() * pressure <= request.expires_ms - now
+        work_ms * self.fleet.baseline() * pressure <= request.deadline_ms - now
     }
 
     /// Present slowness of the fleet against its baseline.
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -49,8 +49,8 @@
 
 use std::collections::HashMap;
 
-use beechrudder_records::BoundedCache;
-use beechrudder_routing::{Index, Sampling, Subset};
+use bounded_cache::BoundedCache;
+use routing::{Index, Sampling, Subset};
 
 use self::attempt_results::AttemptResult;
 use self::backend::Backend;
--- a/crates/policy/src/policy/quota/mod.rs
+++ b/crates/policy/src/policy/quota/mod.rs
@@ -14,7 +14,7 @@
 mod ceiling;
 mod totals;
 
-use beechrudder_records::Evictable;
+use bounded_cache::Evictable;
 
 use self::ceiling::CeilingShare;
 use super::counter_calls::CounterCall;
--- a/crates/policy/src/reload.rs
+++ b/crates/policy/src/reload.rs
@@ -36,7 +36,7 @@
         changed.settings.slow_start = new.settings.slow_start.clone();
         changed.names.idle_close_ms = new.names.idle_close_ms;
         changed.place_classes(new, self.reusable_places(free))?;
-        changed.settings.check()?;
+        changed.settings.validate()?;
         Ok(changed)
     }
 
@@ -76,7 +76,7 @@
         }
         self.names.classes = names;
         for (class, name) in self.settings.classes.iter_mut().zip(&self.names.classes) {
-            class.dropped = name.is_none();
+            class.retired = name.is_none();
         }
         Ok(())
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -61,8 +61,8 @@
     Ok(SettingNames {
         classes: classes.into_iter().map(Some).collect(),
         plans: top.list("tariffs", named)?,
-        zones: top.list("zones", |keys| keys.word().map(str::to_string))?,
-        load_fields: top.section("feedback")?.each("fields", |keys| keys.word().map(str::to_string))?,
+        zones: top.list("zones", |keys| keys.own_text().map(str::to_string))?,
+        load_fields: top.section("feedback")?.list("fields", |keys| keys.own_text().map(str::to_string))?,
         idle_close_ms: top.section("policy-limits")?.number("idle-close-ms")?,
     })
 }
@@ -77,7 +77,7 @@
     let contract = top.section("contract")?;
     let prices = top.section("prices")?;
     let feedback = top.section("feedback")?;
-    let peers = limits.flag("may-tell")?;
+    let peers = limits.boolean("may-tell")?;
     Ok(Settings {
         gateway_index: top.integer("me")?,
         gateway_count: top.integer("group-size")?,
@@ -85,17 +85,17 @@
         clock_granularity_ms: top.number("granularity-ms")?,
         classes: top.list("profiles", class)?,
         plans: top.list("tariffs", plan)?,
-        shared_counter: info.flag("shared-counter")?,
+        shared_counter: info.boolean("shared-counter")?,
         counter_timeout_ms: info.number("count-wait-ms")?,
         usage_meter_period_ms: info.number("meter-period-ms")?,
         peer_messages_per_s: if peers { info.number("peer-intake")? } else { 0.0 },
         max_request_units: info.number("units-top")?,
         limits: Limits {
-            max_attempts: limits.whole("max-attempts")?,
-            cancel: limits.flag("cancel")?,
-            hedges: limits.flag("second-copies")?,
-            probes: limits.flag("probing")?,
-            retry_advice: limits.flag("retry-after")?,
+            max_attempts: limits.integer("max-attempts")?,
+            cancel: limits.boolean("cancel")?,
+            hedges: limits.boolean("second-copies")?,
+            probes: limits.boolean("probing")?,
+            retry_advice: limits.boolean("retry-after")?,
             max_retry_after_ms: limits.number("max-retry-after-ms")?,
             connect_timeout_ms: limits.number("connect-timeout-ms")?,
         },
@@ -107,7 +107,7 @@
         },
         routing: Routing::default(),
         max_customers: DEFAULT_CUSTOMERS,
-        load_fields: feedback.each("fields", load_field)?,
+        load_fields: feedback.list("fields", load_field)?,
         polls_endpoints: top.text("registry-mode")? == "ask",
         poll_within_ms: contract.number("ask-within-ms")?,
         drain_grace_ms: contract.number("stop-sending-within-ms")?,
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -36,7 +36,7 @@
     /// How many records were dropped to make room, and the units that their customers may pass again.
     #[must_use]
     pub fn evictions(&self) -> (u64, f64) {
-        let evicted = self.customers.evicted();
+        let evicted = self.customers.evictions();
         (evicted.records, evicted.cost)
     }
 
--- a/crates/policy/tests/ceiling.rs
+++ b/crates/policy/tests/ceiling.rs
@@ -135,9 +135,16 @@
                     let (outcome, latency_ms) = (Outcome::Ok, 20.0);
                     let (attempt, closed, load) = (0, true, &[][..]);
                     let (metered, charged) = (None, None);
-                    #[rustfmt::skip]
                     let ended = Event::AttemptEnded {
-                        id, attempt, backend, outcome, latency_ms, answered: closed, metered_use: metered, actual_units: charged, load,
+                        id,
+                        attempt,
+                        backend,
+                        outcome,
+                        latency_ms,
+                        answered: closed,
+                        metered_use: metered,
+                        actual_units: charged,
+                        load,
                     };
                     fleet.tell(now, gateway, ended, lost);
                 }
@@ -204,7 +211,7 @@
         let now = T0 + 10_000.0 + f64::from(step) * 10.0;
         for gateway in &mut processes {
             if shared && step == 1 {
-                gateway.share_with(now, 2);
+                gateway.set_process_count(now, 2);
             }
             id += 1;
             let mut actions = Vec::new();
@@ -260,7 +267,7 @@
     assert_eq!(support::counted(&actions), None);
     let untold = old.gateway.take_unreported_charges();
     assert_eq!(untold.iter().map(|u| (u.customer, u.units)).collect::<Vec<_>>(), [(7, 3.0)]);
-    assert!(old.gateway.untold().is_empty(), "taken off");
+    assert!(old.gateway.take_unreported_charges().is_empty(), "taken off");
     let mut new = support::Rig::new(told, 8);
     new.gateway.adopt_unreported_charges(T0, &untold);
     // Its next call for the customer tells it.
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -230,7 +230,7 @@
     rig.on(Event::StreamStarted { id: 1, attempt: 0, backend });
     for (token, at) in timers(&actions) {
         rig.now = at;
-        assert!(rig.on(Event::Timer { token }).is_empty());
+        assert!(rig.on(Event::TimerExpired { token }).is_empty());
     }
 }
 
@@ -243,8 +243,8 @@
         assert!(at <= T0 + 10_000.0);
         rig.on(Event::TimerExpired { token })
     };
-    assert_eq!(ring(ListScope::Cached), [Action::Watch]);
-    assert_eq!(ring(ListScope::Failed), [Action::Watch]);
+    assert_eq!(ring(UpdateScope::Cached), [Action::PollEndpoints]);
+    assert_eq!(ring(UpdateScope::Failed), [Action::PollEndpoints]);
 }
 
 #[test]
@@ -260,7 +260,7 @@
     let cases: [(&str, Spoil); 6] = [
         ("gateways", |s| s.gateway_index = 2),
         ("classes", |s| s.classes.clear()),
-        ("classes[1]", |s| s.classes[1].aim_ms = f64::NAN),
+        ("classes[1]", |s| s.classes[1].latency_objective_ms = f64::NAN),
         ("plans[0].burst", |s| s.plans[0].burst = 0.0),
         ("limits.max_attempts", |s| s.limits.max_attempts = 0),
         ("slow_start", |s| s.slow_start.initial_capacity = 0.0),
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -122,8 +122,8 @@
         for customer in 0..20 {
             let mut rig = Rig::new(with_counter(), 4);
             let ask = |id| Request { customer, ..request(id, 0, 0, 2.0) };
-            let (name, _) = counted(&rig.ask(ask(1))).expect("one call");
-            assert!(sent_to(&rig.on(Event::Counted { name, outcome, total })).is_some());
+            let (key, _) = counted(&rig.ask(ask(1))).expect("one call");
+            assert!(sent_to(&rig.on(Event::CounterReplied { key, outcome, total })).is_some());
             let (_, amount) = counted(&rig.ask(ask(2))).expect("a call for the next as well");
             assert_eq!(amount, 2.0);
         }
@@ -331,7 +331,7 @@
 #[test]
 fn concurrency_limit_holds_without_a_rate() {
     let mut s = settings();
-    s.plans[2].open = 4;
+    s.plans[2].max_in_flight = 4;
     let mut rig = Rig::new(s, 4);
     let out: Vec<bool> = (0..8).map(|id| sent_to(&rig.ask(request(id, 0, 2, 1.0))).is_some()).collect();
     let passed = out.iter().filter(|sent| **sent).count();
--- a/crates/policy/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -33,7 +33,7 @@
         rig.now += 1.0 / 26.0;
         // Within the local part, which no total holds; a gateway that is pressed for records tells it.
         served += u32::from(one(&mut rig, &mut counter, id, 1_000 + id, 0, 0.5));
-        assert!(rig.gateway.customers() <= MOST, "{} stores", rig.gateway.customers());
+        assert!(rig.gateway.customer_count() <= MOST, "{} stores", rig.gateway.customer_count());
     }
     let (forgotten, units) = rig.gateway.evictions();
     // Each lacked what it had, and no more.
@@ -53,7 +53,7 @@
     for id in 1_000..11_000 {
         one(&mut rig, &mut counter, id, id, 0, 1.0);
     }
-    assert!(rig.gateway.forgotten().0 > 5_000);
+    assert!(rig.gateway.evictions().0 > 5_000);
     let passed = (20_000..20_100).filter(|id| one(&mut rig, &mut counter, *id, 7, 1, 1.0)).count();
     assert!(passed <= 2, "{passed} pass beyond a ceiling that was forgotten");
 }
@@ -67,7 +67,7 @@
             kept.push(id);
         }
     }
-    assert_eq!((kept.len(), rig.gateway.customers(), rig.gateway.forgotten().0), (MOST, MOST, 0));
+    assert_eq!((kept.len(), rig.gateway.customer_count(), rig.gateway.evictions().0), (MOST, MOST, 0));
     // As their stores fill, room comes back.
     rig.now += 20_000.0;
     let served = (10_000..12_000).filter(|id| one(&mut rig, &mut counter, *id, *id, 0, 1.0)).count();
@@ -91,11 +91,11 @@
 /// of one record.
 #[test]
 fn customer_capacity_follows_from_the_bytes_of_a_record() {
-    assert_eq!(Gateway::customers_in(0), 1);
+    assert_eq!(Policy::customers_fitting(0), 1);
     for doubled in [1 << 4, 1 << 12, 1 << 20] {
         // Half of what a table holds once it has doubled, and the room for both while it does.
         let just_fits = RECORD_BYTES * doubled * 3 / 2;
-        assert_eq!(Gateway::customers_in(just_fits), doubled * 7 / 8, "{doubled}");
-        assert_eq!(Gateway::customers_in(just_fits - 1), doubled / 2 * 7 / 8, "{doubled}");
+        assert_eq!(Policy::customers_fitting(just_fits), doubled * 7 / 8, "{doubled}");
+        assert_eq!(Policy::customers_fitting(just_fits - 1), doubled / 2 * 7 / 8, "{doubled}");
     }
 }
--- a/crates/policy/tests/reload.rs
+++ b/crates/policy/tests/reload.rs
@@ -30,7 +30,7 @@
 fn terms(told: &Value) -> Result<ServiceSettings, String> {
     let keys = settings::SettingsReader::new("settings", told);
     let read = settings::read_settings(&keys).and_then(|settings| {
-        settings.check()?;
+        settings.validate()?;
         Ok(ServiceSettings { names: settings::read_names(&keys)?, settings })
     });
     read.map_err(|e| e.to_string())
@@ -51,16 +51,16 @@
 fn changed_class_has_a_new_place_and_the_old_one_keeps_its_rules() {
     let one = terms(&told(&[(0, 100, true), (1, 200, true)], 3)).expect("sound");
     let two = terms(&told(&[(1, 200, false), (2, 300, true)], 5)).expect("sound");
-    let changed = one.changed(&two, |_| false).expect("room");
+    let changed = one.reloaded(&two, |_| false).expect("room");
     let names: Vec<Option<&str>> = changed.names.classes.iter().map(Option::as_deref).collect();
     assert_eq!(names, [None, None, Some("c1"), Some("c2")]);
     assert!(changed.settings.classes[0].same_rules(&one.settings.classes[0]));
-    assert!(changed.settings.classes[0].dropped && !changed.settings.classes[2].dropped);
+    assert!(changed.settings.classes[0].retired && !changed.settings.classes[2].retired);
     assert_eq!(changed.settings.limits.max_attempts, 5);
     // What no request holds any more is used again; what one may hold is not.
     let three =
         terms(&told(&[(1, 200, false), (2, 300, true), (3, 1, true), (4, 1, true)], 5)).expect("sound");
-    let again = changed.changed(&three, |place| place == 1).expect("room");
+    let again = changed.reloaded(&three, |place| place == 1).expect("room");
     let names: Vec<Option<&str>> = again.names.classes.iter().map(Option::as_deref).collect();
     assert_eq!(names, [None, Some("c3"), Some("c1"), Some("c2"), Some("c4")]);
 }
@@ -69,7 +69,7 @@
 fn class_table_is_bounded() {
     let mut now = terms(&told(&[(0, 1, true)], 3)).expect("sound");
     for deadline in 2.. {
-        match now.changed(&terms(&told(&[(0, deadline, true)], 3)).expect("sound"), |_| false) {
+        match now.reloaded(&terms(&told(&[(0, deadline, true)], 3)).expect("sound"), |_| false) {
             Ok(changed) => now = changed,
             Err(e) => {
                 assert!(e.to_string().contains("c0: too many"), "{e}");
@@ -122,7 +122,7 @@
         assert!(missed.ends_with(key), "{missed} for {place}");
     }
     // Fewer classes, and other values, are no keys that are missing.
-    assert_eq!(lacks(&before, &told(&[(5, 9, false)], 1), "settings", &[]), None);
+    assert_eq!(first_missing_key(&before, &told(&[(5, 9, false)], 1), "settings", &[]), None);
 }
 
 proptest! {
@@ -142,7 +142,7 @@
             let Ok(new) = terms(&told(&classes, attempts)) else { continue };
             let before = now.clone();
             let free = |place: usize| !held[place % 64];
-            now = now.changed(&new, free).expect("room");
+            now = now.reloaded(&new, free).expect("room");
             prop_assert_eq!(named(&now), named(&new));
             prop_assert_eq!(now.settings.limits.max_attempts, attempts);
             for (place, class) in before.settings.classes.iter().enumerate() {
--- a/crates/policy/tests/room.rs
+++ b/crates/policy/tests/room.rs
@@ -26,8 +26,8 @@
 /// would alone. Gives the part that is refused.
 fn refused_part(seed: u64, a_second: f64, seconds: f64, slower: f64) -> f64 {
     let mut told = settings();
-    (told.classes[0].aim_ms, told.classes[0].deadline_ms) = (750.0, 3_000.0);
-    (told.classes[1].aim_ms, told.classes[1].deadline_ms) = (1_500.0, 6_000.0);
+    (told.classes[0].latency_objective_ms, told.classes[0].deadline_ms) = (750.0, 3_000.0);
+    (told.classes[1].latency_objective_ms, told.classes[1].deadline_ms) = (1_500.0, 6_000.0);
     let mut rig = Rig::seeded(told, 13, seed);
     let mut dice = Dice(seed);
     let (mut ends, mut out) = (BinaryHeap::new(), BTreeMap::new());
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -54,7 +54,7 @@
         })
     };
     let settings = settings();
-    let window = settings.classes[1].window_ms - settings.clock_granularity_ms;
+    let window = settings.classes[1].deduplication_window_ms - settings.clock_granularity_ms;
     let mut rig = Rig::new(settings.clone(), 8);
     let first = rig.ask(request(1, 1, 3, 1.0));
     assert_eq!(begin_by(&first), Some(None), "nothing ran yet");
@@ -121,7 +121,7 @@
             Event::ClientDisconnected { id: 1 },
             Event::TimerExpired { token },
         ] {
-            assert!(rig.on(event).iter().all(|a| matches!(a, Action::Cancel { .. })));
+            assert!(rig.on(event).iter().all(|a| matches!(a, Action::CancelAttempt { .. })));
         }
         assert!(rig.end(1, 0, backend, Outcome::Timeout).is_empty());
     }
@@ -253,7 +253,7 @@
     });
     let second = second.expect("a second attempt");
     let began = rig.on(Event::StreamStarted { id: 1, attempt: 1, backend: second });
-    assert!(began.contains(&Action::Cancel { id: 1, attempt: 0 }), "{began:?}");
+    assert!(began.contains(&Action::CancelAttempt { id: 1, attempt: 0 }), "{began:?}");
     let end = Event::AttemptEnded {
         id: 1,
         attempt: 0,
@@ -266,5 +266,5 @@
         load: &[],
     };
     let after = rig.on(end);
-    assert!(!after.contains(&Action::Cancel { id: 1, attempt: 1 }), "{after:?}");
+    assert!(!after.contains(&Action::CancelAttempt { id: 1, attempt: 1 }), "{after:?}");
 }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -17,19 +17,25 @@
 fn read(settings: &Value) -> Result<(Settings, settings::SettingNames), SettingsError> {
     let keys = settings::SettingsReader::new("settings", settings);
     let read = settings::read_settings(&keys)?;
-    read.check()?;
+    read.validate()?;
     Ok((read, settings::read_names(&keys)?))
 }
 
 #[test]
 fn every_value_of_the_sample_is_read() {
     let (read, names) = read(&sample()).expect("sound settings");
-    assert_eq!((read.me, read.gateways, read.zone, read.tick_ms), (3, 12, 1, 4.5));
-    assert_eq!((read.counter, read.counter_timeout_ms, read.meter_ms), (true, 30.5, 250.0));
-    assert_eq!((read.peer_messages_per_s, read.max_units), (12.5, 8.0));
-    assert_eq!((read.ask_for_list, read.ask_within_ms), (true, 10_000.5));
-    assert_eq!((read.stop_sending_ms, read.cross_zone_cost), (500.75, 0.03));
-    assert_eq!(read.customers, 1 << 20);
+    assert_eq!(
+        (read.gateway_index, read.gateway_count, read.zone, read.clock_granularity_ms),
+        (3, 12, 1, 4.5)
+    );
+    assert_eq!(
+        (read.shared_counter, read.counter_timeout_ms, read.usage_meter_period_ms),
+        (true, 30.5, 250.0)
+    );
+    assert_eq!((read.peer_messages_per_s, read.max_request_units), (12.5, 8.0));
+    assert_eq!((read.polls_endpoints, read.poll_within_ms), (true, 10_000.5));
+    assert_eq!((read.drain_grace_ms, read.cross_zone_cost), (500.75, 0.03));
+    assert_eq!(read.max_customers, 1 << 20);
 
     let limits = &read.limits;
     assert_eq!((limits.max_attempts, limits.cancel, limits.hedges), (5, true, true));
@@ -37,10 +43,10 @@
     assert_eq!((limits.max_retry_after_ms, limits.connect_timeout_ms), (2_001.0, 251.0));
 
     let slow_start = &read.slow_start;
-    assert_eq!((slow_start.start_capacity, slow_start.warm_up_ms), (0.2, 16_000.0));
-    assert_eq!((slow_start.tip_multiple, slow_start.overload_for_ms), (3.5, 3_000.25));
+    assert_eq!((slow_start.initial_capacity, slow_start.warm_up_ms), (0.2, 16_000.0));
+    assert_eq!((slow_start.overload_multiple, slow_start.overload_window_ms), (3.5, 3_000.25));
 
-    assert_eq!(read.routing, Routing { whole: 16, choices: 8, subset: 5, coverage: 3 });
+    assert_eq!(read.routing, Routing { scan_all_up_to: 16, choices: 8, subset_size: 5, coverage: 3 });
     let fields =
         [LoadField::Active, LoadField::Waiting, LoadField::Busy, LoadField::ServiceMs, LoadField::Other];
     assert_eq!(read.load_fields, fields);
@@ -137,7 +143,14 @@
     let flags = |settings: &Value| {
         let read = read(settings).expect("sound settings").0;
         let limits = &read.limits;
-        [limits.cancel, limits.hedges, limits.probes, limits.retry_advice, read.counter, read.ask_for_list]
+        [
+            limits.cancel,
+            limits.hedges,
+            limits.probes,
+            limits.retry_advice,
+            read.shared_counter,
+            read.polls_endpoints,
+        ]
     };
     let places = [
         "/policy-limits/cancel",
@@ -235,8 +248,8 @@
     let collected = |settings: &Value| -> Vec<String> {
         let errors = RefCell::new(Vec::new());
         let keys = settings::SettingsReader::collecting("settings", settings, &errors);
-        assert!(settings::read(&keys).is_ok() && settings::names(&keys).is_ok());
-        assert!(!keys.sound());
+        assert!(settings::read_settings(&keys).is_ok() && settings::read_names(&keys).is_ok());
+        assert!(!keys.is_valid());
         errors.into_inner().iter().map(ToString::to_string).collect()
     };
     let mut settings = sample();
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -11,7 +11,7 @@
 fn spread(out: usize) -> Vec<usize> {
     let mut rig = Rig::new(settings(), 10);
     let mut entries = backends(10);
-    entries[0].share = 0.25;
+    entries[0].weight_share = 0.25;
     rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries });
     let (mut got, mut open) = (vec![0; 10], std::collections::VecDeque::new());
     for id in 0..8_000 {
@@ -43,7 +43,7 @@
 fn small_share_serves_all_where_no_other_backend_is_left() {
     let mut rig = Rig::new(settings(), 1);
     let mut entries = backends(1);
-    entries[0].share = 0.0001;
+    entries[0].weight_share = 0.0001;
     rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &entries });
     for id in 0..50 {
         assert_eq!(sent_to(&rig.ask(request(id, 0, 3, 1.0))), Some(0));
--- a/crates/policy/tests/sizes.rs
+++ b/crates/policy/tests/sizes.rs
@@ -94,7 +94,7 @@
         });
         let warmth = |rig: &Rig| {
             let now = rig.now;
-            rig.gateway.backends(now).find(|b| b.id == 0).expect("listed").warmth
+            rig.gateway.backends(now).find(|b| b.id == 0).expect("listed").capacity_fraction
         };
         assert!(warmth(&rig) < 0.3, "cold as it begins");
         rig.now += 5_000.0;
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! Settings and helpers shared by the tests.
 #![allow(dead_code)]
 
-use slatelock::interface::*;
-use slatelock::Policy;
+use gateway_policy::interface::*;
+use gateway_policy::Policy;
 
 pub const T0: f64 = 1_000_000.0;
 
@@ -27,15 +27,15 @@
         zone: 0,
         clock_granularity_ms: 4.0,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
-            class(Effect::Keyed, Group::All),
+            class(Idempotency::Idempotent, DeduplicationScope::All),
+            class(Idempotency::Keyed, DeduplicationScope::Cell),
+            class(Idempotency::NonIdempotent, DeduplicationScope::All),
+            class(Idempotency::Keyed, DeduplicationScope::All),
         ],
         plans: vec![
             plan.clone(),
             Plan { rate: 1_000.0, burst: 1_000.0, ceiling_rate: 4.0, ceiling_burst: 40.0, ..plan },
-            Plan { open: 4, value: 1.0, ..Plan::default() },
+            Plan { max_in_flight: 4, weight_factor: 1.0, ..Plan::default() },
             Plan::default(),
         ],
         shared_counter: false,
@@ -130,11 +130,11 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn surrendered(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Surrender { .. }))
+    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
 pub fn counted(actions: &[Action]) -> Option<(u64, f64)> {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -50,7 +50,7 @@
     match run(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("slatelock-benchlink: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -1,6 +1,6 @@
 //! Records of a batch, decoded.
 
-use slatelock::interface::{BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope};
+use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope};
 
 use super::fields::Fields;
 use super::{Malformed, LISTS};
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,6 +1,6 @@
 //! The reply to a batch: what the gateways want done, in order.
 
-use slatelock::interface::Action;
+use gateway_policy::interface::Action;
 
 /// Codes of the records that an adapter writes.
 mod code {
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -1,7 +1,7 @@
 //! Replies that no conversation brings forth: a message to the other gateways, and the report of a panic.
 
 use super::*;
-use slatelock::interface::Action;
+use gateway_policy::interface::Action;
 
 #[test]
 fn message_to_peers_is_written_byte_for_byte() {
