--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,8 +10,6 @@
 pub mod reload;
 #[cfg(feature = "settings")]
 pub mod settings;
-mod state;
-mod store;
 mod view;
 
 pub use policy::Policy;
