--- a/crates/agent/src/backend_catalog/tests.rs
+++ b/crates/agent/src/backend_catalog/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_backend_is_there_while_some_gateway_lists_it_and_serves_while_some_says_so() {
+fn backend_is_listed_and_serving_while_any_gateway_lists_it_so() {
     let mut catalog = BackendCatalog::default();
     assert!(catalog.is_empty());
     catalog.update("n0", &[state("a", true), state("b", true)]);
--- a/crates/agent/tests/conversation/orders.rs
+++ b/crates/agent/tests/conversation/orders.rs
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_is_registered_ordered_lost_and_removed_in_the_recorded_words() {
+async fn gateway_from_registration_to_removal() {
     let mut scenario = Scenario::start().await;
     scenario.order().await;
     scenario.repeat_order().await;
@@ -231,7 +231,7 @@
 }
 
 #[tokio::test]
-async fn requests_that_cannot_be_met_are_refused_in_the_recorded_words() {
+async fn rejects_requests_as_recorded() {
     let agent = Fixture::start(20_000).await;
     let mut tool = Connection::connect(&agent.path("agent.sock")).await;
     let fault =
--- a/crates/agent/tests/conversation/sessions.rs
+++ b/crates/agent/tests/conversation/sessions.rs
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_session_that_fails_is_told_of_in_the_recorded_words() {
+async fn announces_failed_sessions_as_recorded() {
     let agent = Fixture::start(20_000).await;
     let mut watcher = Connection::connect(&agent.path("agent.sock")).await;
     ask(&mut watcher, json!({"n": 9, "op": "watch"})).await;
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_that_is_silent_or_has_another_name_is_told_of_in_the_recorded_words() {
+async fn announces_silent_and_misnamed_gateways_as_recorded() {
     let agent = Fixture::start(2_000).await;
     let mut watcher = Connection::connect(&agent.path("agent.sock")).await;
     ask(&mut watcher, json!({"n": 9, "op": "watch"})).await;
--- a/crates/agent/tests/log_form.rs
+++ b/crates/agent/tests/log_form.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn refuses_another_form_and_damage_in_the_recorded_words() {
+fn open_errors_are_as_recorded() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = recorded_copy(folder.path());
     {
--- a/crates/agent/tests/settling.rs
+++ b/crates/agent/tests/settling.rs
@@ -14,7 +14,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 #[tokio::test]
-async fn orders_are_settled_with_every_256th() {
+async fn settles_orders_with_every_256th() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = folder.path().display();
     let text = format!("[agent]\nlisten = \"unix:{at}/agent.sock\"\nlog = \"{at}/log\"");
--- a/crates/agent/tests/refusals.rs
+++ b/crates/agent/tests/start_errors.rs
@@ -1,4 +1,4 @@
-//! The recorded words with which an agent refuses to start.
+//! Errors of agents that can't start, as recorded.
 
 use std::path::Path;
 
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn an_agent_that_cannot_start_says_why_in_the_recorded_words() {
+async fn start_errors_are_as_recorded() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = folder.path().display().to_string();
     std::fs::write(folder.path().join("file"), "no socket, and no log").expect("room");
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Orders and snapshots in every order, again and again, end in the same state.
+//! Orders and snapshots in any sequence, and repeated, converge to the same state.
 
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_permutation_with_repeats_ends_in_the_same_state(
+    fn permuted_and_repeated_orders_converge(
         log in log(),
         picks in prop::collection::vec(any::<prop::sample::Index>(), 0..48),
         shuffle in any::<u64>(),
@@ -72,7 +72,7 @@
     /// The writer settles its log here and there; a gateway gets some orders, in any order, and a snapshot
     /// or two at any moment. Once it has the last one, it holds what the writer holds.
     #[test]
-    fn snapshots_and_orders_in_any_order_converge(
+    fn snapshots_and_orders_in_any_sequence_converge(
         log in log(),
         settle in any::<prop::sample::Index>(),
         stream in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 0..40),
@@ -108,7 +108,7 @@
     }
 
     #[test]
-    fn adopting_is_idempotent_and_either_way_round(a in log(), cut in any::<prop::sample::Index>()) {
+    fn adopt_is_idempotent_and_commutative(a in log(), cut in any::<prop::sample::Index>()) {
         let cut = cut.index(a.len());
         let state = |orders: &[Order], settled: bool| {
             let mut s = DesiredState::default();
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn whatever_comes_as_a_name_is_taken_whole_or_refused(text in ".{0,300}") {
+    fn name_is_parsed_unchanged_or_rejected(text in ".{0,300}") {
         match text.parse::<Name>() {
             Ok(name) => prop_assert_eq!(name.as_str(), text.as_str()),
             Err(e) => prop_assert!(e.to_string().len() < 80, "{}", e),
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_same_id_again_gives_the_first_result_and_does_nothing() {
+fn repeated_id_has_the_first_outcome_and_changes_nothing() {
     let mut state = DesiredState::default();
     assert_eq!(state.apply(&order("a", 1, "s-1", Change::Drain)), ApplyOutcome::Applied);
     assert_eq!(state.apply(&order("b", 2, "s-1", Change::Undrain)), ApplyOutcome::Applied);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_old_drain_after_a_newer_undrain_is_superseded_even_when_that_is_settled() {
+fn older_drain_is_superseded_by_a_newer_undrain_even_once_settled() {
     for settled in [false, true] {
         let mut state = DesiredState::default();
         state.apply(&order("b", 2, "s-1", Change::Undrain));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_term_stands_above_every_sequence_of_the_old() {
+fn newer_term_supersedes_every_sequence_of_an_older_one() {
     let mut state = DesiredState::default();
     state.apply(&order("a", 900, "s-1", Change::Drain));
     let mut newer = order("b", 1, "s-1", Change::Undrain);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_writer_that_lost_its_log_takes_no_drain_back_until_it_is_ordered_anew() {
+fn writer_without_its_log_keeps_drains_until_they_are_reversed() {
     let mut gateway = DesiredState::default();
     gateway.apply(&order("old", 7, "s-1", Change::Drain));
     let mut writer = DesiredState::since(Revision { term: 2, seq: 0 });
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_backend_is_back_only_when_nothing_drains_it() {
+fn backend_is_drained_while_any_subject_drains_it() {
     let mut state = DesiredState::default();
     state.apply(&order("a", 1, "s-1", Change::Drain));
     state.apply(&order("b", 2, "group/3", Change::Drain));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_state_holds_so_many_registers_and_no_more() {
+fn rejects_orders_beyond_the_limit_of_registers() {
     let mut state = DesiredState::default();
     for i in 1..=MAX_REGISTERS as u64 {
         let o = order(&format!("o{i}"), i, &format!("s-{i}"), Change::Drain);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn odd_subjects_weights_and_names_are_refused_in_few_words() {
+fn rejects_invalid_subjects_weights_and_names_with_short_errors() {
     for text in ["group/x", "zone/a", "", "a b", "type/", "s\u{7}1", &"n".repeat(10 << 20)] {
         let error = text.parse::<Subject>().expect_err("odd").to_string();
         assert!(error.len() < 120, "{error}");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn the_guard_refuses_what_would_leave_too_few_and_says_how_many() {
+fn guard_rejects_drains_that_leave_too_few_ready() {
     let (mut state, mut backends) = (DesiredState::default(), fleet(8, 2));
     backends[7].serving = false;
     state.apply(&order("a", 1, "s-0", Change::Drain));
@@ -151,7 +151,7 @@
 
 /// What the guard counts is what is so once the order is taken in.
 #[test]
-fn the_guard_counts_what_the_order_makes_of_the_fleet() {
+fn guard_counts_match_the_state_after_the_order() {
     let (mut state, backends) = (DesiredState::default(), fleet(12, 3));
     let subjects = ["s-0", "s-4", "group/1", "group/2", "type/m", "s-7", "none"];
     let mut seed = 7u64;
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn the_guard_counts_gateways_where_one_is_drained() {
+fn guard_counts_gateways_for_an_order_on_a_gateway() {
     let mut state = DesiredState::default();
     let names = ["n0", "n1", "n2"];
     let first = order("a", 1, "gateway/n0", Change::Drain);
@@ -184,25 +184,25 @@
 }
 
 #[test]
-fn a_gateway_that_is_silent_or_lost_is_never_ok() {
-    let (mut member, newest) = (GatewayRecord::default(), Revision { term: 1, seq: 5 });
-    let heard = |holds| Observation::Reachable { incarnation: 7, applied_revision: holds };
-    assert_eq!(member.health(0.0, newest, 2_000.0), Health::Unknown);
-    member.observe(0.0, heard(Revision { term: 1, seq: 4 }));
-    assert_eq!(member.health(10.0, newest, 2_000.0), Health::Behind);
-    member.observe(20.0, heard(newest));
-    assert_eq!(member.health(30.0, newest, 2_000.0), Health::Ok);
-    assert!(matches!(member.health(2_021.0, newest, 2_000.0), Health::Unreachable { .. }));
-    member.observe(40.0, Observation::Unreachable("connection refused".to_string()));
-    member.observe(90.0, Observation::Unreachable("no answer".to_string()));
-    assert_eq!(member.unreachable_since_ms(), Some(40.0));
+fn silent_or_unreachable_gateway_is_never_ok() {
+    let (mut gateway, newest) = (GatewayRecord::default(), Revision { term: 1, seq: 5 });
+    let reachable = |holds| Observation::Reachable { incarnation: 7, applied_revision: holds };
+    assert_eq!(gateway.health(0.0, newest, 2_000.0), Health::Unknown);
+    gateway.observe(0.0, reachable(Revision { term: 1, seq: 4 }));
+    assert_eq!(gateway.health(10.0, newest, 2_000.0), Health::Behind);
+    gateway.observe(20.0, reachable(newest));
+    assert_eq!(gateway.health(30.0, newest, 2_000.0), Health::Ok);
+    assert!(matches!(gateway.health(2_021.0, newest, 2_000.0), Health::Unreachable { .. }));
+    gateway.observe(40.0, Observation::Unreachable("connection refused".to_string()));
+    gateway.observe(90.0, Observation::Unreachable("no answer".to_string()));
+    assert_eq!(gateway.unreachable_since_ms(), Some(40.0));
     assert!(
-        matches!(member.health(91.0, newest, 2_000.0), Health::Unreachable { reason: why } if why == "no answer")
+        matches!(gateway.health(91.0, newest, 2_000.0), Health::Unreachable { reason } if reason == "no answer")
     );
     assert!(
-        member
+        gateway
             .observe(100.0, Observation::Reachable { incarnation: 8, applied_revision: Revision::default() }),
         "a new process"
     );
-    assert_eq!((member.restarts, member.health(101.0, newest, 2_000.0)), (1, Health::Behind));
+    assert_eq!((gateway.restarts, gateway.health(101.0, newest, 2_000.0)), (1, Health::Behind));
 }
--- a/crates/operator-config/tests/file_form.rs
+++ b/crates/operator-config/tests/file_form.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn refuses_wrong_files_in_the_recorded_words() {
+fn errors_of_wrong_files_are_as_recorded() {
     let cases: Vec<&str> = WRONG_FILES.split("=====\n").filter(|case| !case.is_empty()).collect();
     assert_eq!(cases.len(), 71);
     for case in cases {
@@ -99,14 +99,14 @@
 }
 
 #[test]
-fn names_a_file_that_cannot_be_read() {
+fn error_names_an_unreadable_file() {
     let said =
         OperatorConfig::read(Path::new("/nonexistent/operator.toml")).expect_err("no such file").to_string();
     assert_eq!(said, "/nonexistent/operator.toml: No such file or directory (os error 2)");
 }
 
 #[test]
-fn puts_names_into_addresses_as_recorded() {
+fn inserts_names_into_addresses_as_recorded() {
     let marked = address("unix:/run/{name}/{name}.sock");
     assert_eq!(marked.for_gateway("n1").to_string(), "unix:/run/n1/n1.sock");
     assert_eq!(marked.for_gateway("a/b\0c").to_string(), "unix:/run/a_b_c/a_b_c.sock");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn refuses_more_gateways_than_the_recorded_number() {
+fn rejects_more_gateways_than_recorded() {
     let gateways: String =
         (0..10_001).map(|i| format!("[[gateway]]\nname = \"n{i}\"\nadmin = \"unix:/a\"\n")).collect();
     let said = parse(&gateways).expect_err("too many");
--- a/crates/operator-config/tests/read.rs
+++ b/crates/operator-config/tests/read.rs
@@ -9,21 +9,21 @@
 }
 
 #[test]
-fn the_file_that_is_shipped_is_good() {
+fn shipped_file_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/operator.toml");
     let file = OperatorConfig::read(&path).expect("good");
     assert!(file.admin.is_some() && file.agent.is_some());
 }
 
 #[test]
-fn defaults_are_filled_in_and_an_empty_file_turns_nothing_on() {
+fn fills_in_defaults_and_enables_nothing_without_sections() {
     assert_eq!(parse(""), Ok(OperatorConfig::default()));
     let file = parse("[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"").expect("good");
     assert_eq!(file.agent.expect("an agent").heartbeat_ms, 1_000);
 }
 
 #[test]
-fn what_is_wrong_is_named_by_line_and_key() {
+fn errors_name_line_and_key() {
     let cases = [
         ("[admin]\nlisten = \"tcp:127.0.0.1:7\"", "admin.listen: TCP needs [admin.tls]"),
         ("[admin]\nlisten = \"/a\"", "line 2"),
--- a/crates/transport/tests/who.rs
+++ b/crates/transport/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who may speak, and what bad lines do, on both kinds of sockets.
+//! Which peers may connect, and the handling of malformed lines, on both kinds of sockets.
 
 use std::fs;
 use std::os::unix::fs::MetadataExt;
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_unix_socket_is_its_owners_alone_and_goes_with_its_listener() {
+fn unix_socket_is_private_and_removed_with_its_listener() {
     block_on(async {
         let dir = tempfile::tempdir().expect("a folder");
         let address = socket(&dir);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_socket_of_another_owner_is_not_spoken_to() {
+fn rejects_a_socket_of_another_user() {
     block_on(async {
         let dir = tempfile::tempdir().expect("a folder");
         let address = socket(&dir);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_a_long_one_ends_the_connection() {
+fn reports_malformed_lines_and_closes_on_a_long_one() {
     block_on(async {
         let dir = tempfile::tempdir().expect("a folder");
         let address = socket(&dir);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn over_tcp_only_certificates_of_both_sides_open_a_connection() {
+fn tcp_needs_trusted_certificates_of_both_sides() {
     block_on(async {
         let dir = tempfile::tempdir().expect("a folder");
         let (ours, others) =
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn files_of_certificates_are_named_when_they_are_no_good_and_keys_are_not_quoted() {
+fn certificate_errors_name_the_file_and_quote_no_key() {
     let dir = tempfile::tempdir().expect("a folder");
     let ours = Authority::new(dir.path());
     let good = ours.side("agent", &ours);
