--- a/crates/spool/src/lib.rs
+++ b/crates/spool/src/lib.rs
@@ -1,15 +1,14 @@
-//! A bounded spool of use on a disk.
+//! A bounded spool of usage records on a disk.
 //!
-//! ```text
-//!  append ─▶ segment 7 (open)      ─ full ─▶ segment 8 ...      total over the bound: the record is dropped,
-//!                                                               and counted
-//!  unsent ◀─ segments 5, 6, 7  ◀─ acknowledged: whole segments are removed
-//! ```
+//! Records are appended to the open segment. A full segment is closed and another one begun; when all segments
+//! together reach their limit, further records are dropped and counted. Unsent records are offered oldest
+//! first, and whole segments are removed once their records are acknowledged.
 //!
-//! Calls block on the disk: they belong on a thread of their own. A spool has one owner; nothing here is
-//! shared. A call that is given up half-way by a kill leaves a cut frame at most, which the next start takes
-//! off.
+//! Calls block on the disk, so they belong on a thread of their own. A spool has one owner. A call that is cut
+//! short by a kill leaves at most a truncated frame, which the next start removes.
 
+mod fault;
 mod store;
 
-pub use store::{Appended, Fault, Found, Fsync, Policy, Spool};
+pub use fault::SpoolFault;
+pub use store::{AppendOutcome, FsyncPolicy, Spool, SpoolLimits, UnsentRecords};
--- a/crates/spool/tests/recorded.rs
+++ b/crates/spool/tests/recorded.rs
@@ -5,10 +5,11 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use spool::{Appended, Fsync, Policy, Spool};
-use usage::{scan, End, Record, Source, Units, FORMAT};
+use spool::{AppendOutcome, FsyncPolicy, Spool, SpoolLimits};
+use usage::{scan, Record, ScanEnd, Source, Units, FORMAT};
 
-const POLICY: Policy = Policy { segment_bytes: 220, total_bytes: 1 << 20, fsync: Fsync::Segments };
+const POLICY: SpoolLimits =
+    SpoolLimits { segment_bytes: 220, total_bytes: 1 << 20, fsync: FsyncPolicy::EverySegment };
 
 fn data() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/segments")
@@ -16,8 +17,8 @@
 
 fn sources() -> [Source; 2] {
     [
-        Source { gateway: "n0".into(), life: 7 },
-        Source { gateway: "gateway-ub-room-1".into(), life: 18_446_744_073_709_551_615 },
+        Source { gateway: "n0".into(), incarnation: 7 },
+        Source { gateway: "gateway-ub-room-1".into(), incarnation: 18_446_744_073_709_551_615 },
     ]
 }
 
@@ -30,7 +31,7 @@
         plan: plan.into(),
         version,
         class,
-        units: Units::of(units).expect("fits"),
+        units: Units::from_f64(units).expect("fits"),
     };
     vec![
         record(1_800_000_000_000, 0xb4d6_5521, "standard", 2, 1, 2.5),
@@ -49,7 +50,7 @@
         let (mut spool, faults) = Spool::open(folder, POLICY, source).expect("a folder");
         assert_eq!(faults, []);
         for record in records() {
-            assert_eq!(spool.append(record).expect("disk"), Appended::Kept);
+            assert_eq!(spool.append(record).expect("disk"), AppendOutcome::Stored);
         }
     }
 }
@@ -66,7 +67,7 @@
     for (name, bytes) in files(&data()) {
         fs::write(folder.path().join(name), bytes).expect("disk");
     }
-    let new = Source { gateway: "n0".into(), life: 8 };
+    let new = Source { gateway: "n0".into(), incarnation: 8 };
     let (mut spool, faults) = Spool::open(folder.path(), POLICY, new).expect("a folder");
     assert_eq!(faults, []);
     let mut read: BTreeMap<Source, Vec<Record>> = BTreeMap::new();
@@ -102,7 +103,7 @@
         assert_eq!(name, format!("{number:020}.use"));
         let found = scan(&bytes);
         let header = found.header.expect("a header");
-        assert_eq!((found.end, found.good), (End::Whole, bytes.len()));
+        assert_eq!((found.end, found.valid_bytes), (ScanEnd::Complete, bytes.len()));
         assert_eq!((FORMAT, header.format, header.number), (1, 1, number));
         assert_eq!(header.previous, previous.unwrap_or_default());
         previous = Some(found.chain);
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,162 +1,124 @@
-//! A ledger of use: each record counts once, in exactly one batch.
+//! A ledger of usage: each record counts once, in exactly one batch.
 //!
-//! Records of a source may come late, again, and in any order; they are known by gateway, life and sequence.
-//! A period closes when the watermark has passed its end: each source says up to when it has told all, and
-//! the watermark is the least of these. A source that is silent for too long no longer holds it back. What
-//! comes for a period that has gone out is an adjustment in a later batch, never a change of the one that
-//! went out.
+//! Records of a source may come late, repeatedly and in any order; they are known by gateway, incarnation and
+//! sequence number. A period closes when the watermark has passed its end: each source reports up to when it
+//! has sent everything, and the watermark is the least of these. A source that is silent for too long no
+//! longer holds it back. A record of a closed period is an adjustment in a later batch; a batch never changes
+//! once it went out.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Record, Source, Units};
+use crate::sequences::{SequenceRange, SequenceSet};
 
-/// Sources that may be known at once.
+/// The most sources that are known.
 pub const MAX_SOURCES: usize = 100_000;
-/// Runs of sequence numbers beyond a gap that are remembered of a source.
+/// The most ranges of sequence numbers beyond a gap that are remembered of a source.
 pub const MAX_GAPS: usize = 10_000;
-/// Sequence numbers are below this. Danger: arithmetic on numbers from outside that ends the program.
-const MAX_SEQUENCE: u64 = 1 << 53;
+/// Sequence numbers are below this: arithmetic on numbers from outside must not overflow.
+const SEQUENCE_LIMIT: u64 = 1 << 53;
 
-/// How periods are cut and closed.
+/// Length of periods, and when they close.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Length of a period, ms, above 0. Periods begin at multiples of it, Unix time.
+    /// Length of a period, ms, above 0. Periods begin at multiples of it in Unix time.
     pub period_ms: u64,
-    /// A source that was not heard for so long, ms, holds no period open.
-    pub silent_most_ms: u64,
+    /// A source that was not heard from for this long, ms, holds no period open.
+    pub max_silence_ms: u64,
 }
 
-/// What is counted apart.
+/// What is counted separately.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
-    /// Begin of the period, Unix ms.
+pub struct UsageKey {
+    /// Begin of the period, Unix time in ms.
     pub period_ms: u64,
-    /// Whose use.
+    /// The customer.
     pub customer: u64,
-    /// Under which plan.
+    /// Name of the plan.
     pub plan: Box<str>,
-    /// In which version.
+    /// Version of the plan.
     pub version: u32,
-    /// In which class.
+    /// Class of the requests.
     pub class: u16,
 }
 
 /// Sums of records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// How many.
+    /// How many records.
     pub records: u64,
     /// Their units.
     pub units: Units,
 }
 
+impl Totals {
+    fn add(&mut self, record: &Record) {
+        self.records += 1;
+        self.units = self.units + record.units;
+    }
+}
+
 /// A line of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct BatchLine {
     /// What it counts.
-    pub key: Key,
+    pub key: UsageKey,
     /// The sums.
     pub totals: Totals,
-    /// Its period went out in an earlier batch: this comes on top.
-    pub adjustment: bool,
+    /// Whether its period went out in an earlier batch and this is added to it.
+    pub is_adjustment: bool,
 }
 
-/// What goes out at once; never changed afterwards.
+/// Usage that goes out at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// From 1, none left out.
+    /// From 1, without gaps.
     pub number: u64,
-    /// Ends of the periods that it closes, Unix ms: all up to here.
+    /// All periods up to here are closed, Unix time in ms.
     pub until_ms: u64,
-    /// Its lines, in the order of their keys, adjustments first.
-    pub lines: Vec<Line>,
-    /// Records since the last batch that sources say are lost for good: use that nobody can count.
+    /// Adjustments, then the others, each in the order of their keys.
+    pub lines: Vec<BatchLine>,
+    /// Records that sources reported as lost since the last batch: usage that nobody can count.
     pub lost: u64,
 }
 
-/// What came of a record.
+/// What became of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum RecordOutcome {
     /// It counts in its period.
-    New,
-    /// It counts as an adjustment, as its period went out.
-    Late,
+    Counted,
+    /// It counts as an adjustment, as its period is closed.
+    CountedLate,
     /// It was counted before.
-    Again,
-    /// Its sequence number is one that no source gives.
-    Odd,
-    /// There are more gaps or sources than may be; it is to be sent again later.
+    Duplicate,
+    /// No source gives such a sequence number.
+    InvalidSequence,
+    /// There are too many sources or gaps; it is to be sent again later.
     NoRoom,
 }
 
-/// Sequence numbers of a source that were seen.
+/// What is known of a source.
 #[derive(Clone, Debug, Default)]
-struct Seen {
-    /// All up to here.
-    upto: u64,
-    /// Runs beyond: first and last, not touching.
-    beyond: BTreeMap<u64, u64>,
-    /// It has told all up to this time.
-    told_ms: u64,
-    heard_ms: u64,
-    gone: bool,
-}
-
-impl Seen {
-    fn has(&self, sequence: u64) -> bool {
-        let run = self.beyond.range(..=sequence).next_back();
-        sequence <= self.upto || run.is_some_and(|(_, last)| sequence <= *last)
-    }
-
-    /// Notes a run of which none was seen; `false` if there is no room for another gap.
-    fn note(&mut self, first: u64, last: u64) -> bool {
-        let before = self.beyond.range(..first).next_back().map(|(f, l)| (*f, *l));
-        let before = before.filter(|(_, end)| *end + 1 == first);
-        let next = last.saturating_add(1);
-        let after = self.beyond.get(&next).copied();
-        let touches = before.is_some() || after.is_some() || first == self.upto + 1;
-        if !touches && self.beyond.len() >= MAX_GAPS {
-            return false;
-        }
-        if after.is_some() {
-            self.beyond.remove(&next);
-        }
-        let last = after.unwrap_or(last);
-        if first == self.upto + 1 {
-            self.upto = last;
-        } else {
-            self.beyond.insert(before.map_or(first, |(begin, _)| begin), last);
-        }
-        true
-    }
-
-    /// The runs of a span that were not seen.
-    fn missing(&self, first: u64, last: u64) -> Vec<(u64, u64)> {
-        let (mut from, mut all) = (first.max(self.upto + 1), Vec::new());
-        let begins = self.beyond.range(..=from).next_back().map_or(from, |(begin, _)| *begin);
-        for (begin, end) in self.beyond.range(begins..=last.max(begins)) {
-            if *begin > from && from <= last {
-                all.push((from, (*begin - 1).min(last)));
-            }
-            from = from.max(end.saturating_add(1));
-        }
-        if from <= last {
-            all.push((from, last));
-        }
-        all
-    }
+struct SourceState {
+    counted: SequenceSet,
+    /// It has sent everything up to this time, Unix time in ms.
+    sent_upto_ms: u64,
+    /// When it reported last, Unix time in ms.
+    last_report_ms: u64,
+    has_ended: bool,
 }
 
 /// The ledger.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     settings: Settings,
-    sources: BTreeMap<Source, Seen>,
-    open: BTreeMap<Key, Totals>,
-    late: BTreeMap<Key, Totals>,
-    /// Ends of all periods that went out.
-    closed_ms: u64,
-    batches: u64,
+    sources: BTreeMap<Source, SourceState>,
+    open: BTreeMap<UsageKey, Totals>,
+    adjustments: BTreeMap<UsageKey, Totals>,
+    /// All periods up to here are closed, Unix time in ms.
+    closed_until_ms: u64,
+    last_batch: u64,
+    /// Records that were lost since the last batch.
     lost: u64,
 }
 
@@ -169,109 +131,129 @@
             settings,
             sources: BTreeMap::new(),
             open: BTreeMap::new(),
-            late: BTreeMap::new(),
-            closed_ms: 0,
-            batches: 0,
+            adjustments: BTreeMap::new(),
+            closed_until_ms: 0,
+            last_batch: 0,
             lost: 0,
         }
     }
 
-    fn source(&mut self, source: &Source) -> Option<&mut Seen> {
+    /// The state of a source, which is added if it is new; none if there are [`MAX_SOURCES`] already.
+    fn source_mut(&mut self, source: &Source) -> Option<&mut SourceState> {
         if !self.sources.contains_key(source) {
             if self.sources.len() >= MAX_SOURCES {
                 return None;
             }
-            self.sources.insert(source.clone(), Seen::default());
+            self.sources.insert(source.clone(), SourceState::default());
         }
         self.sources.get_mut(source)
     }
 
-    /// Takes in a record.
-    pub fn take(&mut self, source: &Source, record: &Record) -> Taken {
-        let (period, closed) = (self.settings.period_ms, self.closed_ms);
-        let Some(seen) = self.source(source) else { return Taken::NoRoom };
-        if !(1..MAX_SEQUENCE).contains(&record.sequence) {
-            return Taken::Odd;
+    /// Counts a record unless it was counted before.
+    pub fn record(&mut self, source: &Source, record: &Record) -> RecordOutcome {
+        let Some(state) = self.source_mut(source) else { return RecordOutcome::NoRoom };
+        let sequence = record.sequence;
+        if !(1..SEQUENCE_LIMIT).contains(&sequence) {
+            return RecordOutcome::InvalidSequence;
         }
-        if seen.has(record.sequence) {
-            return Taken::Again;
+        if state.counted.contains(sequence) {
+            return RecordOutcome::Duplicate;
         }
-        if !seen.note(record.sequence, record.sequence) {
-            return Taken::NoRoom;
+        if !state.counted.insert(SequenceRange { first: sequence, last: sequence }, MAX_GAPS) {
+            return RecordOutcome::NoRoom;
         }
-        let period_ms = record.at_ms - record.at_ms % period;
-        let late = period_ms < closed;
-        let (customer, plan) = (record.customer, record.plan.clone());
-        let key = Key { period_ms, customer, plan, version: record.version, class: record.class };
-        let totals = if late { &mut self.late } else { &mut self.open }.entry(key).or_default();
-        totals.records += 1;
-        totals.units = totals.units + record.units;
-        if late {
-            Taken::Late
+        let key = self.key_of(record);
+        if key.period_ms < self.closed_until_ms {
+            self.adjustments.entry(key).or_default().add(record);
+            RecordOutcome::CountedLate
         } else {
-            Taken::New
+            self.open.entry(key).or_default().add(record);
+            RecordOutcome::Counted
+        }
+    }
+
+    fn key_of(&self, record: &Record) -> UsageKey {
+        UsageKey {
+            period_ms: record.at_ms - record.at_ms % self.settings.period_ms,
+            customer: record.customer,
+            plan: record.plan.clone(),
+            version: record.version,
+            class: record.class,
         }
     }
 
-    /// A source says that these records, from the first to the last, are lost for good: it dropped them, or
-    /// its disk spoilt them. Those that were counted before stay counted. `false` if there is no room to note
-    /// it.
-    pub fn lose(&mut self, source: &Source, first: u64, last: u64) -> bool {
-        let Some(seen) = self.source(source) else { return false };
-        let (mut lost, mut noted) = (0, true);
-        for (first, last) in seen.missing(first.max(1), last.min(MAX_SEQUENCE - 1)) {
-            noted = noted && seen.note(first, last);
-            lost += if noted { last - first + 1 } else { 0 };
+    /// A source reports that these records are lost for good: it dropped them, or its disk failed. Those that
+    /// were counted stay counted. Returns `false` if there is no room to note all of it.
+    pub fn record_lost(&mut self, source: &Source, lost: SequenceRange) -> bool {
+        let Some(state) = self.source_mut(source) else { return false };
+        let valid = SequenceRange { first: lost.first.max(1), last: lost.last.min(SEQUENCE_LIMIT - 1) };
+        let (mut newly_lost, mut all_noted) = (0, true);
+        for range in state.counted.missing(valid) {
+            all_noted = all_noted && state.counted.insert(range, MAX_GAPS);
+            if all_noted {
+                newly_lost += range.count();
+            }
         }
-        self.lost += lost;
-        noted
+        self.lost += newly_lost;
+        all_noted
     }
 
-    /// A source says, at `now_ms`, that it has told all that it recorded up to `told_ms`. `false` if there is
-    /// no room for another source. Danger: a clock that went back. What was said before stands.
-    pub fn told(&mut self, now_ms: u64, source: &Source, told_ms: u64) -> bool {
-        let Some(seen) = self.source(source) else { return false };
-        seen.told_ms = seen.told_ms.max(told_ms);
-        seen.heard_ms = seen.heard_ms.max(now_ms);
+    /// A source reports, at `now_ms`, that it has sent everything up to `sent_upto_ms`, both Unix time. What it
+    /// reported before stands, also if its clock went back. Returns `false` if there is no room for another
+    /// source.
+    pub fn report_progress(&mut self, now_ms: u64, source: &Source, sent_upto_ms: u64) -> bool {
+        let Some(state) = self.source_mut(source) else { return false };
+        state.sent_upto_ms = state.sent_upto_ms.max(sent_upto_ms);
+        state.last_report_ms = state.last_report_ms.max(now_ms);
         true
     }
 
-    /// A life has ended and told all: it holds nothing open any more. What it may still send is known as
-    /// before.
-    pub fn ended(&mut self, source: &Source) {
-        self.sources.get_mut(source).into_iter().for_each(|seen| seen.gone = true);
+    /// A source has ended and sent everything: it holds no period open any more. Records that still come from
+    /// it are counted as before.
+    pub fn source_ended(&mut self, source: &Source) {
+        if let Some(state) = self.sources.get_mut(source) {
+            state.has_ended = true;
+        }
     }
 
-    /// All sequence numbers up to here are counted: what the source need not keep.
+    /// All sequence numbers up to here are counted or lost, so that the source need not retain them.
     #[must_use]
     pub fn counted_upto(&self, source: &Source) -> u64 {
-        self.sources.get(source).map_or(0, |seen| seen.upto)
+        self.sources.get(source).map_or(0, |state| state.counted.contiguous_upto())
     }
 
-    /// Up to when all sources that are heard have told all; none while there is no such source.
+    /// Up to when all sources that are heard from have sent everything, Unix time in ms; none if there is no
+    /// such source.
     #[must_use]
     pub fn watermark(&self, now_ms: u64) -> Option<u64> {
-        let since = now_ms.saturating_sub(self.settings.silent_most_ms);
-        let heard = self.sources.values().filter(|seen| !seen.gone && seen.heard_ms >= since);
-        heard.map(|seen| seen.told_ms).min()
+        let heard_since_ms = now_ms.saturating_sub(self.settings.max_silence_ms);
+        let counts = |state: &&SourceState| !state.has_ended && state.last_report_ms >= heard_since_ms;
+        self.sources.values().filter(counts).map(|state| state.sent_upto_ms).min()
     }
 
-    /// Closes the periods that the watermark has passed; none if there are none, or nothing to go out.
-    pub fn close(&mut self, now_ms: u64) -> Option<Batch> {
-        let watermark = self.watermark(now_ms)?;
-        let until_ms = (watermark - watermark % self.settings.period_ms).max(self.closed_ms);
-        let first_open = Key { period_ms: until_ms, customer: 0, plan: "".into(), version: 0, class: 0 };
-        let stay = self.open.split_off(&first_open);
-        let closes = std::mem::replace(&mut self.open, stay);
-        let late = std::mem::take(&mut self.late);
-        self.closed_ms = until_ms;
+    /// Closes the periods that the watermark has passed. None if nothing is to go out.
+    pub fn close_periods(&mut self, now_ms: u64) -> Option<Batch> {
+        let watermark_ms = self.watermark(now_ms)?;
+        let period_begin_ms = watermark_ms - watermark_ms % self.settings.period_ms;
+        self.closed_until_ms = self.closed_until_ms.max(period_begin_ms);
+        let closed = self.take_closed();
+        let adjustments = std::mem::take(&mut self.adjustments);
         let lost = std::mem::take(&mut self.lost);
-        if closes.is_empty() && late.is_empty() && lost == 0 {
+        if closed.is_empty() && adjustments.is_empty() && lost == 0 {
             return None;
         }
-        let line = |adjustment| move |(key, totals): (Key, Totals)| Line { key, totals, adjustment };
-        let lines = late.into_iter().map(line(true)).chain(closes.into_iter().map(line(false))).collect();
-        self.batches += 1;
-        Some(Batch { number: self.batches, until_ms, lines, lost })
+        let line =
+            |is_adjustment| move |(key, totals): (UsageKey, Totals)| BatchLine { key, totals, is_adjustment };
+        let lines = adjustments.into_iter().map(line(true)).chain(closed.into_iter().map(line(false)));
+        self.last_batch += 1;
+        Some(Batch { number: self.last_batch, until_ms: self.closed_until_ms, lines: lines.collect(), lost })
+    }
+
+    /// Takes the totals of periods before `closed_until_ms`.
+    fn take_closed(&mut self) -> BTreeMap<UsageKey, Totals> {
+        let first_open =
+            UsageKey { period_ms: self.closed_until_ms, customer: 0, plan: "".into(), version: 0, class: 0 };
+        let still_open = self.open.split_off(&first_open);
+        std::mem::replace(&mut self.open, still_open)
     }
 }
--- a/crates/usage/src/record.rs
+++ b/crates/usage/src/record.rs
@@ -1,4 +1,4 @@
-//! A charge that is final.
+//! A final charge.
 
 use std::fmt;
 use std::iter::Sum;
@@ -6,20 +6,24 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Thousandths of a unit in a unit.
+const THOUSANDTHS: i64 = 1_000;
+/// The greatest number of thousandths that a floating-point number of units gives exactly.
+const MAX_THOUSANDTHS: f64 = 9e15;
+
 /// Units in thousandths, so that sums are exact in any order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Units(i64);
 
 impl Units {
-    /// From units as the decisions charge them, to the nearest thousandth; none where that is no number that
-    /// fits.
+    /// Units to the nearest thousandth; none if they are not finite or at least 9 * 10^12.
     #[must_use]
-    pub fn of(units: f64) -> Option<Units> {
-        let thousandths = (units * 1000.0).round();
-        (thousandths.abs() < 9e15).then_some(Units(thousandths as i64))
+    pub fn from_f64(units: f64) -> Option<Units> {
+        let thousandths = (units * THOUSANDTHS as f64).round();
+        (thousandths.abs() < MAX_THOUSANDTHS).then_some(Units(thousandths as i64))
     }
 
-    /// In thousandths of a unit.
+    /// Thousandths of a unit.
     #[must_use]
     pub fn thousandths(self) -> i64 {
         self.0
@@ -29,49 +33,52 @@
 impl Add for Units {
     type Output = Units;
 
-    /// Danger: a sum that wraps round. It stays at the greatest; that takes 10^12 of the largest charges.
+    /// The sum; it stays at the greatest number rather than wrap. That takes 1,000 of the largest charges.
     fn add(self, other: Units) -> Units {
         Units(self.0.saturating_add(other.0))
     }
 }
 
 impl Sum for Units {
-    fn sum<I: Iterator<Item = Units>>(all: I) -> Units {
-        all.fold(Units::default(), Add::add)
+    fn sum<I: Iterator<Item = Units>>(units: I) -> Units {
+        units.fold(Units::default(), Add::add)
     }
 }
 
 impl fmt::Display for Units {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let sign = if self.0 < 0 { "-" } else { "" };
-        let (whole, part) = (self.0.unsigned_abs() / 1000, self.0.unsigned_abs() % 1000);
-        write!(f, "{sign}{whole}.{part:03}")
+        let thousandths = self.0.unsigned_abs();
+        let in_a_unit = THOUSANDTHS.unsigned_abs();
+        write!(f, "{sign}{}.{:03}", thousandths / in_a_unit, thousandths % in_a_unit)
     }
 }
 
-/// Who recorded: a gateway in one of its lives. A start is a new life.
+/// Who records: one incarnation of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub gateway: Box<str>,
     /// A number that no other start of it has.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
-/// A final charge. Within a life, sequence numbers start from 1 and leave none out, but for what was dropped.
+/// A final charge. The order of the fields is the stored form.
+///
+/// Sequence numbers of a source begin at 1. One is missing only if its record was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place in the life.
+    /// Place in the sequence of its source.
     pub sequence: u64,
-    /// When the charge was final, Unix ms.
+    /// When the charge became final, Unix time in ms.
     pub at_ms: u64,
-    /// Whose it is.
+    /// The customer.
     pub customer: u64,
-    /// The plan's name.
+    /// Name of the plan.
     pub plan: Box<str>,
-    /// The plan's version; 0 where plans have none.
+    /// Version of the plan; 0 if plans have none.
     pub version: u32,
-    /// The class of the request, by its place in the settings.
+    /// Class of the request, by its place in the settings.
     pub class: u16,
     /// What was charged.
     pub units: Units,
--- a/crates/usage/src/segment.rs
+++ b/crates/usage/src/segment.rs
@@ -1,14 +1,14 @@
-//! Segments of records: frames with length, check and a hash chain.
+//! Segments of records: frames with length, checksum and a hash chain.
 //!
 //! ```text
-//!  frame  = length (4 bytes, little-endian) | body | check (8 bytes)
-//!  chain  = BLAKE3(chain before | length | body); check = its first 8 bytes
-//!  segment = frame of the header, frames of records
-//!  header  = names the chain that the segment before ended in
+//!  frame    = length (4 bytes, little-endian) | body | checksum (8 bytes)
+//!  chain    = BLAKE3(chain before | length | body); checksum = its first 8 bytes
+//!  segment  = frame of the header, frames of records
+//!  header   = names the chain at the end of the segment before
 //! ```
 //!
-//! A segment that was cut, has a flipped bit, lost or gained a frame, or stands in for another one shows in
-//! its checks, or in the `previous` of the next.
+//! A segment that was cut short, has a flipped bit, lost or gained a frame, or was replaced shows in its
+//! checksums or in the `previous` of the next one.
 
 use serde::{Deserialize, Serialize};
 
@@ -18,158 +18,176 @@
 pub const FORMAT: u16 = 1;
 /// The longest body of a frame, bytes.
 pub const MAX_FRAME_BYTES: usize = 1024;
-const LENGTH: usize = 4;
-const CHECK: usize = 8;
+const LENGTH_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 8;
 
-/// The state of a chain: the BLAKE3 hash of all frames up to here.
+/// The BLAKE3 hash of all frames so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chain([u8; 32]);
-
-impl Chain {
-    fn then(&self, body: &[u8]) -> Chain {
-        let mut hash = blake3::Hasher::new();
-        hash.update(&self.0).update(&(body.len() as u32).to_le_bytes()).update(body);
-        Chain(*hash.finalize().as_bytes())
+pub struct HashChain([u8; 32]);
+
+impl HashChain {
+    fn after(&self, body: &[u8]) -> HashChain {
+        let mut hasher = blake3::Hasher::new();
+        hasher.update(&self.0);
+        hasher.update(&(body.len() as u32).to_le_bytes());
+        hasher.update(body);
+        HashChain(*hasher.finalize().as_bytes())
     }
 
-    fn check(&self) -> &[u8] {
-        &self.0[..CHECK]
+    fn checksum(&self) -> &[u8] {
+        &self.0[..CHECKSUM_BYTES]
     }
 }
 
-/// What a segment begins with.
+/// The first frame of a segment. The order of the fields is the stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Header {
+pub struct SegmentHeader {
     /// [`FORMAT`].
     pub format: u16,
-    /// The segment's number; the first is 1.
+    /// Number of the segment; the first is 1.
     pub number: u64,
-    /// Who recorded.
+    /// Who records.
     pub source: Source,
-    /// The chain that the segment before ended in.
-    pub previous: Chain,
+    /// The chain at the end of the segment before.
+    pub previous: HashChain,
 }
 
-/// Writes frames of one segment.
+/// Encodes the frames of one segment.
 #[derive(Debug)]
-pub struct Writer {
-    chain: Chain,
+pub struct SegmentWriter {
+    chain: HashChain,
 }
 
-/// Begins a segment: its writer, and the bytes of its header. None if the header is too long to be one.
-#[must_use]
-pub fn begin(header: &Header) -> Option<(Writer, Vec<u8>)> {
-    let mut writer = Writer { chain: Chain::default() };
-    let bytes = writer.frame(&postcard::to_allocvec(header).ok()?)?;
-    Some((writer, bytes))
-}
+impl SegmentWriter {
+    /// Begins a segment. Returns its writer and the bytes of its header; none if the header is too long for a
+    /// frame.
+    #[must_use]
+    pub fn begin(header: &SegmentHeader) -> Option<(SegmentWriter, Vec<u8>)> {
+        let mut writer = SegmentWriter { chain: HashChain::default() };
+        let bytes = writer.frame(&postcard::to_allocvec(header).ok()?)?;
+        Some((writer, bytes))
+    }
 
-impl Writer {
-    /// Goes on with a segment that was scanned.
+    /// Continues a segment after that chain.
     #[must_use]
-    pub fn after(chain: Chain) -> Writer {
-        Writer { chain }
+    pub fn resume(chain: HashChain) -> SegmentWriter {
+        SegmentWriter { chain }
     }
 
     /// The chain so far.
     #[must_use]
-    pub fn chain(&self) -> Chain {
+    pub fn chain(&self) -> HashChain {
         self.chain
     }
 
+    /// The bytes of a record's frame; none, with nothing changed, if it is too long for a frame.
+    #[must_use]
+    pub fn record(&mut self, record: &Record) -> Option<Vec<u8>> {
+        self.frame(&postcard::to_allocvec(record).ok()?)
+    }
+
     fn frame(&mut self, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > MAX_FRAME_BYTES {
             return None;
         }
-        self.chain = self.chain.then(body);
-        let mut bytes = Vec::with_capacity(LENGTH + body.len() + CHECK);
+        self.chain = self.chain.after(body);
+        let mut bytes = Vec::with_capacity(LENGTH_BYTES + body.len() + CHECKSUM_BYTES);
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         bytes.extend_from_slice(body);
-        bytes.extend_from_slice(self.chain.check());
+        bytes.extend_from_slice(self.chain.checksum());
         Some(bytes)
     }
-
-    /// The bytes of a record's frame; none if its plan's name is too long to be one, and then nothing is
-    /// changed.
-    #[must_use]
-    pub fn record(&mut self, record: &Record) -> Option<Vec<u8>> {
-        self.frame(&postcard::to_allocvec(record).ok()?)
-    }
 }
 
-/// How the reading of a segment ended.
+/// Where the valid part of a segment ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ScanEnd {
     /// With its last byte.
-    Whole,
-    /// Within a frame: the write of it was cut off, if this is the last segment.
-    Cut,
+    Complete,
+    /// Within a frame: the write of it was cut short, if this is the last segment.
+    Truncated,
     /// At a frame that is not what was written.
-    Spoilt,
+    Corrupt,
 }
 
-/// What a segment holds.
+/// The valid part of a segment.
 #[derive(Clone, Debug)]
-pub struct Scan {
-    /// None if not even that can be read.
-    pub header: Option<Header>,
-    /// Records up to the end, in order.
+pub struct ScannedSegment {
+    /// The header; none if it is not valid.
+    pub header: Option<SegmentHeader>,
+    /// The records, in order.
     pub records: Vec<Record>,
-    /// Bytes up to there.
-    pub good: usize,
-    /// The chain there.
-    pub chain: Chain,
-    /// How it ended.
-    pub end: End,
+    /// Length of the valid part, bytes.
+    pub valid_bytes: usize,
+    /// The chain at its end.
+    pub chain: HashChain,
+    /// Why it ends there.
+    pub end: ScanEnd,
 }
 
-/// Reads a segment up to the first byte that is not sound.
+impl ScannedSegment {
+    /// Takes the body of the next frame. Returns whether it is valid.
+    fn take(&mut self, body: &[u8]) -> bool {
+        if self.header.is_none() {
+            let header: Option<SegmentHeader> = postcard::from_bytes(body).ok();
+            self.header = header.filter(|header| header.format == FORMAT);
+            return self.header.is_some();
+        }
+        let Ok(record) = postcard::from_bytes::<Record>(body) else { return false };
+        if self.records.last().is_some_and(|last| last.sequence >= record.sequence) {
+            return false;
+        }
+        self.records.push(record);
+        true
+    }
+}
+
+/// Reads a segment up to the first byte that is not valid.
 #[must_use]
-pub fn scan(bytes: &[u8]) -> Scan {
-    let mut found =
-        Scan { header: None, records: Vec::new(), good: 0, chain: Chain::default(), end: End::Whole };
-    while found.good < bytes.len() {
-        match frame(&bytes[found.good..], &found.chain) {
-            Ok((body, chain)) => {
-                let sound = if found.header.is_none() {
-                    found.header = postcard::from_bytes(body).ok().filter(|h: &Header| h.format == FORMAT);
-                    found.header.is_some()
-                } else {
-                    let read: Option<Record> = postcard::from_bytes(body).ok();
-                    let next = read.filter(|r| found.records.last().is_none_or(|l| l.sequence < r.sequence));
-                    let sound = next.is_some();
-                    found.records.extend(next);
-                    sound
-                };
-                if !sound {
-                    found.end = End::Spoilt;
-                    return found;
-                }
-                found.good += LENGTH + body.len() + CHECK;
-                found.chain = chain;
-            }
+pub fn scan(bytes: &[u8]) -> ScannedSegment {
+    let mut segment = ScannedSegment {
+        header: None,
+        records: Vec::new(),
+        valid_bytes: 0,
+        chain: HashChain::default(),
+        end: ScanEnd::Complete,
+    };
+    while segment.valid_bytes < bytes.len() {
+        let frame = match read_frame(&bytes[segment.valid_bytes..], &segment.chain) {
+            Ok(frame) => frame,
             Err(end) => {
-                found.end = end;
-                return found;
+                segment.end = end;
+                return segment;
             }
+        };
+        if !segment.take(frame.body) {
+            segment.end = ScanEnd::Corrupt;
+            return segment;
         }
+        segment.valid_bytes += LENGTH_BYTES + frame.body.len() + CHECKSUM_BYTES;
+        segment.chain = frame.chain;
     }
-    found
+    segment
+}
+
+struct Frame<'a> {
+    body: &'a [u8],
+    /// The chain after the frame.
+    chain: HashChain,
 }
 
-fn frame<'a>(bytes: &'a [u8], before: &Chain) -> Result<(&'a [u8], Chain), End> {
-    let (length, rest) = bytes.split_first_chunk::<LENGTH>().ok_or(End::Cut)?;
+fn read_frame<'a>(bytes: &'a [u8], before: &HashChain) -> Result<Frame<'a>, ScanEnd> {
+    let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>().ok_or(ScanEnd::Truncated)?;
     let length = u32::from_le_bytes(*length) as usize;
-    // Danger: a length with a flipped bit, taken for a frame that goes on past the end.
+    // A length with a flipped bit must not pass for a frame that goes on past the end.
     if length > MAX_FRAME_BYTES {
-        return Err(End::Spoilt);
+        return Err(ScanEnd::Corrupt);
     }
-    let body = rest.get(..length).ok_or(End::Cut)?;
-    let check = rest.get(length..length + CHECK).ok_or(End::Cut)?;
-    let chain = before.then(body);
-    if chain.check() == check {
-        Ok((body, chain))
-    } else {
-        Err(End::Spoilt)
+    let body = rest.get(..length).ok_or(ScanEnd::Truncated)?;
+    let checksum = rest.get(length..length + CHECKSUM_BYTES).ok_or(ScanEnd::Truncated)?;
+    let chain = before.after(body);
+    if chain.checksum() != checksum {
+        return Err(ScanEnd::Corrupt);
     }
+    Ok(Frame { body, chain })
 }
--- a/crates/usage/tests/segment.rs
+++ b/crates/usage/tests/segment.rs
@@ -1,6 +1,6 @@
 //! Segments that were cut, spoilt or replaced.
 
-use usage::{begin, scan, Chain, End, Header, Record, Source, Units, Writer, FORMAT};
+use usage::{scan, HashChain, Record, ScanEnd, SegmentHeader, SegmentWriter, Source, Units, FORMAT};
 
 fn record(sequence: u64) -> Record {
     Record {
@@ -10,17 +10,22 @@
         plan: "standard".into(),
         version: 2,
         class: 1,
-        units: Units::of(2.5).expect("fits"),
+        units: Units::from_f64(2.5).expect("fits"),
     }
 }
 
-fn header(number: u64, previous: Chain) -> Header {
-    Header { format: FORMAT, number, source: Source { gateway: "n3".into(), life: 7 }, previous }
+fn header(number: u64, previous: HashChain) -> SegmentHeader {
+    SegmentHeader {
+        format: FORMAT,
+        number,
+        source: Source { gateway: "n3".into(), incarnation: 7 },
+        previous,
+    }
 }
 
 /// A segment of so many records, and the bytes at which each frame ends.
-fn segment(records: u64) -> (Vec<u8>, Vec<usize>, Chain) {
-    let (mut writer, mut bytes) = begin(&header(1, Chain::default())).expect("short");
+fn segment(records: u64) -> (Vec<u8>, Vec<usize>, HashChain) {
+    let (mut writer, mut bytes) = SegmentWriter::begin(&header(1, HashChain::default())).expect("short");
     let mut ends = vec![bytes.len()];
     for sequence in 1..=records {
         bytes.extend(writer.record(&record(sequence)).expect("short"));
@@ -30,64 +35,64 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_goes_on() {
+fn scans_what_was_written_and_resumes() {
     let (mut bytes, _, chain) = segment(5);
     let found = scan(&bytes);
-    assert_eq!((found.end, found.good, found.chain), (End::Whole, bytes.len(), chain));
-    assert_eq!(found.header, Some(header(1, Chain::default())));
+    assert_eq!((found.end, found.valid_bytes, found.chain), (ScanEnd::Complete, bytes.len(), chain));
+    assert_eq!(found.header, Some(header(1, HashChain::default())));
     assert_eq!(found.records, (1..=5).map(record).collect::<Vec<_>>());
-    bytes.extend(Writer::after(found.chain).record(&record(6)).expect("short"));
+    bytes.extend(SegmentWriter::resume(found.chain).record(&record(6)).expect("short"));
     assert_eq!(scan(&bytes).records.len(), 6);
     // Some 40 bytes a record.
     assert!(bytes.len() < 6 * 50 + 100, "{} bytes", bytes.len());
 }
 
-/// Danger: a write that was cut anywhere: what was whole before it is kept, and nothing is made up.
+/// A write that was cut anywhere: what was whole before it is kept, and nothing is made up.
 #[test]
-fn a_segment_cut_at_any_byte_gives_the_records_that_were_whole() {
+fn cut_segment_gives_its_complete_records() {
     let (bytes, ends, _) = segment(6);
     for cut in 0..bytes.len() {
         let found = scan(&bytes[..cut]);
         let whole = ends.iter().filter(|end| **end <= cut).count();
         assert_eq!(found.records.len() + usize::from(found.header.is_some()), whole, "cut at {cut}");
-        assert_eq!(found.good, if whole == 0 { 0 } else { ends[whole - 1] });
-        let wanted = if cut == found.good { End::Whole } else { End::Cut };
+        assert_eq!(found.valid_bytes, if whole == 0 { 0 } else { ends[whole - 1] });
+        let wanted = if cut == found.valid_bytes { ScanEnd::Complete } else { ScanEnd::Truncated };
         assert_eq!(found.end, wanted, "cut at {cut}");
     }
 }
 
-/// Danger: a bit that flipped on the disk, counted as use.
+/// A bit that flipped on the disk, counted as use.
 #[test]
-fn a_flipped_bit_anywhere_ends_the_reading_before_its_frame() {
+fn flipped_bit_ends_the_scan_before_its_frame() {
     let (bytes, ends, _) = segment(4);
     for bit in 0..bytes.len() * 8 {
         let mut odd = bytes.clone();
         odd[bit / 8] ^= 1 << (bit % 8);
         let found = scan(&odd);
         let sound = ends.iter().filter(|end| **end <= bit / 8).count();
-        assert_ne!(found.end, End::Whole, "bit {bit}");
+        assert_ne!(found.end, ScanEnd::Complete, "bit {bit}");
         assert_eq!(found.records.len() + usize::from(found.header.is_some()), sound, "bit {bit}");
     }
 }
 
 #[test]
-fn frames_that_were_left_out_doubled_or_swapped_are_found() {
+fn detects_missing_repeated_and_swapped_frames() {
     let (bytes, ends, _) = segment(4);
     let frame = |n: usize| &bytes[ends[n]..ends[n + 1]];
     let (head, rest) = (&bytes[..ends[0]], [frame(0), frame(1), frame(2), frame(3)]);
     for order in [vec![0, 2, 3], vec![0, 0, 1], vec![1, 0, 2, 3], vec![1, 2, 3]] {
         let odd: Vec<u8> = head.iter().copied().chain(order.iter().flat_map(|n| rest[*n].to_vec())).collect();
-        assert_eq!(scan(&odd).end, End::Spoilt, "{order:?}");
+        assert_eq!(scan(&odd).end, ScanEnd::Corrupt, "{order:?}");
     }
 }
 
-/// Danger: a segment replaced by an older one of itself: it is sound, and the next one tells.
+/// A segment replaced by an older one of itself: it is sound, and the next one tells.
 #[test]
-fn an_older_segment_in_place_of_a_newer_one_shows_in_the_next() {
+fn replaced_segment_breaks_the_chain_of_the_next() {
     let (bytes, ends, chain) = segment(4);
-    let (_, next) = begin(&header(2, chain)).expect("short");
+    let (_, next) = SegmentWriter::begin(&header(2, chain)).expect("short");
     let older = scan(&bytes[..ends[2]]);
-    assert_eq!(older.end, End::Whole);
+    assert_eq!(older.end, ScanEnd::Complete);
     let previous = scan(&next).header.expect("read").previous;
     assert_ne!(older.chain, previous);
     assert_eq!(scan(&bytes).chain, previous);
