--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -141,3 +141,24 @@
         assert_eq!(wrong.to_string(), text);
     }
 }
+
+#[test]
+fn files_of_another_shape_have_recorded_texts() {
+    let mut all = String::new();
+    for text in [
+        "",
+        "5",
+        "revision = 1\nplan = 5",
+        "revision = 1\nplan = [5]",
+        "revision = 1\nplan = {}",
+        "revision = 1\nplan = [[]]",
+        "revision = 1\n[plan]\nname = \"a\"",
+        "revision = 1\ncustomer = \"x\"",
+        "revision = 1\ncustomer = [\"x\"]",
+        "revision = []",
+    ] {
+        let read = read_catalogue(text).map(|all| all.revision()).map_err(|bad| bad.to_string());
+        writeln!(all, "{text:?}\n{read:?}\n").expect("a string takes all");
+    }
+    assert_eq!(all, std::fs::read_to_string(data("shapes.txt")).expect("recorded"));
+}
