--- a/crates/plans/src/catalogue_file.rs
+++ b/crates/plans/src/catalogue_file.rs
@@ -1,4 +1,5 @@
-//! A catalogue as operators write it, in TOML: read whole or not at all, with what is wrong by line and key.
+//! The catalogue's file, in TOML as operators write it. It is read whole or not at all, with all faults by
+//! line and key.
 
 use std::fmt;
 use std::ops::Range;
@@ -12,17 +13,23 @@
 
 /// The longest name of a plan, bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Customers are numbers below 2^33.
-const CUSTOMERS: u64 = 1 << 33;
+/// Hex digits of a customer's id.
+const CUSTOMER_ID_DIGITS: usize = 16;
+/// Customers are numbers below this.
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+/// A fault of the whole file has this place.
+const WHOLE_FILE: Range<usize> = 0..0;
+
+// The names of these structs stand in texts of the parser, which operators read.
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
     revision: u64,
-    #[serde(default)]
-    plan: Vec<Spanned<PlanLine>>,
-    #[serde(default)]
-    customer: Vec<Spanned<CustomerLine>>,
+    #[serde(default, rename = "plan")]
+    plans: Vec<Spanned<PlanLine>>,
+    #[serde(default, rename = "customer")]
+    customers: Vec<Spanned<CustomerLine>>,
 }
 
 #[derive(Deserialize)]
@@ -49,28 +56,28 @@
     from: Option<Spanned<String>>,
 }
 
-/// One thing that is wrong.
+/// Something that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileFault {
-    /// Line of the file, from 1; 0 if it is the whole file.
+    /// Line of the file, from 1; 0 if the parser names no place.
     pub line: usize,
-    /// Key, such as `customer.from`.
+    /// Key, such as `customer.from`; empty if there is none.
     pub key: String,
     /// What is wrong and what is wanted.
     pub wanted: String,
 }
 
-/// A file that is no catalogue: all that is wrong with it, in the order of the lines.
+/// A file that is no catalogue: all its faults, in the order of their lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogueFileError(pub Vec<FileFault>);
 
 impl fmt::Display for CatalogueFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, FileFault { line, key, wanted }) in self.0.iter().enumerate() {
-            let end = if i == 0 { "" } else { "\n" };
+            let separator = if i == 0 { "" } else { "\n" };
             match key.as_str() {
-                "" => write!(f, "{end}line {line}: {wanted}")?,
-                key => write!(f, "{end}line {line}: {key}: {wanted}")?,
+                "" => write!(f, "{separator}line {line}: {wanted}")?,
+                key => write!(f, "{separator}line {line}: {key}: {wanted}")?,
             }
         }
         Ok(())
@@ -79,134 +86,196 @@
 
 impl std::error::Error for CatalogueFileError {}
 
-struct Faults<'a> {
+/// Collects the faults of a file.
+struct FaultCollector<'a> {
     text: &'a str,
-    all: Vec<FileFault>,
+    faults: Vec<FileFault>,
 }
 
-impl Faults<'_> {
-    fn line(&self, span: &Range<usize>) -> usize {
-        let before = self.text.as_bytes().get(..span.start).unwrap_or_default();
+impl FaultCollector<'_> {
+    /// The line that a place begins in.
+    fn line_of(&self, place: &Range<usize>) -> usize {
+        let before = self.text.as_bytes().get(..place.start).unwrap_or_default();
         1 + before.iter().filter(|byte| **byte == b'\n').count()
     }
 
-    fn say(&mut self, span: &Range<usize>, key: &str, wanted: impl Into<String>) {
-        let line = self.line(span);
-        self.all.push(FileFault { line, key: key.to_string(), wanted: wanted.into() });
+    fn add(&mut self, place: &Range<usize>, key: &str, wanted: impl Into<String>) {
+        let line = self.line_of(place);
+        self.faults.push(FileFault { line, key: key.to_string(), wanted: wanted.into() });
     }
 
-    /// A number of 0 or more.
-    fn number(&mut self, value: &Spanned<f64>, key: &str) -> f64 {
-        let n = *value.get_ref();
-        if !(n.is_finite() && n >= 0.0) {
-            self.say(&value.span(), key, format!("{n} is no finite number of 0 or more"));
+    /// A number, which has to be finite and 0 or more.
+    fn check_number(&mut self, value: &Spanned<f64>, key: &str) -> f64 {
+        let number = *value.get_ref();
+        if !(number.is_finite() && number >= 0.0) {
+            self.add(&value.span(), key, format!("{number} is no finite number of 0 or more"));
         }
-        n
+        number
     }
 }
 
+/// A customer's plan, and its place in the file.
+struct PlacedAssignment {
+    customer: u64,
+    assignment: Assignment,
+    place: Range<usize>,
+}
+
 /// Reads a catalogue.
 ///
-/// # Errors A [`BadCatalogue`] with all values that don't fit; of unknown, missing and mistyped keys the
-/// first alone, as the rest can't be read past it.
+/// # Errors
+/// A [`CatalogueFileError`] with all values that are not allowed. Of unknown, missing and mistyped keys it has
+/// the first alone, as the rest cannot be read past it.
 pub fn read_catalogue(text: &str) -> Result<Catalogue, CatalogueFileError> {
-    let mut faults = Faults { text, all: Vec::new() };
-    let file: File = toml::from_str(text).map_err(|e| {
-        let line = e.span().map_or(0, |span| faults.line(&span));
-        CatalogueFileError(vec![FileFault { line, key: String::new(), wanted: e.message().to_string() }])
+    let mut collector = FaultCollector { text, faults: Vec::new() };
+    let file: File = toml::from_str(text).map_err(|error| {
+        let line = error.span().map_or(0, |place| collector.line_of(&place));
+        let wanted = error.message().to_string();
+        CatalogueFileError(vec![FileFault { line, key: String::new(), wanted }])
     })?;
-    let mut plans = Vec::with_capacity(file.plan.len());
-    for plan in &file.plan {
-        plans.push(read_plan(plan.get_ref(), &mut faults));
-    }
-    let mut spans = Vec::with_capacity(file.customer.len());
-    let mut customers = Vec::with_capacity(file.customer.len());
-    for customer in &file.customer {
-        if let Some(read) = read_customer(customer.get_ref(), &plans, &mut faults) {
-            spans.push(customer.span());
-            customers.push(read);
-        }
-    }
+    let plans: Vec<(Plan, PlanLimits)> =
+        file.plans.iter().map(|entry| read_plan(entry.get_ref(), &mut collector)).collect();
+    let assignments: Vec<PlacedAssignment> =
+        file.customers.iter().filter_map(|entry| read_assignment(entry, &plans, &mut collector)).collect();
     if file.revision == 0 {
-        faults.say(&(0..0), "revision", "a number from 1, which grows with each change, is wanted");
+        let wanted = "a number from 1, which grows with each change, is wanted";
+        collector.add(&WHOLE_FILE, "revision", wanted);
     }
-    if !faults.all.is_empty() {
-        faults.all.sort_by_key(|fault| fault.line);
-        return Err(CatalogueFileError(faults.all));
+    if !collector.faults.is_empty() {
+        collector.faults.sort_by_key(|fault| fault.line);
+        return Err(CatalogueFileError(collector.faults));
     }
-    let plan_span = |plan: &Plan| {
-        let same = |p: &&Spanned<PlanLine>| {
-            p.get_ref().name.get_ref().as_str() == &*plan.name
-                && *p.get_ref().version.get_ref() == plan.version
+    let pairs = assignments.iter().map(|placed| (placed.customer, placed.assignment.clone()));
+    Catalogue::new(file.revision, plans, pairs).map_err(|error| {
+        let (place, key) = place_of(&error, &file.plans, &assignments);
+        collector.add(&place, key, error.to_string());
+        CatalogueFileError(collector.faults)
+    })
+}
+
+/// Place and key of what is wrong with a catalogue: the last entry that it can be.
+fn place_of(
+    error: &CatalogueError,
+    plans: &[Spanned<PlanLine>],
+    assignments: &[PlacedAssignment],
+) -> (Range<usize>, &'static str) {
+    let last_plan = |plan: &Plan| {
+        let is_plan = |entry: &&Spanned<PlanLine>| {
+            let entry = entry.get_ref();
+            entry.name.get_ref().as_str() == &*plan.name && *entry.version.get_ref() == plan.version
         };
-        file.plan.iter().rev().find(same).map_or(0..0, Spanned::span)
+        plans.iter().rev().find(is_plan).map_or(WHOLE_FILE, Spanned::span)
     };
-    Catalogue::new(file.revision, plans, customers.iter().cloned()).map_err(|wrong| {
-        let of = |wanted: u64, fits: &dyn Fn(&Assignment) -> bool| {
-            let place = customers.iter().rposition(|(id, a)| *id == wanted && fits(a));
-            place.map_or(0..0, |i| spans[i].clone())
-        };
-        let (span, key) = match &wrong {
-            CatalogueError::Terms(plan) | CatalogueError::Version(plan) => (plan_span(plan), "plan.version"),
-            CatalogueError::NoPlan(id, plan) => (of(*id, &|a| a.plan == *plan), "customer.plan"),
-            CatalogueError::Twice(id, from) => (of(*id, &|a| a.from_ms == *from), "customer.from"),
-            CatalogueError::TooMany(..) => (0..0, ""),
-        };
-        faults.say(&span, key, wrong.to_string());
-        CatalogueFileError(faults.all)
-    })
+    let last_assignment = |matches: &dyn Fn(&PlacedAssignment) -> bool| {
+        let last = assignments.iter().rev().find(|placed| matches(placed));
+        last.map_or(WHOLE_FILE, |placed| placed.place.clone())
+    };
+    match error {
+        CatalogueError::InvalidLimits(plan) | CatalogueError::InvalidVersion(plan) => {
+            (last_plan(plan), "plan.version")
+        }
+        CatalogueError::UnknownPlan { customer, plan } => {
+            let is_it =
+                |placed: &PlacedAssignment| placed.customer == *customer && placed.assignment.plan == *plan;
+            (last_assignment(&is_it), "customer.plan")
+        }
+        CatalogueError::TwoPlans { customer, from_ms } => {
+            let is_it = |placed: &PlacedAssignment| {
+                placed.customer == *customer && placed.assignment.from_ms == *from_ms
+            };
+            (last_assignment(&is_it), "customer.from")
+        }
+        CatalogueError::TooMany { .. } => (WHOLE_FILE, ""),
+    }
 }
 
-fn read_plan(line: &PlanLine, faults: &mut Faults<'_>) -> (Plan, PlanLimits) {
-    let name = line.name.get_ref();
+fn read_plan(entry: &PlanLine, collector: &mut FaultCollector<'_>) -> (Plan, PlanLimits) {
+    let name = entry.name.get_ref();
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
-        faults.say(&line.name.span(), "plan.name", format!("1 to {MAX_NAME_BYTES} bytes are wanted"));
+        let wanted = format!("1 to {MAX_NAME_BYTES} bytes are wanted");
+        collector.add(&entry.name.span(), "plan.name", wanted);
     }
-    let mut optional = |value: &Option<Spanned<f64>>, key| value.as_ref().map(|v| faults.number(v, key));
-    let ceiling_rate = optional(&line.ceiling_rate, "plan.ceiling_rate");
-    let ceiling_burst = optional(&line.ceiling_burst, "plan.ceiling_burst");
-    let rate = faults.number(&line.rate, "plan.rate");
-    let burst = faults.number(&line.burst, "plan.burst");
-    // Danger: a ceiling under the quota, which refuses what was sold.
+    let plan = Plan { name: name.as_str().into(), version: *entry.version.get_ref() };
+    (plan, read_limits(entry, collector))
+}
+
+fn read_limits(entry: &PlanLine, collector: &mut FaultCollector<'_>) -> PlanLimits {
+    let mut optional =
+        |value: &Option<Spanned<f64>>, key| value.as_ref().map(|value| collector.check_number(value, key));
+    let ceiling_rate = optional(&entry.ceiling_rate, "plan.ceiling_rate");
+    let ceiling_burst = optional(&entry.ceiling_burst, "plan.ceiling_burst");
+    let rate = collector.check_number(&entry.rate, "plan.rate");
+    let burst = collector.check_number(&entry.burst, "plan.burst");
+    // A ceiling below the quota would reject what was sold.
     if ceiling_rate.is_some_and(|ceiling| ceiling < rate) {
-        let span = line.ceiling_rate.as_ref().map_or(0..0, Spanned::span);
-        faults.say(&span, "plan.ceiling_rate", format!("the rate, {rate}, or more is wanted"));
+        let place = entry.ceiling_rate.as_ref().map_or(WHOLE_FILE, Spanned::span);
+        collector.add(&place, "plan.ceiling_rate", format!("the rate, {rate}, or more is wanted"));
     }
     if ceiling_rate.is_some() != ceiling_burst.is_some() {
-        faults.say(&line.name.span(), "plan.ceiling_rate", "ceiling_rate and ceiling_burst go together");
+        let wanted = "ceiling_rate and ceiling_burst go together";
+        collector.add(&entry.name.span(), "plan.ceiling_rate", wanted);
+    }
+    PlanLimits {
+        rate,
+        burst,
+        ceiling_rate: ceiling_rate.unwrap_or(0.0),
+        ceiling_burst: ceiling_burst.unwrap_or(0.0),
     }
-    let plan = Plan { name: name.as_str().into(), version: *line.version.get_ref() };
-    let (ceiling_rate, ceiling_burst) = (ceiling_rate.unwrap_or(0.0), ceiling_burst.unwrap_or(0.0));
-    (plan, PlanLimits { rate, burst, ceiling_rate, ceiling_burst })
 }
 
-fn read_customer(
-    line: &CustomerLine,
+/// Reads a customer's entry. Without a version it has the newest version of its plan.
+fn read_assignment(
+    entry: &Spanned<CustomerLine>,
     plans: &[(Plan, PlanLimits)],
-    faults: &mut Faults<'_>,
-) -> Option<(u64, Assignment)> {
-    let id = line.id.get_ref();
-    let hex = id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit());
-    let number = u64::from_str_radix(id, 16).ok().filter(|n| hex && *n < CUSTOMERS);
-    if number.is_none() {
-        faults.say(&line.id.span(), "customer.id", "16 hex digits, a number below 2^33, are wanted");
+    collector: &mut FaultCollector<'_>,
+) -> Option<PlacedAssignment> {
+    let place = entry.span();
+    let entry = entry.get_ref();
+    let customer = read_customer_id(&entry.id, collector);
+    let newest_version = read_newest_version(&entry.plan, plans, collector);
+    let from_ms = match &entry.from {
+        Some(from) => read_instant(from, collector),
+        None => Some(0),
+    };
+    let version = entry.version.as_ref().map(|version| *version.get_ref()).or(newest_version)?;
+    let plan = Plan { name: entry.plan.get_ref().as_str().into(), version };
+    let assignment = Assignment { from_ms: from_ms?, plan };
+    Some(PlacedAssignment { customer: customer?, assignment, place })
+}
+
+fn read_customer_id(id: &Spanned<String>, collector: &mut FaultCollector<'_>) -> Option<u64> {
+    let digits = id.get_ref();
+    let is_hex = digits.len() == CUSTOMER_ID_DIGITS && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    let number = u64::from_str_radix(digits, 16).ok();
+    let customer = number.filter(|number| is_hex && *number < CUSTOMER_LIMIT);
+    if customer.is_none() {
+        let wanted = "16 hex digits, a number below 2^33, are wanted";
+        collector.add(&id.span(), "customer.id", wanted);
     }
-    let name = line.plan.get_ref();
-    let versions = plans.iter().map(|(plan, _)| plan).filter(|plan| *plan.name == **name);
-    let newest = versions.map(|plan| plan.version).max();
+    customer
+}
+
+fn read_newest_version(
+    name: &Spanned<String>,
+    plans: &[(Plan, PlanLimits)],
+    collector: &mut FaultCollector<'_>,
+) -> Option<u32> {
+    let of_name = plans.iter().map(|(plan, _)| plan).filter(|plan| *plan.name == **name.get_ref());
+    let newest = of_name.map(|plan| plan.version).max();
     if newest.is_none() {
-        faults.say(&line.plan.span(), "customer.plan", format!("{name:?} is no plan of this file"));
+        let wanted = format!("{:?} is no plan of this file", name.get_ref());
+        collector.add(&name.span(), "customer.plan", wanted);
     }
-    let from_ms = line.from.as_ref().map_or(Some(0), |from| {
-        let read: Option<Timestamp> = from.get_ref().parse().ok();
-        let ms = read.and_then(|at| u64::try_from(at.as_millisecond()).ok());
-        if ms.is_none() {
-            let wanted = "a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
-            faults.say(&from.span(), "customer.from", wanted);
-        }
-        ms
-    });
-    let version = line.version.as_ref().map(|v| *v.get_ref()).or(newest)?;
-    let plan = Plan { name: name.as_str().into(), version };
-    Some((number?, Assignment { from_ms: from_ms?, plan }))
+    newest
+}
+
+/// An instant from 1970 on, Unix time in ms.
+fn read_instant(from: &Spanned<String>, collector: &mut FaultCollector<'_>) -> Option<u64> {
+    let instant: Option<Timestamp> = from.get_ref().parse().ok();
+    let instant_ms = instant.and_then(|instant| u64::try_from(instant.as_millisecond()).ok());
+    if instant_ms.is_none() {
+        let wanted = "a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
+        collector.add(&from.span(), "customer.from", wanted);
+    }
+    instant_ms
 }
--- a/crates/plans/src/fence.rs
+++ b/crates/plans/src/fence.rs
@@ -1,45 +1,47 @@
-//! The catalogue that a gateway goes by: the newest it was told of, whatever the order in which it was told.
+//! The catalogue that a gateway uses: the newest it was given, in whatever order they came.
 
 use crate::catalogue::Catalogue;
 
-/// What came of a catalogue that was told.
+/// What became of a catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceOutcome {
-    /// It is in force.
+    /// It is in force now.
     New,
-    /// It was in force already: an order's repeat.
+    /// It was in force already: a repeated order.
     Same,
-    /// A newer one is in force: an order that came late, which changes nothing.
+    /// A newer one is in force: a late order, which changes nothing.
     Stale {
         /// The revision in force.
         holds: u64,
     },
-    /// Another one of the same revision is in force: two agents that don't know of each other, or a file that
-    /// was changed without a new revision. Nothing changes.
+    /// Another one with the same revision is in force: from two agents that do not know of each other, or a
+    /// file that was changed without a new revision. Nothing changes.
     Conflict,
 }
 
-/// Holds a catalogue.
+/// Holds the newest catalogue.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueFence {
     held: Option<Catalogue>,
 }
 
 impl CatalogueFence {
-    /// Takes a catalogue in, if it is newer.
-    pub fn take(&mut self, told: Catalogue) -> FenceOutcome {
+    /// Takes a catalogue if it is newer.
+    pub fn take(&mut self, catalogue: Catalogue) -> FenceOutcome {
         match &self.held {
-            Some(held) if held.revision() > told.revision() => FenceOutcome::Stale { holds: held.revision() },
-            Some(held) if held.revision() == told.revision() && *held == told => FenceOutcome::Same,
-            Some(held) if held.revision() == told.revision() => FenceOutcome::Conflict,
+            Some(held) if held.revision() > catalogue.revision() => {
+                FenceOutcome::Stale { holds: held.revision() }
+            }
+            Some(held) if *held == catalogue => FenceOutcome::Same,
+            Some(held) if held.revision() == catalogue.revision() => FenceOutcome::Conflict,
             _ => {
-                self.held = Some(told);
+                self.held = Some(catalogue);
                 FenceOutcome::New
             }
         }
     }
 
-    /// What is in force; none before the first.
+    /// The catalogue in force; none before the first.
     #[must_use]
     pub fn held(&self) -> Option<&Catalogue> {
         self.held.as_ref()
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,15 +1,12 @@
-//! Plans in service: which terms a customer has at an instant, what a change in the middle of a window does
-//! to what was counted, and reservations of allowance. Nothing here does input or output or reads a clock:
-//! times are Unix milliseconds that the caller gives.
+//! Plans in service: which limits a customer has at an instant, what a change of plan within a window does to
+//! what was counted, and reservations of allowance. No I/O, no clock: times are Unix time in ms, given by the
+//! caller.
 //!
-//! ```text
-//!  file ─▶ Catalogue: plans, versions, customers ─▶ Fence: newest revision wins, whole or not at all
-//!                        │ timeline(customer)
-//!                        ▼
-//!                    Timeline: terms at an instant, refill between two, level off a total
-//!                        ▲
-//!  reserve, confirm, extend, release ─▶ Book: leases with fencing tokens, within what the ceiling leaves
-//! ```
+//! - [`read_catalogue`]: the catalogue's file, as operators write it
+//! - [`Catalogue`]: plans, their versions, and which customer has which plan from when on
+//! - [`CatalogueFence`]: the newest revision that a gateway was given
+//! - [`PlanTimeline`]: a customer's limits over time; refill and levels of token buckets across changes
+//! - [`ReservationLedger`]: reservations with fencing tokens, within what the ceiling allows
 
 mod catalogue;
 mod catalogue_file;
--- a/crates/plans/src/timeline.rs
+++ b/crates/plans/src/timeline.rs
@@ -1,126 +1,154 @@
-//! A customer's terms over time, and what a change of them does to what was counted.
+//! A customer's limits over time, and what a change of them does to what was counted.
 //!
-//! What was counted stays counted: the state of a store is its debt, the units that it lacks of full, and a
-//! change touches no debt. So a level moves by the difference of the bursts at the instant of the change,
-//! and two gateways that read one total read one level, with no call of their own (`docs/design/plans.md`
-//! has the rules that were not taken).
+//! What was counted stays counted: the state of a token bucket is its debt, the units that it lacks of full,
+//! and a change leaves the debt as it is. So a level moves by the difference of the bursts at the instant of
+//! the change, and two gateways that read one total read one level, without further calls
+//! (`docs/design/plans.md` has the alternatives).
 
-/// What a plan's version grants. Rates are units a second; units are those that requests are charged.
+/// The limits of a version of a plan. Units are those that requests are charged.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlanLimits {
-    /// Units that fill the store each second, 0 or more.
+    /// Refill of the quota's token bucket, units a second, 0 or more.
     pub rate: f64,
-    /// Units that the store holds, 0 or more.
+    /// Size of the quota's token bucket, units, 0 or more.
     pub burst: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Refill of the ceiling's token bucket, units a second; 0: there is no ceiling.
     pub ceiling_rate: f64,
-    /// Units that the ceiling's store holds.
+    /// Size of the ceiling's token bucket, units.
     pub ceiling_burst: f64,
 }
 
+/// A bound of the units in any span of time: a burst, and a rate.
+struct ArrivalCurve {
+    rate: f64,
+    burst: f64,
+}
+
 impl PlanLimits {
-    /// The bounds that a reservation may not pass: the ceiling's, or the quota's where there is no ceiling.
-    fn most(&self) -> (f64, f64) {
+    /// Whether all limits are finite numbers of 0 or more.
+    pub(crate) fn is_valid(&self) -> bool {
+        let numbers = [self.rate, self.burst, self.ceiling_rate, self.ceiling_burst];
+        numbers.iter().all(|number| number.is_finite() && *number >= 0.0)
+    }
+
+    /// What reservations may not exceed: the ceiling, or the quota if there is no ceiling.
+    fn reservable(&self) -> ArrivalCurve {
         if self.ceiling_rate > 0.0 {
-            (self.ceiling_rate, self.ceiling_burst)
+            ArrivalCurve { rate: self.ceiling_rate, burst: self.ceiling_burst }
         } else {
-            (self.rate, self.burst)
+            ArrivalCurve { rate: self.rate, burst: self.burst }
         }
     }
 }
 
-/// Terms from their instants on, in order. There is at least one, in force since ever.
+/// Limits from an instant on.
+#[derive(Clone, Debug, PartialEq)]
+struct TimelineStep {
+    /// Unix time in ms.
+    from_ms: u64,
+    limits: PlanLimits,
+}
+
+/// Limits that are in force for a time.
+struct TimelineSpan<'a> {
+    duration_ms: f64,
+    limits: &'a PlanLimits,
+}
+
+/// A customer's limits over time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanTimeline {
-    /// The first is in force before its instant too.
-    steps: Vec<(u64, PlanLimits)>,
+    /// In order, at least one. The first is in force before its instant too.
+    steps: Vec<TimelineStep>,
 }
 
 impl PlanTimeline {
-    /// Terms that never change.
+    /// Limits that never change.
     #[must_use]
-    pub fn always(terms: PlanLimits) -> PlanTimeline {
-        PlanTimeline { steps: vec![(0, terms)] }
+    pub fn always(limits: PlanLimits) -> PlanTimeline {
+        PlanTimeline { steps: vec![TimelineStep { from_ms: 0, limits }] }
     }
 
-    /// Adds terms from an instant (Unix ms) on. Of two for one instant the later call wins, so that a
-    /// change and its change back in one instant are no change.
+    /// Adds limits from an instant on, Unix time in ms. They replace others from the same instant, so that a
+    /// change and its reversal in one instant are no change.
     #[must_use]
-    pub fn then(mut self, from_ms: u64, terms: PlanLimits) -> PlanTimeline {
-        let place = self.steps.partition_point(|(at, _)| *at < from_ms);
-        match self.steps.get_mut(place).filter(|(at, _)| *at == from_ms) {
-            Some(step) => step.1 = terms,
-            None => self.steps.insert(place, (from_ms, terms)),
+    pub fn then(mut self, from_ms: u64, limits: PlanLimits) -> PlanTimeline {
+        let index = self.steps.partition_point(|step| step.from_ms < from_ms);
+        match self.steps.get_mut(index) {
+            Some(step) if step.from_ms == from_ms => step.limits = limits,
+            _ => self.steps.insert(index, TimelineStep { from_ms, limits }),
         }
         self
     }
 
-    /// The terms in force at an instant.
+    /// The limits in force at an instant, Unix time in ms.
     #[must_use]
-    pub fn at(&self, ms: u64) -> &PlanLimits {
-        &self.steps[self.place(ms)].1
+    pub fn at(&self, at_ms: u64) -> &PlanLimits {
+        &self.steps[self.step_at(at_ms)].limits
     }
 
-    fn place(&self, ms: u64) -> usize {
-        self.steps.partition_point(|(from, _)| *from <= ms).saturating_sub(1)
+    fn step_at(&self, at_ms: u64) -> usize {
+        self.steps.partition_point(|step| step.from_ms <= at_ms).saturating_sub(1)
     }
 
-    /// The next instant after this one at which terms change.
+    /// The next instant after this one at which limits change, Unix time in ms.
     #[must_use]
     pub fn next_change(&self, after_ms: u64) -> Option<u64> {
-        // The first one is in force before its instant.
-        self.steps[1..].iter().map(|(from, _)| *from).find(|from| *from > after_ms)
+        // The first step is in force before its instant, so it is no change.
+        self.steps[1..].iter().map(|step| step.from_ms).find(|from_ms| *from_ms > after_ms)
     }
 
-    /// The terms between two instants, each with the ms for which they are in force.
-    fn between(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = (f64, &PlanLimits)> {
-        let (first, last) = (self.place(from_ms), self.place(to_ms));
+    /// The limits between two instants, in order.
+    fn spans(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = TimelineSpan<'_>> {
+        let (first, last) = (self.step_at(from_ms), self.step_at(to_ms));
         (first..=last).map(move |i| {
-            let begins = if i == first { from_ms } else { self.steps[i].0 };
-            let ends = if i == last { to_ms } else { self.steps[i + 1].0 };
-            (ends.saturating_sub(begins) as f64, &self.steps[i].1)
+            let begin_ms = if i == first { from_ms } else { self.steps[i].from_ms };
+            let end_ms = if i == last { to_ms } else { self.steps[i + 1].from_ms };
+            let duration_ms = end_ms.saturating_sub(begin_ms) as f64;
+            TimelineSpan { duration_ms, limits: &self.steps[i].limits }
         })
     }
 
-    /// Units that the rates give between two instants (Unix ms); 0 if the second is not later.
+    /// Units that the quota's rate gives between two instants, Unix time in ms; 0 if the second is not later.
     #[must_use]
     pub fn refill(&self, from_ms: u64, to_ms: u64) -> f64 {
         if to_ms <= from_ms {
             return 0.0;
         }
-        self.between(from_ms, to_ms).map(|(ms, terms)| terms.rate * ms / 1000.0).sum()
+        self.spans(from_ms, to_ms).map(|span| span.limits.rate * span.duration_ms / 1000.0).sum()
     }
 
-    /// The level of a store at `now_ms` by a total that holds, since its window began, all charges and all
-    /// refill that was lost. It may be below 0 after a plan was lowered: nothing passes until that is made
-    /// good.
+    /// The level of the quota's token bucket at `now_ms`. `total` has, since the window began, all charges and
+    /// all refill that overflowed.
+    ///
+    /// It may be below 0 after a plan was lowered: nothing is admitted until that is made good.
     #[must_use]
     pub fn level(&self, total: f64, window_ms: u64, now_ms: u64) -> f64 {
         self.at(now_ms).burst + self.refill(window_ms, now_ms) - total
     }
 
-    /// What a level at one instant is by the terms at a later one, before refill: the debt is the same.
+    /// A level at `from_ms` by the limits at `to_ms`, without refill: the debt is the same.
     #[must_use]
     pub fn carried(&self, level: f64, from_ms: u64, to_ms: u64) -> f64 {
         level + self.at(to_ms).burst - self.at(from_ms).burst
     }
 
-    /// How many units a level can be off at a gateway that goes by `heard`, an older timeline, at `now_ms`,
-    /// in a window that began then: too much (above 0: it may pass that many beyond) or too little.
+    /// How far off a level is, units, at a gateway that goes by `known`, an older timeline, at `now_ms` in a
+    /// window that began at `window_ms`. Above 0 that gateway may admit as much too much.
     #[must_use]
-    pub fn error_of(&self, heard: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
-        heard.level(0.0, window_ms, now_ms) - self.level(0.0, window_ms, now_ms)
+    pub fn error_of(&self, known: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
+        known.level(0.0, window_ms, now_ms) - self.level(0.0, window_ms, now_ms)
     }
 
-    /// The most units that may be sent on between two instants, so many ms apart: what reservations for that
-    /// time have to stay within. Across a change the lesser burst counts.
+    /// The most units that may be reserved between two instants, Unix time in ms. Across a change the smaller
+    /// burst counts.
     #[must_use]
     pub fn most_between(&self, from_ms: u64, to_ms: u64) -> f64 {
-        let to_ms = to_ms.max(from_ms);
         let (mut burst, mut refill) = (f64::MAX, 0.0);
-        for (ms, terms) in self.between(from_ms, to_ms) {
-            let (rate, most) = terms.most();
-            (burst, refill) = (burst.min(most), refill + rate * ms / 1000.0);
+        for span in self.spans(from_ms, to_ms.max(from_ms)) {
+            let curve = span.limits.reservable();
+            burst = burst.min(curve.burst);
+            refill += curve.rate * span.duration_ms / 1000.0;
         }
         burst + refill
     }
--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -126,17 +126,20 @@
         "more than 10000 versions of plans"
     );
     for (wrong, text) in [
-        (CatalogueError::Terms(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
+        (CatalogueError::InvalidLimits(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
         (
-            CatalogueError::Version(plan("a", 0)),
+            CatalogueError::InvalidVersion(plan("a", 0)),
             "a version 0: a version from 1 that stands there once is wanted",
         ),
         (
-            CatalogueError::NoPlan(0xb4d6_5521, plan("a", 2)),
+            CatalogueError::UnknownPlan { customer: 0xb4d6_5521, plan: plan("a", 2) },
             "customer 00000000b4d65521: a version 2 is no plan of this catalogue",
         ),
-        (CatalogueError::Twice(5, 12), "customer 0000000000000005: two plans from 12 ms on"),
-        (CatalogueError::TooMany("customers' plans", 3), "more than 3 customers' plans"),
+        (
+            CatalogueError::TwoPlans { customer: 5, from_ms: 12 },
+            "customer 0000000000000005: two plans from 12 ms on",
+        ),
+        (CatalogueError::TooMany { what: "customers' plans", max: 3 }, "more than 3 customers' plans"),
     ] {
         assert_eq!(wrong.to_string(), text);
     }
