--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -18,8 +18,8 @@
 pub use catalogue_file::{read_catalogue, CatalogueFileError, FileFault};
 pub use fence::{CatalogueFence, FenceOutcome};
 pub use reservations::{
-    EndReason, EndedReservation, FencingToken, Reservation, ReservationError, ReservationLedger,
-    ReservationRequest, ReservationState, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
+    EndReason, EndedReservation, FencingToken, InvalidRequest, Reservation, ReservationError,
+    ReservationLedger, ReservationRequest, ReservationState, MAX_ENDED_RESERVATIONS, MAX_RESERVATIONS,
     MAX_RESERVATIONS_PER_CUSTOMER,
 };
 pub use timeline::{PlanLimits, PlanTimeline};
--- a/crates/plans/src/reservations.rs
+++ b/crates/plans/src/reservations.rs
@@ -1,113 +1,162 @@
-//! Reservations of allowance: leases with fencing tokens, within what the ceiling leaves.
+//! Reservations of allowance: leases with fencing tokens, within what the ceiling allows.
 //!
-//! A reservation holds units of a customer for a time to come. They are charges ahead of the one store that
-//! the customer has: the holder's gateway charges them at the begin and gives back at the end what was not
-//! used, so there is no second bucket. What may be reserved is bounded by the ceiling as an arrival curve
-//! (RFC 2212's token bucket: burst and rate x time, over every span of time): of all that is reserved
-//! within any span, no more than the ceiling lets through in it.
+//! A reservation holds units of a customer for a time to come. They are charged ahead to the customer's one
+//! token bucket: the holder's gateway charges them when the time begins and gives back at its end what was not
+//! used. The ceiling bounds what may be reserved as an arrival curve (RFC 2212's token bucket: burst, and rate
+//! times time, over every span): within any span no more is reserved than the ceiling admits in it.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
 
 use crate::timeline::PlanTimeline;
 
-/// Reservations that are open at once, of all customers.
+/// The most open reservations of all customers.
 pub const MAX_RESERVATIONS: usize = 100_000;
-/// Of one customer.
+/// The most open reservations of one customer.
 pub const MAX_RESERVATIONS_PER_CUSTOMER: usize = 32;
-/// Ended ones that are remembered, so that a repeat hears how it ended.
+/// The most ended reservations that are remembered, so that a repeat is told how it ended.
 pub const MAX_ENDED_RESERVATIONS: usize = 10_000;
-/// The longest lease, ms: a holder that died holds nothing for longer.
+/// The longest lease, ms: a holder that crashed holds nothing for longer.
 const MAX_LEASE_MS: u64 = 3_600_000;
 /// The longest name of an order or a holder, bytes.
 const MAX_NAME_BYTES: usize = 64;
+/// What rounding may make of sums that fit exactly, in units and as a part of them.
+const ROUNDING: f64 = 1e-9;
 
-/// A fencing token: it grows with each grant and each takeover. Whoever shows an older one is told so.
+/// A fencing token. It grows with each reservation and each takeover; an older one is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// What is asked for. The same `order` is the same reservation however often it comes.
+/// A request for a reservation. The same `order` is the same reservation, however often it comes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReservationRequest {
-    /// Names the order, 1 to 64 bytes, chosen by whoever gives it.
+    /// Name of the order, 1 to 64 bytes, chosen by the requester.
     pub order: String,
-    /// Who holds it, 1 to 64 bytes. Another holder that repeats the order takes it over.
+    /// The holder, 1 to 64 bytes. Another holder that repeats the order takes the reservation over.
     pub holder: String,
-    /// Whose allowance.
+    /// The customer.
     pub customer: u64,
     /// Units, above 0.
     pub units: f64,
-    /// From this instant, Unix ms.
+    /// Begin, Unix time in ms.
     pub from_ms: u64,
-    /// To this one, which is later.
+    /// End, Unix time in ms, after the begin.
     pub to_ms: u64,
-    /// The holder has to be heard again within this time, 1 to 3,600,000 ms.
+    /// The holder has to extend the lease within this time, 1 to 3,600,000 ms.
     pub lease_ms: u64,
 }
 
-/// How far a reservation has come.
+/// State of an open reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReservationState {
-    /// Asked for; it ends with its lease.
+    /// Requested.
     Pending,
-    /// Confirmed by its holder, who keeps extending the lease.
+    /// Confirmed by its holder.
     Confirmed,
 }
 
-/// A reservation that is open.
+/// An open reservation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// What was asked for.
-    pub ask: ReservationRequest,
-    /// What its holder has to show.
+    /// What was requested.
+    pub request: ReservationRequest,
+    /// The token that its holder has to show.
     pub token: FencingToken,
-    /// How far it has come.
+    /// Its state.
     pub state: ReservationState,
-    /// The end of the lease, Unix ms.
+    /// End of the lease, Unix time in ms.
     pub lease_end_ms: u64,
 }
 
+impl Reservation {
+    /// When it ends without the holder's doing, Unix time in ms.
+    fn due_ms(&self) -> u64 {
+        self.lease_end_ms.min(self.request.to_ms)
+    }
+
+    /// Whether its time lies within a span.
+    fn is_within(&self, span: Span) -> bool {
+        span.from_ms <= self.request.from_ms && self.request.to_ms <= span.to_ms
+    }
+}
+
 /// How a reservation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its holder gave it back.
+    /// Its holder released it.
     Released,
     /// Its time is over.
     PeriodOver,
-    /// Its holder was not heard in time.
+    /// Its holder did not extend the lease in time.
     LeaseExpired,
     /// The plan was lowered and leaves no room for it.
     PlanLowered,
 }
 
-/// A reservation that ended.
+/// A reservation that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedReservation {
-    /// As it was last.
+    /// The reservation as it was last.
     pub reservation: Reservation,
     /// How it ended.
     pub end: EndReason,
-    /// When, Unix ms.
+    /// When it ended, Unix time in ms.
     pub at_ms: u64,
 }
 
-/// Why something was not done.
+/// What is not allowed about a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InvalidRequest {
+    /// The order's name.
+    Order,
+    /// The holder's name.
+    Holder,
+    /// The units.
+    Units,
+    /// The end is not after the begin.
+    Period,
+    /// The time is over already.
+    PeriodOver,
+    /// The length of the lease.
+    Lease,
+    /// The present time, to which no lease can be added.
+    PresentTime,
+}
+
+impl fmt::Display for InvalidRequest {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            InvalidRequest::Order => "an order of 1 to 64 bytes is wanted",
+            InvalidRequest::Holder => "a holder of 1 to 64 bytes is wanted",
+            InvalidRequest::Units => "units above 0 are wanted",
+            InvalidRequest::Period => "an end after the begin is wanted",
+            InvalidRequest::PeriodOver => "a time that is not over is wanted",
+            InvalidRequest::Lease => "a lease of 1 to 3600000 ms is wanted",
+            InvalidRequest::PresentTime => "a time on record is wanted",
+        })
+    }
+}
+
+impl std::error::Error for InvalidRequest {}
+
+/// Why something is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReservationError {
-    /// No reservation has that token, and none that is remembered had.
+    /// No reservation has that token, and none that is remembered had it.
     Unknown,
-    /// Somebody took it over; this is not its token any more.
+    /// Another holder took the reservation over, and has a later token.
     Fenced,
-    /// It has ended, like this.
+    /// It has ended.
     Ended(EndReason),
-    /// The order was given before, for something else.
-    OtherAsk,
-    /// The ceiling leaves no more than so many units for that time.
+    /// The order was given before with another request.
+    DifferentRequest,
+    /// The ceiling allows no more than these units for that time.
     NoRoom(f64),
-    /// There are as many as may be open.
+    /// There are as many open reservations as there may be.
     TooMany(usize),
-    /// The ask itself can't be one.
-    Bad(&'static str),
+    /// The request is not allowed.
+    Invalid(InvalidRequest),
 }
 
 impl fmt::Display for ReservationError {
@@ -123,134 +172,156 @@
             ReservationError::Ended(EndReason::PlanLowered) => {
                 f.write_str("the plan was lowered and leaves no room for it")
             }
-            ReservationError::OtherAsk => f.write_str("that order was given before, for something else"),
-            ReservationError::NoRoom(left) => write!(f, "the ceiling leaves {left} units for that time"),
-            ReservationError::TooMany(most) => write!(f, "{most} are open, which is the most"),
-            ReservationError::Bad(wanted) => f.write_str(wanted),
+            ReservationError::DifferentRequest => {
+                f.write_str("that order was given before, for something else")
+            }
+            ReservationError::NoRoom(units) => write!(f, "the ceiling leaves {units} units for that time"),
+            ReservationError::TooMany(max) => write!(f, "{max} are open, which is the most"),
+            ReservationError::Invalid(invalid) => invalid.fmt(f),
         }
     }
 }
 
 impl std::error::Error for ReservationError {}
 
-/// All reservations. It is changed by its owner alone and never reads a clock.
+impl From<InvalidRequest> for ReservationError {
+    fn from(invalid: InvalidRequest) -> ReservationError {
+        ReservationError::Invalid(invalid)
+    }
+}
+
+/// When an open reservation ends without its holder's doing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DueReservation {
+    at_ms: u64,
+    token: FencingToken,
+}
+
+/// All reservations. Only its owner changes it.
 #[derive(Debug, Default)]
 pub struct ReservationLedger {
-    last: u64,
-    live: BTreeMap<FencingToken, Reservation>,
-    /// By the ends of leases and times, soonest first.
-    due: BTreeSet<(u64, FencingToken)>,
+    last_token: u64,
+    open: BTreeMap<FencingToken, Reservation>,
+    due: BTreeSet<DueReservation>,
     by_order: HashMap<String, FencingToken>,
     by_customer: HashMap<u64, Vec<FencingToken>>,
-    /// Tokens that a takeover made old, and those that took their place, while these live.
+    /// Tokens that a takeover made old, each with the one that took its place while that one is open.
     fenced: HashMap<FencingToken, FencingToken>,
     /// The same the other way round.
-    fences: HashMap<FencingToken, FencingToken>,
+    fenced_by: HashMap<FencingToken, FencingToken>,
     ended: VecDeque<EndedReservation>,
 }
 
 impl ReservationLedger {
     /// Open reservations, in the order of their tokens.
-    pub fn live(&self) -> impl Iterator<Item = &Reservation> {
-        self.live.values()
+    pub fn open(&self) -> impl Iterator<Item = &Reservation> {
+        self.open.values()
     }
 
     /// Open reservations of a customer, oldest first.
-    pub fn of(&self, customer: u64) -> impl Iterator<Item = &Reservation> {
-        self.by_customer.get(&customer).into_iter().flatten().filter_map(|token| self.live.get(token))
+    pub fn of_customer(&self, customer: u64) -> impl Iterator<Item = &Reservation> {
+        let tokens = self.by_customer.get(&customer).into_iter().flatten();
+        tokens.filter_map(|token| self.open.get(token))
     }
 
     /// Reserves, or finds what the same order reserved before.
     ///
     /// # Errors
-    /// Why not; nothing is changed then.
+    /// A [`ReservationError`]; nothing is changed.
     pub fn reserve(
         &mut self,
         now_ms: u64,
-        ask: ReservationRequest,
-        terms: &PlanTimeline,
+        request: ReservationRequest,
+        limits: &PlanTimeline,
     ) -> Result<&Reservation, ReservationError> {
-        check(now_ms, &ask)?;
-        if let Some(token) = self.by_order.get(&ask.order).copied() {
-            return self.repeated(now_ms, token, ask);
+        validate(now_ms, &request)?;
+        if let Some(token) = self.by_order.get(&request.order).copied() {
+            return self.repeat(now_ms, token, request);
         }
-        if let Some(ended) = self.ended.iter().rev().find(|e| e.reservation.ask.order == ask.order) {
+        let ended = self.ended.iter().rev().find(|ended| ended.reservation.request.order == request.order);
+        if let Some(ended) = ended {
             return Err(ReservationError::Ended(ended.end));
         }
-        if ask.to_ms <= now_ms {
-            return Err(ReservationError::Bad("a time that is not over is wanted"));
+        if request.to_ms <= now_ms {
+            return Err(InvalidRequest::PeriodOver.into());
         }
-        if self.live.len() >= MAX_RESERVATIONS {
+        self.check_room(&request, limits)?;
+        let token = self.next_token();
+        let lease_end_ms = now_ms + request.lease_ms;
+        Ok(self.insert(Reservation { request, token, state: ReservationState::Pending, lease_end_ms }))
+    }
+
+    fn check_room(
+        &self,
+        request: &ReservationRequest,
+        limits: &PlanTimeline,
+    ) -> Result<(), ReservationError> {
+        if self.open.len() >= MAX_RESERVATIONS {
             return Err(ReservationError::TooMany(MAX_RESERVATIONS));
         }
-        let of: Vec<&Reservation> = self.of(ask.customer).collect();
-        if of.len() >= MAX_RESERVATIONS_PER_CUSTOMER {
+        let of_customer: Vec<&Reservation> = self.of_customer(request.customer).collect();
+        if of_customer.len() >= MAX_RESERVATIONS_PER_CUSTOMER {
             return Err(ReservationError::TooMany(MAX_RESERVATIONS_PER_CUSTOMER));
         }
-        let left = left_for(&of, &ask, terms);
-        if ask.units > left {
-            return Err(ReservationError::NoRoom(left.max(0.0)));
+        let available = available_units(&of_customer, request, limits);
+        if request.units > available {
+            return Err(ReservationError::NoRoom(available.max(0.0)));
         }
-        self.last += 1;
-        let (token, state, lease_end_ms) =
-            (FencingToken(self.last), ReservationState::Pending, now_ms + ask.lease_ms);
-        self.by_order.insert(ask.order.clone(), token);
-        self.by_customer.entry(ask.customer).or_default().push(token);
-        self.due.insert((lease_end_ms.min(ask.to_ms), token));
-        Ok(self.live.entry(token).or_insert(Reservation { ask, token, state, lease_end_ms }))
+        Ok(())
     }
 
-    /// An order that was given before: the same reservation, at another holder if another one gives it.
-    fn repeated(
+    /// An order that was given before: the same reservation, taken over if another holder gives it.
+    ///
+    /// A takeover has a new token, so that a holder that was taken for dead cannot act on it any more.
+    fn repeat(
         &mut self,
         now_ms: u64,
         token: FencingToken,
-        ask: ReservationRequest,
+        request: ReservationRequest,
     ) -> Result<&Reservation, ReservationError> {
-        let held = self.live.get(&token).ok_or(ReservationError::Unknown)?;
-        let same = ReservationRequest {
-            holder: held.ask.holder.clone(),
-            lease_ms: held.ask.lease_ms,
-            ..ask.clone()
+        let known = self.open.get(&token).ok_or(ReservationError::Unknown)?;
+        let as_known = ReservationRequest {
+            holder: known.request.holder.clone(),
+            lease_ms: known.request.lease_ms,
+            ..request.clone()
         };
-        if same != held.ask {
-            return Err(ReservationError::OtherAsk);
+        if as_known != known.request {
+            return Err(ReservationError::DifferentRequest);
         }
-        if ask.holder == held.ask.holder {
-            return self.live.get(&token).ok_or(ReservationError::Unknown);
+        if request.holder == known.request.holder {
+            return self.open.get(&token).ok_or(ReservationError::Unknown);
         }
-        // Danger: a holder that was taken for dead, and acts on what another one has by now.
-        self.last += 1;
-        let new = FencingToken(self.last);
-        let mut taken = self.take_out(token).ok_or(ReservationError::Unknown)?;
-        self.forget_fenced(token);
-        self.fenced.insert(token, new);
-        self.fences.insert(new, token);
-        taken.token = new;
-        taken.ask.holder = ask.holder;
-        taken.ask.lease_ms = ask.lease_ms;
-        taken.lease_end_ms = now_ms + ask.lease_ms;
-        self.by_order.insert(ask.order, new);
-        self.by_customer.entry(ask.customer).or_default().push(new);
-        self.due.insert((taken.lease_end_ms.min(taken.ask.to_ms), new));
-        Ok(self.live.entry(new).or_insert(taken))
+        let new_token = self.next_token();
+        let mut reservation = self.remove(token).ok_or(ReservationError::Unknown)?;
+        self.forget_fenced_by(token);
+        self.fenced.insert(token, new_token);
+        self.fenced_by.insert(new_token, token);
+        reservation.token = new_token;
+        reservation.lease_end_ms = now_ms + request.lease_ms;
+        reservation.request = request;
+        Ok(self.insert(reservation))
+    }
+
+    fn next_token(&mut self) -> FencingToken {
+        self.last_token += 1;
+        FencingToken(self.last_token)
     }
 
     /// The holder confirms; a repeat changes nothing.
     ///
     /// # Errors
-    /// Why not.
+    /// A [`ReservationError`] if the token is not that of an open reservation.
     pub fn confirm(&mut self, token: FencingToken) -> Result<&Reservation, ReservationError> {
-        self.known(token)?;
-        let held = self.live.get_mut(&token).ok_or(ReservationError::Unknown)?;
-        held.state = ReservationState::Confirmed;
-        Ok(held)
+        let reservation = self.open_mut(token)?;
+        reservation.state = ReservationState::Confirmed;
+        Ok(reservation)
     }
 
-    /// The holder is heard: the lease ends so long from now, if that is later than it did.
+    /// The holder extends the lease: it ends `lease_ms` from now, if that is later than it did. So an old repeat
+    /// shortens nothing.
     ///
     /// # Errors
-    /// Why not.
+    /// A [`ReservationError`] if the lease is not allowed or the token is not that of an open reservation.
     pub fn extend(
         &mut self,
         now_ms: u64,
@@ -258,101 +329,113 @@
         lease_ms: u64,
     ) -> Result<&Reservation, ReservationError> {
         if !(1..=MAX_LEASE_MS).contains(&lease_ms) {
-            return Err(ReservationError::Bad("a lease of 1 to 3600000 ms is wanted"));
+            return Err(InvalidRequest::Lease.into());
         }
-        self.known(token)?;
-        let held = self.live.get_mut(&token).ok_or(ReservationError::Unknown)?;
-        // Danger: an old repeat that shortens what a later one gave.
-        let end = held.lease_end_ms.max(now_ms + lease_ms);
-        self.due.remove(&(held.lease_end_ms.min(held.ask.to_ms), token));
-        held.lease_end_ms = end;
-        self.due.insert((end.min(held.ask.to_ms), token));
-        Ok(held)
+        let reservation = self.open_mut(token)?;
+        let old_due_ms = reservation.due_ms();
+        reservation.lease_end_ms = reservation.lease_end_ms.max(now_ms + lease_ms);
+        let due_ms = reservation.due_ms();
+        self.due.remove(&DueReservation { at_ms: old_due_ms, token });
+        self.due.insert(DueReservation { at_ms: due_ms, token });
+        self.open.get(&token).ok_or(ReservationError::Unknown)
     }
 
-    /// The holder gives it back; a repeat is told that it was.
+    /// The holder releases; a repeat is told that it did.
     ///
     /// # Errors
-    /// Why not.
+    /// A [`ReservationError`] if the token is not that of an open reservation.
     pub fn release(
         &mut self,
         now_ms: u64,
         token: FencingToken,
     ) -> Result<EndedReservation, ReservationError> {
-        self.known(token)?;
+        self.open_mut(token)?;
         self.end(now_ms, token, EndReason::Released).ok_or(ReservationError::Unknown)
     }
 
-    /// Ends what is over, and what nobody extended in time. Work grows with what ends alone.
+    /// Ends the reservations whose time is over or whose lease has expired. The work grows with those alone.
     pub fn expire(&mut self, now_ms: u64) -> Vec<EndedReservation> {
-        let mut all = Vec::new();
-        while let Some((at, token)) = self.due.first().copied() {
-            if at > now_ms {
-                break;
-            }
-            let over = self.live.get(&token).is_some_and(|held| held.ask.to_ms <= at);
-            self.due.remove(&(at, token));
-            all.extend(self.end(
-                at,
-                token,
-                if over { EndReason::PeriodOver } else { EndReason::LeaseExpired },
-            ));
+        let mut ended = Vec::new();
+        while let Some(due) = self.due.first().copied().filter(|due| due.at_ms <= now_ms) {
+            let DueReservation { at_ms, token } = due;
+            let is_over = self.open.get(&token).is_some_and(|reservation| reservation.request.to_ms <= at_ms);
+            let reason = if is_over { EndReason::PeriodOver } else { EndReason::LeaseExpired };
+            self.due.remove(&due);
+            ended.extend(self.end(at_ms, token, reason));
         }
-        all
+        ended
     }
 
-    /// Ends what a customer's new terms leave no room for. Who loses: pending ones before confirmed ones, of
-    /// each the newest first, and only those within a span of time that holds too much. The holder hears with
-    /// the next thing that it asks.
-    pub fn lowered(&mut self, now_ms: u64, customer: u64, terms: &PlanTimeline) -> Vec<EndedReservation> {
-        let mut all = Vec::new();
-        loop {
-            let of: Vec<&Reservation> = self.of(customer).collect();
-            let Some((from, to)) = overfull(&of, terms) else { return all };
-            let within = of.iter().filter(|r| from <= r.ask.from_ms && r.ask.to_ms <= to);
-            let Some(loses) = within.min_by_key(|r| (r.state, std::cmp::Reverse(r.token))) else {
-                return all;
-            };
-            let token = loses.token;
-            all.extend(self.end(now_ms, token, EndReason::PlanLowered));
+    /// Ends reservations of a customer that its new limits leave no room for.
+    ///
+    /// They are chosen within a span that has too much: pending ones before confirmed ones, of each the newest
+    /// first. The holder is told with its next request.
+    pub fn plan_lowered(
+        &mut self,
+        now_ms: u64,
+        customer: u64,
+        limits: &PlanTimeline,
+    ) -> Vec<EndedReservation> {
+        let mut ended = Vec::new();
+        while let Some(token) = self.excess_reservation(customer, limits) {
+            ended.extend(self.end(now_ms, token, EndReason::PlanLowered));
         }
+        ended
+    }
+
+    /// The reservation that is to end first as some span has too much.
+    fn excess_reservation(&self, customer: u64, limits: &PlanTimeline) -> Option<FencingToken> {
+        let of_customer: Vec<&Reservation> = self.of_customer(customer).collect();
+        let span = overfull_span(&of_customer, limits)?;
+        let within = of_customer.iter().filter(|reservation| reservation.is_within(span));
+        let first = within.min_by_key(|reservation| (reservation.state, Reverse(reservation.token)));
+        first.map(|reservation| reservation.token)
     }
 
-    /// Why a token is not that of an open reservation, if it is not.
-    fn known(&self, token: FencingToken) -> Result<(), ReservationError> {
-        if self.live.contains_key(&token) {
-            return Ok(());
+    /// The open reservation with that token, or why there is none.
+    fn open_mut(&mut self, token: FencingToken) -> Result<&mut Reservation, ReservationError> {
+        if let Some(reservation) = self.open.get_mut(&token) {
+            return Ok(reservation);
         }
         if self.fenced.contains_key(&token) {
             return Err(ReservationError::Fenced);
         }
-        let ended = self.ended.iter().rev().find(|e| e.reservation.token == token);
-        Err(ended.map_or(ReservationError::Unknown, |e| ReservationError::Ended(e.end)))
+        let ended = self.ended.iter().rev().find(|ended| ended.reservation.token == token);
+        Err(ended.map_or(ReservationError::Unknown, |ended| ReservationError::Ended(ended.end)))
     }
 
-    fn take_out(&mut self, token: FencingToken) -> Option<Reservation> {
-        let held = self.live.remove(&token)?;
-        self.due.remove(&(held.lease_end_ms.min(held.ask.to_ms), token));
-        self.by_order.remove(&held.ask.order);
-        if let Some(of) = self.by_customer.get_mut(&held.ask.customer) {
-            of.retain(|other| *other != token);
-            if of.is_empty() {
-                self.by_customer.remove(&held.ask.customer);
+    fn insert(&mut self, reservation: Reservation) -> &Reservation {
+        let token = reservation.token;
+        let request = &reservation.request;
+        self.by_order.insert(request.order.clone(), token);
+        self.by_customer.entry(request.customer).or_default().push(token);
+        self.due.insert(DueReservation { at_ms: reservation.due_ms(), token });
+        self.open.entry(token).or_insert(reservation)
+    }
+
+    fn remove(&mut self, token: FencingToken) -> Option<Reservation> {
+        let reservation = self.open.remove(&token)?;
+        self.due.remove(&DueReservation { at_ms: reservation.due_ms(), token });
+        self.by_order.remove(&reservation.request.order);
+        if let Some(of_customer) = self.by_customer.get_mut(&reservation.request.customer) {
+            of_customer.retain(|other| *other != token);
+            if of_customer.is_empty() {
+                self.by_customer.remove(&reservation.request.customer);
             }
         }
-        Some(held)
+        Some(reservation)
     }
 
-    /// The token that this one made old is no more than unknown from now on.
-    fn forget_fenced(&mut self, token: FencingToken) {
-        if let Some(old) = self.fences.remove(&token) {
-            self.fenced.remove(&old);
+    /// The token that this one made old is unknown from now on.
+    fn forget_fenced_by(&mut self, token: FencingToken) {
+        if let Some(old_token) = self.fenced_by.remove(&token) {
+            self.fenced.remove(&old_token);
         }
     }
 
     fn end(&mut self, at_ms: u64, token: FencingToken, end: EndReason) -> Option<EndedReservation> {
-        let reservation = self.take_out(token)?;
-        self.forget_fenced(token);
+        let reservation = self.remove(token)?;
+        self.forget_fenced_by(token);
         let ended = EndedReservation { reservation, end, at_ms };
         if self.ended.len() >= MAX_ENDED_RESERVATIONS {
             self.ended.pop_front();
@@ -362,54 +445,78 @@
     }
 }
 
-fn check(now_ms: u64, ask: &ReservationRequest) -> Result<(), ReservationError> {
-    let named =
-        |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
-    match () {
-        () if !named(&ask.order) => Err(ReservationError::Bad("an order of 1 to 64 bytes is wanted")),
-        () if !named(&ask.holder) => Err(ReservationError::Bad("a holder of 1 to 64 bytes is wanted")),
-        () if !(ask.units.is_finite() && ask.units > 0.0) => {
-            Err(ReservationError::Bad("units above 0 are wanted"))
-        }
-        () if ask.to_ms <= ask.from_ms => Err(ReservationError::Bad("an end after the begin is wanted")),
-        () if !(1..=MAX_LEASE_MS).contains(&ask.lease_ms) => {
-            Err(ReservationError::Bad("a lease of 1 to 3600000 ms is wanted"))
-        }
-        () if now_ms.checked_add(MAX_LEASE_MS).is_none() => {
-            Err(ReservationError::Bad("a time on record is wanted"))
-        }
-        () => Ok(()),
+fn validate(now_ms: u64, request: &ReservationRequest) -> Result<(), InvalidRequest> {
+    if !is_valid_name(&request.order) {
+        return Err(InvalidRequest::Order);
+    }
+    if !is_valid_name(&request.holder) {
+        return Err(InvalidRequest::Holder);
+    }
+    if !(request.units.is_finite() && request.units > 0.0) {
+        return Err(InvalidRequest::Units);
+    }
+    if request.to_ms <= request.from_ms {
+        return Err(InvalidRequest::Period);
+    }
+    if !(1..=MAX_LEASE_MS).contains(&request.lease_ms) {
+        return Err(InvalidRequest::Lease);
     }
+    if now_ms.checked_add(MAX_LEASE_MS).is_none() {
+        return Err(InvalidRequest::PresentTime);
+    }
+    Ok(())
+}
+
+fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control)
+}
+
+/// A span of time, Unix time in ms.
+#[derive(Clone, Copy, Debug)]
+struct Span {
+    from_ms: u64,
+    to_ms: u64,
 }
 
-/// Units reserved wholly within a span.
-fn within(of: &[&Reservation], from: u64, to: u64) -> f64 {
-    let inside = of.iter().filter(|r| from <= r.ask.from_ms && r.ask.to_ms <= to);
-    inside.map(|r| r.ask.units).sum()
+/// Units that are reserved within a span.
+fn reserved_within(reservations: &[&Reservation], span: Span) -> f64 {
+    let within = reservations.iter().filter(|reservation| reservation.is_within(span));
+    within.map(|reservation| reservation.request.units).sum()
 }
 
-/// The units that may be reserved yet for an ask's time: the least that any span about it leaves. Spans that
-/// matter begin and end where a reservation does; there are at most 33 of each.
-fn left_for(of: &[&Reservation], ask: &ReservationRequest, terms: &PlanTimeline) -> f64 {
-    let begins = of.iter().map(|r| r.ask.from_ms).filter(|from| *from <= ask.from_ms);
-    let ends: Vec<u64> = of.iter().map(|r| r.ask.to_ms).filter(|to| *to >= ask.to_ms).collect();
-    let mut left = f64::MAX;
-    for from in begins.chain([ask.from_ms]) {
-        for to in ends.iter().copied().chain([ask.to_ms]) {
-            left = left.min(terms.most_between(from, to) - within(of, from, to));
+/// The units that may still be reserved for a request's time: the least that any span around it leaves. Only
+/// spans that begin and end where a reservation does matter; there are at most 33 of each.
+fn available_units(
+    reservations: &[&Reservation],
+    request: &ReservationRequest,
+    limits: &PlanTimeline,
+) -> f64 {
+    let requests = || reservations.iter().map(|reservation| &reservation.request);
+    let begins = requests().map(|other| other.from_ms).filter(|from_ms| *from_ms <= request.from_ms);
+    let ends: Vec<u64> =
+        requests().map(|other| other.to_ms).filter(|to_ms| *to_ms >= request.to_ms).collect();
+    let mut available = f64::MAX;
+    for from_ms in begins.chain([request.from_ms]) {
+        for to_ms in ends.iter().copied().chain([request.to_ms]) {
+            let reserved = reserved_within(reservations, Span { from_ms, to_ms });
+            available = available.min(limits.most_between(from_ms, to_ms) - reserved);
         }
     }
-    left
+    available
 }
 
-/// A span of time within which more is reserved than it leaves; the shortest of those that begin first.
-fn overfull(of: &[&Reservation], terms: &PlanTimeline) -> Option<(u64, u64)> {
-    let mut begins: Vec<u64> = of.iter().map(|r| r.ask.from_ms).collect();
-    let mut ends: Vec<u64> = of.iter().map(|r| r.ask.to_ms).collect();
+/// A span within which more is reserved than the limits allow: of those that begin first the shortest.
+fn overfull_span(reservations: &[&Reservation], limits: &PlanTimeline) -> Option<Span> {
+    let mut begins: Vec<u64> = reservations.iter().map(|reservation| reservation.request.from_ms).collect();
+    let mut ends: Vec<u64> = reservations.iter().map(|reservation| reservation.request.to_ms).collect();
     begins.sort_unstable();
     ends.sort_unstable();
-    let spans = begins.iter().flat_map(|from| ends.iter().map(move |to| (*from, *to)));
-    // What rounding makes of sums that fit exactly is no excess.
-    let holds = |from, to| within(of, from, to) > terms.most_between(from, to) * (1.0 + 1e-9) + 1e-9;
-    spans.filter(|(from, to)| from < to).find(|(from, to)| holds(*from, *to))
+    let is_overfull = |span: &Span| {
+        let allowed = limits.most_between(span.from_ms, span.to_ms);
+        reserved_within(reservations, *span) > allowed * (1.0 + ROUNDING) + ROUNDING
+    };
+    let spans = begins
+        .iter()
+        .flat_map(|from_ms| ends.iter().map(move |to_ms| Span { from_ms: *from_ms, to_ms: *to_ms }));
+    spans.filter(|span| span.from_ms < span.to_ms).find(is_overfull)
 }
--- a/crates/plans/tests/catalogue.rs
+++ b/crates/plans/tests/catalogue.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_customer_has_a_plans_version_from_its_instant_on() {
+fn customer_has_its_plan_from_its_instant_on() {
     let all = read_catalogue(GOOD).expect("sound");
     let (customer, change) = (0xb4d6_5521, 1_798_135_200_000);
     assert_eq!((all.revision(), all.customers(), all.plans().count()), (7, 1, 2));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_by_line_and_key_and_nothing_is_taken() {
+fn faults_have_line_and_key() {
     for (from, to, line, key) in [
         ("rate = 4.0", "rate = -4.0", 7, "plan.rate"),
         ("burst = 10.0", "burst = inf", 8, "plan.burst"),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_newest_revision_wins_whatever_the_order_and_a_repeat_changes_nothing() {
+fn newest_revision_wins_in_any_order() {
     let mut fence = CatalogueFence::default();
     assert!(fence.held().is_none());
     assert_eq!(fence.take(revision(8)), FenceOutcome::New);
--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn each_wrong_file_has_its_recorded_text() {
+fn wrong_files_have_recorded_texts() {
     assert_eq!(texts(), std::fs::read_to_string(data("wrong.txt")).expect("recorded"));
 }
 
 #[test]
-fn two_faults_stand_in_the_order_of_their_lines() {
+fn faults_are_in_the_order_of_their_lines() {
     let both = SAMPLE.replace("rate = 6.5", "rate = -6.5").replace("2026-12-24T18:00:00Z", "soon");
     let wanted = "line 13: plan.rate: -6.5 is no finite number of 0 or more\n\
         line 34: customer.from: a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_makes_no_catalogue_has_its_text() {
+fn catalogue_errors_have_recorded_texts() {
     let many = (0..=10_000).map(|n| (plan("p", n + 1), PlanLimits::default()));
     assert_eq!(
         Catalogue::new(1, many, []).expect_err("too many").to_string(),
--- a/crates/plans/tests/texts.rs
+++ b/crates/plans/tests/texts.rs
@@ -3,7 +3,7 @@
 use plans::{EndReason, PlanLimits, PlanTimeline, ReservationError, ReservationLedger, ReservationRequest};
 
 #[test]
-fn each_refusal_has_its_text() {
+fn reservation_errors_have_recorded_texts() {
     for (refused, text) in [
         (ReservationError::Unknown, "no such reservation"),
         (ReservationError::Fenced, "another holder took it over"),
@@ -11,7 +11,7 @@
         (ReservationError::Ended(EndReason::PeriodOver), "its time is over"),
         (ReservationError::Ended(EndReason::LeaseExpired), "its lease ended, as the holder was not heard"),
         (ReservationError::Ended(EndReason::PlanLowered), "the plan was lowered and leaves no room for it"),
-        (ReservationError::OtherAsk, "that order was given before, for something else"),
+        (ReservationError::DifferentRequest, "that order was given before, for something else"),
         (ReservationError::NoRoom(2.5), "the ceiling leaves 2.5 units for that time"),
         (ReservationError::TooMany(32), "32 are open, which is the most"),
     ] {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_part_of_an_ask_that_does_not_fit_has_its_text() {
+fn invalid_requests_have_recorded_texts() {
     let good = ReservationRequest {
         order: "o".to_string(),
         holder: "h".to_string(),
@@ -53,7 +53,7 @@
         let refused = ReservationLedger::default().reserve(now_ms, ask.clone(), &terms).map(|r| r.token);
         assert_eq!(refused.map_err(|refused| refused.to_string()), Err(text.to_string()), "{ask:?}");
     }
-    let mut book = ReservationLedger::default();
-    let token = book.reserve(0, good, &terms).expect("room").token;
-    assert_eq!(book.extend(0, token, 0).map_err(|refused| refused.to_string()), Err(lease.to_string()));
+    let mut ledger = ReservationLedger::default();
+    let token = ledger.reserve(0, good, &terms).expect("room").token;
+    assert_eq!(ledger.extend(0, token, 0).map_err(|refused| refused.to_string()), Err(lease.to_string()));
 }
--- a/crates/plans/tests/timeline.rs
+++ b/crates/plans/tests/timeline.rs
@@ -11,7 +11,7 @@
 const LARGE: (f64, f64) = (12.0, 40.0);
 
 #[test]
-fn a_raised_plan_helps_at_once_and_a_lowered_one_binds_at_once() {
+fn changes_of_plan_take_effect_at_once() {
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
     // A window from 0; 18 units charged by 2 s: the small plan is empty.
     let raised = PlanTimeline::always(small).then(2_000, large);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn two_changes_in_one_second_and_a_change_back_leave_what_was_counted() {
+fn quick_changes_leave_what_was_counted() {
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
     let steady = PlanTimeline::always(large);
     // There and back in one instant is no change at all.
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_gateway_that_has_not_heard_errs_by_the_bursts_and_the_rates_for_as_long() {
+fn late_gateway_errs_by_bursts_and_rates() {
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
     let (old, new) = (PlanTimeline::always(large), PlanTimeline::always(large).then(2_000, small));
     // Before the instant it errs by nothing; a second after by the difference of the bursts, and of the
@@ -71,7 +71,7 @@
 
 proptest! {
     #[test]
-    fn refill_adds_up_however_time_is_cut(
+    fn refill_is_additive_over_time(
         line in any_line(), a in 0u64..20_000, b in 0u64..20_000, c in 0u64..20_000,
     ) {
         let mut cut = [a, b, c];
@@ -81,7 +81,7 @@
     }
 
     #[test]
-    fn a_level_carried_over_changes_is_the_one_that_the_total_gives(
+    fn carried_level_equals_the_level_of_the_total(
         line in any_line(), total in 0.0f64..100.0, a in 0u64..20_000, more in 0u64..20_000,
     ) {
         let (then, now) = (line.level(total, 0, a), line.level(total, 0, a + more));
@@ -91,7 +91,7 @@
     }
 
     #[test]
-    fn the_error_of_one_who_has_not_heard_is_bounded(
+    fn error_of_a_late_gateway_is_bounded(
         before in any_terms(), after in any_terms(), at in 1u64..10_000, late in 0u64..10_000,
     ) {
         let (old, new) = (PlanTimeline::always(before), PlanTimeline::always(before).then(at, after));
