--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -52,7 +52,7 @@
     pub retry: bool,
 }
 
-/// Unreported charges of a customer: those that the shared counter was not told.
+/// Unreported charges of a customer: those not yet reported to the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnreportedCharge {
     /// Whose they are.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -75,7 +75,7 @@
     pub weight_factor: f64,
 }
 
-/// What a load report may tell, in the order of [`Settings::load_fields`].
+/// What a load report may hold, in the order of [`Settings::load_fields`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
     /// Requests being handled.
@@ -204,7 +204,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Tells the first field that can't be worked with.
+    /// Finds the first field that can't be worked with.
     ///
     /// # Errors
     /// A [`SettingsError`] that names the field.
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -101,7 +101,7 @@
         CustomerContext { now, gateway_started_at, fan_out, has_counter }
     }
 
-    /// Units that an even share of a customer's use is worth until more is known.
+    /// Units that the even share of a customer's use counts for until more is known.
     pub(super) fn share_prior(&self) -> f64 {
         self.settings.max_request_units.max(1.0)
     }
@@ -115,8 +115,8 @@
         let units = request.units;
         let quota = self.customers.get(request.customer).expect("checked by the caller");
         let demand = quota.demand(units);
-        // As far as anyone told, the customer uses little or came just now, and its bucket is half full
-        // after all. One who asks much from the first is found out only at half the bucket.
+        // As far as is known, the customer uses little or came just now, and its bucket is half full after
+        // all. One who asks much from the first is found out only at half the bucket.
         let calm = (quota.is_new() || demand < CALM_DEMAND) && quota.is_half_full_after(units);
         UncoveredCharge {
             id: request.id,
--- a/crates/policy/src/policy/attempt_results.rs
+++ b/crates/policy/src/policy/attempt_results.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended: what that tells of its customer, its backend and the fleet.
+//! How an attempt ended: what its customer, its backend and the fleet learn from it.
 
 use super::latency::{AnsweredWork, BACKEND_MEMORY};
 use super::request::{Attempt, OpenRequest};
@@ -17,9 +17,9 @@
     pub(super) outcome: Outcome,
     pub(super) latency_ms: f64,
     /// The actual units.
-    pub(super) charged: Option<f64>,
+    pub(super) actual_units: Option<f64>,
     /// The customer's use over all gateways, as a part of its rate.
-    pub(super) metered: Option<f64>,
+    pub(super) metered_use: Option<f64>,
 }
 
 /// An attempt that has ended, and its request.
@@ -58,7 +58,7 @@
         let attempt = attempt.clone();
         self.fleet.attempt_finished(attempt.sent_at, attempt.overdue);
         let request = open.request.clone();
-        let units = end.charged.unwrap_or(request.units);
+        let units = end.actual_units.unwrap_or(request.units);
         let work_ms = self.latency.work_ms(request.class, units);
         Some(FinishedAttempt { attempt, request, units, work_ms })
     }
@@ -68,13 +68,13 @@
     fn settle_charge(&mut self, end: &AttemptResult, request: &Request) {
         let Some(quota) = self.customers.get_mut(request.customer) else { return };
         quota.attempts_in_flight = quota.attempts_in_flight.saturating_sub(1);
-        // Without a counter, or while it is gone, a meter's use over all gateways tells this one's share.
+        // Without a counter, or while it is gone, a usage meter shows this one's share.
         let without_totals = !self.settings.shared_counter || !self.call_throttle.answering();
-        if let Some(used) = end.metered.filter(|_| without_totals && quota.plan.rate > 0.0) {
+        if let Some(used) = end.metered_use.filter(|_| without_totals && quota.plan.rate > 0.0) {
             quota.learn_metered_use(used);
         }
         let Some(open) = self.requests.get_mut(&end.id) else { return };
-        if let Some(actual) = end.charged.filter(|_| end.outcome == Outcome::Ok && open.charge > 0.0) {
+        if let Some(actual) = end.actual_units.filter(|_| end.outcome == Outcome::Ok && open.charge > 0.0) {
             let actual = actual.max(quota.least_charge(request.units));
             quota.spend(actual - open.charge);
             open.charge = actual;
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -30,7 +30,7 @@
         let overdue_after_ms = self.overdue_after_ms(now, id, selection);
         // By the attempts before this one: a connection that comes up late must not begin a repeat after
         // its window.
-        let begin_by_ms = self.write_deadline(&self.requests[&id]);
+        let write_deadline_ms = self.write_deadline(&self.requests[&id]);
         let attempt = self.start_attempt(now, id, selection.slot, overdue_after_ms);
         let backend = attempt.backend;
         let open = self.requests.get_mut(&id).expect("the caller found it");
@@ -38,7 +38,7 @@
         if let Some(quota) = self.customers.get_mut(open.request.customer) {
             quota.attempts_in_flight += 1;
         }
-        actions.push(Action::SendAttempt { id, backend, write_deadline_ms: begin_by_ms });
+        actions.push(Action::SendAttempt { id, backend, write_deadline_ms });
         actions
             .push(Action::ScheduleTimer { token: TimerKind::Hedge.token(id), at_ms: now + overdue_after_ms });
     }
@@ -139,15 +139,22 @@
         self.cancel_attempts(id, Some(attempt), actions);
     }
 
-    /// What to do for a request when one of its attempts has ended. `closed`: the client has its answer.
-    pub(super) fn continue_request(&mut self, now: f64, id: u64, closed: bool, actions: &mut Vec<Action>) {
+    /// What to do for a request when one of its attempts has ended. `client_answered`: the client has its
+    /// answer.
+    pub(super) fn continue_request(
+        &mut self,
+        now: f64,
+        id: u64,
+        client_answered: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(open) = self.requests.get(&id) else { return };
         let pending = open.has_pending_attempt();
         // An answer that is streamed must not be cut off as another attempt of the request ends.
         if open.streaming && pending && !open.answered {
             return;
         }
-        if closed || (open.answered && !pending) {
+        if client_answered || (open.answered && !pending) {
             return self.finish(id, actions);
         }
         if !(open.awaits_total || open.answered || pending) {
--- a/crates/policy/src/policy/backend.rs
+++ b/crates/policy/src/policy/backend.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
     pub(crate) entry: BackendEndpoint,
-    /// Last start that was told, or re-entry after silence.
+    /// Last start by the list, or return after silence.
     pub(crate) started_at: f64,
     /// It is warm after this time from then.
     pub(crate) warm_up_ms: f64,
@@ -31,7 +31,7 @@
     pub(crate) usual_in_flight: f64,
     /// Failures against successes, weighted to the recent: from 0 to 1.
     pub(crate) failures: f64,
-    /// When it last gave a sign of life.
+    /// When it was last seen alive.
     pub(crate) last_seen_at: f64,
     pub(crate) ejected: bool,
     /// Time between trials while it is ejected; 0 where it answered last.
@@ -40,14 +40,14 @@
     /// Requests waiting there by its last report, and when that came.
     pub(crate) waiting: f64,
     pub(crate) reported_at: f64,
-    /// When it last turned away each plan, then each class, as full.
+    /// When it last rejected each plan, then each class, as full.
     pub(crate) rejected_at: Vec<f64>,
 }
 
 impl Backend {
     pub(crate) fn new(now: f64, entry: &BackendEndpoint, settings: &Settings) -> Self {
-        // A start that lies ahead, by another clock or in another unit, would keep it cold until then. By a
-        // clock that goes a little before this one it is taken for that much warmer.
+        // A start that lies ahead, by another clock or in another unit, would keep it warming up until
+        // then. By a clock that goes a little before this one it is taken for that much warmer.
         let started_at = entry.slow_start_from_ms().min(now);
         let warm_up_ms = settings.slow_start.warm_up_ms;
         Backend { started_at, warm_up_ms, entry: entry.clone(), ..Backend::default() }
@@ -94,7 +94,7 @@
     }
 
     /// Readmits it to take work. A machine back from a silence of more than `restart_ms` may have
-    /// restarted, and be cold before the list says so.
+    /// restarted, and warm up before the list says so.
     pub(crate) fn readmit(&mut self, now: f64, restart_ms: f64) {
         if now - self.last_seen_at > restart_ms {
             self.started_at = now;
--- a/crates/policy/src/policy/call_throttle.rs
+++ b/crates/policy/src/policy/call_throttle.rs
@@ -6,8 +6,7 @@
 
 /// Least chance of a call, so that a counter that is back shows.
 const LEAST_CHANCE: f64 = 0.05;
-/// Least chance of a call that decides nothing while the counter is well, so that totals tell of its
-/// customer.
+/// Least chance of a call that decides nothing while the counter is well, so that totals show its customer.
 const LEAST_CHANCE_DISPENSABLE: f64 = 0.2;
 /// What a failed call leaves of the chance.
 const FACTOR_AFTER_FAILURE: f64 = 0.75;
@@ -30,9 +29,9 @@
 #[derive(Debug)]
 pub(crate) struct CallThrottle {
     chance: f64,
-    /// What the chance is to be again at once when a counter that was gone answers.
+    /// What the chance is to be again at once when a counter answers after an outage.
     goal: f64,
-    /// The last call that told something was answered.
+    /// The last call that says something of the counter was answered.
     answering: bool,
     lowered_at: f64,
     changed_at: f64,
@@ -99,17 +98,17 @@
     /// all calls that were out when it was: they met the same queue. Latency that is not the counter's own,
     /// as of a path that wavers, makes calls fewer than need be.
     pub(crate) fn call_finished(&mut self, now: f64, made_at: f64, outcome: Outcome, timeout_ms: f64) {
-        let kept = self.factor_after(outcome, now - made_at, timeout_ms);
-        if kept < 1.0 && made_at >= self.lowered_at {
-            self.lower(now, kept);
-        } else if outcome == Outcome::Ok && kept >= 1.0 {
+        let factor = self.factor_after(outcome, now - made_at, timeout_ms);
+        if factor < 1.0 && made_at >= self.lowered_at {
+            self.lower(now, factor);
+        } else if outcome == Outcome::Ok && factor >= 1.0 {
             self.raise(now);
         }
-        self.answering = outcome == Outcome::Ok || (self.answering && kept >= 1.0);
+        self.answering = outcome == Outcome::Ok || (self.answering && factor >= 1.0);
         self.changed_at = now;
     }
 
-    /// What a call's end leaves of the chance.
+    /// The factor of the chance for the end of a call.
     fn factor_after(&mut self, outcome: Outcome, latency_ms: f64, timeout_ms: f64) -> f64 {
         match outcome {
             Outcome::Ok if self.is_slow(latency_ms, timeout_ms) => FACTOR_WHEN_SLOW,
@@ -128,8 +127,8 @@
         latency_ms > slow_above_ms
     }
 
-    fn lower(&mut self, now: f64, kept: f64) {
-        self.chance = (self.chance * kept).max(LEAST_CHANCE);
+    fn lower(&mut self, now: f64, factor: f64) {
+        self.chance = (self.chance * factor).max(LEAST_CHANCE);
         // Failures with no answer between them are one trouble, and say nothing of how many calls are too
         // many: the first alone lowers the goal. Else an outage would be followed by seconds without
         // totals.
--- a/crates/policy/src/policy/endpoint_list.rs
+++ b/crates/policy/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list and load reports tell of the backends.
+//! Updates of the backends by the endpoint list and by load reports.
 
 use std::collections::HashSet;
 
@@ -16,33 +16,33 @@
         &mut self,
         now: f64,
         scope: UpdateScope,
-        entries: &[BackendEndpoint],
+        endpoints: &[BackendEndpoint],
         actions: &mut Vec<Action>,
     ) {
         if self.settings.polls_endpoints {
-            self.schedule_watch(now, scope, actions);
+            self.schedule_poll(now, scope, actions);
         }
         if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
-            self.remove_unlisted(now, entries);
+            self.remove_unlisted(now, endpoints);
         }
-        for entry in entries {
-            self.update_backend(now, entry);
+        for endpoint in endpoints {
+            self.update_backend(now, endpoint);
         }
     }
 
-    /// Schedules another request for the list where this update brings nothing new.
-    fn schedule_watch(&self, now: f64, scope: UpdateScope, actions: &mut Vec<Action>) {
+    /// Schedules another poll of the list where this update brings nothing new.
+    fn schedule_poll(&self, now: f64, scope: UpdateScope, actions: &mut Vec<Action>) {
         let wait_ms = match scope {
             UpdateScope::Failed => self.settings.poll_within_ms * POLL_AGAIN_FRACTION,
             UpdateScope::Cached => 0.0,
             UpdateScope::Delta | UpdateScope::Full => return,
         };
-        actions.push(Action::ScheduleTimer { token: TimerKind::WATCH_TOKEN, at_ms: now + wait_ms });
+        actions.push(Action::ScheduleTimer { token: TimerKind::POLL_TOKEN, at_ms: now + wait_ms });
     }
 
     /// Removes the backends that a full list does not name.
-    fn remove_unlisted(&mut self, now: f64, entries: &[BackendEndpoint]) {
-        let listed: HashSet<u32> = entries.iter().map(|entry| entry.id).collect();
+    fn remove_unlisted(&mut self, now: f64, endpoints: &[BackendEndpoint]) {
+        let listed: HashSet<u32> = endpoints.iter().map(|endpoint| endpoint.id).collect();
         let known = self.backends.slots().map(|slot| self.backends.get(slot).entry.id);
         let unlisted: Vec<u32> = known.filter(|id| !listed.contains(id)).collect();
         for id in unlisted {
@@ -51,31 +51,31 @@
         }
     }
 
-    /// Applies the list's entry of one backend.
-    fn update_backend(&mut self, now: f64, entry: &BackendEndpoint) {
-        let removed = entry.state == EndpointState::Removed;
-        let Some(slot) = self.backends.find(entry.id) else {
+    /// Applies what the list says of one backend.
+    fn update_backend(&mut self, now: f64, endpoint: &BackendEndpoint) {
+        let removed = endpoint.state == EndpointState::Removed;
+        let Some(slot) = self.backends.find(endpoint.id) else {
             if !removed {
-                self.backends.insert(now, Backend::new(now, entry, &self.settings));
+                self.backends.insert(now, Backend::new(now, endpoint, &self.settings));
             }
             return;
         };
         let known = self.backends.get(slot);
         if removed {
-            self.backends.update(now, slot, |backend| backend.entry.state = entry.state);
-        } else if entry.slow_start_from_ms() > known.entry.slow_start_from_ms() {
+            self.backends.update(now, slot, |backend| backend.entry.state = endpoint.state);
+        } else if endpoint.slow_start_from_ms() > known.entry.slow_start_from_ms() {
             // What was learned of the process before says nothing of this one.
             let restarted = Backend {
                 in_flight: known.in_flight,
                 last_seen_at: known.last_seen_at,
-                ..Backend::new(now, entry, &self.settings)
+                ..Backend::new(now, endpoint, &self.settings)
             };
             self.backends.renew(now, slot, restarted);
         } else {
-            self.backends.update(now, slot, |backend| backend.entry = entry.clone());
+            self.backends.update(now, slot, |backend| backend.entry = endpoint.clone());
         }
         self.backends.check_at(slot, now);
-        self.forget_if_removed(now, entry.id);
+        self.forget_if_removed(now, endpoint.id);
     }
 
     /// Forgets a backend that is removed and has nothing in flight.
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -129,7 +129,7 @@
         best
     }
 
-    /// Whether so many backends of a group are ejected that ejection tells nothing.
+    /// Whether so many backends of a group are ejected that ejection means nothing.
     fn is_mostly_ejected(&self, group: Scope) -> bool {
         let counts = self.backends.counts(group);
         counts.ejected as f64 > counts.ready as f64 * MOST_EJECTED_FRACTION
@@ -274,8 +274,8 @@
         trust * (1.0 - backend.failures.min(MOST_DISTRUST))
     }
 
-    /// Whether a backend turned away the request's plan and its class of late. It may have room for others,
-    /// which go on there.
+    /// Whether a backend rejected the request's plan and its class of late, as full. It may have room for
+    /// others, which go on there.
     fn rejected_of_late(&self, backend: &Backend, request: &Request, now: f64) -> bool {
         let avoid_ms = self.longest.deadline_ms * AVOIDED_FOR_DEADLINES;
         let of_late = |at: Option<&f64>| at.is_some_and(|at| now - at < avoid_ms);
--- a/crates/policy/src/policy/final_answer.rs
+++ b/crates/policy/src/policy/final_answer.rs
@@ -19,7 +19,7 @@
         self.finish(id, actions);
     }
 
-    /// When a rejected client is told to come again, if it is told: once its quota covers the request.
+    /// When a rejected client should come again: once its quota covers the request. None without advice.
     fn retry_after_ms(&self, request: &Request) -> Option<f64> {
         if !self.settings.limits.retry_advice {
             return None;
--- a/crates/policy/src/policy/fleet_load.rs
+++ b/crates/policy/src/policy/fleet_load.rs
@@ -32,8 +32,8 @@
     sum_of_starts: f64,
 }
 
-/// What all of this gateway's answers tell of the fleet. Slowness is latency as a multiple of the work that
-/// was expected.
+/// What this gateway learned of the fleet from all answers. Slowness is latency as a multiple of the work
+/// that was expected.
 #[derive(Debug, Default)]
 pub(crate) struct FleetLoad {
     latency: DecayedRatio,
@@ -117,7 +117,7 @@
         self.waiting.attempts * now - self.waiting.sum_of_starts
     }
 
-    /// A load report of a backend tells how many requests wait there.
+    /// Records how many requests wait at a backend, by its load report.
     pub(crate) fn queue_reported(&mut self, waiting: f64) {
         self.reported_queue += (1.0 - FLEET_MEMORY) * (waiting - self.reported_queue);
     }
@@ -140,7 +140,7 @@
         let time = (self.recent.observed + self.time_in_flight(now) - usual_time).max(0.0);
         let time = DecayedRatio { observed: time, ..self.recent };
         let queueing = time.with_prior(self.baseline, prior) / self.baseline - 1.0;
-        // What this gateway has in flight tells of the whole as far as the others are few.
+        // What this gateway has in flight stands for the whole as far as the others are few.
         let usual_in_flight = self.usual_or_now(self.usual_in_flight, self.in_flight);
         1.0 + queueing * (self.in_flight + gateways) / (usual_in_flight + gateways)
     }
@@ -152,7 +152,7 @@
         usual + unseen * (now - usual).max(0.0)
     }
 
-    /// Records an answer, or that none came in time: what is overdue would tell of a queue long past.
+    /// Records an answer, or that none came in time: what is overdue would show a queue long past.
     pub(crate) fn learn_recent(
         &mut self,
         now: f64,
@@ -167,7 +167,7 @@
         self.recent_at = now;
     }
 
-    /// Records the latency of an answer, and what it tells of the baseline.
+    /// Records the latency of an answer, and updates the baseline.
     pub(crate) fn learn_latency(&mut self, observed_ms: f64, work_ms: f64) {
         self.latency.add(observed_ms, work_ms, FLEET_MEMORY);
         self.learn_baseline();
--- a/crates/policy/src/policy/handover.rs
+++ b/crates/policy/src/policy/handover.rs
@@ -36,9 +36,9 @@
     }
 
     /// Reports charges that another process did not, each with the next call for its customer. What can't
-    /// be charges is passed over.
-    pub fn adopt_unreported_charges(&mut self, now: f64, untold: &[UnreportedCharge]) {
-        for charge in untold {
+    /// be a charge is ignored.
+    pub fn adopt_unreported_charges(&mut self, now: f64, charges: &[UnreportedCharge]) {
+        for charge in charges {
             let sound = charge.units.is_finite() && charge.units > 0.0 && charge.fan_out >= 1.0;
             if sound {
                 self.take_over_charge(now, charge);
--- a/crates/policy/src/policy/latency.rs
+++ b/crates/policy/src/policy/latency.rs
@@ -11,7 +11,7 @@
 const CLASS_MEMORY: f64 = 0.998;
 /// Latency of a mean request before any was seen, as a part of the latency objective.
 pub(crate) const UNSEEN_LATENCY: f64 = 0.125;
-/// Answers that the assumed latency of a class is worth, so that a flood at the start shows as slowness.
+/// Answers that the assumed latency of a class counts for, so that a flood at the start shows as slowness.
 pub(crate) const UNSEEN_WEIGHT: f64 = 20.0;
 
 /// Latency of a mean request of a class on an idle backend before any was seen, ms.
@@ -61,7 +61,7 @@
     }
 
     /// Changes from the classes of `old` settings to those of `new` ones. What was learned of a class that
-    /// changed goes with its name, whose place before `place_before` tells.
+    /// changed goes with its name, whose earlier place `place_before` gives.
     pub(crate) fn change_classes(
         &mut self,
         old: &[Class],
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -15,7 +15,7 @@
 //!
 //! | module | decides or knows |
 //! | --- | --- |
-//! | `quota` | a customer's token bucket, ceiling and demand, and what a counter total tells of them |
+//! | `quota` | a customer's token bucket, ceiling and demand, and what a counter total says of them |
 //! | `call_throttle` | how many counter calls are made |
 //! | `endpoint_list`, `backend` | which backends there are, and what is known of each |
 //! | `outlier_ejection` | which backends get no work until a trial succeeds |
@@ -78,7 +78,7 @@
     counter_calls: CallsInFlight,
     call_throttle: CallThrottle,
     pub(crate) backends: Index<Backend>,
-    /// Places of the candidates of the selection that is being made; kept so that none allocates.
+    /// Slots of the candidates of the selection that is being made; its memory is reused.
     drawn: Vec<usize>,
     longest: LongestTimes,
     latency: LatencyEstimates,
@@ -122,8 +122,8 @@
     }
 
     /// Changes the classes, limits and slow-start figures. A class at the place that it had before is the
-    /// same one; what was learned of a class that changed goes with its name, which `before` tells as the
-    /// place of each that is new. Open requests keep the class and the attempts they came with.
+    /// same one; what was learned of a class that changed goes with its name, and `before` maps the place
+    /// of each new class to its earlier one. Open requests keep the class and the attempts they came with.
     pub fn update_settings(&mut self, settings: Settings, before: impl Fn(usize) -> Option<usize>) {
         self.latency.change_classes(&self.settings.classes, &settings.classes, before);
         self.longest = LongestTimes::of(&settings);
@@ -137,18 +137,18 @@
     }
 
     /// The request that a timer is for, if any. When that has its final answer and no attempt in flight,
-    /// the timer need not ring.
+    /// the timer need not fire.
     #[must_use]
     pub fn request_of_timer(token: u64) -> Option<u64> {
         let (kind, request) = TimerKind::of(token);
-        (kind != TimerKind::Watch).then_some(request)
+        (kind != TimerKind::PollEndpoints).then_some(request)
     }
 
     /// Handles an event, and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointsUpdated { scope, endpoints: entries } => {
-                self.update_list(now, scope, entries, actions)
+            Event::EndpointsUpdated { scope, endpoints } => {
+                self.update_list(now, scope, endpoints, actions);
             }
             Event::Request(request) => self.request_arrived(now, request, actions),
             Event::AttemptEnded {
@@ -157,18 +157,18 @@
                 backend,
                 outcome,
                 latency_ms,
-                answered: closed,
-                metered_use: metered,
-                actual_units: charged,
+                answered,
+                metered_use,
+                actual_units,
                 load,
             } => {
                 self.learn_load(now, backend, load);
                 self.attempt_finished(
                     now,
-                    &AttemptResult { id, attempt, outcome, latency_ms, charged, metered },
+                    &AttemptResult { id, attempt, outcome, latency_ms, actual_units, metered_use },
                 );
                 self.forget_if_removed(now, backend);
-                self.continue_request(now, id, closed, actions);
+                self.continue_request(now, id, answered, actions);
             }
             Event::StreamStarted { id, attempt, backend } => {
                 self.stream_started(now, id, attempt, backend, actions);
@@ -178,8 +178,8 @@
                 self.learn_load(now, backend, load);
                 self.probe_finished(now, backend, outcome);
             }
-            Event::CounterReplied { key: name, outcome, total } => {
-                self.counter_call_finished(now, name, outcome, total, actions);
+            Event::CounterReplied { key, outcome, total } => {
+                self.counter_call_finished(now, key, outcome, total, actions);
             }
             Event::PeerMessage { .. } => {}
             Event::TimerExpired { token } => self.timer_fired(now, token, actions),
@@ -192,7 +192,7 @@
             TimerKind::Deadline => self.give_up(id, actions),
             TimerKind::Hedge => self.overdue_timer_fired(now, id, actions),
             TimerKind::CounterWait => self.counter_wait_expired(now, id, actions),
-            TimerKind::Watch => actions.push(Action::PollEndpoints),
+            TimerKind::PollEndpoints => actions.push(Action::PollEndpoints),
         }
     }
 }
--- a/crates/policy/src/policy/outlier_ejection.rs
+++ b/crates/policy/src/policy/outlier_ejection.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Ejects a backend that owes answers and gave no sign of life for too long.
+    /// Ejects a backend that has attempts in flight and was not seen alive for too long.
     fn eject_if_silent(&mut self, now: f64, slot: usize) {
         let connect_ms = self.settings.limits.connect_timeout_ms;
         let backend = self.backends.get(slot);
--- a/crates/policy/src/policy/quota/ceiling.rs
+++ b/crates/policy/src/policy/quota/ceiling.rs
@@ -71,8 +71,8 @@
         allowed
     }
 
-    /// The least that a request is charged when its actual units are told. The ceiling counts the estimate,
-    /// so that one far above the actual units must not be free for the quota.
+    /// The least that a request is charged when its actual units are known. The ceiling counts the
+    /// estimate, so that one far above the actual units must not be free for the quota.
     pub(in crate::policy) fn least_charge(&self, estimate: f64) -> f64 {
         if !self.totals_enforce_ceiling {
             return 0.0;
--- a/crates/policy/src/policy/quota/mod.rs
+++ b/crates/policy/src/policy/quota/mod.rs
@@ -71,7 +71,7 @@
     overflow: f64,
     /// What this gateway may spend without asking.
     local_allowance: f64,
-    /// Charges that the counter was not told.
+    /// Charges not yet reported to the counter.
     pub(super) unreported: f64,
     /// Charges reported in this window whose requests were not sent; taken back within the window alone.
     pub(super) withdrawn: f64,
@@ -91,7 +91,7 @@
     reporting: f64,
     /// A call that reports overflow is in flight; until it is answered totals may lack it.
     reporting_overflow: bool,
-    /// The totals lack overflow that is known here: they tell of no more than the own estimate has.
+    /// The totals lack overflow that is known here: until they have it the own estimate bounds them.
     totals_lack_overflow: bool,
     /// What this gateway charged of late.
     own_use: f64,
@@ -101,7 +101,7 @@
     ceiling: CeilingShare,
     /// Processes that serve as this gateway by now, which share what is this gateway's.
     processes: f64,
-    /// What a total lets pass keeps the ceiling by itself.
+    /// What totals let pass is within the ceiling by itself.
     totals_enforce_ceiling: bool,
     pub(super) attempts_in_flight: u32,
     calls_in_flight: u32,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Forgets amounts of which a total tells, or none ever will.
+    /// Forgets amounts that a total covers, or none ever will.
     fn forget_uncertain(&mut self) {
         self.uncertain = 0.0;
         self.lost_in_transit = 0.0;
@@ -181,9 +181,9 @@
         self.ceiling.refill(seconds, self.processes);
         // Refill has made good charges that are reported long after, as when the counter is back.
         self.unreported = self.unreported.min((self.plan.burst - self.level).max(0.0));
-        let keep = self.memory_factor(given);
-        self.own_use *= keep;
-        self.others_use *= keep;
+        let factor = self.memory_factor(given);
+        self.own_use *= factor;
+        self.others_use *= factor;
     }
 
     fn refill_bucket(&mut self, given: f64) {
@@ -208,7 +208,7 @@
         let has_ceiling = self.plan.ceiling_rate > 0.0;
         let ceiling_scarce = has_ceiling && self.ceiling.level < units;
         let uncovered = self.level < units;
-        // What is only assumed of others must not reject: no call would be made that would tell better.
+        // What is only assumed of others must not reject: no call would be made that shows better.
         let doubtful = uncovered && self.level + self.assumed_of_others >= units;
         let over_quota = self.plan.rate > 0.0 && uncovered && !doubtful;
         let over_ceiling = ceiling_scarce && !self.totals_enforce_ceiling;
@@ -257,7 +257,7 @@
         self.withdrawn += charge + extra_report;
     }
 
-    /// A usage meter tells this customer's use over all gateways, as a part of its rate.
+    /// Learns the customer's use over all gateways, as a part of its rate, from a usage meter.
     pub(super) fn learn_metered_use(&mut self, fraction_of_rate: f64) {
         self.others_use = (fraction_of_rate * self.plan.burst * MEMORY_FILLS - self.own_use).max(0.0);
     }
--- a/crates/policy/src/policy/quota/totals.rs
+++ b/crates/policy/src/policy/quota/totals.rs
@@ -1,4 +1,4 @@
-//! What a call to the shared counter tells of a customer's quota, or that it told nothing.
+//! What a customer's quota learns from a call to the shared counter, answered or not.
 
 use super::{CustomerQuota, WINDOW_MS};
 use crate::interface::Outcome;
@@ -26,7 +26,7 @@
     new_customer: bool,
 }
 
-/// The level that a total tells, and how it compares to what is possible.
+/// The level by a total, and how it compares to what is possible.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     level: f64,
@@ -128,7 +128,8 @@
         let burst = self.plan.burst;
         // An answer that comes when its window is over is read by the time in that window, not in the next.
         let in_window_ms = (self.windows(now) - self.window as f64) * WINDOW_MS;
-        // What was assumed of others meanwhile is given back, unless the counter can't tell of it any more.
+        // What was assumed of others meanwhile is given back, unless the counter restarted and can't show
+        // it.
         let given_back = if continuity.counter_restarted { 0.0 } else { self.assumed_of_others };
         // Charges that the total does not hold yet; taken off once.
         let not_in_total = self.reporting + self.unreported - self.withdrawn;
--- a/crates/policy/src/policy/timers.rs
+++ b/crates/policy/src/policy/timers.rs
@@ -3,7 +3,7 @@
 const KIND_BITS: u32 = 2;
 const KIND_MASK: u64 = (1 << KIND_BITS) - 1;
 
-/// What to look at when a timer rings.
+/// What to look at when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 pub(crate) enum TimerKind {
@@ -13,8 +13,8 @@
     Hedge = 1,
     /// A counter call took as long as a request may wait for it.
     CounterWait = 2,
-    /// The endpoint list is to be asked for. It belongs to no request.
-    Watch = 3,
+    /// The endpoint list is to be polled. It belongs to no request.
+    PollEndpoints = 3,
 }
 
 impl TimerKind {
@@ -24,7 +24,7 @@
     }
 
     /// The token of the timer that belongs to no request.
-    pub(crate) const WATCH_TOKEN: u64 = TimerKind::Watch as u64;
+    pub(crate) const POLL_TOKEN: u64 = TimerKind::PollEndpoints as u64;
 
     /// The kind and the request of a token.
     pub(crate) fn of(token: u64) -> (TimerKind, u64) {
@@ -32,7 +32,7 @@
             0 => TimerKind::Deadline,
             1 => TimerKind::Hedge,
             2 => TimerKind::CounterWait,
-            _ => TimerKind::Watch,
+            _ => TimerKind::PollEndpoints,
         };
         (kind, token >> KIND_BITS)
     }
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -29,7 +29,7 @@
     ///
     /// A subset is as large as it takes to learn from answers who is slow, and to cover a part of the load.
     /// If a hundred gateways of little traffic used all backends, each would meet each of them once in
-    /// seconds: most meetings would cost a handshake, and none would tell in time who is slow. With a
+    /// seconds: most meetings would cost a handshake, and none would show in time who is slow. With a
     /// subset a gateway sees less of the fleet, and spills over sooner.
     #[must_use]
     pub fn degree(&self, ready: usize) -> f64 {
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -26,7 +26,7 @@
 const ENDPOINT_BYTES: usize = 21;
 /// The bit of a request's flags that marks a client's retry.
 const RETRY_FLAG: u8 = 2;
-/// Metered use is told in hundredths, and one above so that 0 is none.
+/// Metered use comes in hundredths, and one above so that 0 is none.
 const METERED_UNIT: f64 = 100.0;
 
 /// A record of a batch.
@@ -54,16 +54,16 @@
     Plain(Event<'static>),
 }
 
-/// How an attempt ended, and what its answer told.
+/// How an attempt ended, and what its answer says.
 pub struct EndedAttempt {
     id: u64,
     attempt: u32,
     backend: u32,
     outcome: Outcome,
     latency_ms: f64,
-    closed: bool,
-    metered: Option<f64>,
-    charged: Option<f64>,
+    answered: bool,
+    metered_use: Option<f64>,
+    actual_units: Option<f64>,
     load: Vec<f32>,
 }
 
@@ -75,8 +75,8 @@
                 Event::EndpointsUpdated { scope: UpdateScope::Failed, endpoints: &[] }
             }
             DecodedEvent::Backends { scope, list } => {
-                let entries = lists.get(*list).ok_or_else(|| Malformed::new(format!("no list {list}")))?;
-                Event::EndpointsUpdated { scope: *scope, endpoints: entries }
+                let endpoints = lists.get(*list).ok_or_else(|| Malformed::new(format!("no list {list}")))?;
+                Event::EndpointsUpdated { scope: *scope, endpoints }
             }
             DecodedEvent::Ended(ended) => ended.event(),
             DecodedEvent::Probed { backend, outcome, load } => {
@@ -96,9 +96,9 @@
             backend: self.backend,
             outcome: self.outcome,
             latency_ms: self.latency_ms,
-            answered: self.closed,
-            metered_use: self.metered,
-            actual_units: self.charged,
+            answered: self.answered,
+            metered_use: self.metered_use,
+            actual_units: self.actual_units,
             load: &self.load,
         }
     }
@@ -168,10 +168,10 @@
 }
 
 fn counted(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
-    let name = fields.u64("Reckoned")?;
+    let key = fields.u64("Reckoned")?;
     let outcome = outcome(fields.u8("Reckoned")?)?;
     let total = fields.f32("Reckoned")?;
-    Ok(DecodedEvent::Plain(Event::CounterReplied { key: name, outcome, total }))
+    Ok(DecodedEvent::Plain(Event::CounterReplied { key, outcome, total }))
 }
 
 fn probed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
@@ -208,15 +208,15 @@
 fn request(fields: &mut Fields<'_>) -> Result<Request, Malformed> {
     let message = "NewRequest";
     let id = fields.u64(message)?;
-    let width = fields.f32(message)?;
+    let fan_out = fields.f32(message)?;
     let _unused = fields.f32(message)?;
     let retry = fields.u8(message)? & RETRY_FLAG != 0;
     let plan = usize::from(fields.u16(message)?);
     let units = fields.f32(message)?;
-    let expires_ms = fields.f64(message)?;
+    let deadline_ms = fields.f64(message)?;
     let class = usize::from(fields.u8(message)?);
     let customer = fields.u64(message)?;
-    Ok(Request { id, customer, plan, class, units, fan_out: width, deadline_ms: expires_ms, retry })
+    Ok(Request { id, customer, plan, class, units, fan_out, deadline_ms, retry })
 }
 
 fn ended(fields: &mut Fields<'_>) -> Result<EndedAttempt, Malformed> {
@@ -226,7 +226,7 @@
     let backend = fields.u32(message)?;
     let outcome = outcome(fields.u8(message)?)?;
     let latency_ms = fields.f64(message)?;
-    let closed = fields.u8(message)? != 0;
+    let answered = fields.u8(message)? != 0;
     let metered = fields.u16(message)?;
     let charged = fields.u16(message)?;
     Ok(EndedAttempt {
@@ -235,9 +235,9 @@
         backend,
         outcome,
         latency_ms,
-        closed,
-        metered: (metered > 0).then(|| f64::from(metered - 1) / METERED_UNIT),
-        charged: (charged > 0).then(|| f64::from(charged)),
+        answered,
+        metered_use: (metered > 0).then(|| f64::from(metered - 1) / METERED_UNIT),
+        actual_units: (charged > 0).then(|| f64::from(charged)),
         load: fields.load_report()?,
     })
 }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -83,10 +83,9 @@
             }
             Action::Fail { id } => self.put(instance, code::FAIL, &[&id.to_be_bytes()]),
             Action::Probe { backend } => self.put(instance, code::PROBE, &[&backend.to_be_bytes()]),
-            Action::IncrementCounter { key: name, amount, ttl_ms: forget_after_ms } => {
+            Action::IncrementCounter { key, amount, ttl_ms } => {
                 let amount = *amount as f32;
-                let fields: [&[u8]; 3] =
-                    [&name.to_be_bytes(), &amount.to_be_bytes(), &forget_after_ms.to_be_bytes()];
+                let fields: [&[u8]; 3] = [&key.to_be_bytes(), &amount.to_be_bytes(), &ttl_ms.to_be_bytes()];
                 self.put(instance, code::COUNT, &fields);
             }
             Action::ScheduleTimer { token, at_ms } => {
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -33,8 +33,8 @@
 #[test]
 fn attempt_is_written_without_its_write_deadline() {
     let mut reply = Reply::new(1);
-    for begin_by_ms in [None, Some(1.0)] {
-        reply.action(2, &Action::SendAttempt { id: 9, backend: 77, write_deadline_ms: begin_by_ms });
+    for write_deadline_ms in [None, Some(1.0)] {
+        reply.action(2, &Action::SendAttempt { id: 9, backend: 77, write_deadline_ms });
     }
     let send = [&[6, 0, 0, 0, 20][..], &9u64.to_be_bytes(), &77u32.to_be_bytes(), &[0; 8]].concat();
     let expected = [&[0, 0, 0, 1, 0, 0, 0, 57][..], &[4, 0, 0, 0, 2, 0, 2], &send, &send];
