--- /dev/null
+++ b/crates/agent/src/order_ledger.rs
@@ -0,0 +1,221 @@
+//! The ledger of orders: decides whether an order is a repetition, is rejected, or is to be logged. No I/O
+//! and no clock.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use fleet::wire::{ErrorCode, ErrorResponse, LoggedOrder};
+use fleet::{
+    guard, ApplyOutcome, Backend, Change, DesiredState, GuardCounts, Order, OrderId, Revision, Subject,
+};
+
+use crate::log::ORDERS_KEPT;
+
+/// Orders after which their state is logged as one snapshot.
+const ORDERS_PER_SNAPSHOT: u64 = 256;
+
+/// An order as a tool requests it.
+#[derive(Clone, Debug)]
+pub struct OrderRequest {
+    /// Chosen by the tool.
+    pub id: OrderId,
+    /// What it is about.
+    pub subject: Subject,
+    /// What it changes.
+    pub change: Change,
+    /// Whether the guard and unknown subjects are passed over.
+    pub forced: bool,
+}
+
+/// What the agent knows of the fleet when it decides on an order.
+pub struct FleetView<'a, B, G> {
+    /// Backends that some gateway lists.
+    pub backends: B,
+    /// Gateways that answer.
+    pub reachable_gateways: G,
+    /// Whether any gateway has listed its backends.
+    pub has_backend_lists: bool,
+    /// Whether a gateway of this name is overseen, reachable or not.
+    pub is_overseen: &'a dyn Fn(&str) -> bool,
+}
+
+/// The decision on an order.
+#[derive(Debug)]
+pub enum Decision {
+    /// It was logged before, as this.
+    Repeated(LoggedOrder),
+    /// It is to be logged as this.
+    Write(LoggedOrder),
+    /// It is rejected.
+    Rejected(ErrorResponse),
+}
+
+/// All orders and the state that they make.
+#[derive(Debug)]
+pub struct OrderLedger {
+    desired: DesiredState,
+    newest: Revision,
+    /// Oldest first.
+    orders: VecDeque<LoggedOrder>,
+    revisions: BTreeMap<OrderId, Revision>,
+    orders_since_snapshot: u64,
+    min_ready_fraction: f64,
+}
+
+impl OrderLedger {
+    /// A ledger with the contents of the log.
+    pub fn new(
+        desired: DesiredState,
+        newest: Revision,
+        orders: Vec<LoggedOrder>,
+        min_ready_fraction: f64,
+    ) -> OrderLedger {
+        let revisions =
+            orders.iter().map(|logged| (logged.order.id.clone(), logged.order.revision)).collect();
+        OrderLedger {
+            desired,
+            newest,
+            orders: orders.into(),
+            revisions,
+            orders_since_snapshot: 0,
+            min_ready_fraction,
+        }
+    }
+
+    /// Decides on an order. One that is to be logged counts in further decisions, so a ledger whose order
+    /// could not be logged must not be used any more.
+    pub fn decide<'a, B, G>(
+        &mut self,
+        request: OrderRequest,
+        view: FleetView<'_, B, G>,
+        at_ms: u64,
+    ) -> Decision
+    where
+        B: Iterator<Item = &'a Backend>,
+        G: Iterator<Item = &'a str>,
+    {
+        if let Some(first) = self.find(&request.id) {
+            return repeated(first, &request);
+        }
+        let OrderRequest { id, subject, change, forced } = request;
+        let order = Order { id, revision: self.newest.next(), subject, change };
+        match self.check(&order, forced, view) {
+            Ok(counts) => {
+                let logged = LoggedOrder { order, forced, at_ms, counts };
+                self.add(logged.clone());
+                Decision::Write(logged)
+            }
+            Err(error) => Decision::Rejected(error),
+        }
+    }
+
+    /// Checks an order, and applies it to the desired state if nothing speaks against it.
+    fn check<'a, B, G>(
+        &mut self,
+        order: &Order,
+        forced: bool,
+        view: FleetView<'_, B, G>,
+    ) -> Result<GuardCounts, ErrorResponse>
+    where
+        B: Iterator<Item = &'a Backend>,
+        G: Iterator<Item = &'a str>,
+    {
+        order.check().map_err(|error| ErrorResponse::new(ErrorCode::BadRequest, error.to_string()))?;
+        let min_ready_fraction = if forced { 0.0 } else { self.min_ready_fraction };
+        let counts = guard(&self.desired, order, view.backends, view.reachable_gateways, min_ready_fraction)
+            .map_err(|too_few| {
+                let message = format!("{too_few}; --force orders it all the same");
+                ErrorResponse::new(ErrorCode::TooFew, message)
+            })?;
+        if !forced {
+            self.check_subject(&order.subject, counts, view.has_backend_lists, view.is_overseen)?;
+        }
+        match self.desired.apply(order) {
+            ApplyOutcome::Rejected(reason) => Err(ErrorResponse::new(ErrorCode::Unavailable, reason)),
+            ApplyOutcome::Applied | ApplyOutcome::Superseded(_) => Ok(counts),
+        }
+    }
+
+    /// Rejects a subject that nobody knows. What was ordered on it already can always be reversed.
+    fn check_subject(
+        &self,
+        subject: &Subject,
+        counts: GuardCounts,
+        has_backend_lists: bool,
+        is_overseen: &dyn Fn(&str) -> bool,
+    ) -> Result<(), ErrorResponse> {
+        if self.desired.registers().any(|register| register.subject == *subject) {
+            return Ok(());
+        }
+        if let Subject::Gateway(name) = subject {
+            if is_overseen(name.as_str()) {
+                return Ok(());
+            }
+            let message = format!("{subject}: no gateway of that name is overseen");
+            return Err(ErrorResponse::new(ErrorCode::UnknownSubject, message));
+        }
+        if counts.covered > 0 {
+            return Ok(());
+        }
+        if !has_backend_lists {
+            let message = "no gateway has told its backends yet; --force orders it all the same";
+            return Err(ErrorResponse::new(ErrorCode::Unavailable, message));
+        }
+        let message = format!("{subject}: no gateway lists such a backend; --force orders it all the same");
+        Err(ErrorResponse::new(ErrorCode::UnknownSubject, message))
+    }
+
+    fn add(&mut self, logged: LoggedOrder) {
+        self.newest = logged.order.revision;
+        self.orders_since_snapshot += 1;
+        self.revisions.insert(logged.order.id.clone(), logged.order.revision);
+        self.orders.push_back(logged);
+        if self.orders.len() > ORDERS_KEPT {
+            if let Some(oldest) = self.orders.pop_front() {
+                self.revisions.remove(&oldest.order.id);
+            }
+        }
+    }
+
+    fn find(&self, id: &OrderId) -> Option<&LoggedOrder> {
+        let revision = self.revisions.get(id)?;
+        let index = self.orders.binary_search_by_key(revision, |logged| logged.order.revision).ok()?;
+        self.orders.get(index)
+    }
+
+    /// Settles all orders if a snapshot is due. Returns whether it is, and so has to be logged along with the
+    /// next orders.
+    pub fn settle(&mut self) -> bool {
+        let is_due = self.orders_since_snapshot >= ORDERS_PER_SNAPSHOT;
+        if is_due {
+            self.desired.compact();
+            self.orders_since_snapshot = 0;
+        }
+        is_due
+    }
+
+    /// The newest revision.
+    pub fn newest(&self) -> Revision {
+        self.newest
+    }
+
+    /// The state that the orders make.
+    pub fn desired(&self) -> &DesiredState {
+        &self.desired
+    }
+
+    /// The orders that are retained, newest first.
+    pub fn latest(&self) -> impl Iterator<Item = &LoggedOrder> {
+        self.orders.iter().rev()
+    }
+}
+
+/// The decision on an order whose id is known. Another order with the same id is rejected, or whoever made it
+/// would be told that it was applied.
+fn repeated(first: &LoggedOrder, request: &OrderRequest) -> Decision {
+    if first.order.subject == request.subject && first.order.change == request.change {
+        return Decision::Repeated(first.clone());
+    }
+    let OrderRequest { id, .. } = request;
+    let message = format!("id {id} was given to {} {}", first.order.change, first.order.subject);
+    Decision::Rejected(ErrorResponse::new(ErrorCode::IdReused, message))
+}
--- /dev/null
+++ b/crates/gatewayctl/src/endpoint_list.rs
@@ -0,0 +1,136 @@
+//! `sources` and `resolve`: the endpoint list from DNS-SD, as the agent has it and as it would be.
+
+use dns_sd::CacheLimits;
+use endpoint_sources::{Follower, Resolver, Settings};
+use fleet::wire::{
+    EndpointListStatus, EndpointStatus, RecordStatus, ToolRequest, ToolResponse, UnansweredQuery,
+};
+use operator_config::Address;
+use tokio::time::{timeout_at, Instant};
+
+use crate::agent_client::{AgentClient, AgentClientError};
+use crate::cli::{Output, Resolve};
+use crate::error::{CommandError, LocalError};
+use crate::output::{format_age, print_json, print_table, print_text};
+
+const ENDPOINT_HEADER: [&str; 9] =
+    ["NAME", "ADDRESS", "PRIORITY", "WEIGHT", "ZONE", "TYPE", "GROUP", "STATUS", "STALE"];
+const DROPPED_HEADER: [&str; 2] = ["DROPPED", "WHY"];
+const UNANSWERED_HEADER: [&str; 3] = ["UNANSWERED", "FOR", "WHY"];
+const RECORD_HEADER: [&str; 3] = ["QUESTION", "RECORDS", "LIFE"];
+/// Shown where nothing is known.
+const NONE: &str = "-";
+
+/// Shows the agent's list. Succeeds only if it is known, and nothing is stale, waits for confirmation or is
+/// unanswered.
+pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), CommandError> {
+    let mut agent = AgentClient::connect(address).await?;
+    let status = match agent.request(ToolRequest::Sources { records }).await? {
+        ToolResponse::Sources(status) => status,
+        _ => return Err(AgentClientError::UnexpectedResponse.into()),
+    };
+    print(&status, output)?;
+    let is_fresh = status.list.iter().all(|endpoint| endpoint.stale_ms.is_none());
+    let is_settled = status.awaiting_confirmation == 0 && status.unanswered.is_empty();
+    if status.known && is_fresh && is_settled {
+        Ok(())
+    } else {
+        Err(CommandError::Partial)
+    }
+}
+
+/// Queries resolvers as the agent does. Succeeds only if all was answered and the list is not empty.
+pub async fn resolve(args: &Resolve, output: Output) -> Result<(), CommandError> {
+    let deadline = Instant::now() + args.deadline;
+    let settings = Settings {
+        services: args.services.clone(),
+        bounds: CacheLimits::default(),
+        shrink_most: 1.0,
+        seed: u64::from(std::process::id()),
+    };
+    let mut follower = Follower::new(settings, Resolver::new(args.servers.clone(), args.query_timeout));
+    let complete = async {
+        // The list is made once more after the last answer.
+        while follower.step(&mut drop).await.is_none() || !follower.settled() {}
+    };
+    let is_complete = timeout_at(deadline, complete).await.is_ok();
+    let status = follower.report(args.records);
+    print(&status, output)?;
+    if !is_complete {
+        return Err(LocalError::UnresolvedNames(status.pending + status.unknown).into());
+    }
+    if status.unanswered.is_empty() && !status.list.is_empty() {
+        Ok(())
+    } else {
+        Err(CommandError::FaultsFound)
+    }
+}
+
+fn print(status: &EndpointListStatus, output: Output) -> Result<(), LocalError> {
+    match output {
+        Output::Json => print_json(status)?,
+        Output::Table => print_tables(status),
+    }
+    Ok(())
+}
+
+fn print_tables(status: &EndpointListStatus) {
+    print_table(&ENDPOINT_HEADER, &status.list.iter().map(endpoint_row).collect::<Vec<_>>());
+    let dropped = status.dropped.iter().map(|dropped| vec![dropped.instance.clone(), dropped.reason.clone()]);
+    print_section(&DROPPED_HEADER, &dropped.collect::<Vec<_>>());
+    print_section(&UNANSWERED_HEADER, &status.unanswered.iter().map(unanswered_row).collect::<Vec<_>>());
+    print_section(&RECORD_HEADER, &status.records.iter().map(record_row).collect::<Vec<_>>());
+    print_text(&format!("\n{}\n", summary(status)));
+}
+
+/// Prints a table behind an empty line, if it has rows.
+fn print_section(header: &[&str], rows: &[Vec<String>]) {
+    if !rows.is_empty() {
+        print_text("\n");
+        print_table(header, rows);
+    }
+}
+
+fn summary(status: &EndpointListStatus) -> String {
+    let EndpointListStatus { awaiting_confirmation, pending, unknown, queries_sent, .. } = status;
+    let mut text = format!("{} listed, {queries_sent} questions asked", status.list.len());
+    if *awaiting_confirmation > 0 {
+        text += &format!("; {awaiting_confirmation} held until a second answer");
+    }
+    if pending + unknown > 0 {
+        text += &format!("; {pending} instances and {unknown} services wait for answers");
+    }
+    if !status.known {
+        text += "; not known whole, and so not served";
+    }
+    text
+}
+
+fn endpoint_row(endpoint: &EndpointStatus) -> Vec<String> {
+    let stale = endpoint.stale_ms.map_or(NONE.to_string(), |ms| format_age(ms.max(0.0) as u64));
+    vec![
+        endpoint.name.clone(),
+        endpoint.address.clone(),
+        endpoint.priority.to_string(),
+        endpoint.weight.to_string(),
+        endpoint.zone.clone(),
+        endpoint.kind.clone(),
+        endpoint.group.to_string(),
+        if endpoint.serving { "serving" } else { "draining" }.to_string(),
+        stale,
+    ]
+}
+
+fn unanswered_row(query: &UnansweredQuery) -> Vec<String> {
+    vec![query.question.clone(), format_age(query.for_ms.max(0.0) as u64), query.reason.clone()]
+}
+
+fn record_row(record: &RecordStatus) -> Vec<String> {
+    let ttl = match record.ttl_ms {
+        None => NONE.to_string(),
+        Some(ms) if ms < 0.0 => format!("stale {}", format_age(-ms as u64)),
+        Some(ms) => format_age(ms as u64),
+    };
+    let records = record.records.map_or("unknown".to_string(), |count| count.to_string());
+    vec![record.question.clone(), records, ttl]
+}
--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn each_wrong_file_has_its_recorded_text() {
+fn wrong_files_have_recorded_texts() {
     assert_eq!(texts(), std::fs::read_to_string(data("wrong.txt")).expect("recorded"));
 }
 
 #[test]
-fn two_faults_stand_in_the_order_of_their_lines() {
+fn faults_are_in_the_order_of_their_lines() {
     let both = SAMPLE.replace("rate = 6.5", "rate = -6.5").replace("2026-12-24T18:00:00Z", "soon");
     let wanted = "line 13: plan.rate: -6.5 is no finite number of 0 or more\n\
         line 34: customer.from: a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
@@ -119,25 +119,49 @@
 }
 
 #[test]
-fn what_makes_no_catalogue_has_its_text() {
+fn catalogue_errors_have_recorded_texts() {
     let many = (0..=10_000).map(|n| (plan("p", n + 1), PlanLimits::default()));
     assert_eq!(
         Catalogue::new(1, many, []).expect_err("too many").to_string(),
         "more than 10000 versions of plans"
     );
     for (wrong, text) in [
-        (CatalogueError::Terms(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
+        (CatalogueError::InvalidLimits(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
         (
-            CatalogueError::Version(plan("a", 0)),
+            CatalogueError::InvalidVersion(plan("a", 0)),
             "a version 0: a version from 1 that stands there once is wanted",
         ),
         (
-            CatalogueError::NoPlan(0xb4d6_5521, plan("a", 2)),
+            CatalogueError::UnknownPlan { customer: 0xb4d6_5521, plan: plan("a", 2) },
             "customer 00000000b4d65521: a version 2 is no plan of this catalogue",
         ),
-        (CatalogueError::Twice(5, 12), "customer 0000000000000005: two plans from 12 ms on"),
-        (CatalogueError::TooMany("customers' plans", 3), "more than 3 customers' plans"),
+        (
+            CatalogueError::TwoPlans { customer: 5, from_ms: 12 },
+            "customer 0000000000000005: two plans from 12 ms on",
+        ),
+        (CatalogueError::TooMany { what: "customers' plans", max: 3 }, "more than 3 customers' plans"),
     ] {
         assert_eq!(wrong.to_string(), text);
     }
 }
+
+#[test]
+fn files_of_another_shape_have_recorded_texts() {
+    let mut all = String::new();
+    for text in [
+        "",
+        "5",
+        "revision = 1\nplan = 5",
+        "revision = 1\nplan = [5]",
+        "revision = 1\nplan = {}",
+        "revision = 1\nplan = [[]]",
+        "revision = 1\n[plan]\nname = \"a\"",
+        "revision = 1\ncustomer = \"x\"",
+        "revision = 1\ncustomer = [\"x\"]",
+        "revision = []",
+    ] {
+        let read = read_catalogue(text).map(|all| all.revision()).map_err(|bad| bad.to_string());
+        writeln!(all, "{text:?}\n{read:?}\n").expect("a string takes all");
+    }
+    assert_eq!(all, std::fs::read_to_string(data("shapes.txt")).expect("recorded"));
+}
--- /dev/null
+++ b/crates/policy/src/policy/handover.rs
@@ -0,0 +1,63 @@
+//! While one process of a gateway takes over from another, they share what is the gateway's, and the
+//! charges that the old one did not report pass to the new one.
+
+use super::quota::CustomerQuota;
+use super::Policy;
+use crate::interface::UnreportedCharge;
+
+impl Policy {
+    /// Sets how many processes serve as this gateway, this one among them: while one takes over from
+    /// another, all that a gateway may do without asking is shared between them.
+    pub fn set_process_count(&mut self, now: f64, processes: u32) {
+        let processes = f64::from(processes.max(1));
+        self.customers.for_each_mut(|quota| {
+            quota.refill(now);
+            quota.share_among(processes);
+        });
+        self.processes = processes;
+    }
+
+    /// Removes and returns the charges that were not reported to the counter, so that another process
+    /// reports them: of all customers whose plan the settings have.
+    pub fn take_unreported_charges(&mut self) -> Vec<UnreportedCharge> {
+        let plans = &self.settings.plans;
+        let mut unreported = Vec::new();
+        self.customers.for_each_mut(|quota| {
+            let Some(plan) = plans.iter().position(|plan| *plan == quota.plan) else { return };
+            let Some(units) = quota.take_unreported() else { return };
+            unreported.push(UnreportedCharge {
+                customer: quota.customer,
+                plan,
+                fan_out: quota.fan_out,
+                units,
+            });
+        });
+        unreported
+    }
+
+    /// Reports charges that another process did not, each with the next call for its customer. What can't
+    /// be a charge is ignored.
+    pub fn adopt_unreported_charges(&mut self, now: f64, charges: &[UnreportedCharge]) {
+        for charge in charges {
+            let sound = charge.units.is_finite() && charge.units > 0.0 && charge.fan_out >= 1.0;
+            if sound {
+                self.take_over_charge(now, charge);
+            }
+        }
+    }
+
+    fn take_over_charge(&mut self, now: f64, charge: &UnreportedCharge) {
+        let Some(plan) = self.settings.plans.get(charge.plan).cloned() else { return };
+        if self.customers.get(charge.customer).is_none() {
+            let context = self.customer_context(now, charge.fan_out);
+            let mut quota = CustomerQuota::new(charge.customer, plan, &context);
+            quota.share_among(self.processes);
+            // Where there is no room for the record the charge is lost, and its units may pass again.
+            let _ = self.customers.insert(now, charge.customer, quota);
+        }
+        if let Some(quota) = self.customers.get_mut(charge.customer) {
+            quota.refill(now);
+            quota.add_unreported(charge.units);
+        }
+    }
+}
