--- a/crates/dns-sd/src/cache.rs
+++ b/crates/dns-sd/src/cache.rs
@@ -155,15 +155,15 @@
 
 /// A question that is to be asked, by its time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct AgendaItem {
+struct TimerEntry {
     /// Bits of the time, which sort as it does.
     time_bits: u64,
     question: Question,
 }
 
-impl AgendaItem {
-    fn new(at_ms: f64, question: &Question) -> AgendaItem {
-        AgendaItem { time_bits: time_bits(at_ms), question: question.clone() }
+impl TimerEntry {
+    fn new(at_ms: f64, question: &Question) -> TimerEntry {
+        TimerEntry { time_bits: time_bits(at_ms), question: question.clone() }
     }
 }
 
@@ -178,7 +178,7 @@
     limits: CacheLimits,
     entries: BTreeMap<Question, Entry>,
     /// Questions that are to be asked; none of them is in flight.
-    agenda: BTreeSet<AgendaItem>,
+    timer_queue: BTreeSet<TimerEntry>,
     in_flight: usize,
     jitter_state: u64,
 }
@@ -187,25 +187,31 @@
     /// A cache that follows nothing. The seed is for jitter.
     #[must_use]
     pub fn new(limits: CacheLimits, seed: u64) -> Cache {
-        Cache { limits, entries: BTreeMap::new(), agenda: BTreeSet::new(), in_flight: 0, jitter_state: seed }
+        Cache {
+            limits,
+            entries: BTreeMap::new(),
+            timer_queue: BTreeSet::new(),
+            in_flight: 0,
+            jitter_state: seed,
+        }
     }
 
     /// Follows these questions from now on and no others. New ones are due at once; answers to the others
     /// stay.
-    pub fn follow(&mut self, now_ms: f64, wanted: &BTreeSet<Question>) {
-        let unwanted: Vec<Question> =
-            self.entries.keys().filter(|question| !wanted.contains(*question)).cloned().collect();
-        for question in unwanted {
+    pub fn follow(&mut self, now_ms: f64, followed: &BTreeSet<Question>) {
+        let unfollowed: Vec<Question> =
+            self.entries.keys().filter(|question| !followed.contains(*question)).cloned().collect();
+        for question in unfollowed {
             if let Some(entry) = self.entries.remove(&question) {
                 self.in_flight -= usize::from(entry.in_flight);
-                self.agenda.remove(&AgendaItem::new(entry.next_query_ms, &question));
+                self.timer_queue.remove(&TimerEntry::new(entry.next_query_ms, &question));
             }
         }
-        for question in wanted {
+        for question in followed {
             if !self.entries.contains_key(question) {
                 let entry = Entry { next_query_ms: now_ms, ..Entry::default() };
                 self.entries.insert(question.clone(), entry);
-                self.agenda.insert(AgendaItem::new(now_ms, question));
+                self.timer_queue.insert(TimerEntry::new(now_ms, question));
             }
         }
     }
@@ -216,9 +222,9 @@
         let now_bits = time_bits(now_ms);
         let mut due = Vec::new();
         while self.in_flight < self.limits.max_queries_in_flight
-            && self.agenda.first().is_some_and(|item| item.time_bits <= now_bits)
+            && self.timer_queue.first().is_some_and(|item| item.time_bits <= now_bits)
         {
-            let Some(AgendaItem { question, .. }) = self.agenda.pop_first() else { break };
+            let Some(TimerEntry { question, .. }) = self.timer_queue.pop_first() else { break };
             let Some(entry) = self.entries.get_mut(&question) else { continue };
             entry.in_flight = true;
             self.in_flight += 1;
@@ -233,7 +239,7 @@
         if self.in_flight >= self.limits.max_queries_in_flight {
             return None;
         }
-        self.agenda.first().map(|item| f64::from_bits(item.time_bits))
+        self.timer_queue.first().map(|item| f64::from_bits(item.time_bits))
     }
 
     /// Has a question asked again at once, of another resolver. Ignored if its query is in flight or its
@@ -251,9 +257,9 @@
 
     fn schedule(&mut self, question: &Question, at_ms: f64) {
         let Some(entry) = self.entries.get_mut(question) else { return };
-        self.agenda.remove(&AgendaItem::new(entry.next_query_ms, question));
+        self.timer_queue.remove(&TimerEntry::new(entry.next_query_ms, question));
         entry.next_query_ms = at_ms;
-        self.agenda.insert(AgendaItem::new(at_ms, question));
+        self.timer_queue.insert(TimerEntry::new(at_ms, question));
     }
 
     /// A time less up to [`JITTER_PART`] of it, by SplitMix64 (Steele, Lea and Flood, 2014).
--- a/crates/dns-sd/src/lib.rs
+++ b/crates/dns-sd/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! - `answer`: encodes queries and decodes answers
 //! - `cache`: lifetimes of answers, when each question is asked again, and what is stale
-//! - `catalogue`: from PTR to SRV and TXT to A and AAAA records; the list, and who leaves it
+//! - `catalogue`: the list of instances that PTR records name, and who leaves it
+//! - `instance`: the endpoint of an instance by its SRV, TXT, A and AAAA records
 //! - `metadata`: the keys of TXT records
 //!
 //! An instance leaves the list only by an answer of an authority: one that says NXDOMAIN or NODATA, or that
@@ -12,6 +13,8 @@
 mod answer;
 mod cache;
 mod catalogue;
+mod drop_reason;
+mod instance;
 mod metadata;
 
 pub use answer::{
@@ -21,8 +24,8 @@
 pub use cache::{
     Cache, CacheLimits, CacheSize, CacheState, CachedAnswer, DueQuery, FailingQuery, FollowedQuery,
 };
-pub use catalogue::{
-    Catalogue, CatalogueUpdate, Change, DropReason, DroppedInstance, Endpoint, MAX_INSTANCES,
-};
+pub use catalogue::{Catalogue, CatalogueUpdate, Change, MAX_INSTANCES};
+pub use drop_reason::{DropReason, DroppedInstance};
 pub use hickory_proto::rr::Name;
+pub use instance::Endpoint;
 pub use metadata::{InstanceMetadata, Status, TxtError};
--- a/crates/dns-sd/src/metadata.rs
+++ b/crates/dns-sd/src/metadata.rs
@@ -41,12 +41,12 @@
     /// The key.
     pub key: &'static str,
     /// What the key allows.
-    pub wanted: &'static str,
+    pub expected: &'static str,
 }
 
 impl fmt::Display for TxtError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "TXT {}: {} is wanted", self.key, self.wanted)
+        write!(f, "TXT {}: {} is wanted", self.key, self.expected)
     }
 }
 
@@ -97,7 +97,7 @@
     let is_allowed =
         |text: &&str| text.chars().count() <= MAX_WORD_CHARS && !text.chars().any(char::is_control);
     let text = std::str::from_utf8(value).ok().filter(is_allowed);
-    text.map(str::to_string).ok_or(TxtError { key, wanted: "a word of 64 characters at most" })
+    text.map(str::to_string).ok_or(TxtError { key, expected: "a word of 64 characters at most" })
 }
 
 /// A number of ASCII digits alone.
@@ -110,7 +110,7 @@
 
 fn group(value: &[u8]) -> Result<u32, TxtError> {
     let number = digits(value).and_then(|number| u32::try_from(number).ok());
-    number.ok_or(TxtError { key: "group", wanted: "a whole number below 2^32" })
+    number.ok_or(TxtError { key: "group", expected: "a whole number below 2^32" })
 }
 
 fn status(value: &[u8]) -> Result<Status, TxtError> {
@@ -119,11 +119,11 @@
     } else if value.eq_ignore_ascii_case(b"draining") {
         Ok(Status::Draining)
     } else {
-        Err(TxtError { key: "status", wanted: "serving or draining" })
+        Err(TxtError { key: "status", expected: "serving or draining" })
     }
 }
 
 fn time_ms(key: &'static str, value: &[u8]) -> Result<f64, TxtError> {
     let time_ms = digits(value).filter(|ms| *ms < MAX_TIME_MS);
-    time_ms.map(|ms| ms as f64).ok_or(TxtError { key, wanted: "Unix time in ms" })
+    time_ms.map(|ms| ms as f64).ok_or(TxtError { key, expected: "Unix time in ms" })
 }
--- a/crates/dns-sd/tests/lists.rs
+++ b/crates/dns-sd/tests/lists.rs
@@ -100,13 +100,13 @@
         world.cache.answered(world.now, &due.question, none);
     }
     let reading = world.catalogue.read(world.now, &world.cache);
-    assert_eq!((reading.changes.len(), reading.held), (0, 4));
+    assert_eq!((reading.changes.len(), reading.awaiting_confirmation), (0, 4));
     assert!(reading.confirm.contains(&ptr));
     // The same answer read again confirms nothing.
-    assert_eq!(world.catalogue.read(world.now, &world.cache).held, 4);
+    assert_eq!(world.catalogue.read(world.now, &world.cache).awaiting_confirmation, 4);
     world.zone = all;
     let (changes, reading) = world.settle();
-    assert_eq!((changes, reading.held, world.names().len()), (Vec::new(), 0, 4));
+    assert_eq!((changes, reading.awaiting_confirmation, world.names().len()), (Vec::new(), 0, 4));
     assert!(world.doubted > 0, "asked at once, and of another resolver");
     // When the second answer says the same, they go.
     world.zone.clear();
--- a/crates/dns-sd/tests/support/mod.rs
+++ b/crates/dns-sd/tests/support/mod.rs
@@ -80,7 +80,7 @@
         loop {
             let mut reading = self.catalogue.read(self.now, &self.cache);
             changes.append(&mut reading.changes);
-            self.cache.follow(self.now, &reading.wanted);
+            self.cache.follow(self.now, &reading.followed);
             reading.confirm.iter().for_each(|q| self.cache.doubt(self.now, q));
             let due = self.cache.due(self.now);
             if due.is_empty() {
--- a/crates/endpoint-sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -174,7 +174,7 @@
         let begun = Instant::now();
         let now_ms = self.now_ms();
         let update = self.catalogue.read(now_ms, &self.cache);
-        self.cache.follow(now_ms, &update.wanted);
+        self.cache.follow(now_ms, &update.followed);
         for question in &update.confirm {
             self.cache.doubt(now_ms, question);
         }
@@ -182,7 +182,7 @@
             say(change.to_string());
         }
         self.report_failing(now_ms, say);
-        self.report_awaiting_confirmation(update.held, say);
+        self.report_awaiting_confirmation(update.awaiting_confirmation, say);
         self.dropped = update.dropped;
         self.unknowns = Unknowns { instances: update.pending, services: update.unknown };
         if !self.is_known && self.may_be_served(now_ms) {
