--- a/crates/plans/src/catalogue_file.rs
+++ b/crates/plans/src/catalogue_file.rs
@@ -93,14 +93,14 @@
 }
 
 impl FaultCollector<'_> {
-    /// The line that a place begins in.
-    fn line_of(&self, place: &Range<usize>) -> usize {
-        let before = self.text.as_bytes().get(..place.start).unwrap_or_default();
+    /// The line that a span begins in.
+    fn line_of(&self, span: &Range<usize>) -> usize {
+        let before = self.text.as_bytes().get(..span.start).unwrap_or_default();
         1 + before.iter().filter(|byte| **byte == b'\n').count()
     }
 
-    fn add(&mut self, place: &Range<usize>, key: &str, wanted: impl Into<String>) {
-        let line = self.line_of(place);
+    fn add(&mut self, span: &Range<usize>, key: &str, wanted: impl Into<String>) {
+        let line = self.line_of(span);
         self.faults.push(FileFault { line, key: key.to_string(), wanted: wanted.into() });
     }
 
@@ -115,10 +115,10 @@
 }
 
 /// A customer's plan, and its place in the file.
-struct PlacedAssignment {
+struct SpannedAssignment {
     customer: u64,
     assignment: Assignment,
-    place: Range<usize>,
+    span: Range<usize>,
 }
 
 /// Reads a catalogue.
@@ -129,13 +129,13 @@
 pub fn read_catalogue(text: &str) -> Result<Catalogue, CatalogueFileError> {
     let mut collector = FaultCollector { text, faults: Vec::new() };
     let file: File = toml::from_str(text).map_err(|error| {
-        let line = error.span().map_or(0, |place| collector.line_of(&place));
+        let line = error.span().map_or(0, |span| collector.line_of(&span));
         let wanted = error.message().to_string();
         CatalogueFileError(vec![FileFault { line, key: String::new(), wanted }])
     })?;
     let plans: Vec<(Plan, PlanLimits)> =
         file.plans.iter().map(|entry| read_plan(entry.get_ref(), &mut collector)).collect();
-    let assignments: Vec<PlacedAssignment> =
+    let assignments: Vec<SpannedAssignment> =
         file.customers.iter().filter_map(|entry| read_assignment(entry, &plans, &mut collector)).collect();
     if file.revision == 0 {
         let wanted = "a number from 1, which grows with each change, is wanted";
@@ -145,19 +145,19 @@
         collector.faults.sort_by_key(|fault| fault.line);
         return Err(CatalogueFileError(collector.faults));
     }
-    let pairs = assignments.iter().map(|placed| (placed.customer, placed.assignment.clone()));
+    let pairs = assignments.iter().map(|assigned| (assigned.customer, assigned.assignment.clone()));
     Catalogue::new(file.revision, plans, pairs).map_err(|error| {
-        let (place, key) = place_of(&error, &file.plans, &assignments);
-        collector.add(&place, key, error.to_string());
+        let (span, key) = span_of(&error, &file.plans, &assignments);
+        collector.add(&span, key, error.to_string());
         CatalogueFileError(collector.faults)
     })
 }
 
-/// Place and key of what is wrong with a catalogue: the last entry that it can be.
-fn place_of(
+/// Span and key of what is wrong with a catalogue: the last entry that it can be.
+fn span_of(
     error: &CatalogueError,
     plans: &[Spanned<PlanLine>],
-    assignments: &[PlacedAssignment],
+    assignments: &[SpannedAssignment],
 ) -> (Range<usize>, &'static str) {
     let last_plan = |plan: &Plan| {
         let is_plan = |entry: &&Spanned<PlanLine>| {
@@ -166,22 +166,23 @@
         };
         plans.iter().rev().find(is_plan).map_or(WHOLE_FILE, Spanned::span)
     };
-    let last_assignment = |matches: &dyn Fn(&PlacedAssignment) -> bool| {
-        let last = assignments.iter().rev().find(|placed| matches(placed));
-        last.map_or(WHOLE_FILE, |placed| placed.place.clone())
+    let last_assignment = |matches: &dyn Fn(&SpannedAssignment) -> bool| {
+        let last = assignments.iter().rev().find(|assigned| matches(assigned));
+        last.map_or(WHOLE_FILE, |assigned| assigned.span.clone())
     };
     match error {
         CatalogueError::InvalidLimits(plan) | CatalogueError::InvalidVersion(plan) => {
             (last_plan(plan), "plan.version")
         }
         CatalogueError::UnknownPlan { customer, plan } => {
-            let is_it =
-                |placed: &PlacedAssignment| placed.customer == *customer && placed.assignment.plan == *plan;
+            let is_it = |assigned: &SpannedAssignment| {
+                assigned.customer == *customer && assigned.assignment.plan == *plan
+            };
             (last_assignment(&is_it), "customer.plan")
         }
         CatalogueError::TwoPlans { customer, from_ms } => {
-            let is_it = |placed: &PlacedAssignment| {
-                placed.customer == *customer && placed.assignment.from_ms == *from_ms
+            let is_it = |assigned: &SpannedAssignment| {
+                assigned.customer == *customer && assigned.assignment.from_ms == *from_ms
             };
             (last_assignment(&is_it), "customer.from")
         }
@@ -208,8 +209,8 @@
     let burst = collector.check_number(&entry.burst, "plan.burst");
     // A ceiling below the quota would reject what was sold.
     if ceiling_rate.is_some_and(|ceiling| ceiling < rate) {
-        let place = entry.ceiling_rate.as_ref().map_or(WHOLE_FILE, Spanned::span);
-        collector.add(&place, "plan.ceiling_rate", format!("the rate, {rate}, or more is wanted"));
+        let span = entry.ceiling_rate.as_ref().map_or(WHOLE_FILE, Spanned::span);
+        collector.add(&span, "plan.ceiling_rate", format!("the rate, {rate}, or more is wanted"));
     }
     if ceiling_rate.is_some() != ceiling_burst.is_some() {
         let wanted = "ceiling_rate and ceiling_burst go together";
@@ -228,8 +229,8 @@
     entry: &Spanned<CustomerLine>,
     plans: &[(Plan, PlanLimits)],
     collector: &mut FaultCollector<'_>,
-) -> Option<PlacedAssignment> {
-    let place = entry.span();
+) -> Option<SpannedAssignment> {
+    let span = entry.span();
     let entry = entry.get_ref();
     let customer = read_customer_id(&entry.id, collector);
     let newest_version = read_newest_version(&entry.plan, plans, collector);
@@ -240,7 +241,7 @@
     let version = entry.version.as_ref().map(|version| *version.get_ref()).or(newest_version)?;
     let plan = Plan { name: entry.plan.get_ref().as_str().into(), version };
     let assignment = Assignment { from_ms: from_ms?, plan };
-    Some(PlacedAssignment { customer: customer?, assignment, place })
+    Some(SpannedAssignment { customer: customer?, assignment, span })
 }
 
 fn read_customer_id(id: &Spanned<String>, collector: &mut FaultCollector<'_>) -> Option<u64> {
--- a/crates/plans/src/reservations.rs
+++ b/crates/plans/src/reservations.rs
@@ -5,48 +5,31 @@
 //! used. The ceiling bounds what may be reserved as an arrival curve (RFC 2212's token bucket: burst, and rate
 //! times time, over every span): within any span no more is reserved than the ceiling admits in it.
 
+mod capacity;
+mod error;
+mod request;
+
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::fmt;
 
 use crate::timeline::PlanTimeline;
 
+use capacity::{available_units, overfull_span};
+pub use error::ReservationError;
+use request::{validate, MAX_LEASE_MS};
+pub use request::{InvalidRequest, ReservationRequest};
+
 /// The most open reservations of all customers.
 pub const MAX_RESERVATIONS: usize = 100_000;
 /// The most open reservations of one customer.
 pub const MAX_RESERVATIONS_PER_CUSTOMER: usize = 32;
 /// The most ended reservations that are remembered, so that a repeat is told how it ended.
 pub const MAX_ENDED_RESERVATIONS: usize = 10_000;
-/// The longest lease, ms: a holder that crashed holds nothing for longer.
-const MAX_LEASE_MS: u64 = 3_600_000;
-/// The longest name of an order or a holder, bytes.
-const MAX_NAME_BYTES: usize = 64;
-/// What rounding may make of sums that fit exactly, in units and as a part of them.
-const ROUNDING: f64 = 1e-9;
 
 /// A fencing token. It grows with each reservation and each takeover; an older one is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// A request for a reservation. The same `order` is the same reservation, however often it comes.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ReservationRequest {
-    /// Name of the order, 1 to 64 bytes, chosen by the requester.
-    pub order: String,
-    /// The holder, 1 to 64 bytes. Another holder that repeats the order takes the reservation over.
-    pub holder: String,
-    /// The customer.
-    pub customer: u64,
-    /// Units, above 0.
-    pub units: f64,
-    /// Begin, Unix time in ms.
-    pub from_ms: u64,
-    /// End, Unix time in ms, after the begin.
-    pub to_ms: u64,
-    /// The holder has to extend the lease within this time, 1 to 3,600,000 ms.
-    pub lease_ms: u64,
-}
-
 /// State of an open reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReservationState {
@@ -74,11 +57,6 @@
     fn due_ms(&self) -> u64 {
         self.lease_end_ms.min(self.request.to_ms)
     }
-
-    /// Whether its time lies within a span.
-    fn is_within(&self, span: Span) -> bool {
-        span.from_ms <= self.request.from_ms && self.request.to_ms <= span.to_ms
-    }
 }
 
 /// How a reservation ended.
@@ -105,91 +83,6 @@
     pub at_ms: u64,
 }
 
-/// What is not allowed about a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InvalidRequest {
-    /// The order's name.
-    Order,
-    /// The holder's name.
-    Holder,
-    /// The units.
-    Units,
-    /// The end is not after the begin.
-    Period,
-    /// The time is over already.
-    PeriodOver,
-    /// The length of the lease.
-    Lease,
-    /// The present time, to which no lease can be added.
-    PresentTime,
-}
-
-impl fmt::Display for InvalidRequest {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            InvalidRequest::Order => "an order of 1 to 64 bytes is wanted",
-            InvalidRequest::Holder => "a holder of 1 to 64 bytes is wanted",
-            InvalidRequest::Units => "units above 0 are wanted",
-            InvalidRequest::Period => "an end after the begin is wanted",
-            InvalidRequest::PeriodOver => "a time that is not over is wanted",
-            InvalidRequest::Lease => "a lease of 1 to 3600000 ms is wanted",
-            InvalidRequest::PresentTime => "a time on record is wanted",
-        })
-    }
-}
-
-impl std::error::Error for InvalidRequest {}
-
-/// Why something is rejected.
-#[derive(Clone, Debug, PartialEq)]
-pub enum ReservationError {
-    /// No reservation has that token, and none that is remembered had it.
-    Unknown,
-    /// Another holder took the reservation over, and has a later token.
-    Fenced,
-    /// It has ended.
-    Ended(EndReason),
-    /// The order was given before with another request.
-    DifferentRequest,
-    /// The ceiling allows no more than these units for that time.
-    NoRoom(f64),
-    /// There are as many open reservations as there may be.
-    TooMany(usize),
-    /// The request is not allowed.
-    Invalid(InvalidRequest),
-}
-
-impl fmt::Display for ReservationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ReservationError::Unknown => f.write_str("no such reservation"),
-            ReservationError::Fenced => f.write_str("another holder took it over"),
-            ReservationError::Ended(EndReason::Released) => f.write_str("it was released"),
-            ReservationError::Ended(EndReason::PeriodOver) => f.write_str("its time is over"),
-            ReservationError::Ended(EndReason::LeaseExpired) => {
-                f.write_str("its lease ended, as the holder was not heard")
-            }
-            ReservationError::Ended(EndReason::PlanLowered) => {
-                f.write_str("the plan was lowered and leaves no room for it")
-            }
-            ReservationError::DifferentRequest => {
-                f.write_str("that order was given before, for something else")
-            }
-            ReservationError::NoRoom(units) => write!(f, "the ceiling leaves {units} units for that time"),
-            ReservationError::TooMany(max) => write!(f, "{max} are open, which is the most"),
-            ReservationError::Invalid(invalid) => invalid.fmt(f),
-        }
-    }
-}
-
-impl std::error::Error for ReservationError {}
-
-impl From<InvalidRequest> for ReservationError {
-    fn from(invalid: InvalidRequest) -> ReservationError {
-        ReservationError::Invalid(invalid)
-    }
-}
-
 /// When an open reservation ends without its holder's doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueReservation {
@@ -245,13 +138,13 @@
         if request.to_ms <= now_ms {
             return Err(InvalidRequest::PeriodOver.into());
         }
-        self.check_room(&request, limits)?;
+        self.check_capacity(&request, limits)?;
         let token = self.next_token();
         let lease_end_ms = now_ms + request.lease_ms;
         Ok(self.insert(Reservation { request, token, state: ReservationState::Pending, lease_end_ms }))
     }
 
-    fn check_room(
+    fn check_capacity(
         &self,
         request: &ReservationRequest,
         limits: &PlanTimeline,
@@ -265,7 +158,7 @@
         }
         let available = available_units(&of_customer, request, limits);
         if request.units > available {
-            return Err(ReservationError::NoRoom(available.max(0.0)));
+            return Err(ReservationError::ExceedsCeiling(available.max(0.0)));
         }
         Ok(())
     }
@@ -444,79 +337,3 @@
         Some(ended)
     }
 }
-
-fn validate(now_ms: u64, request: &ReservationRequest) -> Result<(), InvalidRequest> {
-    if !is_valid_name(&request.order) {
-        return Err(InvalidRequest::Order);
-    }
-    if !is_valid_name(&request.holder) {
-        return Err(InvalidRequest::Holder);
-    }
-    if !(request.units.is_finite() && request.units > 0.0) {
-        return Err(InvalidRequest::Units);
-    }
-    if request.to_ms <= request.from_ms {
-        return Err(InvalidRequest::Period);
-    }
-    if !(1..=MAX_LEASE_MS).contains(&request.lease_ms) {
-        return Err(InvalidRequest::Lease);
-    }
-    if now_ms.checked_add(MAX_LEASE_MS).is_none() {
-        return Err(InvalidRequest::PresentTime);
-    }
-    Ok(())
-}
-
-fn is_valid_name(name: &str) -> bool {
-    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control)
-}
-
-/// A span of time, Unix time in ms.
-#[derive(Clone, Copy, Debug)]
-struct Span {
-    from_ms: u64,
-    to_ms: u64,
-}
-
-/// Units that are reserved within a span.
-fn reserved_within(reservations: &[&Reservation], span: Span) -> f64 {
-    let within = reservations.iter().filter(|reservation| reservation.is_within(span));
-    within.map(|reservation| reservation.request.units).sum()
-}
-
-/// The units that may still be reserved for a request's time: the least that any span around it leaves. Only
-/// spans that begin and end where a reservation does matter; there are at most 33 of each.
-fn available_units(
-    reservations: &[&Reservation],
-    request: &ReservationRequest,
-    limits: &PlanTimeline,
-) -> f64 {
-    let requests = || reservations.iter().map(|reservation| &reservation.request);
-    let begins = requests().map(|other| other.from_ms).filter(|from_ms| *from_ms <= request.from_ms);
-    let ends: Vec<u64> =
-        requests().map(|other| other.to_ms).filter(|to_ms| *to_ms >= request.to_ms).collect();
-    let mut available = f64::MAX;
-    for from_ms in begins.chain([request.from_ms]) {
-        for to_ms in ends.iter().copied().chain([request.to_ms]) {
-            let reserved = reserved_within(reservations, Span { from_ms, to_ms });
-            available = available.min(limits.most_between(from_ms, to_ms) - reserved);
-        }
-    }
-    available
-}
-
-/// A span within which more is reserved than the limits allow: of those that begin first the shortest.
-fn overfull_span(reservations: &[&Reservation], limits: &PlanTimeline) -> Option<Span> {
-    let mut begins: Vec<u64> = reservations.iter().map(|reservation| reservation.request.from_ms).collect();
-    let mut ends: Vec<u64> = reservations.iter().map(|reservation| reservation.request.to_ms).collect();
-    begins.sort_unstable();
-    ends.sort_unstable();
-    let is_overfull = |span: &Span| {
-        let allowed = limits.most_between(span.from_ms, span.to_ms);
-        reserved_within(reservations, *span) > allowed * (1.0 + ROUNDING) + ROUNDING
-    };
-    let spans = begins
-        .iter()
-        .flat_map(|from_ms| ends.iter().map(move |to_ms| Span { from_ms: *from_ms, to_ms: *to_ms }));
-    spans.filter(|span| span.from_ms < span.to_ms).find(is_overfull)
-}
--- a/crates/plans/tests/reservations.rs
+++ b/crates/plans/tests/reservations.rs
@@ -27,7 +27,10 @@
 fn dead_holder_loses_its_reservation_with_the_lease() {
     let (mut ledger, terms) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     let token = ledger.reserve(0, ask("a", 30.0, 100, 101), &terms).expect("room").token;
-    assert!(matches!(ledger.reserve(0, ask("b", 1.0, 100, 101), &terms), Err(ReservationError::NoRoom(_))));
+    assert!(matches!(
+        ledger.reserve(0, ask("b", 1.0, 100, 101), &terms),
+        Err(ReservationError::ExceedsCeiling(_))
+    ));
     assert!(ledger.expire(4_999).is_empty());
     // Confirmed or not: it is the lease that holds.
     assert_eq!(ledger.confirm(token).expect("open").state, ReservationState::Confirmed);
@@ -69,10 +72,16 @@
 fn reservations_fit_the_ceiling_over_every_span() {
     let (mut ledger, terms) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     // 20 and 10 a second: 30 in a second, 120 in ten.
-    assert_eq!(ledger.reserve(0, ask("a", 31.0, 100, 101), &terms), Err(ReservationError::NoRoom(30.0)));
+    assert_eq!(
+        ledger.reserve(0, ask("a", 31.0, 100, 101), &terms),
+        Err(ReservationError::ExceedsCeiling(30.0))
+    );
     ledger.reserve(0, ask("b", 25.0, 100, 101), &terms).expect("room");
     ledger.reserve(0, ask("c", 90.0, 100, 110), &terms).expect("room");
-    assert_eq!(ledger.reserve(0, ask("d", 6.0, 105, 110), &terms), Err(ReservationError::NoRoom(5.0)));
+    assert_eq!(
+        ledger.reserve(0, ask("d", 6.0, 105, 110), &terms),
+        Err(ReservationError::ExceedsCeiling(5.0))
+    );
     assert!(ledger.reserve(0, ask("d", 5.0, 105, 110), &terms).is_ok());
     // Another customer has its own.
     let other = ReservationRequest { customer: 8, ..ask("e", 30.0, 100, 101) };
@@ -80,7 +89,7 @@
     // Without a ceiling the quota bounds it.
     let quota = PlanTimeline::always(PlanLimits { rate: 1.0, burst: 5.0, ..PlanLimits::default() });
     let third = ReservationRequest { customer: 9, ..ask("f", 7.0, 100, 101) };
-    assert_eq!(ledger.reserve(0, third, &quota), Err(ReservationError::NoRoom(6.0)));
+    assert_eq!(ledger.reserve(0, third, &quota), Err(ReservationError::ExceedsCeiling(6.0)));
 }
 
 #[test]
--- a/crates/plans/tests/texts.rs
+++ b/crates/plans/tests/texts.rs
@@ -12,7 +12,7 @@
         (ReservationError::Ended(EndReason::LeaseExpired), "its lease ended, as the holder was not heard"),
         (ReservationError::Ended(EndReason::PlanLowered), "the plan was lowered and leaves no room for it"),
         (ReservationError::DifferentRequest, "that order was given before, for something else"),
-        (ReservationError::NoRoom(2.5), "the ceiling leaves 2.5 units for that time"),
+        (ReservationError::ExceedsCeiling(2.5), "the ceiling leaves 2.5 units for that time"),
         (ReservationError::TooMany(32), "32 are open, which is the most"),
     ] {
         assert_eq!(refused.to_string(), text);
