--- a/crates/cold-start/src/connection_ramp.rs
+++ b/crates/cold-start/src/connection_ramp.rs
@@ -1,13 +1,18 @@
 //! When a gateway opens its first connection to each backend, and when the backend may be selected.
 
+mod backend;
+mod stage;
+
 use std::collections::{BTreeSet, HashMap};
-use std::fmt;
 use std::time::Duration;
 
 use routing::{Subset, MIN_SUBSET_SIZE};
 
 use crate::SlotSchedule;
 
+use backend::{Backend, ConnectionState, QueuedBackend, RankedBackend, SlottedBackend};
+pub use stage::RampStage;
+
 /// Backends that are opened in the first round while the list is unconfirmed; twice as many in each further
 /// one.
 const INITIAL_BACKENDS: usize = MIN_SUBSET_SIZE;
@@ -29,83 +34,6 @@
 /// How long a gateway waits for its first backend, beside two rounds.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How far a gateway has come since its start.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RampStage {
-    /// It knows no backend that takes work.
-    Empty,
-    /// It knows backends by a list that was not confirmed since the start.
-    Known,
-    /// The list was confirmed; some of its backends are not open.
-    Confirmed,
-    /// All backends of a confirmed list are open.
-    Warm,
-}
-
-impl fmt::Display for RampStage {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            RampStage::Empty => "empty",
-            RampStage::Known => "known, not confirmed",
-            RampStage::Confirmed => "confirmed",
-            RampStage::Warm => "warm",
-        })
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum ConnectionState {
-    /// It is outside the subset, or was not needed yet.
-    Deferred,
-    /// It has a slot at this moment, Unix time in µs.
-    Queued { at_us: u64 },
-    /// The first connection is being opened.
-    Connecting,
-    /// The backend may be selected.
-    Open,
-}
-
-#[derive(Clone, Copy, Debug)]
-struct Backend {
-    key: u64,
-    /// From when it is warming up, Unix time in ms: tells its incarnations apart.
-    warming_from_ms: f64,
-    /// Rank among all backends for this gateway: the bits of [`Subset::threshold`], which sort as it does.
-    rank: u64,
-    state: ConnectionState,
-    /// First connections in a row that failed.
-    failures: u32,
-}
-
-impl Backend {
-    /// Whether its first connection is to come and none has failed yet.
-    fn is_pending(&self) -> bool {
-        let has_turn = matches!(self.state, ConnectionState::Queued { .. } | ConnectionState::Connecting);
-        has_turn && self.failures == 0
-    }
-}
-
-/// A deferred backend, by its rank.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RankedBackend {
-    rank: u64,
-    id: u32,
-}
-
-/// A deferred backend, by the slot that this gateway has for it in a round.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct SlottedBackend {
-    slot_index: u32,
-    id: u32,
-}
-
-/// A backend in the queue, by its moment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct QueuedBackend {
-    at_us: u64,
-    id: u32,
-}
-
 /// The backends of one gateway that take work by the list: which of them are open, and when the others get
 /// their first connection.
 ///
--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -1,46 +1,29 @@
 //! Failure detection: which members are alive. SWIM as `foca` implements it, with timers, local health and a
 //! comparison of views around it.
 
+mod config;
+mod node;
+
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
-use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-use foca::{
-    AccumulatingRuntime, Config, Foca, Identity, OwnedNotification, PeriodicParams, PostcardCodec, Timer,
-};
+use foca::{AccumulatingRuntime, Foca, OwnedNotification, PostcardCodec, Timer};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde::{Deserialize, Serialize};
 
 use crate::lease::MembershipView;
-use crate::wire::{Payload, MAX_DATAGRAM_BYTES};
+use crate::wire::Payload;
+
+use config::{foca_config, PROBE_PERIOD};
+pub use node::{MemberChange, Node, Packet, PacketError};
 
-/// Time between two probes of a member.
-const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// How long a probe may go unanswered before other members are asked to probe.
-const PROBE_RTT: Duration = Duration::from_millis(150);
-/// Members that are asked to probe another one.
-const INDIRECT_PROBES: usize = 3;
-/// How long a suspect has to refute the suspicion.
-const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time between two rounds of gossip.
-const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
-/// Members that a round of gossip goes to.
-const GOSSIP_FANOUT: usize = 2;
-/// Time between two announcements to a member that is alive.
-const ANNOUNCE_PERIOD: Duration = Duration::from_secs(30);
-/// Time between two announcements to a member that is gone: it may be back.
-const ANNOUNCE_TO_GONE_PERIOD: Duration = Duration::from_secs(10);
 /// Time between two comparisons of views, ms.
 const COMPARE_PERIOD_MS: u64 = 1_000;
 /// Time between two comparisons after views were found to differ, ms.
 const COMPARE_PERIOD_WHILE_DIFFERENT_MS: u64 = 200;
 /// The least time between two requests for another member's view, ms.
 const VIEW_REQUEST_PERIOD_MS: u64 = 100;
-/// The longest packet of `foca`, bytes: version, fleet and checksum of a datagram need the rest.
-const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - 32;
 /// Members that a joining one announces itself to at a time.
 const JOIN_FANOUT: usize = 3;
 /// A member that was never heard from counts as gone this long after the detector's start, ms.
@@ -56,80 +39,6 @@
 /// Makes the draws of the detector differ from those of `foca`, which has the same seed ("join").
 const SEED_MASK: u64 = 0x6a6f_696e;
 
-/// A member as the others know it. The order of the fields is the wire form.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Node {
-    /// Its number in the fleet, from 0. A number is one member, whatever its incarnation.
-    pub number: u32,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// Its zone.
-    pub zone: u32,
-    /// Grows with each start of its process.
-    pub incarnation: u64,
-    /// How often it rejoined in this incarnation after others had taken it for gone.
-    pub rejoins: u32,
-}
-
-impl Identity for Node {
-    type Addr = u32;
-
-    fn renew(&self) -> Option<Node> {
-        Some(Node { rejoins: self.rejoins.wrapping_add(1), ..self.clone() })
-    }
-
-    fn addr(&self) -> u32 {
-        self.number
-    }
-
-    fn win_addr_conflict(&self, other: &Node) -> bool {
-        (self.incarnation, self.rejoins) > (other.incarnation, other.rejoins)
-    }
-}
-
-/// A change of the view.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MemberChange {
-    /// A member is alive.
-    Up(Node),
-    /// A member is gone: it left or does not answer.
-    Down(Node),
-    /// Another incarnation of a member took the place of an earlier one.
-    Restarted {
-        /// The earlier incarnation.
-        old: Node,
-        /// The present one.
-        new: Node,
-    },
-    /// Others took this member for gone, and it rejoined.
-    Rejoined,
-    /// No other member is alive any more.
-    Alone,
-}
-
-/// A packet to another member.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Packet {
-    /// Number of the receiver.
-    pub to: u32,
-    /// The receiver's address, as other members told it.
-    pub address: SocketAddr,
-    /// What is sent.
-    pub payload: Payload,
-}
-
-/// A packet that cannot be used, with the reason of `foca`.
-#[derive(Debug)]
-pub struct PacketError(foca::Error);
-
-impl fmt::Display for PacketError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.fmt(f)
-    }
-}
-
-impl std::error::Error for PacketError {}
-
 /// A member that was heard of.
 #[derive(Clone, Debug)]
 struct KnownNode {
@@ -421,22 +330,3 @@
         self.known.insert(node.number, KnownNode { node: node.clone(), is_alive });
     }
 }
-
-fn foca_config(member_count: u32) -> Config {
-    let cluster_size = NonZeroU32::new(member_count).unwrap_or(NonZeroU32::MIN);
-    let at_least_one = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let periodic = |frequency: Duration, members: usize| {
-        Some(PeriodicParams { frequency, num_members: at_least_one(members) })
-    };
-    Config {
-        probe_period: PROBE_PERIOD,
-        probe_rtt: PROBE_RTT,
-        num_indirect_probes: at_least_one(INDIRECT_PROBES),
-        suspect_to_down_after: SUSPICION_TIMEOUT,
-        max_packet_size: at_least_one(MAX_PACKET_BYTES),
-        periodic_announce: periodic(ANNOUNCE_PERIOD, 1),
-        periodic_announce_to_down_members: periodic(ANNOUNCE_TO_GONE_PERIOD, 1),
-        periodic_gossip: periodic(GOSSIP_PERIOD, GOSSIP_FANOUT),
-        ..Config::new_lan(cluster_size)
-    }
-}
--- a/crates/membership/src/lease/holder.rs
+++ b/crates/membership/src/lease/holder.rs
@@ -2,10 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{Grant, LeaseTerms, Member, KEPT_UNITS, LENT_UNITS, SLOT_UNITS};
+use super::slot_lease::{SlotLease, MAX_PENDING_REQUESTS};
+use super::{Grant, LeaseTerms, Member, KEPT_UNITS};
 
-/// Requests of one kind whose responses still count. A further one displaces the oldest.
-pub const MAX_PENDING_REQUESTS: usize = 4;
 /// The most slots of others that a member claims.
 const MAX_CLAIMS: usize = 64;
 /// The most members that one borrows from, and the most that it lends to.
@@ -47,57 +46,6 @@
     pub units: u64,
 }
 
-/// A request to the grantors of a slot, and who has granted it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct LeaseRequest {
-    request_id: u64,
-    sent_ms: u64,
-    /// Grantors of the whole slot.
-    whole_grantors: BTreeSet<u32>,
-    /// Grantors of the lent part at least.
-    lent_grantors: BTreeSet<u32>,
-}
-
-/// The lease on one slot: requests whose responses still count, and until when each part may be used.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct SlotLease {
-    requests: VecDeque<LeaseRequest>,
-    lent_until_ms: u64,
-    whole_until_ms: u64,
-}
-
-impl SlotLease {
-    fn add_request(&mut self, request_id: u64, sent_ms: u64) {
-        if self.requests.len() >= MAX_PENDING_REQUESTS {
-            self.requests.pop_front();
-        }
-        self.requests.push_back(LeaseRequest {
-            request_id,
-            sent_ms,
-            whole_grantors: BTreeSet::new(),
-            lent_grantors: BTreeSet::new(),
-        });
-    }
-
-    fn request_mut(&mut self, request_id: u64) -> Option<&mut LeaseRequest> {
-        self.requests.iter_mut().find(|request| request.request_id == request_id)
-    }
-
-    /// Whether the last request is more than `lease_ms` old, or there is none.
-    fn is_abandoned(&self, now_ms: u64, lease_ms: u64) -> bool {
-        self.requests.back().is_none_or(|request| now_ms.saturating_sub(request.sent_ms) > lease_ms)
-    }
-
-    /// Units that are leased beyond `until_ms`.
-    fn units_beyond(&self, until_ms: u64) -> u64 {
-        match (self.lent_until_ms > until_ms, self.whole_until_ms > until_ms) {
-            (_, true) => SLOT_UNITS,
-            (true, false) => LENT_UNITS,
-            (false, false) => 0,
-        }
-    }
-}
-
 /// Units that are lent or borrowed, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Loan {
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -7,13 +7,15 @@
 mod coordinator;
 mod grantor;
 mod holder;
+mod slot_lease;
 mod terms;
 
 use serde::{Deserialize, Serialize};
 
 pub use coordinator::{LeaseCoordinator, MembershipView, Output};
 pub use grantor::LeaseGrantor;
-pub use holder::{Allocation, BorrowedUnits, GrantedLoan, LeaseHolder, MAX_PENDING_REQUESTS};
+pub use holder::{Allocation, BorrowedUnits, GrantedLoan, LeaseHolder};
+pub use slot_lease::MAX_PENDING_REQUESTS;
 pub use terms::{LeaseTerms, KEPT_UNITS, LENT_UNITS, MAX_GRANTORS, SLOT_UNITS};
 
 /// One incarnation of a member.
