--- a/crates/membership/tests/detect.rs
+++ b/crates/membership/tests/detect.rs
@@ -1,5 +1,5 @@
-//! Who is believed to be there, in simulated time: crashes, loss, cuts, stops, and hundreds that join at
-//! once.
+//! Failure detection in simulated time: crashes, packet loss, partitions, stops, and hundreds of members that
+//! join at once.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,14 +10,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The longest way of a packet, ms.
-const WAY_MS: u64 = 10;
+/// The longest delay of a packet, ms.
+const MAX_DELAY_MS: u64 = 10;
 
 fn address(number: u32) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10_000 + number as u16))
 }
 
-/// A packet, or none for a tick, with when it comes and to whom.
+/// When something happens, at which member, and the packet; none for a tick.
 type Coming = Reverse<(u64, u64, u32, Option<Vec<u8>>)>;
 
 struct Member {
@@ -25,7 +25,7 @@
     incarnation: u64,
     stopped: bool,
     side: bool,
-    /// Packets that came while it stood still.
+    /// Packets that came while it was stopped.
     kept: Vec<Vec<u8>>,
     bytes: u64,
     packets: u64,
@@ -38,8 +38,8 @@
     number: u64,
     rng: ChaCha8Rng,
     lost: f64,
-    cut: bool,
-    /// When each member called each other gone last, and how often those that were there were.
+    partitioned: bool,
+    /// When each member last took each other one for gone, and how often that was wrong.
     downs: BTreeMap<(u32, u32), u64>,
     false_downs: usize,
 }
@@ -63,7 +63,7 @@
             number: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             lost,
-            cut: false,
+            partitioned: false,
             downs: BTreeMap::new(),
             false_downs: 0,
         };
@@ -86,21 +86,22 @@
         self.push(self.now, i, None);
     }
 
-    fn carry(&mut self, from: u32, out: Vec<Packet>) {
+    fn send_all(&mut self, from: u32, out: Vec<Packet>) {
         for Packet { to, payload: body, address: at } in out {
             assert_eq!(at, address(to));
             let bytes = encode(FleetId::from_name("f"), &body).expect("short");
             let member = &mut self.members[from as usize];
             (member.bytes, member.packets) = (member.bytes + bytes.len() as u64, member.packets + 1);
-            let apart = self.cut && self.members[from as usize].side != self.members[to as usize].side;
+            let apart =
+                self.partitioned && self.members[from as usize].side != self.members[to as usize].side;
             if !apart && self.rng.random::<f64>() >= self.lost {
-                let way = 1 + self.rng.random_range(0..WAY_MS);
+                let way = 1 + self.rng.random_range(0..MAX_DELAY_MS);
                 self.push(self.now + way, to, Some(bytes));
             }
         }
     }
 
-    /// Runs up to a moment.
+    /// Runs until a moment.
     fn until(&mut self, end: u64) {
         let addresses: Vec<SocketAddr> = (0..self.members.len() as u32).map(address).collect();
         while let Some(Reverse((at, _, i, packet))) = self.queue.pop() {
@@ -131,11 +132,11 @@
                     let other = &self.members[node.number as usize];
                     let there =
                         other.detector.is_some() && !other.stopped && other.incarnation == node.incarnation;
-                    self.false_downs += usize::from(there && !self.cut);
+                    self.false_downs += usize::from(there && !self.partitioned);
                     self.downs.insert((i, node.number), at);
                 }
             }
-            self.carry(i, out);
+            self.send_all(i, out);
             if ticks {
                 self.push(next, i, None);
             }
@@ -147,7 +148,7 @@
         self.members[i as usize].detector.as_ref().expect("it is there")
     }
 
-    /// How many different views there are among those that are there.
+    /// How many different views live members have.
     fn views(&self) -> usize {
         let all = self.members.iter().filter(|m| !m.stopped).filter_map(|m| m.detector.as_ref());
         all.map(Detector::digest).collect::<std::collections::BTreeSet<_>>().len()
@@ -223,14 +224,14 @@
     let mut world = World::new(60, 0.01, 6);
     world.until_agreed(10_000);
     (0..20).for_each(|i| world.members[i as usize].side = true);
-    world.cut = true;
+    world.partitioned = true;
     world.until(world.now + 30_000);
     assert_eq!(world.detector(0).view(world.now).alive.len(), 19);
     assert_eq!(world.detector(30).view(world.now).alive.len(), 39);
-    world.cut = false;
+    world.partitioned = false;
     let healed = world.until_agreed(90_000);
-    println!("views agree {healed} ms after a cut of a third");
-    // One stands still for half a minute, is called gone, and is back by itself.
+    println!("views agree {healed} ms after a partition of a third");
+    // A member that is stopped for half a minute is taken for gone and rejoins by itself.
     world.members[3].stopped = true;
     world.until(world.now + 30_000);
     assert!(world.detector(30).view(world.now).gone.contains(&3));
@@ -253,7 +254,7 @@
         .all(|i| world.detector(i).alive_nodes().any(|n| n.number == 5 && n.incarnation == 2)));
     let left = world.now;
     let out = world.members[9].detector.as_mut().expect("it is there").leave(left);
-    world.carry(9, out);
+    world.send_all(9, out);
     world.members[9].detector = None;
     world.until(left + 4_000);
     let knows = |i: &u32| world.detector(*i).view(world.now).gone.contains(&9);
@@ -268,7 +269,7 @@
     assert_eq!(detector.view(11_000).gone, [0, 2]);
 }
 
-/// One that was stopped calls all others gone when it goes on.
+/// A member that was stopped must not take all others for gone when it goes on.
 #[test]
 fn late_timers_worsen_local_health_until_it_recovers() {
     let mut world = World::new(3, 0.0, 9);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,5 +1,5 @@
-//! The sum of the parts, in every order of events up to a bound: an owner and two others that would have its
-//! slot, all three grantors of it, run by the functions that gateways run.
+//! Model check: no more than a slot is in use, in every order of events up to a bound. An owner and two others
+//! that claim its slot, all three its grantors, run by the functions that gateways run.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,28 @@
 };
 use stateright::{Checker, Model, Property};
 
-/// The slot that it is about, and whose it is.
+/// Number of the slot, and of its owner.
 const OWNER: u32 = 0;
-/// A step of true time, ms of it.
+/// A step of true time, ms.
 const TICK: u64 = 10;
 const TERMS: LeaseTerms =
     LeaseTerms { members: 3, lease_ms: 20, max_drift_per_mille: 100, trust_refusals: true };
 
-/// A flaw that the check has to find; each takes one rule or assumption out.
+/// A flaw that the check has to find. Each removes one rule or assumption.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     None,
-    /// A grantor gives its word as soon as it starts.
+    /// A grantor grants as soon as it starts.
     ForgetfulGrantor,
-    /// An owner takes its kept part as soon as it is noted.
+    /// An owner uses its kept part as soon as it is acknowledged.
     HastyOwner,
-    /// A connection to one that lives is refused.
+    /// A connection to a live process is refused.
     FalseRefusal,
-    /// A clock runs at half of the true time.
+    /// A clock runs at half the speed of true time.
     SlowClock,
 }
 
-/// What may happen how often.
+/// How often each event may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     ticks: u64,
@@ -39,8 +39,8 @@
     loans: u8,
     /// By number.
     crashes: [u8; 3],
-    /// Messages that come twice.
-    twice: u8,
+    /// Messages that are delivered duplicates.
+    duplicates: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -55,7 +55,7 @@
 struct Sent {
     from: Member,
     to: u32,
-    /// Of an answer, the incarnation that asked.
+    /// Of a response, the incarnation that sent the request.
     incarnation: Option<u64>,
     message: Message,
 }
@@ -64,8 +64,8 @@
 struct State {
     now: u64,
     nodes: Vec<Node>,
-    /// Messages on their way, and how many of each.
-    on_the_way: BTreeMap<Sent, u8>,
+    /// Messages in transit, and how many of each.
+    in_transit: BTreeMap<Sent, u8>,
     left: Budget,
 }
 
@@ -75,8 +75,8 @@
     Renew,
     Claim(u32),
     Borrow(u32),
-    /// It comes, and is not on its way any more or comes again. Whatever is left at the end was lost.
-    Comes(Sent, bool),
+    /// A message is delivered, and with `true` stays in transit. Whatever is left at the end was lost.
+    Deliver(Sent, bool),
     Crash(u32),
     Start(u32),
     Refused(u32),
@@ -91,7 +91,7 @@
 
 impl World {
     fn clock(&self, state: &State, node: u32) -> u64 {
-        // Clocks have origins of their own, long before.
+        // Clocks have different origins, long before.
         1_000 * (u64::from(node) + 1) + state.now * self.rates[node as usize]
     }
 
@@ -117,13 +117,13 @@
     fn send(&self, state: &mut State, from: u32, to: u32, incarnation: Option<u64>, message: Message) {
         let from = Member { number: from, incarnation: state.nodes[from as usize].incarnation };
         if from.number == to {
-            // As its own grantor it needs no network.
-            return self.comes(state, Sent { from, to, incarnation, message });
+            // A member that is its own grantor needs no network.
+            return self.deliver(state, Sent { from, to, incarnation, message });
         }
-        *state.on_the_way.entry(Sent { from, to, incarnation, message }).or_default() += 1;
+        *state.in_transit.entry(Sent { from, to, incarnation, message }).or_default() += 1;
     }
 
-    fn comes(&self, state: &mut State, sent: Sent) {
+    fn deliver(&self, state: &mut State, sent: Sent) {
         let Sent { from, to, incarnation, message } = sent;
         let now = self.clock(state, to);
         let node = &mut state.nodes[to as usize];
@@ -154,14 +154,14 @@
                 None
             }
         };
-        // One that says nothing might as well be lost.
-        let says_nothing = |answer: &Message| match answer {
+        // A response that grants nothing might as well be lost.
+        let grants_nothing = |answer: &Message| match answer {
             Message::Renewed { granted: out, .. } => *out == Grant::Whole,
             Message::Claimed { grant: given, .. } => *given == Grant::Nothing,
             Message::Loan { units, .. } => *units == 0,
             _ => false,
         };
-        if let Some(answer) = answer.filter(|answer| !says_nothing(answer)) {
+        if let Some(answer) = answer.filter(|answer| !grants_nothing(answer)) {
             self.send(state, to, from.number, Some(from.incarnation), answer);
         }
     }
@@ -177,13 +177,13 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut state = State { now: 0, nodes: Vec::new(), on_the_way: BTreeMap::new(), left: self.budget };
-        // All have been there for long, and the owner has its slot by the word of all, as of now.
+        let mut state = State { now: 0, nodes: Vec::new(), in_transit: BTreeMap::new(), left: self.budget };
+        // All have run for long, and the owner has just renewed its slot at all grantors.
         for number in 0..3 {
             let clock = self.clock(&state, number);
-            let (mut node, me) = (self.node(number, 1, clock), Member { number, incarnation: 1 });
+            let (mut node, member) = (self.node(number, 1, clock), Member { number, incarnation: 1 });
             (node.grantor, node.holder) =
-                (LeaseGrantor::new(TERMS, clock - 900), LeaseHolder::new(TERMS, me, clock - 900));
+                (LeaseGrantor::new(TERMS, clock - 900), LeaseHolder::new(TERMS, member, clock - 900));
             node.grantor.renew(clock, Member { number: OWNER, incarnation: 1 });
             state.nodes.push(node);
         }
@@ -209,14 +209,14 @@
         if state.left.loans > 0 && up(1) {
             actions.push(Action::Borrow(1));
         }
-        for sent in state.on_the_way.keys() {
-            // One to a process that is gone is lost, as any may be by never coming.
+        for sent in state.in_transit.keys() {
+            // A message to a crashed process is lost, as any may be by never being delivered.
             if !up(sent.to) {
                 continue;
             }
-            actions.push(Action::Comes(*sent, false));
-            if state.left.twice > 0 {
-                actions.push(Action::Comes(*sent, true));
+            actions.push(Action::Deliver(*sent, false));
+            if state.left.duplicates > 0 {
+                actions.push(Action::Deliver(*sent, true));
             }
         }
         for number in 0..3 {
@@ -261,24 +261,24 @@
                 let request_id = state.nodes[by as usize].holder.request_loan(now, OWNER)?;
                 self.send(&mut state, by, OWNER, None, Message::Borrow { request_id, units: SLOT_UNITS });
             }
-            Action::Comes(sent, again) => {
+            Action::Deliver(sent, again) => {
                 if again {
-                    state.left.twice -= 1;
+                    state.left.duplicates -= 1;
                 } else {
-                    let left = state.on_the_way.get_mut(&sent)?;
+                    let left = state.in_transit.get_mut(&sent)?;
                     *left -= 1;
                     if *left == 0 {
-                        state.on_the_way.remove(&sent);
+                        state.in_transit.remove(&sent);
                     }
                 }
-                self.comes(&mut state, sent);
+                self.deliver(&mut state, sent);
             }
             Action::Crash(number) => {
                 state.left.crashes[number as usize] -= 1;
                 let incarnation = state.nodes[number as usize].incarnation;
                 state.nodes[number as usize].up = false;
-                // Answers to this incarnation say nothing to any other.
-                state.on_the_way.retain(|sent, _| sent.to != number || sent.incarnation != Some(incarnation));
+                // Responses to this incarnation are ignored by any other.
+                state.in_transit.retain(|sent, _| sent.to != number || sent.incarnation != Some(incarnation));
             }
             Action::Start(number) => {
                 let (incarnation, clock) =
@@ -292,20 +292,20 @@
                 silent.into_iter().for_each(|owner| grantor.owner_unreachable(now, owner));
             }
         }
-        // An answer that changes nothing here never will.
-        let idle = matches!(action, Action::Comes(sent, _) if sent.incarnation.is_some())
+        // A response that changes nothing now never will.
+        let idle = matches!(action, Action::Deliver(sent, _) if sent.incarnation.is_some())
             && state.nodes == last.nodes;
         (state != *last && !idle).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(BROKEN, |world: &World, state: &State| world.sum(state) <= SLOT_UNITS),
-            Property::sometimes(OWNERS, |world: &World, state: &State| {
+            Property::always(WITHIN_SLOT, |world: &World, state: &State| world.sum(state) <= SLOT_UNITS),
+            Property::sometimes(OWNER_HAS_ALL, |world: &World, state: &State| {
                 let owner = &state.nodes[OWNER as usize];
                 owner.up && owner.holder.allocation(world.clock(state, OWNER)).units == SLOT_UNITS
             }),
-            Property::sometimes(OTHERS, |world: &World, state: &State| {
+            Property::sometimes(ANOTHER_HAS_ALL, |world: &World, state: &State| {
                 let other = &state.nodes[1];
                 other.up && other.holder.allocation(world.clock(state, 1)).units == SLOT_UNITS
             }),
@@ -314,9 +314,10 @@
 }
 
 const RATES: [u64; 3] = [TICK, TICK + 1, TICK - 1];
-const NONE: Budget = Budget { ticks: 0, renewals: 0, claims: [0, 0], loans: 0, crashes: [0, 0, 0], twice: 0 };
+const NONE: Budget =
+    Budget { ticks: 0, renewals: 0, claims: [0, 0], loans: 0, crashes: [0, 0, 0], duplicates: 0 };
 
-/// What was found among all states that so many events lead to: the names of properties.
+/// Names of the properties that were discovered among all states within `depth` events.
 fn found(flaw: Flaw, budget: Budget, rates: [u64; 3], depth: usize) -> Vec<&'static str> {
     let checker =
         World { flaw, budget, rates }.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
@@ -325,36 +326,37 @@
     found
 }
 
-const BROKEN: &str = "no more than the slot is in use";
-const OWNERS: &str = "the owner has all of it";
-const OTHERS: &str = "another has all of it";
+/// Discovered when a state breaks it; the other two when a state shows them.
+const WITHIN_SLOT: &str = "no more than the slot is in use";
+const OWNER_HAS_ALL: &str = "the owner has all of it";
+const ANOTHER_HAS_ALL: &str = "another has all of it";
 
-/// The owner crashes, one claims its slot and has all of it, the owner is back and asks for it again.
-const BACK: Budget = Budget { ticks: 7, renewals: 1, claims: [1, 0], crashes: [1, 0, 0], ..NONE };
-/// Two claim after the owner's crash.
-const BOTH: Budget = Budget { ticks: 6, claims: [1, 1], crashes: [1, 0, 0], ..NONE };
-/// Two claim, and a grantor forgets between them to whom it gave its word.
+/// The owner crashes, another member claims its whole slot, the owner restarts and renews.
+const OWNER_RETURNS: Budget = Budget { ticks: 7, renewals: 1, claims: [1, 0], crashes: [1, 0, 0], ..NONE };
+/// Two members claim after the owner's crash.
+const TWO_CLAIMS: Budget = Budget { ticks: 6, claims: [1, 1], crashes: [1, 0, 0], ..NONE };
+/// Two members claim, and a grantor restarts between the claims.
 const GRANTOR_RESTART: Budget = Budget { ticks: 6, claims: [1, 1], crashes: [0, 1, 0], ..NONE };
-/// The owner lends, crashes and is back.
+/// The owner lends, crashes and restarts.
 const LOANS: Budget = Budget { ticks: 6, renewals: 1, loans: 1, crashes: [1, 0, 0], ..NONE };
-/// A claim and a renewal, of which messages come twice.
-const TWICE: Budget = Budget { ticks: 5, renewals: 1, claims: [1, 0], loans: 1, twice: 2, ..NONE };
+/// A claim and a renewal with messages that are delivered duplicates.
+const DUPLICATES: Budget = Budget { ticks: 5, renewals: 1, claims: [1, 0], loans: 1, duplicates: 2, ..NONE };
 
 #[test]
 fn owner_returns_while_another_has_its_slot() {
-    let found = found(Flaw::None, BACK, RATES, 14);
-    assert!(!found.contains(&BROKEN), "the sum is passed");
-    assert!(found.contains(&OWNERS) && found.contains(&OTHERS), "{found:?}");
+    let found = found(Flaw::None, OWNER_RETURNS, RATES, 14);
+    assert!(!found.contains(&WITHIN_SLOT), "the sum is passed");
+    assert!(found.contains(&OWNER_HAS_ALL) && found.contains(&ANOTHER_HAS_ALL), "{found:?}");
 }
 
 #[test]
 fn bound_holds_for_claims_restarts_loans_and_repeated_messages() {
-    for (budget, depth) in [(BOTH, 13), (GRANTOR_RESTART, 14), (LOANS, 14), (TWICE, 10)] {
-        assert!(!found(Flaw::None, budget, RATES, depth).contains(&BROKEN), "{budget:?}");
+    for (budget, depth) in [(TWO_CLAIMS, 13), (GRANTOR_RESTART, 14), (LOANS, 14), (DUPLICATES, 10)] {
+        assert!(!found(Flaw::None, budget, RATES, depth).contains(&WITHIN_SLOT), "{budget:?}");
     }
 }
 
-/// A check that can't fail is none.
+/// A check that cannot fail proves nothing.
 #[test]
 fn every_removed_rule_or_assumption_breaks_the_bound() {
     let slow = [TICK / 2, TICK + 1, TICK];
@@ -364,6 +366,6 @@
         (Flaw::FalseRefusal, GRANTOR_RESTART, RATES, 13),
         (Flaw::SlowClock, GRANTOR_RESTART, slow, 14),
     ] {
-        assert!(found(flaw, budget, rates, depth).contains(&BROKEN), "{flaw:?} is not found");
+        assert!(found(flaw, budget, rates, depth).contains(&WITHIN_SLOT), "{flaw:?} is not found");
     }
 }
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,5 +1,5 @@
-//! Fleets of 3 to 300 members in simulated time: the sum of the parts at every moment looked at, whatever
-//! fails, and how much of the bound is in use.
+//! Fleets of 3 to 300 members in simulated time: the sum of their allocations under faults, and how much of the
+//! bound is in use.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,27 +9,27 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// True time between two looks at the sum, ms.
-const LOOK_MS: u64 = 40;
-/// A member that is silent for so long is believed to be gone, and so is one that is taken for silent.
+/// True time between two samples of the sum, ms.
+const SAMPLE_MS: u64 = 40;
+/// Time after which a change of a member is in the views of the others, ms.
 const DETECTED_MS: u64 = 4_000;
 
-/// What is done to a fleet at a moment.
+/// A fault or a recovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// The first of so many thousandths crash; their clients come to the others.
+    /// The first members, as many thousandths of the fleet, crash; their clients move to the others.
     Crash(u32),
-    /// Those that crashed start anew.
+    /// Crashed members restart.
     Start,
-    /// The first of so many thousandths stand still.
+    /// The first members, as many thousandths of the fleet, are stopped.
     Stop(u32),
-    /// They go on.
+    /// Stopped members go on.
     GoOn,
-    /// The first of so many thousandths are cut off from the others.
-    Cut(u32),
-    /// They hear the others, which do not hear them.
-    OneWay(u32),
-    /// All hear all.
+    /// The first members, as many thousandths of the fleet, are partitioned from the others.
+    Partition(u32),
+    /// The same, but they still receive from the others.
+    OneWayPartition(u32),
+    /// All partitions end.
     Heal,
 }
 
@@ -37,14 +37,14 @@
 struct Shape {
     members: u32,
     seed: u64,
-    /// The part of the messages that is lost, and comes twice.
+    /// The part of the messages that is lost, and that is delivered twice.
     lost: f64,
     twice: f64,
-    /// The longest way of a message, ms.
+    /// The longest delay of a message, ms.
     delay_ms: u64,
     /// Needs are drawn from 0 to so many times the mean.
     uneven: f64,
-    /// All needs together over the bound.
+    /// Sum of all needs, as a multiple of the bound.
     load: f64,
     faults: Vec<(u64, Fault)>,
     duration_ms: u64,
@@ -74,7 +74,7 @@
     /// Its clock: an origin, and thousandths of true time.
     origin: u64,
     rate: u64,
-    /// Which side of a cut it is on, and since when.
+    /// Which side of a partition it is on, and when anything of it changed.
     side: bool,
     changed_ms: u64,
 }
@@ -82,17 +82,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Tick(u32, u64),
-    Comes { from: Member, to: u32, incarnation: Option<u64>, message: Message },
+    Deliver { from: Member, to: u32, incarnation: Option<u64>, message: Message },
     Probed { by: u32, by_incarnation: u64, owner: Member },
-    Look,
+    Sample,
     Fault(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Links {
     Whole,
-    Cut,
-    OneWay,
+    Partition,
+    OneWayPartition,
 }
 
 struct World {
@@ -104,10 +104,10 @@
     number: u64,
     rng: ChaCha8Rng,
     links: Links,
-    /// The part of what they could have that is in use at each look: of all that are up, of the side that is
+    /// The part of what they could have that is in use at each sample: of all that are up, of the side that is
     /// cut off; and the same by even parts.
     served: Vec<(u64, f64, f64, f64)>,
-    /// How much more each that is up has to do as others are gone.
+    /// Factor of the needs of live members, as the others are gone.
     more: f64,
     most: u64,
     messages: u64,
@@ -157,7 +157,7 @@
             messages: 0,
         };
         (0..world.shape.members).for_each(|i| world.start(i));
-        world.at(LOOK_MS, Event::Look);
+        world.at(SAMPLE_MS, Event::Sample);
         for i in 0..world.shape.faults.len() {
             world.at(world.shape.faults[i].0, Event::Fault(i));
         }
@@ -193,14 +193,14 @@
     }
 
     fn fault(&mut self, fault: Fault) {
-        self.befall(fault);
-        // Clients of those that are gone come to the others.
+        self.apply_fault(fault);
+        // Clients of crashed members move to the others.
         let needs: f64 = self.nodes.iter().map(|node| node.need as f64).sum();
         let up: f64 = self.nodes.iter().filter(|n| n.coordinator.is_some()).map(|n| n.need as f64).sum();
         self.more = if up > 0.0 { needs / up } else { 1.0 };
     }
 
-    fn befall(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
             Fault::Crash(part) => {
@@ -230,9 +230,13 @@
                     self.at(0, Event::Tick(i, incarnation));
                 }
             }
-            Fault::Cut(part) | Fault::OneWay(part) => {
+            Fault::Partition(part) | Fault::OneWayPartition(part) => {
                 self.first(part).for_each(|i| self.nodes[i as usize].side = true);
-                self.links = if matches!(fault, Fault::Cut(_)) { Links::Cut } else { Links::OneWay };
+                self.links = if matches!(fault, Fault::Partition(_)) {
+                    Links::Partition
+                } else {
+                    Links::OneWayPartition
+                };
                 self.nodes.iter_mut().for_each(|node| node.changed_ms = now);
             }
             Fault::Heal => {
@@ -242,10 +246,10 @@
         }
     }
 
-    /// Whether a message from one comes to another.
+    /// Whether a message from one member reaches another.
     fn passes(&self, from: u32, to: u32) -> bool {
         let (from, to) = (self.nodes[from as usize].side, self.nodes[to as usize].side);
-        from == to || self.links == Links::Whole || self.links == Links::OneWay && to
+        from == to || self.links == Links::Whole || self.links == Links::OneWayPartition && to
     }
 
     fn view(&self, by: u32) -> MembershipView {
@@ -253,7 +257,7 @@
         for other in (0..self.shape.members).filter(|other| *other != by) {
             let node = &self.nodes[other as usize];
             let there = node.coordinator.is_some() && !node.stopped && self.passes(other, by);
-            // What changed lately is not known yet.
+            // A recent change is not known yet.
             let known = self.now - node.changed_ms >= DETECTED_MS;
             if there == known || !known && self.now < DETECTED_MS {
                 view.alive.push(other);
@@ -264,7 +268,7 @@
         view
     }
 
-    fn carry(&mut self, from: Member, out: Vec<Output>) {
+    fn send_all(&mut self, from: Member, out: Vec<Output>) {
         for out in out {
             let way = |rng: &mut ChaCha8Rng, most: u64| 1 + rng.random_range(0..=most);
             match out {
@@ -274,12 +278,12 @@
                     for _ in 0..times {
                         if self.rng.random::<f64>() >= self.shape.lost {
                             let after = way(&mut self.rng, self.shape.delay_ms);
-                            self.at(after, Event::Comes { from, to, incarnation, message });
+                            self.at(after, Event::Deliver { from, to, incarnation, message });
                         }
                     }
                 }
                 Output::Probe(owner) => {
-                    // Refused where the process is gone and its machine answers.
+                    // Refused if the process has ended and its machine responds.
                     let refused = self.nodes[owner.number as usize].coordinator.is_none();
                     if refused
                         && self.passes(from.number, owner.number)
@@ -307,14 +311,14 @@
                 let Some(coordinator) = &mut node.coordinator else { return };
                 let out = coordinator.tick(clock, (node.need as f64 * self.more) as u64, &view);
                 let after = coordinator.next_tick_ms().saturating_sub(clock).max(1);
-                self.carry(Member { number: i, incarnation }, out);
+                self.send_all(Member { number: i, incarnation }, out);
                 self.at(after, Event::Tick(i, incarnation));
             }
-            Event::Comes { from, to, incarnation, message } => {
+            Event::Deliver { from, to, incarnation, message } => {
                 if !self.passes(from.number, to) {
                     return;
                 }
-                // What comes while it stands still is read when it goes on.
+                // Messages to a stopped member are read when it goes on.
                 if self.nodes[to as usize].stopped {
                     return self.at(50, event);
                 }
@@ -325,8 +329,8 @@
                     return;
                 }
                 let out = coordinator.handle_message(clock, from, message);
-                let me = Member { number: to, incarnation: node.incarnation };
-                self.carry(me, out);
+                let member = Member { number: to, incarnation: node.incarnation };
+                self.send_all(member, out);
             }
             Event::Probed { by, by_incarnation, owner } => {
                 let clock = self.clock(by);
@@ -337,15 +341,15 @@
                     coordinator.connection_refused(clock, owner);
                 }
             }
-            Event::Look => {
-                self.look();
-                self.at(LOOK_MS, Event::Look);
+            Event::Sample => {
+                self.sample();
+                self.at(SAMPLE_MS, Event::Sample);
             }
             Event::Fault(i) => self.fault(self.shape.faults[i].1),
         }
     }
 
-    fn look(&mut self) {
+    fn sample(&mut self) {
         let bound = u64::from(self.shape.members) * SLOT_UNITS;
         let needs: f64 = self.nodes.iter().map(|node| node.need as f64).sum();
         let (mut sum, mut used, mut even) = (0, [0.0, 0.0], [0.0, 0.0]);
@@ -353,7 +357,7 @@
             let clock = self.clock(i);
             let node = &self.nodes[i as usize];
             let Some(coordinator) = &node.coordinator else { continue };
-            // One that stands still looks at its clock when it goes on, and uses nothing before.
+            // A stopped member looks at its clock when it goes on, and uses nothing before.
             let part = coordinator.allocation(clock).units;
             sum += part;
             let need = node.need as f64 * self.more;
@@ -379,7 +383,7 @@
         self
     }
 
-    /// The mean over a stretch of time: of all, of the side that is cut off, by even parts.
+    /// Means over a span of time: of all, of the partitioned side, with even shares.
     fn mean(&self, from_ms: u64, to_ms: u64) -> (f64, f64, f64) {
         let stretch: Vec<_> = self.served.iter().filter(|s| (from_ms..to_ms).contains(&s.0)).collect();
         let mean = |of: fn(&(u64, f64, f64, f64)) -> f64| {
@@ -408,7 +412,7 @@
         println!("{members} a third down: {third:.3}, even parts {even:.3}");
         assert!(third >= 0.85 && even < 0.7);
         let cut = World::new(Shape {
-            faults: vec![(10_000, Fault::Cut(400)), (40_000, Fault::Heal)],
+            faults: vec![(10_000, Fault::Partition(400)), (40_000, Fault::Heal)],
             duration_ms: 60_000,
             ..shape
         })
@@ -423,7 +427,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 32, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The sum, whatever fails.
+    /// The sum stays within the bound.
     #[test]
     fn never_exceeds_the_bound_under_any_faults(
         seed in any::<u64>(),
@@ -438,8 +442,8 @@
             1 => Fault::Start,
             2 => Fault::Stop(part),
             3 => Fault::GoOn,
-            4 => Fault::Cut(part),
-            5 => Fault::OneWay(part),
+            4 => Fault::Partition(part),
+            5 => Fault::OneWayPartition(part),
             _ => Fault::Heal,
         };
         let faults = kinds.into_iter().map(|(at, kind, part)| (at, fault(kind, part))).collect();
