--- a/crates/cold-start/tests/call_budget.rs
+++ b/crates/cold-start/tests/call_budget.rs
@@ -4,10 +4,10 @@
 use proptest::prelude::*;
 
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
-/// What the counter bears, calls a second.
+/// Capacity of the counter, calls a second.
 const BEARS: f64 = 200.0;
 
-/// Calls of a fleet by second, each gateway wanting so many a second.
+/// Calls of a fleet in each second, where each gateway wants `wants` calls a second.
 fn play(n: u32, wants: f64, seconds: usize, begins: impl Fn(u32) -> f64) -> Vec<usize> {
     let mut by_second = vec![0; seconds];
     for place in 0..n {
@@ -29,13 +29,13 @@
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
     /// Seeds: `PROPTEST_RNG_SEED`. In second `k` a fleet that starts at once makes no more than `2^(k+1)`
-    /// times what the counter bears, and one call of each gateway.
+    /// times the counter's capacity, and one call of each gateway.
     #[test]
     fn fleets_of_any_size_begin_within_the_counters_capacity(n in 1u32..=1_000, wants in 1.0..100.0f64) {
         let by_second = play(n, wants, 4, |_| BEGIN_MS);
         let mut all = 0.0;
         for (k, calls) in by_second.iter().enumerate() {
-            // What may have been saved comes with what is allowed by then, not on top of it.
+            // Saved calls are part of what is allowed by then.
             all += 0.9 * BEARS * 2f64.powi(k as i32 + 1);
             let most = all.min(f64::from(n) * (wants + 1.0)) + 0.9 * BEARS + 2.0;
             prop_assert!((*calls as f64) <= most, "{} in second {k}, {most} allowed of {by_second:?}", calls);
@@ -66,14 +66,14 @@
 
 #[test]
 fn staggered_starts_each_begin_with_their_part() {
-    // Thirty in a second are a tenth of the fleet: its part is a tenth of what the counter bears.
+    // Thirty in a second are a tenth of the fleet: its part is a tenth of the counter's capacity.
     let by_second = play(300, 50.0, 1, |place| if place < 30 { BEGIN_MS } else { BEGIN_MS + 900_000.0 });
     assert!(by_second[0] <= 60, "{by_second:?}");
 }
 
 #[test]
 fn budget_doubles_every_two_seconds_and_saves_two_calls() {
-    // One gateway alone has all that the counter bears, and wants more at any moment.
+    // One gateway alone has the counter's whole capacity, and always wants more.
     let calls = |from: u32, to: u32| {
         let mut allowance = CallBudget::new(0, 1, BEARS, BEGIN_MS);
         (0..to * 10)
--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -1,4 +1,4 @@
-//! First connections of fleets of 1 to 1,000 gateways to backends that are well, dead or start anew, in
+//! First connections of fleets of 1 to 1,000 gateways to backends that are healthy, dead or restart, in
 //! simulated time.
 
 use cold_start::{ConnectionRamp, RampStage};
@@ -7,7 +7,7 @@
 
 /// Starts at an hour that no round begins with.
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
-/// What a backend takes, first connections a second, and the slot that follows from it.
+/// Capacity of a backend, first connections a second, and the slot that follows from it.
 const PER_S: f64 = 50.0;
 const SLOT_MS: f64 = 1_000.0 / (0.9 * PER_S);
 
@@ -19,7 +19,7 @@
     SLOT_MS * f64::from(gateways)
 }
 
-/// Homes as gateways have them by default.
+/// Subsets as gateways have them by default.
 fn home(place: u32, gateways: u32) -> Subset {
     Subset::new(place, gateways, 5, 3)
 }
@@ -28,7 +28,7 @@
 struct Gateway {
     ramp: ConnectionRamp,
     tried: Vec<(f64, u32)>,
-    /// Those that the decisions were told of without a try.
+    /// Backends that were opened without a first connection.
     released: Vec<u32>,
 }
 
@@ -46,7 +46,7 @@
         self
     }
 
-    /// Runs until a moment; `late` is what each of its timers is late, ms.
+    /// Runs until a moment; each timer is late by `late` ms.
     fn run(&mut self, from: f64, until: f64, late: f64, answers: impl Fn(u32, f64) -> bool) {
         let mut now = from;
         loop {
@@ -66,7 +66,7 @@
     }
 }
 
-/// No backend gets more than the slots allow, in any stretch of some lengths.
+/// No backend gets more first connections than the slots allow, in spans of several lengths.
 fn slots_hold(gateways: &[Gateway], backends: u32, late: f64) {
     for id in 0..backends {
         let of =
@@ -86,8 +86,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// Seeds: `PROPTEST_RNG_SEED`. Whoever starts when, crashes or is late: a backend gets one first
-    /// connection a slot, and in the end the decisions have all, everywhere.
+    /// Seeds: `PROPTEST_RNG_SEED`. For any starts, crashes and late timers a backend gets one first
+    /// connection a slot, and in the end all backends are open at all gateways.
     #[test]
     fn one_first_connection_per_slot_from_fleets_of_any_size(
         n in 1u32..=1_000,
@@ -101,7 +101,7 @@
         for place in 0..n {
             let mut now = BEGIN_MS + spread_ms * f64::from(place * 7 % n) / f64::from(n);
             for _ in 0..crashes {
-                // One that crashes forgets all, and begins anew.
+                // A crashed gateway forgets everything and starts again.
                 let mut gateway = Gateway::new(place, n, backends, now).confirmed(now);
                 gateway.run(now, now + round / 2.0, late, |_, _| true);
                 fleet.push(gateway);
@@ -111,7 +111,7 @@
             gateway.run(now, now + 2.0 * round + 200.0, late, |_, _| true);
             prop_assert_eq!(gateway.ramp.stage(), RampStage::Warm);
             prop_assert_eq!(gateway.ramp.open(), backends as usize);
-            // Its home is what it tried by turns, four at least.
+            // It tried its subset in slots, at least four backends.
             let degree = home(place, n).degree(backends as usize);
             let of_home = |id: &u32| home(place, n).threshold(key(*id)) < degree;
             prop_assert!(!gateway.released.iter().any(of_home));
@@ -129,7 +129,7 @@
     let mut fleet: Vec<Gateway> = (0..n).map(|place| Gateway::new(place, n, backends, BEGIN_MS)).collect();
     for gateway in &mut fleet {
         gateway.run(BEGIN_MS, BEGIN_MS + 0.99 * round_ms(n), 0.0, half);
-        // Those that failed are followed by others, each in a slot of its own.
+        // Others follow those that failed, each in a slot of its own.
         assert!((1..=4).contains(&gateway.ramp.open()), "{}", gateway.ramp.open());
         assert_eq!((gateway.ramp.stage(), gateway.released.len()), (RampStage::Known, 0));
     }
@@ -139,7 +139,7 @@
     let at_dead = fleet.iter().flat_map(|g| &g.tried).filter(|(_, id)| id % 2 == 1).count();
     // All of them would be 300 at each of 20; four that answer are found by about four that do not.
     assert!(at_dead < 300 * 6, "{at_dead} tries at 20 dead backends");
-    // Nobody is left for good with few: a list that is never confirmed is opened by doubling.
+    // No gateway keeps few backends for good: a list that is never confirmed is opened by doubling.
     let gateway = &mut fleet[7];
     let from = BEGIN_MS + round_ms(n);
     gateway.run(from, from + 8.0 * round_ms(n), 0.0, |_, _| true);
@@ -150,7 +150,7 @@
 #[test]
 fn load_failures_and_confirmation_open_more_backends() {
     let n = 300;
-    // By how many have a turn or are open: those that were tried or wait.
+    // How many have a slot or are open.
     let chosen = |gateway: &mut Gateway, out: usize| {
         gateway.ramp.choose(BEGIN_MS, out);
         let mut tried = 0;
@@ -190,17 +190,17 @@
     assert_eq!(gateway.ramp.release(BEGIN_MS + 9.0 * round_ms(n)), [], "told though nobody confirmed it");
     let mut gateway = gateway.confirmed(BEGIN_MS);
     gateway.ramp.choose(BEGIN_MS, 0);
-    // Once it is confirmed no more are chosen as time passes, lest there be always one that was not tried.
+    // Once the list is confirmed no more are chosen as time passes, or one would always be untried.
     gateway.ramp.choose(BEGIN_MS + 5.0 * round_ms(n), 0);
     assert_eq!(gateway.ramp.release(BEGIN_MS + 1.9 * round_ms(n)), [], "before the home was tried");
     let told = gateway.ramp.release(BEGIN_MS + 2.1 * round_ms(n));
     assert!(told.len() > 25, "{told:?}");
-    // Nobody waits for those of the home that went meanwhile.
+    // Removed backends of the subset are not waited for.
     let mut gone = Gateway::new(3, n, 40, BEGIN_MS).confirmed(BEGIN_MS);
     gone.ramp.choose(BEGIN_MS, 0);
     (0..40).filter(|id| !told.contains(id)).for_each(|id| gone.ramp.remove(id));
     assert_eq!(gone.ramp.release(BEGIN_MS).len(), told.len());
-    // From then on one that is not of the home waits for nothing.
+    // From then on a backend outside the subset waits for nothing.
     let far = (40..).find(|id| home(3, n).threshold(key(*id)) > 200.0).expect("one of many");
     assert!(!gateway.ramp.add(far, key(far), 0.0));
     gateway.ramp.choose(BEGIN_MS, 0);
@@ -233,7 +233,7 @@
 fn restart_drain_and_removal_close_a_backend_until_its_slot() {
     let mut ramp = ConnectionRamp::new(1, 30, home(1, 30), PER_S, BEGIN_MS);
     ramp.confirm(BEGIN_MS);
-    // Its moment, and its number.
+    // Its moment, and its id.
     let due = |ramp: &mut ConnectionRamp, from: f64| {
         ramp.choose(from, 0);
         let at = ramp.next(from).expect("it waits");
@@ -245,7 +245,7 @@
     assert_eq!((id, ramp.stage()), (Some(5), RampStage::Confirmed));
     assert!(ramp.first_connection_ended(at + 1.0, 5, 0.0, true) && ramp.add(5, 77, 0.0));
     assert_eq!((ramp.release(at), ramp.stage()), (vec![], RampStage::Warm));
-    // It starts anew, and once more while its first connection is being opened: that tells nothing.
+    // It restarts, and once more during its first connection, whose result then counts for nothing.
     assert!(!ramp.add(5, 77, 10.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
@@ -256,20 +256,20 @@
     assert_eq!(id, Some(5));
     assert!(ramp.first_connection_ended(at, 5, 20.0, true));
     assert!(ramp.add(5, 77, 10.0), "an older line is none of another life");
-    // The same while its first connection of the later life is being opened.
+    // The same during the first connection to the later incarnation.
     assert!(!ramp.add(5, 77, 30.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
     assert!(!ramp.first_connection_ended(at, 5, 20.0, true), "a late answer of the life before");
     assert!(ramp.first_connection_ended(at, 5, 30.0, true));
-    // Drained and given back.
+    // Drained and undrained.
     ramp.remove(5);
     assert_eq!((ramp.stage(), ramp.next(at)), (RampStage::Empty, None));
     assert!(!ramp.add(5, 77, 30.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
     assert!(ramp.first_connection_ended(at, 5, 30.0, true));
-    // Off a whole list and on it again.
+    // Missing on a whole list and listed again.
     ramp.retain(|id| id != 5);
     assert!(!ramp.add(5, 77, 30.0));
     assert_eq!(ramp.waiting_count(), 1);
@@ -280,7 +280,7 @@
     let n = 100;
     let mut fleet: Vec<Gateway> =
         (0..n).map(|place| Gateway::new(place, n, 4, BEGIN_MS).confirmed(BEGIN_MS)).collect();
-    // All are stopped before their first turn, for ten rounds.
+    // All are stopped before their first slot, for ten rounds.
     let on = BEGIN_MS + 10.0 * round_ms(n) + 3.0;
     for gateway in &mut fleet {
         gateway.ramp.choose(BEGIN_MS, 0);
--- a/crates/cold-start/tests/poll_schedule.rs
+++ b/crates/cold-start/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! The calls of one gateway.
+//! The polls of one gateway.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A change that all who watch hear at once, and ask again about at once.
+/// A change ends all watches at once; the gateways must not poll again at once.
 #[test]
 fn watch_after_an_update_begins_in_the_next_slot() {
     let mut calls = calls();
@@ -116,7 +116,7 @@
 fn share_halves_to_its_minimum_and_recovers_by_fast_responses() {
     let mut share = AdaptiveShare::default();
     share.record_response(Some(5.0));
-    // One that stood in a queue counts as a refusal; one that was a little later as nothing.
+    // A queued response counts as a rejection; one that was a little late changes nothing.
     share.record_response(Some(500.0));
     assert_eq!(share.fraction(), 1.0);
     share.record_response(Some(1_500.0));
--- a/crates/cold-start/tests/service.rs
+++ b/crates/cold-start/tests/service.rs
@@ -6,9 +6,9 @@
 use cold_start::{Poll, PollOutcome, PollSchedule, SlotSchedule};
 use proptest::prelude::*;
 
-/// What operators say that the service bears, calls a second.
+/// Capacity of the service as operators state it, calls a second.
 const TOLD: f64 = 50.0;
-/// Calls that may stand before the service.
+/// Length of the service's queue, calls.
 const PLACES: usize = 50;
 /// Starts at an hour that no round begins with.
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
@@ -17,7 +17,7 @@
 enum Away {
     Refuses,
     Busy,
-    /// Takes calls in and loses them.
+    /// Accepts calls and loses them.
     Silent,
 }
 
@@ -27,7 +27,7 @@
     bears: f64,
     /// How much later an answer comes, ms.
     delay_ms: f64,
-    /// Not there for the first so many ms.
+    /// Away for this time at first, ms.
     away: Option<(Away, f64)>,
 }
 
@@ -36,7 +36,7 @@
     /// Moments of all calls, and by gateway; from the start on, ms.
     calls: Vec<f64>,
     by_gateway: Vec<Vec<f64>>,
-    /// When each was told of the list.
+    /// When each gateway got the list.
     confirmed: Vec<Option<f64>>,
     turned_away: Vec<f64>,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// All start at once; plays for so long.
+/// All gateways start at once; runs for `seconds`.
 fn play(gateways: u32, service: Service, lasts_ms: f64, shift_ms: f64) -> Played {
     let mut played = Played {
         by_gateway: vec![Vec::new(); gateways as usize],
@@ -83,7 +83,7 @@
         heap.push(Reverse((us(call.at_ms), 0, g)));
     }
     let mut free = 0.0;
-    // Calls that stand before the service, by when they are done.
+    // Queued calls, by when they are answered.
     let mut standing: std::collections::VecDeque<f64> = std::collections::VecDeque::new();
     let mut ended: Vec<PollOutcome> = vec![PollOutcome::Unchanged; gateways as usize];
     ends.clear();
@@ -155,7 +155,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whoever starts when, and whatever the service does: one call after another, and each gateway makes
+    /// For any starts and any service: one call after another, and each gateway makes
     /// one a round at most.
     #[test]
     fn polls_stay_within_the_slots(
@@ -174,8 +174,8 @@
         }
     }
 
-    /// A service that bears what it is told to: all have the list in a round, by one call each, and ask for
-    /// half of what it bears from then on.
+    /// A service with its stated capacity: all have the list within a round, by one call each, and use
+    /// half of the capacity from then on.
     #[test]
     fn healthy_service_answers_all_within_a_round(
         gateways in 1u32..=1_000, delay_ms in 0.0f64..500.0, shift_ms in 0.0f64..60_000.0,
@@ -193,7 +193,7 @@
         prop_assert!(rest <= 0.5 * TOLD + 1.0, "{rest} a second at rest");
     }
 
-    /// One that was away for a while: the last has the list a round after, or as long after as it was away.
+    /// A service that was away: the last gateway has the list a round after, or as long after as it was away.
     #[test]
     fn all_have_the_list_within_a_round_after_an_outage_or_as_long(
         gateways in 1u32..=1_000, how in 0usize..3, away_ms in 500.0f64..20_000.0,
@@ -202,14 +202,14 @@
         let how = [Away::Refuses, Away::Busy, Away::Silent][how];
         let service = Service { away: Some((how, away_ms)), ..WELL };
         let played = play(gateways, service, 200_000.0, shift_ms);
-        // A call that the service lost is given up after its patience, which doubles, in a slot.
+        // A lost call times out in a slot; its timeout doubles.
         let patience = if how == Away::Silent { 2.0 * away_ms + 10_000.0 } else { 0.0 };
         let limit = away_ms + round_ms(gateways) + patience + 2_000.0;
         prop_assert!(played.last() < limit, "the last after {} ms of {limit}", played.last());
     }
 
-    /// One that bears less than it is told to, down to a tenth: all have the list in the end, nobody long
-    /// after the others, and the sum of all comes to rest where few are turned away.
+    /// A service with less than its stated capacity, down to a tenth: all have the list in the end, none long
+    /// after the others, and the sum of calls settles where few are rejected.
     #[test]
     fn adapts_to_a_service_with_less_capacity(
         gateways in 20u32..=1_000, bears in 5.0f64..50.0, delay_ms in 0.0f64..5_000.0,
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -1,9 +1,9 @@
-//! Turns for those that start, beside the slots of all, in simulated time.
+//! Turns for starting gateways, beside the slots of all, in simulated time.
 
 use cold_start::{Poll, PollOutcome, PollSchedule, SlotSchedule, StartBatches, StartTurn};
 use proptest::prelude::*;
 
-/// What operators say that the service bears, calls a second.
+/// Capacity of the service as operators state it, calls a second.
 const BEARS: f64 = 50.0;
 /// Starts at an hour that no round begins with.
 const BEGIN_MS: f64 = 1_764_000_123_457.0;
@@ -13,17 +13,17 @@
 struct Gateway {
     name: String,
     calls: PollSchedule,
-    /// Its next call by slots, and whether it is out, until when it is answered.
+    /// Its next poll by slots, and when the poll in flight is answered.
     call: Poll,
     answered_ms: Option<f64>,
-    /// When it asks the agent next; none: no more.
+    /// When it asks the agent next; none if it does not ask again.
     asks_ms: Option<f64>,
     turn: Option<f64>,
     told_ms: Option<f64>,
     first: bool,
 }
 
-/// When calls were made, and each that started was told, from the start on, ms.
+/// When calls were made and when each starting gateway got the list, ms from the start on.
 struct Played {
     calls: Vec<f64>,
     told: Vec<f64>,
@@ -42,8 +42,8 @@
     }
 }
 
-/// A fleet at rest, of which `starts` start anew together, spread over its places; the service works on one
-/// call after another, `bears` a second, with 50 places.
+/// A running fleet, of which `starts` gateways restart together, spread over its slots; the service handles one
+/// call after another, `bears` a second, with a queue of 50.
 fn play(gateways: u32, starts: u32, bears: f64, with_agent: bool, seconds: f64) -> Played {
     let mut batches = StartBatches::new(BEARS);
     let anew = |place: u32| place * starts / gateways != (place + 1) * starts / gateways;
@@ -51,7 +51,7 @@
         .map(|place| {
             let mut calls = PollSchedule::new(SlotSchedule::new(place, gateways, BEARS));
             let mut from = BEGIN_MS;
-            // Those at rest were told in the round before, all in that one, as after a start of all.
+            // Running gateways got the list in the round before, as after a start of all.
             if !anew(place) {
                 let before = calls.next(BEGIN_MS - round_ms_of(gateways));
                 calls.poll_ended(before.at_ms + 20.0, PollOutcome::Unchanged);
@@ -83,7 +83,7 @@
             }
             if g.answered_ms.is_none() && g.call.at_ms <= now {
                 played.calls.push(now - BEGIN_MS);
-                // Places are for calls that are worked on, not for watches.
+                // The queue is for calls that are to be answered, not for watches.
                 if free_ms - now > 50.0 * 1_000.0 / bears {
                     played.turned_away += 1;
                     g.calls.poll_ended(now, PollOutcome::Rejected(None));
@@ -133,7 +133,7 @@
 fn no_turns_when_the_whole_fleet_starts() {
     let played = play(300, 300, 50.0, true, 14.0);
     assert!(played.last() <= round_ms_of(300) + 100.0, "{}", played.last());
-    // The slots', and a turn or two of those who asked before the others had.
+    // Those of the slots, and a turn or two of gateways that asked before the others.
     assert!(played.most_in(1_000.0) <= 52, "{}", played.most_in(1_000.0));
 }
 
@@ -159,7 +159,7 @@
     }
 }
 
-/// Asks until there is a turn; when, and whether it fetches.
+/// Asks until there is a turn. Returns when it is, and whether the gateway is to fetch the list.
 fn turn(batches: &mut StartBatches, mut now: f64, name: &str, boot: u64) -> Option<(f64, bool)> {
     for _ in 0..1_000 {
         match batches.request_turn(now, name, boot, 300) {
@@ -171,14 +171,14 @@
     panic!("asked a thousand times");
 }
 
-/// A gateway that crashes in a loop, at each start first in line.
+/// A gateway that crashes in a loop must not be the first in the queue at each start.
 #[test]
 fn one_turn_per_name_and_round() {
     let mut batches = StartBatches::new(BEARS);
     assert!(turn(&mut batches, BEGIN_MS, "n0", 1).is_some());
     assert_eq!(turn(&mut batches, BEGIN_MS + 500.0, "n0", 2), None);
     assert!(turn(&mut batches, BEGIN_MS + round_ms_of(300) + 1.0, "n0", 3).is_some());
-    // One that crashes while it waits keeps its place, and is not two.
+    // A gateway that crashes while it waits keeps its position and is not counted twice.
     for boot in 0..20 {
         batches.request_turn(BEGIN_MS + 50_000.0, "n1", boot, 300);
         batches.request_turn(BEGIN_MS + 50_000.0, "n2", boot, 300);
@@ -195,7 +195,7 @@
     assert!(batches.waiting_count() >= 39);
     for i in 0..20 {
         batches.call_ended(BEGIN_MS + 10.0, &format!("n{i}"), 1, PollOutcome::Unchanged, 20.0, false);
-        // Another process of that name says nothing of this one.
+        // The result of another incarnation is ignored.
         batches.call_ended(BEGIN_MS + 10.0, &format!("n{}", i + 20), 7, PollOutcome::Unchanged, 20.0, false);
     }
     assert_eq!(batches.waiting_count(), 20);
@@ -213,11 +213,11 @@
     assert_eq!(batches.request_turn(BEGIN_MS, "one more", 1, 20_000), StartTurn::UseSlots);
 }
 
-/// Turns of a wave in five seconds, each of whose first calls comes to the same.
+/// Turns in five seconds where each first call has the same outcome.
 fn wave(came: PollOutcome, took_ms: f64) -> usize {
     let (mut batches, mut now, mut turns, mut next) = (StartBatches::new(BEARS), BEGIN_MS, 0, 0);
     while now < BEGIN_MS + 5_000.0 {
-        // There is always somebody in line.
+        // The queue is never empty.
         match batches.request_turn(now, &format!("n{next}"), 1, 10_000) {
             StartTurn::Call { .. } => {
                 batches.call_ended(now, &format!("n{next}"), 1, came, took_ms, false);
@@ -234,7 +234,7 @@
 fn turns_grow_with_responses_and_shrink_with_rejections() {
     let [quick, slow, busy, silent, broken] = [
         wave(PollOutcome::Unchanged, 20.0),
-        // Behind the quickest by over a second, after a first one that sets it.
+        // Over a second slower than the fastest response, which the first one sets.
         wave(PollOutcome::Unchanged, 500.0),
         wave(PollOutcome::Rejected(None), 0.0),
         wave(PollOutcome::TimedOut, 5_000.0),
@@ -254,7 +254,7 @@
     };
     assert_eq!(fetch(&mut batches, 0.0, "n0"), Some(true));
     assert_eq!(fetch(&mut batches, 1_000.0, "n1"), Some(false), "one fetches it already");
-    // It never tells.
+    // It never reports.
     assert_eq!(fetch(&mut batches, 6_500.0, "n2"), Some(true));
     batches.call_ended(BEGIN_MS + 7_000.0, "n2", 1, PollOutcome::Updated, 20.0, true);
     assert_eq!(fetch(&mut batches, 8_000.0, "n3"), Some(false), "it is fresh");
