--- a/crates/dns-sd/src/answer.rs
+++ b/crates/dns-sd/src/answer.rs
@@ -180,7 +180,7 @@
 /// Encodes a query with that transaction id, with EDNS0 (RFC 6891).
 ///
 /// # Errors
-/// A [`BadAnswer::Garbled`] if the library can't write it.
+/// [`AnswerError::Garbled`] if the library cannot encode it.
 pub fn encode_query(id: u16, question: &Question) -> Result<Vec<u8>, AnswerError> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
@@ -194,7 +194,7 @@
 /// Decodes the answer to a query with that transaction id. Records that do not match it are ignored.
 ///
 /// # Errors
-/// A [`BadAnswer`]; one that is [`strange`](BadAnswer::strange) is somebody else's.
+/// An [`AnswerError`]; an [unrelated](AnswerError::is_unrelated) one is to be ignored.
 pub fn decode_answer(bytes: &[u8], id: u16, question: &Question) -> Result<Answer, AnswerError> {
     let message = Message::from_vec(bytes).map_err(|e| AnswerError::Garbled(e.to_string()))?;
     check_related(&message, id, question)?;
--- a/crates/maintenance/src/checksummed.rs
+++ b/crates/maintenance/src/checksummed.rs
@@ -16,7 +16,7 @@
 pub enum DecodeError {
     /// The bytes are something else.
     Foreign,
-    /// They are of this version of the form, which is not [`VERSION`].
+    /// They are of this version of the form, which is not the one that is read.
     Version(u16),
     /// The checksum is wrong: they were cut short or changed.
     Garbled,
--- a/crates/membership/src/lease/holder.rs
+++ b/crates/membership/src/lease/holder.rs
@@ -15,7 +15,7 @@
 /// The units that may be used now, and until when that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Allocation {
-    /// Units, of [`SLOT_UNITS`] for each number of the fleet.
+    /// Units, of [`SLOT_UNITS`](super::SLOT_UNITS) for each number of the fleet.
     pub units: u64,
     /// Time of the member's own clock, ms, from which on it may be less. A process that was stopped has to
     /// look at its clock before it uses anything.
