--- a/crates/gatewayctl/tests/bad_input.rs
+++ b/crates/gatewayctl/tests/bad_input.rs
@@ -11,12 +11,12 @@
 use operator_config::Address;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, KeyUsagePurpose};
 use serde_json::json;
-use support::{until, Fleet, Process, PROGRAM};
+use support::{wait_until, Fleet, Process, PROGRAM};
 
 #[test]
-fn names_that_nobody_knows_and_words_that_are_none_change_nothing() {
+fn rejects_unknown_and_malformed_subjects() {
     let fleet = Fleet::start(1, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let unknown = [
         ("nobody", 4, "no gateway lists such a backend"),
         ("group/77", 4, "no gateway lists such a backend"),
@@ -41,7 +41,7 @@
 /// Writes bytes to a socket and gives what comes back until the end.
 fn raw(at: &Path, bytes: &[u8]) -> String {
     let mut stream = UnixStream::connect(at).expect("it listens");
-    stream.set_read_timeout(Some(support::PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(support::TIMEOUT)).expect("a time-out");
     for part in bytes.chunks(64 * 1024) {
         // It may close before it has read all.
         if stream.write_all(part).is_err() {
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn lines_that_cannot_be_read_are_answered_and_long_ones_end_the_connection() {
+fn answers_malformed_lines_and_closes_on_long_ones() {
     let fleet = Fleet::start(1, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let agent = fleet.dir.path().join("agent.sock");
     let Address::Unix(gateway) = fleet.gateways[0].admin.clone() else { panic!("a Unix socket") };
     let secret = "hunter2-hunter2-hunter2";
@@ -82,10 +82,11 @@
     // A name that fits the line, and is too long for a name.
     let said = raw(&agent, order(&long[..300]).as_bytes());
     assert!(said.contains("name has 300 bytes; 253 at most") && said.len() < 300, "{said}");
-    for process in [&fleet.agent.as_ref().expect("it runs").logged(), &fleet.gateways[0].process.logged()] {
+    for process in [&fleet.agent.as_ref().expect("it runs").log_text(), &fleet.gateways[0].process.log_text()]
+    {
         assert!(!process.contains(secret) && process.len() < 10_000, "{process}");
     }
-    fleet.well();
+    fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["drain", "till-0"]).code, 0);
 }
 
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn over_tcp_only_an_agent_with_the_right_certificate_is_heard() {
+fn tcp_requires_trusted_certificates_on_both_sides() {
     // Its own gateways are on Unix sockets; one more is on TCP.
     let fleet = Fleet::start(1, 4);
     let dir = fleet.dir.path();
@@ -153,7 +154,7 @@
         support::Ran::from(output.expect("it runs"))
     };
     let good = agent("good", "agent", "ca");
-    until("the right one is heard", || ask("good", &["status"]).json()["gateways"][0]["health"] == "ok");
+    wait_until("the right one is heard", || ask("good", &["status"]).json()["gateways"][0]["health"] == "ok");
     assert_eq!(ask("good", &["drain", "till-0"]).code, 0);
 
     let stranger = agent("stranger-agent", "stranger", "ca");
@@ -161,25 +162,25 @@
         let why = ask(name, &["status"]).json()["gateways"][0]["health"]["unreachable"]["why"].clone();
         why.as_str().unwrap_or_default().to_string()
     };
-    until("the wrong one is turned away", || !why("stranger-agent").is_empty());
-    until("that is said", || gateway.logged().contains("turned away: invalid peer certificate"));
+    wait_until("the wrong one is turned away", || !why("stranger-agent").is_empty());
+    wait_until("that is said", || gateway.log_text().contains("turned away: invalid peer certificate"));
     let forced = ask("stranger-agent", &["undrain", "till-0", "--force"]);
     assert_eq!(forced.code, 3, "{}", forced.err);
     // Its gateway is signed by none that this one trusts.
     let wary = agent("wary", "agent", "other-ca");
-    until("the gateway is not believed", || why("wary").contains("invalid peer certificate"));
+    wait_until("the gateway is not believed", || why("wary").contains("invalid peer certificate"));
     let status = ask("good", &["status", "--backends"]).json();
     let all = status["gateways"][0]["state"]["backends"].as_array().expect("a list").clone();
     let till = all.iter().find(|b| b["name"] == "till-0").expect("listed");
     assert!(till["drained_by"].is_string(), "a stranger undrained it: {till}");
     let key = fs::read_to_string(dir.join("stranger.key")).expect("there");
     for process in [&gateway, &good, &stranger, &wary] {
-        assert!(!process.logged().contains(&key[40..80]));
+        assert!(!process.log_text().contains(&key[40..80]));
     }
 }
 
 #[test]
-fn a_gateway_without_an_operators_file_has_no_admin_listener_and_a_bad_file_is_named() {
+fn no_admin_listener_without_a_valid_operator_config() {
     let fleet = Fleet::start(1, 2);
     let dir = fleet.dir.path();
     let file = dir.join("bad.toml");
--- a/crates/gatewayctl/tests/cli.rs
+++ b/crates/gatewayctl/tests/cli.rs
@@ -8,9 +8,9 @@
 use support::{Fleet, PROGRAM};
 
 #[test]
-fn a_watch_tells_of_orders_and_of_gateways_that_go() {
+fn watch_shows_orders_and_lost_gateways() {
     let mut fleet = Fleet::start(2, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let mut watch = Command::new(PROGRAM)
         .args(["--agent", &fleet.agent_address().to_string(), "-o", "json", "watch"])
         .stdout(Stdio::piped())
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn completions_man_page_and_help_are_there() {
+fn prints_completions_man_page_and_help() {
     let said = |words: &[&str]| {
         let output = Command::new(PROGRAM).args(words).output().expect("it runs");
         assert!(output.status.success(), "{words:?}");
--- a/crates/gatewayctl/tests/crashes.rs
+++ b/crates/gatewayctl/tests/crashes.rs
@@ -11,7 +11,7 @@
 use fleet::wire::{Envelope, LoggedOrder, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use fleet::{Change, Subject};
 use operator_config::Address;
-use support::{until, Fleet, PATIENCE};
+use support::{wait_until, Fleet, TIMEOUT};
 use testbed::overseen::Overseen;
 use testbed::switch::Fault;
 use testbed::Dice;
@@ -23,7 +23,7 @@
 /// Orders on the connections of one tool until it ends: notes what was tried and what was acknowledged.
 async fn order_on(address: Address, tool: u64, round: u64, seen: Arc<Mutex<Seen>>) {
     let mut dice = Dice::new(tool << 32 | round);
-    let Ok(mut lines) = Connector::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await else {
+    let Ok(mut lines) = Connector::default().connect(&address, TIMEOUT, MAX_LINE_BYTES).await else {
         return;
     };
     for n in 0.. {
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn an_agent_killed_at_any_point_has_every_order_that_it_acknowledged_and_applied_none_that_it_has_not() {
+fn killed_agent_keeps_every_acknowledged_order() {
     let seed = 0xbeec_0010;
     println!("seed {seed:#x}");
     let mut dice = Dice::new(seed);
     let mut fleet = Fleet::start(2, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let loading = fleet.load(2, 60.0);
     let seen = Arc::new(Mutex::new(Seen::default()));
     for round in 0..KILLS {
@@ -121,7 +121,7 @@
         }
     }
     assert!(seen.lock().expect("unpoisoned").acknowledged.len() > 50, "the kills left nothing to test");
-    fleet.well();
+    fleet.wait_until_healthy();
     let log = logged(&fleet);
     for place in 0..2 {
         for b in fleet.state(place).backends.expect("asked for") {
@@ -135,13 +135,13 @@
     }
     let tally = fleet.finish(loading);
     assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn a_truncated_or_flipped_log_is_found_and_named_and_nothing_is_started_on_it() {
+fn rejects_damaged_log() {
     let mut fleet = Fleet::start(1, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     for i in 0..40 {
         let ran = fleet.json(&["weight", "till-0", &format!("{}", 1 + i), "--id", &format!("w{i}")]);
         assert_eq!(ran.code, 0, "{}", ran.err);
@@ -199,13 +199,13 @@
     fs::write(fleet.log(), &good).expect("room");
     fleet.start_agent();
     assert_eq!(logged(&fleet).len(), 40);
-    fleet.well();
+    fleet.wait_until_healthy();
 }
 
 #[test]
-fn an_order_that_was_written_and_not_sent_is_carried_out_by_the_next_agent() {
+fn next_agent_carries_out_unsent_order() {
     let mut fleet = Fleet::start(2, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["drain", "till-1", "--id", "before"]).code, 0);
     fleet.kill_agent();
     // What an agent leaves that is killed right after its write: the order in the log, and told to nobody.
@@ -220,7 +220,7 @@
     }
     assert!(!fleet.drained(0, "till-0") && !fleet.drained(1, "till-0"));
     fleet.start_agent();
-    fleet.well();
+    fleet.wait_until_healthy();
     assert!(fleet.drained(0, "till-0") && fleet.drained(1, "till-0"));
     // Whoever gave it asks again with its id, and hears the first result.
     let again = fleet.json(&["drain", "till-0", "--id", "written"]);
@@ -228,11 +228,11 @@
 }
 
 #[test]
-fn an_agent_killed_in_its_fan_out_goes_on_with_it() {
+fn next_agent_finishes_interrupted_fan_out() {
     let mut fleet = Fleet::with(1, 4, &["slow"], "answer_ms = 20000");
     let at = Address::Unix(fleet.dir.path().join("slow.sock"));
     let slow = fleet.runtime.block_on(Overseen::start("slow", 7, &at, 4)).expect("it starts");
-    fleet.well();
+    fleet.wait_until_healthy();
     slow.switch.set(Fault::Silent);
     let ran = fleet.json(&["drain", "till-0", "--deadline", "1s"]);
     assert_eq!(ran.code, 3, "{}", ran.out);
@@ -241,31 +241,31 @@
     assert!(fleet.drained(0, "till-0") && !slow.drained("till-0"));
     slow.switch.set(Fault::Well);
     fleet.start_agent();
-    fleet.well();
-    until("it has caught up", || slow.drained("till-0"));
+    fleet.wait_until_healthy();
+    wait_until("it has caught up", || slow.drained("till-0"));
 }
 
 #[test]
-fn two_agents_do_not_share_a_log() {
+fn log_belongs_to_one_agent() {
     let fleet = Fleet::start(1, 2);
     let second = fleet.failing_agent();
     assert_eq!(second.code, 1);
     assert!(second.err.contains("another agent has it open"), "{}", second.err);
-    fleet.well();
+    fleet.wait_until_healthy();
 }
 
 #[test]
-fn an_agent_that_lost_its_log_takes_no_drain_back() {
+fn lost_log_undoes_no_drain() {
     let mut fleet = Fleet::start(1, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["drain", "till-0"]).code, 0);
     fleet.kill_agent();
     fs::remove_file(fleet.log()).expect("it is there");
     // Its term is the second in which it begins.
     std::thread::sleep(Duration::from_millis(1_100));
     fleet.start_agent();
-    fleet.well();
+    fleet.wait_until_healthy();
     assert!(fleet.drained(0, "till-0"));
     assert_eq!(fleet.json(&["undrain", "till-0"]).code, 0);
-    until("it is back", || !fleet.drained(0, "till-0"));
+    wait_until("it is back", || !fleet.drained(0, "till-0"));
 }
--- a/crates/gatewayctl/tests/dns_sd.rs
+++ b/crates/gatewayctl/tests/dns_sd.rs
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use support::{until, Fleet, Ran, PROGRAM};
+use support::{wait_until, Fleet, Ran, PROGRAM};
 use testbed::backend::Backend;
 use testbed::dns::{Dns, Instance};
 use testbed::journal::Event;
@@ -52,8 +52,8 @@
 fn fleet(zone: &Zone, gateways: usize, backends: usize) -> Fleet {
     let fleet = Fleet::with(gateways, backends, &[], &sources(&zone.dns));
     fleet.backends.iter().for_each(|backend| zone.put(backend));
-    fleet.well();
-    until("the records are known", || listed(&fleet.json(&["sources"])) == backends);
+    fleet.wait_until_healthy();
+    wait_until("the records are known", || listed(&fleet.json(&["sources"])) == backends);
     fleet.discover(fleet.list.expect("it serves one"));
     fleet
 }
@@ -63,62 +63,62 @@
 }
 
 #[test]
-fn one_whose_record_vanishes_gets_nothing_new_and_what_is_in_flight_ends() {
+fn backend_without_record_gets_no_new_requests() {
     let zone = Zone::start();
     let fleet = fleet(&zone, 2, 5);
     let loading = fleet.load(2, 200.0);
     zone.dns.unpoint(SERVICE, "till-0");
-    until("both gateways were told", || (0..2).all(|g| !fleet.lists(g).contains(&"till-0".to_string())));
+    wait_until("both gateways were told", || (0..2).all(|g| !fleet.lists(g).contains(&"till-0".to_string())));
     fleet.journal.note(Event::Drained { backend: "till-0".to_string(), gateway: None });
     sleep(Duration::from_millis(600));
     let then = fleet.backends[0].arrived();
     let served = loading.load.tally().served;
-    until("the others have the work", || loading.load.tally().served > served + 200);
+    wait_until("the others have the work", || loading.load.tally().served > served + 200);
     assert_eq!(fleet.backends[0].arrived(), then);
     // It comes back at its address.
     fleet.journal.note(Event::Undrained { backend: "till-0".to_string() });
     zone.put(&fleet.backends[0]);
-    until("it has work again", || fleet.backends[0].arrived() > then + 20);
+    wait_until("it has work again", || fleet.backends[0].arrived() > then + 20);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn resolvers_that_fail_under_load_change_no_list_and_fail_no_request() {
+fn resolver_outage_changes_no_list_and_fails_no_request() {
     let zone = Zone::start();
     let fleet = fleet(&zone, 2, 4);
     let loading = fleet.load(2, 200.0);
-    until("both have the list", || (0..2).all(|g| fleet.lists(g).len() == 4));
+    wait_until("both have the list", || (0..2).all(|g| fleet.lists(g).len() == 4));
     for fault in [Fault::Silent, Fault::Failing, Fault::Garbled] {
         zone.dns.switch.set(fault);
-        until("it is told", || {
+        wait_until("it is told", || {
             let ran = fleet.json(&["sources"]);
             let all = ran.json()["list"].as_array().expect("a list").clone();
             ran.code == 3 && all.len() == 4 && all.iter().all(|l| l["stale_ms"].as_f64() > Some(500.0))
         });
         assert!((0..2).all(|g| fleet.lists(g).len() == 4));
         zone.dns.switch.set(Fault::Well);
-        until("all is fresh", || fleet.json(&["sources"]).code == 0);
+        wait_until("all is fresh", || fleet.json(&["sources"]).code == 0);
     }
-    let log = fleet.agent.as_ref().expect("it runs").logged();
+    let log = fleet.agent.as_ref().expect("it runs").log_text();
     assert!(log.contains("ALARM") && log.contains("answered again"), "{log}");
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn an_agent_that_starts_while_no_resolver_answers_leaves_gateways_with_what_they_have() {
+fn agent_without_resolvers_leaves_gateways_their_list() {
     let zone = Zone::start();
     let mut fleet = fleet(&zone, 1, 3);
-    until("it has the list", || fleet.lists(0).len() == 3);
+    wait_until("it has the list", || fleet.lists(0).len() == 3);
     zone.dns.switch.set(Fault::Silent);
     fleet.kill_agent();
     fleet.start_agent();
     fleet.discover(fleet.list.expect("it serves one"));
     let ran = || fleet.json(&["sources"]);
-    until("it knows that it knows nothing", || {
+    wait_until("it knows that it knows nothing", || {
         !ran().json()["unanswered"].as_array().expect("a list").is_empty()
     });
     assert_eq!((ran().code, ran().json()["known"].as_bool()), (3, Some(false)));
@@ -126,15 +126,15 @@
     assert_eq!(fleet.lists(0).len(), 3);
     let loading = fleet.load(1, 100.0);
     zone.dns.switch.set(Fault::Well);
-    until("it is known", || ran().json()["known"].as_bool() == Some(true));
+    wait_until("it is known", || ran().json()["known"].as_bool() == Some(true));
     zone.dns.unpoint(SERVICE, "till-1");
-    until("and followed", || fleet.lists(0) == ["till-0", "till-2"]);
+    wait_until("and followed", || fleet.lists(0) == ["till-0", "till-2"]);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
 }
 
 #[test]
-fn resolve_explains_what_it_comes_to_and_its_exit_code_tells() {
+fn resolve_explains_the_list_and_sets_exit_codes() {
     let zone = Zone::start();
     let run = |words: &[&str]| -> Ran {
         let server = zone.dns.address.to_string();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_agent_without_sources_says_so() {
+fn agent_without_sources_rejects_the_request() {
     let fleet = Fleet::start(1, 1);
     let ran = fleet.json(&["sources"]);
     assert!(ran.code == 4 && ran.err.contains("[sources]"), "{} {}", ran.code, ran.err);
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -7,15 +7,15 @@
 
 use fleet::wire::{Applied, GatewayRequest, GatewayResponse};
 use fleet::{ApplyOutcome, Change, Order, Revision};
-use support::{until, Fleet};
+use support::{wait_until, Fleet};
 use testbed::journal::Event;
 
 #[test]
-fn no_gateway_sends_to_a_backend_later_than_its_drain_allows_and_all_do_after_its_undrain() {
+fn drained_backend_gets_nothing_new_until_undrained() {
     let fleet = Fleet::start(3, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let loading = fleet.load(3, 300.0);
-    until("it has work", || fleet.backends[0].arrived() > 5);
+    wait_until("it has work", || fleet.backends[0].arrived() > 5);
     let ran = fleet.json(&["drain", "till-0", "--wait"]);
     // Told by now to all, so whatever begins half a second on is too late at each.
     fleet.journal.note(Event::Drained { backend: "till-0".to_string(), gateway: None });
@@ -31,21 +31,21 @@
     assert_eq!(fleet.backends[0].arrived(), then, "sent to after --wait was over");
     let others = || fleet.backends[1..].iter().map(|b| b.arrived()).sum::<u64>();
     let now = others();
-    until("the others have the work", || others() > now + 100);
+    wait_until("the others have the work", || others() > now + 100);
     assert_eq!(fleet.backends[0].arrived(), then, "sent to while the others had the work");
     // Before it is ordered: a gateway may send as soon as it is told, and that is before the tool has ended.
     fleet.journal.note(Event::Undrained { backend: "till-0".to_string() });
     assert_eq!(fleet.json(&["undrain", "till-0"]).code, 0);
-    until("it has work again", || fleet.backends[0].arrived() > then + 20);
+    wait_until("it has work again", || fleet.backends[0].arrived() > then + 20);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn a_group_and_a_type_are_drained_whole_and_discovery_wins_over_an_undrain() {
+fn drains_groups_and_types_and_discovery_overrides_undrain() {
     let fleet = Fleet::start(2, 6);
-    fleet.well();
+    fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["drain", "group/1"]).did("n0")["matched"], 2);
     for place in 0..2 {
         assert!(fleet.drained(place, "till-2") && fleet.drained(place, "till-3"));
@@ -66,23 +66,23 @@
         let all = fleet.state(place).backends.expect("asked for");
         all.iter().find(|b| b.name == "till-0").expect("listed").serving
     };
-    until("both were told", || !serving(0) && !serving(1));
+    wait_until("both were told", || !serving(0) && !serving(1));
     assert_eq!(fleet.json(&["undrain", "till-0", "--force"]).code, 0);
     let loading = fleet.load(2, 200.0);
     let then = fleet.backends[0].arrived();
     sleep(Duration::from_millis(300));
     assert_eq!(fleet.backends[0].arrived(), then);
     fleet.finish(loading);
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn a_weight_gives_a_backend_less_work() {
+fn weight_reduces_work_of_a_backend() {
     let fleet = Fleet::start(2, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["weight", "till-0", "0.2"]).code, 0);
     let loading = fleet.load(2, 400.0);
-    until("there is enough", || loading.load.tally().served > 1_200);
+    wait_until("there is enough", || loading.load.tally().served > 1_200);
     fleet.finish(loading);
     let [few, others @ ..] = &fleet.backends[..] else { panic!("four") };
     let mean = others.iter().map(|b| b.arrived()).sum::<u64>() as f64 / 3.0;
@@ -93,7 +93,7 @@
     let bad = fleet.cli(&["weight", "till-0", "0"]);
     assert_eq!(bad.code, 2);
     assert!(bad.err.contains("0.01 to 100"), "{}", bad.err);
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 /// What a gateway says to `PING` on a new connection.
@@ -107,33 +107,33 @@
 }
 
 #[test]
-fn a_drained_gateway_takes_no_connections_and_finishes_what_it_has() {
+fn drained_gateway_rejects_clients_and_finishes_requests() {
     let fleet = Fleet::start(3, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let loading = fleet.load(3, 200.0);
     let ran = fleet.json(&["drain", "gateway/n1", "--wait"]);
     assert_eq!(ran.code, 0, "{}", ran.err);
     let address = fleet.gateways[1].address;
-    until("it says no", || ping(address).starts_with("-ERR"));
+    wait_until("it says no", || ping(address).starts_with("-ERR"));
     let state = fleet.state(1);
     assert!(state.drained_by.is_some());
-    until("its connections have closed", || fleet.state(1).statistics.client_connections == 0);
+    wait_until("its connections have closed", || fleet.state(1).statistics.client_connections == 0);
     // The others take what would have come to it.
     let then = loading.load.tally().served;
-    until("the load goes on", || loading.load.tally().served > then + 100);
+    wait_until("the load goes on", || loading.load.tally().served > then + 100);
     let too_few = fleet.json(&["drain", "gateway/n0"]);
     assert_eq!(too_few.code, 4);
     assert!(too_few.err.contains("1 of 3 gateways"), "{}", too_few.err);
     assert_eq!(fleet.json(&["undrain", "gateway/n1"]).code, 0);
-    until("it says yes", || ping(address).starts_with("+PONG"));
-    until("it has work", || fleet.state(1).statistics.client_connections > 0);
+    wait_until("it says yes", || ping(address).starts_with("+PONG"));
+    wait_until("it has work", || fleet.state(1).statistics.client_connections > 0);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn an_old_drain_after_a_newer_undrain_changes_nothing_at_a_gateway() {
+fn late_drain_is_superseded_by_newer_undrain() {
     let mut fleet = Fleet::start(1, 2);
     fleet.kill_agent();
     let order = |id: &str, seq: u64, change: Change| Order {
--- a/crates/gatewayctl/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use support::{until, Fleet};
+use support::{wait_until, Fleet};
 use testbed::journal::Event;
 use testbed::script::Script;
 use testbed::switch::{Fault, Switch};
@@ -14,12 +14,12 @@
 const FAULTS: usize = 9;
 
 #[test]
-fn faults_and_orders_under_load_lose_no_request_and_break_no_rule() {
+fn faults_and_orders_under_load_lose_no_request() {
     let seed = 0xbeec_0020;
     let script = Script::draw(seed, 5, FAULTS);
     println!("{script}");
     let mut fleet = Fleet::start(3, 6);
-    fleet.well();
+    fleet.wait_until_healthy();
     let loading = fleet.load(3, 150.0);
     // The last backend is drained through all of it, and so is none of those that fail.
     assert_eq!(fleet.json(&["drain", "till-5", "--wait"]).code, 0);
@@ -51,34 +51,34 @@
     assert!(round > 6, "the script was over before all was tried: {round}");
     fleet.discovery.switch.set(Fault::Well);
     fleet.counter.switch.set(Fault::Well);
-    fleet.well();
+    fleet.wait_until_healthy();
     let then = loading.load.tally().served;
-    until("all is served again", || loading.load.tally().served > then + 150);
+    wait_until("all is served again", || loading.load.tally().served > then + 150);
     let tally = fleet.finish(loading);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{seed:#x}: {tally:?}");
     assert!(tally.served * 2 > tally.asked, "{seed:#x}: hardly anything was served: {tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn clients_that_leave_stall_or_write_half_a_command_cost_others_nothing() {
+fn faulty_clients_do_not_affect_others() {
     let fleet = Fleet::start(2, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     // So that something is in flight when a client leaves.
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::Slow(Duration::from_millis(30))));
     let (bad, good) = (fleet.load(2, 100.0), fleet.load_from(2, 100.0, 1 << 41));
     for fault in [Fault::Resetting, Fault::Silent, Fault::Slow(Duration::from_millis(50)), Fault::Resetting] {
         bad.load.switch.set(fault);
         let then = good.load.tally().served;
-        until("the others are served", || good.load.tally().served > then + 60);
+        wait_until("the others are served", || good.load.tally().served > then + 60);
     }
     bad.load.switch.set(Fault::Well);
     let then = bad.load.tally().served;
-    until("they are served as well", || bad.load.tally().served > then + 30);
+    wait_until("they are served as well", || bad.load.tally().served > then + 30);
     let (bad, good) = (fleet.finish(bad), fleet.finish(good));
     assert!(bad.left > 60, "{bad:?}");
     assert_eq!((bad.lost, good.lost, good.left), (0, 0, 0), "{bad:?} {good:?}");
-    until("nothing is left open", || (0..2).all(|place| fleet.state(place).statistics.requests == 0));
-    fleet.judge();
+    wait_until("nothing is left open", || (0..2).all(|place| fleet.state(place).statistics.requests == 0));
+    fleet.assert_no_breach();
 }
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use support::{until, Fleet};
+use support::{wait_until, Fleet};
 use testbed::backend::{Backend, Spec};
 use testbed::discovery::line;
 use testbed::journal::Event;
@@ -15,21 +15,21 @@
 const GATEWAYS: usize = 10;
 
 #[test]
-fn ten_gateways_restarted_together_serve_by_the_known_list_and_hear_when_discovery_does() {
+fn restart_of_ten_serves_known_list_while_discovery_rejects() {
     let mut fleet = Fleet::start(GATEWAYS, 6);
-    fleet.well();
+    fleet.wait_until_healthy();
     fleet.discovery.switch.set(Fault::Busy);
     // Each is ready without an answer of discovery's.
     for place in 0..GATEWAYS {
         fleet.restart(place);
     }
     let loading = fleet.load(GATEWAYS, 300.0);
-    until("served by the known list", || loading.load.tally().served > 300);
+    wait_until("served by the known list", || loading.load.tally().served > 300);
     let before = fleet.discovery.turned_away().0;
-    until("each is turned away again and again", || {
+    wait_until("each is turned away again and again", || {
         fleet.discovery.turned_away().0 > before + 2 * GATEWAYS as u64
     });
-    // Danger: the whole list asked for by all of a fleet, when what changed would do.
+    // Not the whole list, as what changed is enough.
     let (all, whole) = fleet.discovery.turned_away();
     assert_eq!(whole, 0, "of {all} calls");
     // News that came meanwhile is heard by all, soon after discovery answers.
@@ -37,37 +37,37 @@
     let fresh = fresh.expect("it starts");
     fleet.discovery.list(&fresh, "SERVING");
     fleet.discovery.switch.set(Fault::Well);
-    until("all hear of the new backend", || {
+    wait_until("all hear of the new backend", || {
         (0..GATEWAYS).all(|place| fleet.lists(place).contains(&fresh.spec.name))
     });
     let tally = fleet.finish(loading);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{tally:?}");
     assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
-/// Danger: a discovery that takes calls and says nothing, on which a start waits.
+/// A start must not wait for a discovery that accepts calls and never answers.
 #[test]
-fn ten_gateways_restarted_together_serve_while_discovery_hangs() {
+fn restart_of_ten_serves_known_list_while_discovery_hangs() {
     let mut fleet = Fleet::start(GATEWAYS, 6);
-    fleet.well();
+    fleet.wait_until_healthy();
     fleet.discovery.switch.set(Fault::Silent);
     for place in 0..GATEWAYS {
         fleet.restart(place);
     }
     let loading = fleet.load(GATEWAYS, 300.0);
-    until("served by the known list", || loading.load.tally().served > 300);
+    wait_until("served by the known list", || loading.load.tally().served > 300);
     let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let fresh = fresh.expect("it starts");
     fleet.discovery.list(&fresh, "SERVING");
     fleet.discovery.switch.set(Fault::Well);
-    until("all hear of the new backend", || {
+    wait_until("all hear of the new backend", || {
         (0..GATEWAYS).all(|place| fleet.lists(place).contains(&fresh.spec.name))
     });
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 /// Starts one that is cold, under a name.
@@ -78,11 +78,11 @@
 }
 
 #[test]
-fn backends_replaced_under_new_names_and_under_the_same_have_all_the_work() {
+fn replaced_backends_take_over_all_work() {
     let mut fleet = Fleet::start(GATEWAYS, 6);
-    fleet.well();
+    fleet.wait_until_healthy();
     let loading = fleet.load(GATEWAYS, 300.0);
-    until("it runs", || loading.load.tally().served > 300);
+    wait_until("it runs", || loading.load.tally().served > 300);
     // Half of them come under new names, half under their own with a new start; all at new addresses.
     let old = std::mem::take(&mut fleet.backends);
     for (number, before) in old.iter().enumerate() {
@@ -96,30 +96,30 @@
         fleet.backends.push(new);
     }
     let names: Vec<String> = fleet.backends.iter().map(|b| b.spec.name.clone()).collect();
-    until("all hear of them", || {
+    wait_until("all hear of them", || {
         (0..GATEWAYS).all(|place| {
             let list = fleet.lists(place);
             list.len() == names.len() && names.iter().all(|name| list.contains(name))
         })
     });
     // What is out at the old ones ends there.
-    until("nothing new goes to the old ones", || {
+    wait_until("nothing new goes to the old ones", || {
         let before: u64 = old.iter().map(Backend::arrived).sum();
         std::thread::sleep(Duration::from_millis(300));
         before == old.iter().map(Backend::arrived).sum::<u64>()
     });
     drop(old);
     let served = loading.load.tally().served;
-    until("served by the new ones", || loading.load.tally().served > served + 600);
+    wait_until("served by the new ones", || loading.load.tally().served > served + 600);
     assert!(fleet.backends.iter().all(|b| b.served() > 0));
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
-/// Danger: a backend that has no more connections, taken for one that is dead or busy with everything.
+/// A backend that has no more connections is neither dead nor overloaded.
 #[test]
-fn backends_that_are_at_their_cap_of_connections_cost_no_request() {
+fn connection_cap_of_backends_fails_no_request() {
     let mut fleet = Fleet::start(GATEWAYS, 0);
     for number in 0..6 {
         let spec = Spec { connections: 4, ..Spec::plain(number) };
@@ -127,23 +127,23 @@
         fleet.backends.push(backend.expect("it starts"));
         fleet.discovery.list(&fleet.backends[number], "SERVING");
     }
-    until("all hear of them", || (0..GATEWAYS).all(|place| fleet.lists(place).len() == 6));
+    wait_until("all hear of them", || (0..GATEWAYS).all(|place| fleet.lists(place).len() == 6));
     let loading = fleet.load(GATEWAYS, 300.0);
-    until("some had no more", || fleet.backends.iter().any(|b| b.over() > 0));
+    wait_until("some had no more", || fleet.backends.iter().any(|b| b.over() > 0));
     let served = loading.load.tally().served;
-    until("served on", || loading.load.tally().served > served + 1_500);
+    wait_until("served on", || loading.load.tally().served > served + 1_500);
     let tally = fleet.finish(loading);
     println!("{tally:?}, beyond {:?}", fleet.backends.iter().map(Backend::over).collect::<Vec<_>>());
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
-/// Danger: a list of its own settings of which nothing lives, and lines of discovery's that can't be read.
+/// The list in a gateway's own settings may be out of date as a whole, and lines of discovery unreadable.
 #[test]
-fn a_known_list_that_is_all_gone_and_lines_that_are_wrong_stop_nobody() {
+fn stale_known_list_and_invalid_lines_stop_nobody() {
     let mut fleet = Fleet::start(2, 3);
-    fleet.well();
+    fleet.wait_until_healthy();
     let old = std::mem::take(&mut fleet.backends);
     old.iter().for_each(|b| fleet.discovery.delete(b));
     drop(old);
@@ -155,7 +155,7 @@
     // Their own settings still have the three that are gone.
     (0..2).for_each(|place| fleet.restart(place));
     let names = ["till-3", "till-4", "till-5"].map(str::to_string);
-    until("both have the new list", || (0..2).all(|place| fleet.lists(place) == names));
+    wait_until("both have the new list", || (0..2).all(|place| fleet.lists(place) == names));
     let mut wrong = line(&fleet.backends[0], "SERVING");
     wrong["address"] = "nowhere".into();
     fleet.discovery.tell("till-3", wrong);
@@ -165,16 +165,16 @@
     let mut other = line(&fleet.backends[2], "SERVING");
     (other["name"], other["address"]) = ("till-9".into(), "[::1]:9".into());
     fleet.discovery.tell("till-9", other);
-    until("the wrong line is named", || {
+    wait_until("the wrong line is named", || {
         (0..2).all(|place| {
-            fleet.gateways[place].process.logged().contains("\"till-3\": invalid socket address")
+            fleet.gateways[place].process.log_text().contains("\"till-3\": invalid socket address")
         })
     });
     let names = ["till-3", "till-4", "till-5", "till-9"].map(str::to_string);
-    until("the others are in force", || (0..2).all(|place| fleet.lists(place) == names));
+    wait_until("the others are in force", || (0..2).all(|place| fleet.lists(place) == names));
     let loading = fleet.load(2, 200.0);
-    until("the last that was known of each holds", || fleet.backends.iter().all(|b| b.served() > 0));
+    wait_until("the last that was known of each holds", || fleet.backends.iter().all(|b| b.served() > 0));
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
--- a/crates/gatewayctl/tests/plans.rs
+++ b/crates/gatewayctl/tests/plans.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_catalogue_is_checked_by_file_line_and_key_and_the_exit_code_tells() {
+fn check_names_faults_by_line_and_key() {
     let folder = tempfile::tempdir().expect("a folder");
     let good = file(folder.path(), GOOD);
     let (code, said, _) = run(&["plans", "check"], &good);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_change_is_told_with_its_levels_its_wait_and_the_error_of_one_who_hears_late() {
+fn change_shows_levels_wait_and_late_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let good = file(folder.path(), GOOD);
     let (code, said, _) = run(&["plans", "show", "--customer", "00000000b4d65521"], &good);
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -1,7 +1,6 @@
 //! `--output json` of each command, exit codes, names of commands and options, and lines of an older tool:
 //! what others read and write stays as it was recorded under `tests/data`.
 
-mod recorded;
 mod support;
 
 use std::io::{BufRead, BufReader, Write};
@@ -10,9 +9,9 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-use recorded::{compare, Normalizer, VOLATILE};
 use serde_json::{json, Map, Value};
-use support::{until, Fleet, Process, Ran, PATIENCE, PROGRAM};
+use support::recorded::{compare, Normalizer, VOLATILE};
+use support::{own_loopback, wait_until, Fleet, Process, Ran, PROGRAM, TIMEOUT};
 use testbed::dns::{Dns, Instance};
 use testbed::scripted::{config, endpoint, Agent, StandIn};
 
@@ -52,8 +51,8 @@
 /// Waits until the agent has heard from each gateway that it lists all backends, that none of them waits for
 /// its first connection, and that it took in this order last.
 fn settled(fleet: &Fleet, last_order: Option<&str>) {
-    fleet.well();
-    until("the agent has heard that all is settled", || {
+    fleet.wait_until_healthy();
+    wait_until("the agent has heard that all is settled", || {
         let status = fleet.json(&["status"]).json();
         status["gateways"].as_array().expect("a list").iter().all(|gateway| {
             let state = &gateway["state"];
@@ -118,7 +117,7 @@
     settled(&fleet, Some("a10"));
     fleet.gateways[1].process.kill();
     let known = |ran: &Ran| ran.json()["gateways"][1]["health"].get("unreachable").is_some();
-    until("the agent knows", || known(&fleet.json(&["status"])));
+    wait_until("the agent knows", || known(&fleet.json(&["status"])));
     transcript.add_as("status, one unreachable", &fleet.json(&["status"]));
     let words = ["undrain", "type/m", "--id", "a11", "--deadline", "1s"];
     transcript.add(&words, &fleet.json(&words));
@@ -146,7 +145,7 @@
          answer_ms = 200\n"
     );
     let fleet = Fleet::with(0, 1, &[], &settings);
-    until("the records are known", || fleet.json(&["sources"]).code == 0);
+    wait_until("the records are known", || fleet.json(&["sources"]).code == 0);
     let dir = fleet.dir.path();
     let mut transcript = Transcript::new(dir, VOLATILE);
     for words in [&["sources"][..], &["sources", "--records"]] {
@@ -164,12 +163,6 @@
     transcript.compare("lists.json");
 }
 
-/// A loopback address that no other process of this machine uses.
-fn own_loopback() -> String {
-    let [_, high, middle, low] = std::process::id().to_be_bytes();
-    format!("127.{}.{middle}.{low}", 64 + (high & 63))
-}
-
 #[test]
 fn gateway_calls_print_recorded_json() {
     let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
@@ -184,7 +177,7 @@
     std::fs::write(&file, told.to_string()).expect("room");
     let log = dir.path().join("gateway.log");
     let (_gateway, _) = Process::start(&["gateway"], Some(&file), &log, &["listening on "]);
-    until("it is ready", || run(&["gateway", "ready", "--at", at]).code == 0);
+    wait_until("it is ready", || run(&["gateway", "ready", "--at", at]).code == 0);
     let mut transcript = Transcript::new(dir.path(), &[]);
     let all: &[&[&str]] = &[
         &["gateway", "ready", "--at", at],
@@ -332,7 +325,7 @@
     let fleet = Fleet::start(1, 4);
     settled(&fleet, None);
     let mut stream = UnixStream::connect(fleet.dir.path().join("agent.sock")).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     let mut answers = BufReader::new(stream.try_clone().expect("a socket"));
     let requests =
         include_str!("data/tool_requests.jsonl").replace("<DIR>", &fleet.dir.path().display().to_string());
--- a/crates/gatewayctl/tests/many/mod.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -1,5 +1,4 @@
 //! Some tens of gateways as processes of the built program, each with a door of its own to the list service.
-#![allow(dead_code)]
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -16,21 +15,21 @@
 use testbed::journal::{Event, Journal};
 use testbed::platform;
 use tokio::runtime::Runtime;
-use tokio::sync::oneshot;
-use tokio::task::JoinHandle;
+
+use super::RunningLoad;
 
 /// How long anything that must come may take; long, so that a slow machine gives the same verdict.
-pub const PATIENCE: Duration = Duration::from_secs(25);
+pub const TIMEOUT: Duration = Duration::from_secs(25);
 /// The service works so long on a call: ten a second.
-pub const EACH: Duration = Duration::from_millis(100);
+pub const LIST_CALL_TIME: Duration = Duration::from_millis(100);
 /// Calls that may stand before it.
-pub const PLACES: usize = 8;
+pub const LIST_CALLS_MAX: usize = 8;
 
-/// One fleet at a time. Danger: tests beside each other, each with processes for all cores.
+/// One fleet at a time, as each has processes for all cores.
 static ALONE: Mutex<()> = Mutex::new(());
 
 /// What a fleet is made of.
-pub struct Shape {
+pub struct FleetShape {
     pub gateways: usize,
     pub backends: usize,
     /// Whether gateways know the list before they start.
@@ -42,15 +41,22 @@
     pub seed: u64,
 }
 
-impl Default for Shape {
+impl Default for FleetShape {
     fn default() -> Self {
         let operator = "[start]\nlist_calls_per_s = 10\n".to_string();
-        Shape { gateways: 30, backends: 8, known: true, counter_takes: Duration::ZERO, operator, seed: 0 }
+        FleetShape {
+            gateways: 30,
+            backends: 8,
+            known: true,
+            counter_takes: Duration::ZERO,
+            operator,
+            seed: 0,
+        }
     }
 }
 
 /// A fleet, which ends with the value.
-pub struct Many {
+pub struct ColdFleet {
     pub nodes: Vec<Node>,
     pub service: Discovery,
     pub counter: Counter,
@@ -70,21 +76,7 @@
     _alone: MutexGuard<'static, ()>,
 }
 
-/// A load that runs.
-pub struct Loading {
-    load: Load,
-    end: oneshot::Sender<()>,
-    task: JoinHandle<()>,
-}
-
-impl Loading {
-    /// Answers so far.
-    pub fn tally(&self) -> Tally {
-        self.load.tally()
-    }
-}
-
-impl Drop for Many {
+impl Drop for ColdFleet {
     fn drop(&mut self) {
         if std::thread::panicking() {
             println!("{}", self.timeline);
@@ -92,17 +84,17 @@
     }
 }
 
-impl Many {
+impl ColdFleet {
     /// Stand-ins and gateways, none of which runs yet.
-    pub fn new(shape: Shape) -> Many {
+    pub fn new(shape: FleetShape) -> ColdFleet {
         let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-        let Shape { gateways, backends, known, counter_takes, operator, seed } = shape;
+        let FleetShape { gateways, backends, known, counter_takes, operator, seed } = shape;
         println!("seed {seed:#x}");
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let (runtime, journal) = (runtime.expect("a runtime"), Journal::new(1_000_000));
         let folder = tempfile::Builder::new().prefix("br-").tempdir().expect("a folder");
         let (service, counter, backends, links) = runtime.block_on(async {
-            let bears = Bears { each: EACH, places: PLACES };
+            let bears = Bears { each: LIST_CALL_TIME, places: LIST_CALLS_MAX };
             let service = Discovery::with(gateways, Some(bears)).await.expect("it starts");
             let mut all = Vec::new();
             for i in 0..backends {
@@ -133,7 +125,7 @@
         };
         let nodes = links.iter().enumerate().map(node).collect();
         let (timeline, kills) = (Timeline::new(seed), Vec::new());
-        Many {
+        ColdFleet {
             nodes,
             service,
             counter,
@@ -174,7 +166,7 @@
     }
 
     /// Waits until some are ready.
-    pub fn ready(&mut self, places: impl IntoIterator<Item = usize>) {
+    pub fn wait_until_ready(&mut self, places: impl IntoIterator<Item = usize>) {
         let nodes = &mut self.nodes;
         self.runtime.block_on(async {
             for place in places {
@@ -196,22 +188,22 @@
         0..self.nodes.len()
     }
 
-    /// Sleeps; what a test waits for comes by [`Many::until`].
-    pub fn pass(&self, time: Duration) {
+    /// Sleeps; what a test waits for comes by [`ColdFleet::until`].
+    pub fn sleep(&self, time: Duration) {
         std::thread::sleep(time);
     }
 
     /// Waits until something holds; a test fails without it.
-    pub fn until(&mut self, what: &str, mut holds: impl FnMut(&mut Many) -> bool) {
+    pub fn wait_until(&mut self, what: &str, mut holds: impl FnMut(&mut ColdFleet) -> bool) {
         let start = Instant::now();
         while !holds(self) {
-            assert!(start.elapsed() < PATIENCE, "not in time: {what}");
+            assert!(start.elapsed() < TIMEOUT, "not in time: {what}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     /// When each gateway was first told of the list by a call that came at or after a moment.
-    pub fn told(&self, since: Duration) -> HashMap<usize, Duration> {
+    pub fn first_answers(&self, since: Duration) -> HashMap<usize, Duration> {
         let mut told = HashMap::new();
         for call in self.service.calls().iter().filter(|c| c.at >= since) {
             if let Some(at) = call.answered {
@@ -223,49 +215,46 @@
     }
 
     /// Waits until some were told of the list since a moment; gives when the last was.
-    pub fn all_told(&mut self, places: impl IntoIterator<Item = usize>, since: Duration) -> Duration {
+    pub fn wait_until_all_answered(
+        &mut self,
+        places: impl IntoIterator<Item = usize>,
+        since: Duration,
+    ) -> Duration {
         let places: Vec<usize> = places.into_iter().collect();
-        self.until("all are told of the list", |many| {
-            let told = many.told(since);
+        self.wait_until("all are told of the list", |fleet| {
+            let told = fleet.first_answers(since);
             places.iter().all(|place| told.contains_key(place))
         });
-        let told = self.told(since);
+        let told = self.first_answers(since);
         places.iter().map(|place| told[place]).max().unwrap_or_default()
     }
 
     /// A load over all gateways that are ready.
-    pub fn load(&self, rate: f64) -> Loading {
+    pub fn load(&self, rate: f64) -> RunningLoad {
         self.load_of(Plan { rate, ..Plan::default() })
     }
 
     /// A load by a plan over all gateways that are ready.
-    pub fn load_of(&self, plan: Plan) -> Loading {
+    pub fn load_of(&self, plan: Plan) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, 1 << 40, self.journal.clone());
-        let (end, ended) = oneshot::channel::<()>();
-        let running = load.clone();
-        let task = self.runtime.spawn(async move {
-            running.run(&plan, async { drop(ended.await) }).await;
-        });
-        Loading { load, end, task }
+        RunningLoad::start(&self.runtime, load, plan)
     }
 
     /// Waits until so many more are served than are by now.
-    pub fn served(&mut self, loading: &Loading, more: u64) {
-        let by_now = loading.load.tally().served;
-        self.until("the load is served", |_| loading.load.tally().served > by_now + more);
+    pub fn wait_until_served(&mut self, load: &RunningLoad, more: u64) {
+        let by_now = load.tally().served;
+        self.wait_until("the load is served", |_| load.tally().served > by_now + more);
     }
 
     /// Ends a load and waits for its last answers.
-    pub fn finish(&self, loading: Loading) -> Tally {
-        let _ = loading.end.send(());
-        self.runtime.block_on(loading.task).expect("it ends");
-        loading.load.tally()
+    pub fn finish(&self, load: RunningLoad) -> Tally {
+        load.finish(&self.runtime)
     }
 
     /// No rule broke, but that a gateway that was killed took with it what was open there; a client whose
     /// connection ended by that asks once more, and what the gateway had sent on runs twice.
-    pub fn judge(&self) {
+    pub fn assert_no_breach(&self) {
         let breaches = audit(&self.journal, Terms::default()).expect("all events are there");
         let asked: HashMap<u64, (usize, Duration)> = self
             .journal
@@ -294,7 +283,7 @@
 }
 
 /// The most calls in any stretch of so long.
-pub fn most_in(calls: &[Called], time: Duration) -> usize {
+pub fn max_in_window(calls: &[Called], time: Duration) -> usize {
     let within = |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + time).count();
     (0..calls.len()).map(within).max().unwrap_or(0)
 }
--- a/crates/gatewayctl/tests/recorded/mod.rs
+++ b/crates/gatewayctl/tests/support/recorded.rs
@@ -1,13 +1,12 @@
 //! Output that other programs read, compared with what was recorded under `tests/data`.
 //!
 //! A comparison writes what it saw under the target directory's `tmp/recorded`, whether it holds or not.
-#![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
 
 use serde_json::{json, Value};
 
-use crate::support::Ran;
+use super::Ran;
 
 /// Keys whose values differ from run to run: times, process ids, reasons that the system gives, and figures
 /// that depend on the moment.
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -8,11 +8,11 @@
 
 use fleet::wire::{Envelope, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use fleet::Change;
-use support::{until, Fleet, PATIENCE};
+use support::{wait_until, Fleet, TIMEOUT};
 use transport::Connector;
 
 #[test]
-fn gateways_that_cannot_be_reached_are_named_and_converge_by_themselves() {
+fn unreachable_gateways_are_named_and_converge() {
     let mut fleet = Fleet::with(3, 4, &["n3"], "least_ready = 0.0");
     // One that accepts and never answers.
     let hole = fleet.dir.path().join("n3.sock");
@@ -22,7 +22,7 @@
             std::thread::spawn(move || std::io::copy(&mut stream.by_ref(), &mut std::io::sink()));
         }
     });
-    until("three are well", || {
+    wait_until("three are well", || {
         let all = fleet.json(&["status"]).json();
         all["gateways"].as_array().expect("a list").iter().filter(|g| g["health"] == "ok").count() == 3
     });
@@ -31,7 +31,7 @@
     fleet.gateways[2].process.kill();
     let start = Instant::now();
     let ran = fleet.json(&["drain", "till-0", "--deadline", "8s"]);
-    assert!(start.elapsed() < PATIENCE, "the deadline is 8 s");
+    assert!(start.elapsed() < TIMEOUT, "the deadline is 8 s");
     assert_eq!(ran.code, 3, "{} {}", ran.out, ran.err);
     assert_eq!(ran.did("n0")["outcome"], "applied");
     for name in ["n1", "n2", "n3"] {
@@ -51,7 +51,7 @@
     std::fs::remove_file(&hole).expect("the hole is closed");
     let late = fleet.gateway("n3", 3, 4);
     fleet.gateways.push(late);
-    fleet.well();
+    fleet.wait_until_healthy();
     for place in 0..4 {
         assert!(fleet.drained(place, "till-0"), "gateway {place}");
         let all = fleet.state(place).backends.expect("asked for");
@@ -59,44 +59,44 @@
     }
     let tally = fleet.finish(loading);
     assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.judge();
+    fleet.assert_no_breach();
 }
 
 #[test]
-fn gateways_go_on_with_their_last_state_while_the_agent_is_gone() {
+fn gateways_keep_their_state_without_an_agent() {
     let mut fleet = Fleet::start(2, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["drain", "till-0"]).code, 0);
     fleet.kill_agent();
     let gone = fleet.json(&["status"]);
     assert_eq!(gone.code, 5, "{}", gone.err);
     assert!(gone.err.contains("no agent: unix:"), "{}", gone.err);
     let loading = fleet.load(2, 200.0);
-    until("there is work", || loading.load.tally().served > 200);
+    wait_until("there is work", || loading.load.tally().served > 200);
     assert!(fleet.drained(0, "till-0") && fleet.drained(1, "till-0"));
     assert_eq!(fleet.backends[0].arrived(), 0);
     // One that starts anew meanwhile is empty; the agent brings it up to date before anything else.
     fleet.restart(1);
     assert!(!fleet.drained(1, "till-0"));
     fleet.start_agent();
-    fleet.well();
+    fleet.wait_until_healthy();
     assert!(fleet.drained(1, "till-0"));
     fleet.finish(loading);
 }
 
 #[test]
-fn a_gateway_under_anothers_address_is_not_taken_for_it() {
+fn rejects_gateway_that_answers_under_another_name() {
     let fleet = Fleet::start(1, 2);
     let own = fleet.gateways[0].admin.to_string();
     assert_eq!(fleet.json(&["gateways", "add", "other", &own]).code, 0);
-    until("it is told apart", || {
+    wait_until("it is told apart", || {
         let all = fleet.json(&["status"]).json();
         let other =
             all["gateways"].as_array().expect("a list").iter().find(|g| g["name"] == "other").cloned();
         other.expect("named")["health"]["unreachable"]["why"] == "gateway n0 answers there"
     });
     assert_eq!(fleet.json(&["gateways", "remove", "other"]).code, 0);
-    fleet.well();
+    fleet.wait_until_healthy();
     let fixed = fleet.json(&["gateways", "remove", "n0"]);
     assert_eq!(fixed.code, 4);
     assert!(fixed.err.contains("operator's file"), "{}", fixed.err);
@@ -105,12 +105,12 @@
 }
 
 #[test]
-fn a_gateway_registers_by_itself_and_takes_nobodys_name() {
+fn gateway_registers_itself_under_a_free_name_only() {
     let settings = "register = \"unix:REGISTER\"";
     let dir = tempfile::Builder::new().prefix("br-").tempdir().expect("a folder");
     let at = dir.path().join("register.sock").display().to_string();
     let mut fleet = Fleet::with(1, 4, &[], &settings.replace("REGISTER", &at));
-    fleet.well();
+    fleet.wait_until_healthy();
     let file = dir.path().join("own.toml");
     let admin = |socket: &str| {
         let own = dir.path().join(socket).display().to_string();
@@ -134,11 +134,11 @@
         all.into_iter().find(|g| g["name"] == name && g["health"] == "ok")
     };
     let _own = start(&fleet, "own", "own");
-    until("it is overseen", || known(&fleet, "own").is_some());
+    wait_until("it is overseen", || known(&fleet, "own").is_some());
     let address = known(&fleet, "own").expect("it is")["address"].clone();
     // Another under its name is refused while it answers, and its orders stay its own.
     let imposter = start(&fleet, "own", "imposter");
-    until("it is told why", || imposter.logged().contains("own answers at unix:"));
+    wait_until("it is told why", || imposter.log_text().contains("own answers at unix:"));
     assert_eq!(known(&fleet, "own").expect("it is")["address"], address);
     // On that listener nothing else can be asked.
     let agent = format!("unix:{at}");
@@ -150,20 +150,20 @@
     // It is written down.
     fleet.kill_agent();
     fleet.start_agent();
-    until("it is overseen still", || known(&fleet, "own").is_some());
+    wait_until("it is overseen still", || known(&fleet, "own").is_some());
 }
 
 #[test]
-fn the_same_order_a_thousand_times_at_once_is_one() {
+fn repeated_order_id_is_one_order() {
     let fleet = Fleet::start(3, 4);
-    fleet.well();
+    fleet.wait_until_healthy();
     let address = fleet.agent_address();
     let answers: Vec<(bool, u64, u32)> = fleet.runtime.block_on(async {
         let mut tools = tokio::task::JoinSet::new();
         for _ in 0..40 {
             let address = address.clone();
             tools.spawn(async move {
-                let connected = Connector::default().connect(&address, PATIENCE, MAX_LINE_BYTES).await;
+                let connected = Connector::default().connect(&address, TIMEOUT, MAX_LINE_BYTES).await;
                 let (mut lines, mut answers) = (connected.expect("it listens"), Vec::new());
                 for n in 0..25 {
                     let (id, subject) = ("one".parse().expect("an id"), "till-0".parse().expect("one"));
--- a/crates/gatewayctl/tests/up.rs
+++ b/crates/gatewayctl/tests/up.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Stdio};
 
 use serde_json::Value;
-use support::{until, PROGRAM};
+use support::{wait_until, PROGRAM};
 use testbed::scripted::{call, words, Client};
 
 /// Whether a process is there and no zombie.
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn up_serves_a_load_is_overseen_and_leaves_nothing_running_when_it_is_interrupted() {
+fn interrupted_up_leaves_nothing_running() {
     let mut up = Command::new(PROGRAM)
         .args(["up", "--gateways", "2", "--backends", "3", "--load", "50", "--output", "json"])
         .stdin(Stdio::null())
@@ -42,7 +42,7 @@
         let output = Command::new(PROGRAM).args(["--agent", &agent, "status"]).output();
         output.expect("it runs")
     };
-    until("all are well", || status().status.success());
+    wait_until("all are well", || status().status.success());
     // Some of the load, at 50 a second.
     std::thread::sleep(std::time::Duration::from_secs(1));
     let id = up.id().to_string();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn processes_of_an_up_that_is_killed_end_by_themselves() {
+fn processes_end_when_up_is_killed() {
     let mut up = Command::new(PROGRAM)
         .args(["up", "--gateways", "1", "--backends", "1", "--load", "0", "--output", "json"])
         .stdin(Stdio::null())
@@ -77,13 +77,13 @@
     assert!(runs(&pid));
     up.kill().expect("it runs");
     up.wait().expect("it ends");
-    until("its gateway has ended", || !runs(&pid));
+    wait_until("its gateway has ended", || !runs(&pid));
     let socket = told["up"]["agent"].as_str().expect("one").strip_prefix("unix:").expect("a Unix socket");
     std::fs::remove_dir_all(Path::new(socket).parent().expect("a folder")).expect("what it left");
 }
 
 #[test]
-fn up_for_a_while_shows_addresses_and_ends_by_itself() {
+fn timed_up_shows_addresses_and_ends() {
     let output = Command::new(PROGRAM)
         .args(["up", "--gateways", "1", "--backends", "2", "--load", "40", "--for", "500ms"])
         .stdin(Stdio::null())
