--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -6,20 +6,21 @@
 //! of before. All gateways start again: with connections as requests need them, and by turns, in one run.
 //! With `--absent-ms` gateways go on, and those backends refuse for so long, which no list tells.
 
+mod support;
+
 use std::time::Duration;
 
 use clap::Parser;
 use serde::Serialize;
+use support::{max_in_window, program, AnyError};
 use testbed::backend::Backend;
 use testbed::client::Plan;
-use testbed::harness::fleet::{built_program, column, served_part, Fleet};
+use testbed::harness::fleet::{column, served_part, Fleet};
 use testbed::harness::Node;
 use testbed::journal::Event;
 use testbed::switch::Fault;
 use tokio::time::sleep;
 
-type Any = Box<dyn std::error::Error + Send + Sync>;
-
 /// Measures connections and requests at backends when a whole fleet starts again.
 #[derive(Debug, Parser)]
 struct Args {
@@ -79,15 +80,10 @@
     lost: u64,
 }
 
-fn most_in(at: &[Duration], time: Duration) -> usize {
-    let within = |i: usize| at[i..].iter().take_while(|t| **t < at[i] + time).count();
-    (0..at.len()).map(within).max().unwrap_or(0)
-}
-
-async fn play(args: &Args, turns: bool, seed: u64) -> Result<Figures, Any> {
+async fn play(args: &Args, turns: bool, seed: u64) -> Result<Figures, AnyError> {
     let more = if turns { format!("backend_connections_per_s = {:.3}\n", args.per_s) } else { String::new() };
     let operator = format!("[start]\nlist_calls_per_s = 50\n{more}");
-    let program = built_program().ok_or("no folder")?;
+    let program = program()?;
     let mut fleet =
         Fleet::start(program, (args.gateways, args.backends), Duration::ZERO, &operator, seed).await?;
     let loading = fleet.load(Plan { rate: args.rate, customers: 2_000, seed, ..Plan::default() });
@@ -123,7 +119,7 @@
     let (gone, there) = fleet.backends.split_at(args.gone);
     let since = |b: &Backend| b.accepted().into_iter().filter(|at| *at >= begun).collect::<Vec<_>>();
     let at: Vec<Vec<Duration>> = if absent { gone } else { there }.iter().map(since).collect();
-    let most = |time| at.iter().map(|at| most_in(at, time)).max().unwrap_or(0);
+    let most = |time| at.iter().map(|at| max_in_window(at, time)).max().unwrap_or(0);
     let even = args.rate / args.backends as f64;
     let events = fleet.journal.events();
     let share = |second: u64| {
@@ -157,7 +153,7 @@
 }
 
 #[tokio::main]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     let args = Args::parse();
     if args.gone >= args.backends {
         return Err("--gone: fewer than --backends are wanted".into());
--- a/crates/gatewayctl/examples/measure_cold_counter.rs
+++ b/crates/gatewayctl/examples/measure_cold_counter.rs
@@ -5,17 +5,18 @@
 //! a counter that works on one call after another: with all calls from the start on, and with
 //! `counter_calls_per_s` in `[start]`, in one run. Waits are those of the counter itself.
 
+mod support;
+
 use std::time::Duration;
 
 use clap::Parser;
 use serde::Serialize;
+use support::{program, AnyError};
 use testbed::client::Plan;
-use testbed::harness::fleet::{built_program, column, served_part, Fleet};
+use testbed::harness::fleet::{column, served_part, Fleet};
 use testbed::harness::Node;
 use tokio::time::sleep;
 
-type Any = Box<dyn std::error::Error + Send + Sync>;
-
 /// Measures calls to the counter when a whole fleet starts again.
 #[derive(Debug, Parser)]
 struct Args {
@@ -62,11 +63,11 @@
     lost: u64,
 }
 
-async fn play(args: &Args, bound: bool, seed: u64) -> Result<Figures, Any> {
+async fn play(args: &Args, bound: bool, seed: u64) -> Result<Figures, AnyError> {
     let each = Duration::from_millis(args.each_ms.max(1));
     let more = format!("counter_calls_per_s = {:.3}\n", 1.0 / each.as_secs_f64());
     let operator = format!("[start]\nlist_calls_per_s = 50\n{}", if bound { more.as_str() } else { "" });
-    let program = built_program().ok_or("no folder")?;
+    let program = program()?;
     let mut fleet = Fleet::start(program, (args.gateways, 20), each, &operator, seed).await?;
     let plan = Plan { rate: args.rate, customers: 400, paid: 1.0, seed, ..Plan::default() };
     let loading = fleet.load(plan);
@@ -106,7 +107,7 @@
 }
 
 #[tokio::main]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     let args = Args::parse();
     if !args.json {
         println!(
--- a/crates/gatewayctl/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -4,23 +4,23 @@
 //! away what finds no place: without `[start]` and with it, in turn, in one run. Calls are counted by the
 //! service itself, which has an address for each gateway.
 
-use std::error::Error;
-use std::path::{Path, PathBuf};
+mod support;
+
+use std::path::Path;
 use std::time::Duration;
 
 use clap::Parser;
 use serde::Serialize;
+use support::{max_in_window, program, AnyError};
 use testbed::backend::{Backend, Spec};
 use testbed::counter::Counter;
-use testbed::discovery::{Bears, Called, Discovery};
+use testbed::discovery::{Bears, Discovery};
 use testbed::harness::{Node, Program};
 use testbed::journal::Journal;
 use testbed::platform;
 use testbed::switch::Fault;
 use tokio::time::sleep;
 
-type Any = Box<dyn Error + Send + Sync>;
-
 /// Measures a cold start of many gateways before a list service with a bound.
 #[derive(Debug, Parser)]
 struct Args {
@@ -92,12 +92,13 @@
     ended: usize,
 }
 
-fn most_in(calls: &[Called], time: Duration) -> usize {
-    let within = |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + time).count();
-    (0..calls.len()).map(within).max().unwrap_or(0)
-}
-
-async fn play(args: &Args, program: &Path, start: Start, slots: bool, seed: u64) -> Result<Figures, Any> {
+async fn play(
+    args: &Args,
+    program: &Path,
+    start: Start,
+    slots: bool,
+    seed: u64,
+) -> Result<Figures, AnyError> {
     let folder = tempfile::Builder::new().prefix("br-").tempdir()?;
     let each = Duration::from_millis(args.each_ms);
     let bears = Bears { each, places: args.places };
@@ -156,6 +157,7 @@
             *first = (*first).min(at);
         }
     }
+    let call_times: Vec<Duration> = first.iter().map(|call| call.at).collect();
     let times: Vec<f64> = told.iter().flatten().map(|at| at.saturating_sub(begun).as_secs_f64()).collect();
     let last = times.iter().copied().fold(0.0, f64::max);
     let last_at = if times.len() == args.gateways { begun + Duration::from_secs_f64(last) } else { told_by };
@@ -166,8 +168,8 @@
         law: if slots { "slots" } else { "pauses" },
         seed,
         gateways: args.gateways,
-        most_in_100_ms: most_in(&first, Duration::from_millis(100)),
-        most_in_1_s: most_in(&first, Duration::from_secs(1)),
+        most_in_100_ms: max_in_window(&call_times, Duration::from_millis(100)),
+        most_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
         in_first_10_s: first.iter().filter(|c| c.at < begun + Duration::from_secs(10)).count(),
         calls: first.len(),
         turned_away: first.iter().filter(|c| c.turned_away).count(),
@@ -181,14 +183,8 @@
     })
 }
 
-/// The built program, beside the folder that this example is in.
-fn program() -> Result<PathBuf, Any> {
-    let here = std::env::current_exe()?;
-    Ok(here.parent().and_then(Path::parent).ok_or("no folder")?.join("gatewayctl"))
-}
-
 #[tokio::main]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     let (args, program) = (Args::parse(), program()?);
     if !args.json {
         println!(
--- a/crates/gatewayctl/examples/measure_dns_sd.rs
+++ b/crates/gatewayctl/examples/measure_dns_sd.rs
@@ -5,15 +5,15 @@
 //! The resolver is the testbed's, in this process; the agent is a process of its own. An answer holds some
 //! 2,500 instances, so there is a service for each 2,000.
 
-mod process;
+mod support;
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use process::{cpu_us, memory_mb, program, start, Any};
 use serde_json::Value;
+use support::{cpu_us, median, peak_memory_mb, program, start, AnyError};
 use testbed::dns::{Dns, Instance};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -25,7 +25,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Asks for the list; none while it is not served.
-async fn get(address: SocketAddr, path: &str) -> Result<Option<Value>, Any> {
+async fn get(address: SocketAddr, path: &str) -> Result<Option<Value>, AnyError> {
     let mut stream = TcpStream::connect(address).await?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
@@ -41,7 +41,7 @@
     Instance { label, service: (0, 10, port), text, address: Ipv4Addr::LOCALHOST }
 }
 
-async fn measure(instances: usize, ttl_s: u32) -> Result<(), Any> {
+async fn measure(instances: usize, ttl_s: u32) -> Result<(), AnyError> {
     let (dir, dns) = (tempfile::tempdir()?, Dns::start(ttl_s, 1).await?);
     let service = |i: usize| format!("_till._tcp.room-{}.test", i / EACH);
     (0..instances).for_each(|i| dns.put(&service(i), &instance(format!("till-{i}"), 9_000)));
@@ -59,8 +59,8 @@
     let mut command = Command::new(program()?);
     command.arg("agent").arg("--operator").arg(&file);
     let begun = Instant::now();
-    let (process, address) = start(command, "serving the list on ").await?;
-    let (pid, address) = (process.0.id(), address.parse()?);
+    let (process, lines) = start(command, &["serving the list on "]).await?;
+    let (pid, address) = (process.id(), lines[0].parse()?);
     let mut list = None;
     while list.is_none() {
         sleep(Duration::from_millis(20)).await;
@@ -68,7 +68,7 @@
     }
     let (first, list) = (begun.elapsed(), list.unwrap_or_default());
     let listed = list["endpoints"].as_array().map_or(0, Vec::len);
-    let (cpu_first, memory) = (cpu_us(pid)?, memory_mb(pid)?);
+    let (cpu_first, memory) = (cpu_us(pid)?, peak_memory_mb(pid)?);
     let (asked, then) = (dns.asked().0, Instant::now());
     sleep(SETTLED).await;
     let minute = (dns.asked().0 - asked) as f64 * 60.0 / then.elapsed().as_secs_f64();
@@ -89,15 +89,15 @@
          a change is served after {:.0} ms in the middle, {:.0} ms at the longest",
         first.as_secs_f64(),
         cpu_first / 1e6,
-        memory_mb(pid)?,
-        delays[delays.len() / 2],
+        peak_memory_mb(pid)?,
+        median(&delays),
         delays[delays.len() - 1],
     );
     Ok(())
 }
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 2)]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     let mut all = std::env::args().skip(1).map(|w| w.parse()).collect::<Result<Vec<usize>, _>>()?;
     if all.is_empty() {
         all = vec![100, 1_000, 10_000];
--- a/crates/gatewayctl/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -4,15 +4,17 @@
 //! a second the log holds; the agent's memory at a thousand gateways of a thousand backends; and a gateway's
 //! CPU a request with its admin listener on, over that with it off, both side by side in one run.
 
-use std::error::Error;
+mod support;
+
 use std::fs;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::Command;
 use std::time::{Duration, Instant};
 
 use fleet::wire::{Envelope, ToolRequest, ToolResponse, MAX_LINE_BYTES};
 use fleet::{Change, Health};
 use operator_config::Address;
+use support::{cpu_ticks, peak_memory_mb, program, quantile, resident_memory_mb, start, AnyError};
 use testbed::backend::{Backend, Spec};
 use testbed::client::{Load, Plan};
 use testbed::counter::Counter;
@@ -20,63 +22,17 @@
 use testbed::journal::Journal;
 use testbed::overseen::Overseen;
 use testbed::platform;
-use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::time::sleep;
 use transport::{Connector, JsonLines};
 
-type Any = Box<dyn Error + Send + Sync>;
-
-/// The built program, beside the folder that this example is in.
-fn program() -> Result<PathBuf, Any> {
-    let here = std::env::current_exe()?;
-    let folder = here.parent().and_then(Path::parent).ok_or("no folder")?;
-    Ok(folder.join("gatewayctl"))
-}
-
-/// A process of the program that ends with the value.
-struct Process(Child);
-
-impl Drop for Process {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
-async fn start(words: &[&str], config: Option<&Path>, begin: &[&str]) -> Result<(Process, Vec<String>), Any> {
+/// The program with these arguments.
+fn command(args: &[&str]) -> Result<Command, AnyError> {
     let mut command = Command::new(program()?);
-    command.args(words).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
-    if let Some(config) = config {
-        command.env("GW_CONFIG", config);
-    }
-    let mut child = command.spawn()?;
-    let said = child.stdout.take().ok_or("no output")?;
-    let process = Process(child);
-    let mut lines = BufReader::new(tokio::process::ChildStdout::from_std(said)?).lines();
-    let mut all = Vec::new();
-    for begin in begin {
-        let line = lines.next_line().await?.ok_or("it ended")?;
-        all.push(line.strip_prefix(begin).ok_or("it said something else")?.to_string());
-    }
-    Ok((process, all))
-}
-
-/// A line of `/proc/PID/status` in MB.
-fn memory_mb(pid: u32, key: &str) -> Result<f64, Any> {
-    let text = fs::read_to_string(format!("/proc/{pid}/status"))?;
-    let line = text.lines().find_map(|l| l.strip_prefix(key)).ok_or("no such line")?;
-    Ok(line.trim_start_matches(':').trim().trim_end_matches("kB").trim().parse::<f64>()? / 1024.0)
+    command.args(args);
+    Ok(command)
 }
 
-/// CPU that a process has taken, in ticks of 10 ms.
-fn ticks(pid: u32) -> Result<f64, Any> {
-    let text = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let rest = text.rsplit(") ").next().ok_or("no state")?;
-    let field = |n: usize| rest.split(' ').nth(n).and_then(|f| f.parse::<f64>().ok());
-    Ok(field(11).ok_or("no utime")? + field(12).ok_or("no stime")?)
-}
-
-async fn connect(at: &Address) -> Result<JsonLines, Any> {
+async fn connect(at: &Address) -> Result<JsonLines, AnyError> {
     Ok(Connector::default().connect(at, Duration::from_secs(5), MAX_LINE_BYTES).await?)
 }
 
@@ -86,7 +42,7 @@
     id: String,
     backend: usize,
     drain: bool,
-) -> Result<(f64, f64, u32), Any> {
+) -> Result<(f64, f64, u32), AnyError> {
     let begun = Instant::now();
     let change = if drain { Change::Drain } else { Change::Undrain };
     let subject = format!("till-{backend}").parse()?;
@@ -104,7 +60,7 @@
 }
 
 /// Waits until all gateways are well; gives how long that took.
-async fn well(lines: &mut JsonLines, gateways: usize) -> Result<Duration, Any> {
+async fn well(lines: &mut JsonLines, gateways: usize) -> Result<Duration, AnyError> {
     let begun = Instant::now();
     loop {
         lines.send(&Envelope { request_id: 1, body: ToolRequest::Status { backends: false } }).await?;
@@ -122,13 +78,8 @@
     }
 }
 
-fn quantile(all: &mut [f64], q: f64) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all[((all.len() - 1) as f64 * q).round() as usize]
-}
-
 /// Times so many orders.
-async fn orders(what: &str, agent: &Address, gateways: usize, count: usize) -> Result<(), Any> {
+async fn orders(what: &str, agent: &Address, gateways: usize, count: usize) -> Result<(), AnyError> {
     let mut lines = connect(agent).await?;
     let up = well(&mut lines, gateways).await?;
     let (mut written, mut all, mut failed) = (Vec::new(), Vec::new(), 0);
@@ -142,15 +93,15 @@
         "{what}: {gateways} gateways well after {:.0} ms; {count} orders: on the disk p50 {:.2} ms, on all \
          gateways p50 {:.2} p99 {:.2} max {:.2} ms; failed {failed}",
         up.as_secs_f64() * 1000.0,
-        quantile(&mut written, 0.5),
-        quantile(&mut all, 0.5),
-        quantile(&mut all, 0.99),
-        quantile(&mut all, 1.0),
+        quantile(&written, 0.5),
+        quantile(&all, 0.5),
+        quantile(&all, 0.99),
+        quantile(&all, 1.0),
     );
     Ok(())
 }
 
-fn operator(dir: &Path, name: &str, gateways: usize) -> Result<(PathBuf, Address), Any> {
+fn operator(dir: &Path, name: &str, gateways: usize) -> Result<(PathBuf, Address), AnyError> {
     let (file, at) = (dir.join(format!("{name}.toml")), dir.display());
     let mut text = format!("[admin]\nlisten = \"unix:{at}/{{name}}.sock\"\n\n[agent]\n");
     text += &format!("listen = \"unix:{at}/{name}.sock\"\nlog = \"{at}/{name}.redb\"\nanswer_ms = 5000\n");
@@ -161,7 +112,7 @@
     Ok((file, format!("unix:{at}/{name}.sock").parse()?))
 }
 
-async fn many(gateways: usize, backends: usize) -> Result<(), Any> {
+async fn many(gateways: usize, backends: usize) -> Result<(), AnyError> {
     let dir = tempfile::tempdir()?;
     let mut all = Vec::new();
     for i in 0..gateways {
@@ -170,24 +121,24 @@
     }
     let (file, address) = operator(dir.path(), "agent", gateways)?;
     let words = ["agent", "--operator", &file.display().to_string()];
-    let (agent, _) = start(&words, None, &["overseeing "]).await?;
+    let (agent, _) = start(command(&words)?, &["overseeing "]).await?;
     orders(&format!("{gateways}x{backends}"), &address, gateways, 200).await?;
     // Every list has been asked for by now, or will be.
     sleep(Duration::from_secs(8)).await;
-    let (rss, peak) = (memory_mb(agent.0.id(), "VmRSS")?, memory_mb(agent.0.id(), "VmHWM")?);
-    let before = ticks(agent.0.id())?;
+    let (rss, peak) = (resident_memory_mb(agent.id())?, peak_memory_mb(agent.id())?);
+    let before = cpu_ticks(agent.id())?;
     sleep(Duration::from_secs(5)).await;
-    let cpu = (ticks(agent.0.id())? - before) / 5.0;
+    let cpu = (cpu_ticks(agent.id())? - before) / 5.0;
     let what = format!("agent at {gateways} gateways of {backends} backends");
     println!("{what}: {rss:.0} MB, at most {peak:.0} MB; idle {cpu:.1}% of a core");
     Ok(())
 }
 
-async fn log_alone() -> Result<(), Any> {
+async fn log_alone() -> Result<(), AnyError> {
     let dir = tempfile::tempdir()?;
     let (file, address) = operator(dir.path(), "agent", 0)?;
     let words = ["agent", "--operator", &file.display().to_string()];
-    let (_agent, _) = start(&words, None, &["overseeing "]).await?;
+    let (_agent, _) = start(command(&words)?, &["overseeing "]).await?;
     for tools in [1, 64] {
         let begun = Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
@@ -201,7 +152,7 @@
                         .await?;
                     count += 1;
                 }
-                Ok::<u32, Any>(count)
+                Ok::<u32, AnyError>(count)
             });
         }
         let mut count = 0;
@@ -217,7 +168,7 @@
 }
 
 /// Two gateways under the same load, one with an admin listener and an agent that looks at it.
-async fn cpu() -> Result<(), Any> {
+async fn cpu() -> Result<(), AnyError> {
     let (dir, journal) = (tempfile::tempdir()?, Journal::new(0));
     let (discovery, counter) = (Discovery::start().await?, Counter::start().await?);
     let mut backends = Vec::new();
@@ -240,10 +191,12 @@
         } else {
             (vec!["gateway"], vec!["listening on "])
         };
-        let (process, said) = start(&words, Some(&path), &begin).await?;
+        let mut with_config = command(&words)?;
+        with_config.env("GW_CONFIG", &path);
+        let (process, said) = start(with_config, &begin).await?;
         gateways.push((process, said.last().ok_or("no address")?.parse()?));
     }
-    let (_agent, _) = start(&["agent", "--operator", &operator_file], None, &["overseeing "]).await?;
+    let (_agent, _) = start(command(&["agent", "--operator", &operator_file])?, &["overseeing "]).await?;
     let (mut ratios, mut noise) = (Vec::new(), Vec::new());
     for round in 0..8u64 {
         // Both at once, so that whatever else the machine does falls on both alike.
@@ -252,41 +205,41 @@
         };
         let loads = [load(0), load(1)];
         let plan = Plan { rate: 1_500.0, paid: 0.0, ..Plan::default() };
-        let before = [ticks(gateways[0].0 .0.id())?, ticks(gateways[1].0 .0.id())?];
+        let before = [cpu_ticks(gateways[0].0.id())?, cpu_ticks(gateways[1].0.id())?];
         tokio::join!(
             loads[0].run(&plan, sleep(Duration::from_secs(4))),
             loads[1].run(&plan, sleep(Duration::from_secs(4))),
         );
-        let cost = |place: usize| -> Result<f64, Any> {
+        let cost = |place: usize| -> Result<f64, AnyError> {
             let served = loads[place].tally().served as f64;
-            Ok((ticks(gateways[place].0 .0.id())? - before[place]) * 10_000.0 / served.max(1.0))
+            Ok((cpu_ticks(gateways[place].0.id())? - before[place]) * 10_000.0 / served.max(1.0))
         };
         let (on, off) = (cost(0)?, cost(1)?);
         println!("cpu: admin on {on:.1} us, off {off:.1} us a request, ratio {:.3}", on / off);
         ratios.push(on / off);
         noise.push(off);
     }
-    let (low, high) = (quantile(&mut noise, 0.0), quantile(&mut noise, 1.0));
-    let (least, most) = (quantile(&mut ratios, 0.0), quantile(&mut ratios, 1.0));
+    let (low, high) = (quantile(&noise, 0.0), quantile(&noise, 1.0));
+    let (least, most) = (quantile(&ratios, 0.0), quantile(&ratios, 1.0));
     let mean = ratios.iter().sum::<f64>() / ratios.len() as f64;
     println!("cpu: ratio on/off {mean:.3} ({least:.3} to {most:.3}); off alone {low:.1} to {high:.1} us");
     Ok(())
 }
 
-async fn real() -> Result<(), Any> {
+async fn real() -> Result<(), AnyError> {
     let words = ["up", "--load", "0", "--output", "json"];
-    let (mut up, said) = start(&words, None, &["{\"up\":"]).await?;
+    let (mut up, said) = start(command(&words)?, &["{\"up\":"]).await?;
     let told: serde_json::Value = serde_json::from_str(said[0].strip_suffix('}').ok_or("no JSON")?)?;
     let address: Address = told["agent"].as_str().ok_or("no agent")?.parse()?;
     let result = orders("real", &address, 3, 500).await;
     // It takes its folder away as it ends.
-    Command::new("kill").args(["-TERM", &up.0.id().to_string()]).status()?;
+    Command::new("kill").args(["-TERM", &up.id().to_string()]).status()?;
     up.0.wait()?;
     result
 }
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 2)]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     // With `cpu` as an argument, that alone.
     if std::env::args().nth(1).is_some_and(|word| word == "cpu") {
         return cpu().await;
--- a/crates/gatewayctl/examples/measure_gateway.rs
+++ b/crates/gatewayctl/examples/measure_gateway.rs
@@ -9,7 +9,7 @@
 //! With `flood` in place of lengths: the memory of a gateway under a flood of customers that come once each,
 //! with the room that 32 MB leave for their records and with room without end.
 
-mod process;
+mod support;
 
 use std::fs;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use process::{cpu_us, memory_mb, program, start, Any, Process};
+use support::{cpu_us, median, peak_memory_mb, program, start, AnyError, Process};
 use testbed::backend::{Backend, Spec};
 use testbed::client::Load;
 use testbed::counter::Counter;
@@ -34,7 +34,7 @@
 const FLEETS: [usize; 2] = [60, 1];
 
 /// Forwards each connection to a backend, until the process ends.
-async fn forward(to: SocketAddr) -> Result<(), Any> {
+async fn forward(to: SocketAddr) -> Result<(), AnyError> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     println!("listening on {}", listener.local_addr()?);
     loop {
@@ -54,7 +54,7 @@
     listed: usize,
     fleet: usize,
     memory: usize,
-) -> Result<Front, Any> {
+) -> Result<Front, AnyError> {
     let (discovery, counter) = (Discovery::start().await?, Counter::start().await?);
     all.iter().take(listed).for_each(|b| discovery.list(b, "SERVING"));
     let known = discovery.known();
@@ -64,9 +64,9 @@
     fs::write(&path, config.to_string())?;
     let mut command = Command::new(program()?);
     command.arg("gateway").env("GW_CONFIG", &path);
-    let (process, address) = start(command, "listening on ").await?;
+    let (process, lines) = start(command, &["listening on "]).await?;
     let name = format!("{listed} backends, gateway 1 of {fleet}");
-    Ok(Front { name, process, address: address.parse()?, _around: Some((discovery, counter)) })
+    Ok(Front { name, process, address: lines[0].parse()?, _around: Some((discovery, counter)) })
 }
 
 struct Front {
@@ -77,9 +77,9 @@
 }
 
 /// Asks for a while; gives requests served and CPU a request, us.
-async fn round(front: &Front, first_id: u64, journal: &Journal) -> Result<(u64, f64), Any> {
+async fn round(front: &Front, first_id: u64, journal: &Journal) -> Result<(u64, f64), AnyError> {
     let load = Load::new(vec![front.address], first_id, journal.clone());
-    let (before, begun) = (cpu_us(front.process.0.id())?, Instant::now());
+    let (before, begun) = (cpu_us(front.process.id())?, Instant::now());
     let mut tasks = tokio::task::JoinSet::new();
     for client in 0..CLIENTS as u64 {
         let load = load.clone();
@@ -95,11 +95,11 @@
         });
     }
     let served: u64 = tasks.join_all().await.into_iter().sum();
-    Ok((served, (cpu_us(front.process.0.id())? - before) / served.max(1) as f64))
+    Ok((served, (cpu_us(front.process.id())? - before) / served.max(1) as f64))
 }
 
 /// A flood of customers that come once each.
-async fn flood() -> Result<(), Any> {
+async fn flood() -> Result<(), AnyError> {
     let (dir, journal) = (tempfile::tempdir()?, Journal::new(0));
     let mut all = Vec::new();
     for i in 0..8 {
@@ -108,7 +108,7 @@
     }
     for memory in [32, 1 << 20] {
         let front = gateway(dir.path(), &all, 8, 1, memory).await?;
-        let before = memory_mb(front.process.0.id())?;
+        let before = peak_memory_mb(front.process.id())?;
         let load = Load::new(vec![front.address], 1 << 40, journal.clone());
         let (begun, mut tasks) = (Instant::now(), tokio::task::JoinSet::new());
         for client in 0..CLIENTS as u64 {
@@ -123,7 +123,7 @@
             });
         }
         while tasks.join_next().await.is_some() {}
-        let (tally, peak) = (load.tally(), memory_mb(front.process.0.id())?);
+        let (tally, peak) = (load.tally(), peak_memory_mb(front.process.id())?);
         let (p99, seconds) = (load.latency_ms(0.99), FLOOD.as_secs());
         let of = if memory == 32 { "32 MB" } else { "no end" };
         println!(
@@ -137,14 +137,8 @@
     Ok(())
 }
 
-fn median(all: &[f64]) -> f64 {
-    let mut all = all.to_vec();
-    all.sort_by(f64::total_cmp);
-    all[all.len() / 2]
-}
-
 #[tokio::main(flavor = "multi_thread", worker_threads = 2)]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     if let [word, to] = &words[..] {
         if word == "forward" {
@@ -166,9 +160,9 @@
     }
     let mut command = Command::new(std::env::current_exe()?);
     command.args(["forward", &all[0].address.to_string()]);
-    let (process, address) = start(command, "listening on ").await?;
+    let (process, lines) = start(command, &["listening on "]).await?;
     let mut fronts =
-        vec![Front { name: "forwarder".to_string(), process, address: address.parse()?, _around: None }];
+        vec![Front { name: "forwarder".to_string(), process, address: lines[0].parse()?, _around: None }];
     for fleet in FLEETS {
         for listed in &lengths {
             fronts.push(gateway(dir.path(), &all, *listed, fleet, 192).await?);
@@ -191,7 +185,7 @@
     println!("{:<36} {:>9} {:>9} {:>11} {:>8}", "", "us CPU", "x forw.", "requests/s", "peak MB");
     for ((front, costs), served) in fronts.iter().zip(&costs).zip(served) {
         let (cost, rate) = (median(costs), served as f64 / (ROUND.as_secs_f64() * ROUNDS as f64));
-        let memory = memory_mb(front.process.0.id())?;
+        let memory = peak_memory_mb(front.process.id())?;
         println!("{:<36} {cost:>9.1} {:>9.2} {rate:>11.0} {memory:>8.1}", front.name, cost / forwarder);
     }
     Ok(())
--- a/crates/gatewayctl/examples/measure_operation.rs
+++ b/crates/gatewayctl/examples/measure_operation.rs
@@ -5,7 +5,7 @@
 //! each 5 ms, and somebody calls `READY` each 100 ms. Then the same load on a gateway with a second address
 //! and on one without, in turn.
 
-mod process;
+mod support;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,31 +17,29 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-use process::{cpu_us, program, Any, Process};
 use serde_json::{json, Value};
+use support::{cpu_us, own_address, program, AnyError, Process};
 use testbed::scripted::{call, command, config, endpoint, words, Agent, StandIn};
 
 const CLIENTS: usize = 8;
 const DEADLINE_MS: f64 = 700.0;
 const ROUNDS: usize = 5;
 
-fn free() -> Result<SocketAddr, Any> {
-    Ok(TcpListener::bind("127.0.0.1:0")?.local_addr()?)
-}
-
-/// Starts a gateway on a socket; gives its second address, where it has one.
+/// Starts a gateway on a socket; gives its management address, where it has one.
 fn gateway(
     dir: &Path,
     config: &Value,
     socket: &TcpListener,
-    second: bool,
-) -> Result<(Process, Option<SocketAddr>), Any> {
-    let (mut config, second) = (config.clone(), if second { Some(free()?) } else { None });
+    has_management: bool,
+) -> Result<(Process, Option<SocketAddr>), AnyError> {
+    let mut config = config.clone();
+    let own = own_address();
+    let management = has_management.then_some(own);
     config["listen"] = json!(socket.local_addr()?.to_string());
-    if let Some(address) = second {
+    if let Some(address) = management {
         config["management"] = json!(address.to_string());
     }
-    let path = dir.join(format!("{}.json", free()?.port()));
+    let path = dir.join(format!("{}.json", own.port()));
     std::fs::write(&path, config.to_string())?;
     let child = Command::new(program()?)
         .arg("gateway")
@@ -52,7 +50,7 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()?;
-    Ok((Process(child), second))
+    Ok((Process(child), management))
 }
 
 fn ready(at: SocketAddr) -> Option<bool> {
@@ -150,7 +148,7 @@
     all.get(all.len() * 99 / 100).map_or(f64::NAN, |d| d.as_secs_f64() * 1_000.0)
 }
 
-fn main() -> Result<(), Any> {
+fn main() -> Result<(), AnyError> {
     let upgrades: usize = std::env::args().nth(1).map_or(Ok(20), |n| n.parse())?;
     let dir = tempfile::tempdir()?;
     std::fs::create_dir(dir.path().join("tmp"))?;
@@ -196,7 +194,7 @@
         until_ready(second);
         starts.push(from.elapsed());
         *now.lock().expect("unpoisoned") = second;
-        Command::new("kill").args(["-TERM", &old.0.id().to_string()]).status()?;
+        Command::new("kill").args(["-TERM", &old.id().to_string()]).status()?;
         old.0.wait()?;
         old = new;
         spans.push((from, Instant::now()));
@@ -233,7 +231,7 @@
         for (i, second) in [false, true].into_iter().enumerate() {
             let (process, address) = gateway(dir.path(), &config, &socket, second)?;
             address.map_or_else(|| sleep(Duration::from_millis(500)), until_ready);
-            let (stop, pid) = (Arc::new(AtomicBool::new(false)), process.0.id());
+            let (stop, pid) = (Arc::new(AtomicBool::new(false)), process.id());
             let before = cpu_us(pid)?;
             let (seen, clients) = load(at, &stop, &last);
             sleep(Duration::from_secs(2));
--- a/crates/gatewayctl/examples/measure_ordered_start.rs
+++ b/crates/gatewayctl/examples/measure_ordered_start.rs
@@ -4,18 +4,18 @@
 //! Of many real gateways at rest before a list service of 50 calls a second one of ten is killed and started
 //! anew: by slots alone, and with turns from the agent as well, in turn, in one run.
 
+mod support;
+
 use std::collections::HashMap;
-use std::error::Error;
 use std::time::Duration;
 
 use clap::Parser;
 use serde::Serialize;
+use support::{max_in_window, program, AnyError};
 use testbed::discovery::Called;
-use testbed::harness::fleet::{built_program, Fleet};
+use testbed::harness::fleet::Fleet;
 use tokio::time::sleep;
 
-type Any = Box<dyn Error + Send + Sync>;
-
 /// Measures a start of a part of a fleet, by slots and with turns from the agent.
 #[derive(Debug, Parser)]
 struct Args {
@@ -50,8 +50,8 @@
     whole_lists: usize,
 }
 
-async fn play(args: &Args, ordered: bool, seed: u64) -> Result<Figures, Any> {
-    let program = built_program().ok_or("no folder")?;
+async fn play(args: &Args, ordered: bool, seed: u64) -> Result<Figures, AnyError> {
+    let program = program()?;
     let operator = format!(
         "[admin]\nlisten = \"unix:{{folder}}/{{name}}.sock\"\nagent = \"unix:{{folder}}/register.sock\"\n\
          [start]\nlist_calls_per_s = {BEARS}\nordered_by_agent = {ordered}\n\
@@ -79,8 +79,7 @@
         }
     }
     let told: Vec<f64> = first.values().map(Duration::as_secs_f64).collect();
-    let within =
-        |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + Duration::from_secs(1)).count();
+    let call_times: Vec<Duration> = calls.iter().map(|call| call.at).collect();
     Ok(Figures {
         law: if ordered { "turns" } else { "slots" },
         seed,
@@ -89,14 +88,14 @@
         told: told.len(),
         last_told_s: told.iter().copied().fold(0.0, f64::max),
         mean_told_s: told.iter().sum::<f64>() / told.len().max(1) as f64,
-        most_calls_in_1_s: (0..calls.len()).map(within).max().unwrap_or(0),
+        most_calls_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
         turned_away: calls.iter().filter(|c| c.turned_away).count(),
         whole_lists: calls.iter().filter(|c| c.after.is_none()).count(),
     })
 }
 
 #[tokio::main]
-async fn main() -> Result<(), Any> {
+async fn main() -> Result<(), AnyError> {
     let args = Args::parse();
     if !args.json {
         println!(
