--- a/crates/bounded-cache/tests/records.rs
+++ b/crates/bounded-cache/tests/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use bounded_cache::{BoundedCache, CacheFull, Evictable};
+use bounded_cache::{BoundedCache, CacheFull, Evictable, Evicted};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -21,7 +21,7 @@
 
 proptest! {
     #[test]
-    fn there_are_never_more_and_what_must_stay_stays(
+    fn cache_keeps_its_bound_and_the_records_that_must_stay(
         most in 1usize..40,
         steps in vec(step(), 1..400),
     ) {
@@ -49,8 +49,8 @@
             }
             prop_assert!(records.len() <= most);
             prop_assert!(must.keys().all(|key| records.get(*key).is_some()), "one that must stay is gone");
-            prop_assert!(records.forgotten().1 >= cost);
-            cost = records.forgotten().1;
+            prop_assert!(records.evictions().cost >= cost);
+            cost = records.evictions().cost;
         }
         // A sweep that finds all empty leaves none, so each was in the order exactly once.
         let all = records.len();
@@ -60,18 +60,18 @@
 }
 
 #[test]
-fn the_cheapest_of_those_looked_at_goes_first() {
+fn cheapest_sampled_record_is_evicted_first() {
     let mut records = BoundedCache::new(8);
     for key in 0..8u64 {
         records.insert(0.0, key, Debt(Some(10.0 - key as f64))).expect("room");
     }
     records.insert(0.0, 100, Debt(None)).expect("one goes");
     assert!(records.get(7).is_none() && records.get(0).is_some());
-    assert_eq!(records.forgotten(), (1, 3.0));
+    assert_eq!(records.evictions(), Evicted { records: 1, cost: 3.0 });
 }
 
 #[test]
-fn where_none_may_go_a_newcomer_is_turned_away_until_one_settles() {
+fn full_cache_rejects_newcomers_until_a_record_may_go() {
     let mut records = BoundedCache::new(100);
     for key in 0..100 {
         records.insert(0.0, key, Debt(None)).expect("room");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_fits_is_within_its_bytes_with_the_doubling_and_more_bytes_fit_more() {
+fn capacity_fits_its_bytes_and_grows_with_them() {
     let slot = size_of::<Debt>() + 17;
     let mut last = 0;
     for bytes in [1, 1_000, 100_000, 1 << 20, 8 << 20, 64 << 20] {
