--- a/crates/bounded-cache/src/lib.rs
+++ b/crates/bounded-cache/src/lib.rs
@@ -88,7 +88,7 @@
     /// to lose is evicted.
     ///
     /// # Errors
-    /// [`Full`] if none of those may go. The next call looks at others.
+    /// [`CacheFull`] if none of those may go. The next call looks at others.
     pub fn insert(&mut self, now: f64, key: u64, record: T) -> Result<(), CacheFull> {
         if self.records.len() >= self.capacity {
             self.evict_one(now)?;
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, events and actions of a [`Gateway`](crate::Gateway), as plain types.
+//! Settings, events and actions of a [`Policy`](crate::Policy), as plain types.
 //!
 //! Times are milliseconds on the caller's clock, which never runs backwards.
 
--- a/crates/policy/src/reload.rs
+++ b/crates/policy/src/reload.rs
@@ -1,31 +1,31 @@
 //! Settings that change in service. No I/O, no clock.
 //!
-//! Classes stand in a table. A place keeps its class for as long as a request may hold it, so that an open
-//! one goes by what it came with; a class that changed gets another place.
+//! Classes stand in a table. A slot keeps its class for as long as a request may refer to it, so that an
+//! open request keeps the rules it came with; a class that changed gets another slot.
 
 use serde_json::Value;
 
 use crate::interface::{Class, Settings, SettingsError};
 use crate::settings::SettingNames;
 
-/// The most places of the table: classes, and those that open requests still hold.
+/// Slots of the table at most: classes in use, and those that open requests still refer to.
 pub const MAX_CLASSES: usize = 256;
 
 /// Settings and the names in them.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// What the decisions go by.
+    /// The settings themselves.
     pub settings: Settings,
-    /// How it is named.
+    /// Names that the settings leave to the program.
     pub names: SettingNames,
 }
 
 impl ServiceSettings {
-    /// These terms with what may change in service taken from new ones. `free` tells of a place whose class
-    /// was dropped whether no request can hold it any more.
+    /// These settings, with what may change in service taken from new ones. `free` says of a slot whose
+    /// class was retired whether no request can refer to it any more.
     ///
     /// # Errors
-    /// The class for which the table has no place; nothing is changed.
+    /// The class for which the table has no slot; nothing is changed.
     pub fn reloaded(
         &self,
         new: &ServiceSettings,
@@ -35,44 +35,40 @@
         changed.settings.limits = new.settings.limits.clone();
         changed.settings.slow_start = new.settings.slow_start.clone();
         changed.names.idle_close_ms = new.names.idle_close_ms;
-        changed.place_classes(new, self.reusable_places(free))?;
+        changed.assign_slots(new, self.reusable_slots(free))?;
         changed.settings.validate()?;
         Ok(changed)
     }
 
-    /// Places that are free now, and not by this change (a request may be on its way with one of them), the
+    /// Slots that are free now, and not by this change (a request may be on its way with one of them), the
     /// last first.
-    fn reusable_places(&self, free: impl Fn(usize) -> bool) -> Vec<usize> {
-        let places = (0..self.names.classes.len()).rev();
-        places.filter(|place| self.names.classes[*place].is_none() && free(*place)).collect()
+    fn reusable_slots(&self, free: impl Fn(usize) -> bool) -> Vec<usize> {
+        let slots = (0..self.names.classes.len()).rev();
+        slots.filter(|slot| self.names.classes[*slot].is_none() && free(*slot)).collect()
     }
 
-    /// Gives each class of the new terms its place: the one it has, else one that can be reused, else another
-    /// at the end.
-    fn place_classes(
-        &mut self,
-        new: &ServiceSettings,
-        mut reusable: Vec<usize>,
-    ) -> Result<(), SettingsError> {
+    /// Assigns each class of the new settings its slot: the one it has, else one that can be reused, else
+    /// another at the end.
+    fn assign_slots(&mut self, new: &ServiceSettings, mut reusable: Vec<usize>) -> Result<(), SettingsError> {
         let mut names = vec![None; self.names.classes.len()];
-        let mut without_place = Vec::new();
+        let mut without_slot = Vec::new();
         for (name, class) in new.names.classes.iter().zip(&new.settings.classes) {
-            match self.place_of(name, class) {
-                Some(place) => names[place].clone_from(name),
-                None => without_place.push((name, class)),
+            match self.slot_of(name, class) {
+                Some(slot) => names[slot].clone_from(name),
+                None => without_slot.push((name, class)),
             }
         }
-        for (name, class) in without_place {
-            let place = reusable.pop().unwrap_or(names.len());
-            if place >= MAX_CLASSES {
-                return Err(no_place_for(name.as_deref()));
+        for (name, class) in without_slot {
+            let slot = reusable.pop().unwrap_or(names.len());
+            if slot >= MAX_CLASSES {
+                return Err(no_slot_for(name.as_deref()));
             }
-            if place == names.len() {
+            if slot == names.len() {
                 names.push(None);
                 self.settings.classes.push(class.clone());
             }
-            names[place].clone_from(name);
-            self.settings.classes[place] = class.clone();
+            names[slot].clone_from(name);
+            self.settings.classes[slot] = class.clone();
         }
         self.names.classes = names;
         for (class, name) in self.settings.classes.iter_mut().zip(&self.names.classes) {
@@ -81,13 +77,13 @@
         Ok(())
     }
 
-    /// The place of a class that is there already, with the same rules.
-    fn place_of(&self, name: &Option<String>, class: &Class) -> Option<usize> {
-        let place = self.names.classes.iter().position(|known| known == name)?;
-        self.settings.classes[place].same_rules(class).then_some(place)
+    /// The slot of a class that is there already, with the same rules.
+    fn slot_of(&self, name: &Option<String>, class: &Class) -> Option<usize> {
+        let slot = self.names.classes.iter().position(|known| known == name)?;
+        self.settings.classes[slot].same_rules(class).then_some(slot)
     }
 
-    /// Sections in which new terms differ beyond what may change in service: they need a restart.
+    /// Sections in which new settings differ beyond what may change in service: they need a restart.
     #[must_use]
     pub fn sections_needing_restart(&self, new: &ServiceSettings) -> Vec<&'static str> {
         let (a, b) = (&self.settings, &new.settings);
@@ -112,14 +108,14 @@
     }
 }
 
-fn no_place_for(name: Option<&str>) -> SettingsError {
+fn no_slot_for(name: Option<&str>) -> SettingsError {
     SettingsError {
         field: format!("settings.profiles: {}", name.unwrap_or_default()),
         problem: "too many classes that open requests still hold",
     }
 }
 
-/// The first key that a value has and another lacks, with its place, as in `settings.profiles[1].aim-ms`.
+/// The first key that a value has and another lacks, with its path, as in `settings.profiles[1].aim-ms`.
 /// Each entry of a list has to have what all entries of the list before have. `but` names keys that may be
 /// missing.
 #[must_use]
@@ -129,10 +125,10 @@
             if but.contains(&key.as_str()) {
                 return None;
             }
-            let place = format!("{at}.{key}");
+            let path = format!("{at}.{key}");
             match after.get(key) {
-                Some(now) => first_missing_key(value, now, &place, but),
-                None => Some(place),
+                Some(now) => first_missing_key(value, now, &path, but),
+                None => Some(path),
             }
         }),
         (Value::Array(before), Value::Array(after)) => {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -29,7 +29,7 @@
 /// # Errors
 /// A [`SettingsError`] in the name of `field` if `text` is not JSON.
 pub fn from_json(field: &str, text: &[u8]) -> Result<Value, SettingsError> {
-    serde_json::from_slice(text).map_err(|_| wrong(field.to_string(), "not JSON"))
+    serde_json::from_slice(text).map_err(|_| error_at(field.to_string(), "not JSON"))
 }
 
 /// How the settings name what the decisions know by number, and what they leave to the program.
@@ -168,7 +168,7 @@
     })
 }
 
-fn wrong(field: String, problem: &'static str) -> SettingsError {
+fn error_at(field: String, problem: &'static str) -> SettingsError {
     SettingsError { field, problem }
 }
 
@@ -226,7 +226,7 @@
     /// An error in the name of a key.
     #[must_use]
     pub fn invalid(&self, key: &str, problem: &'static str) -> SettingsError {
-        wrong(format!("{}.{key}", self.at), problem)
+        error_at(format!("{}.{key}", self.at), problem)
     }
 
     /// A value that must be there.
@@ -288,7 +288,7 @@
 
     /// The value itself, as a string.
     pub fn own_text(&self) -> Result<&'a str, SettingsError> {
-        let word = self.value.as_str().ok_or_else(|| wrong(self.at.clone(), "a word is wanted"));
+        let word = self.value.as_str().ok_or_else(|| error_at(self.at.clone(), "a word is wanted"));
         self.recover(word, "")
     }
 
