--- a/crates/routing/src/groups.rs
+++ b/crates/routing/src/groups.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
+use crate::attributes::Attributes;
 use crate::group::{Counts, Group};
-use crate::index::Attributes;
 
 /// Where candidates are drawn from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -2,64 +2,15 @@
 
 use std::collections::HashMap;
 
+use crate::attributes::{Attributes, Indexed, ListState};
 use crate::group::Counts;
 use crate::groups::{Filing, Groups, Positions, Scope};
 use crate::membership::Membership;
 use crate::push::{Contribution, FadingWork, WarmPush};
+use crate::sampling::Sampling;
 use crate::schedule::Schedule;
 use crate::subset::Subset;
 
-/// What the endpoint list says of a backend.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListState {
-    /// It takes work.
-    Ready,
-    /// It finishes its work and takes no more.
-    Draining,
-    /// It is not on the list any more; the record is kept as long as the caller wants.
-    Removed,
-}
-
-/// What a backend is filed by.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Attributes {
-    /// Its number here; never changes.
-    pub id: u32,
-    /// What it is known by at all gateways; never changes.
-    pub key: u64,
-    /// Its zone.
-    pub zone: u32,
-    /// Its cell.
-    pub cell: u32,
-    /// Its instance type.
-    pub instance_type: u32,
-    /// What the list says of it.
-    pub state: ListState,
-    /// It failed or fell silent here.
-    pub ejected: bool,
-    /// From when it is warm, ms.
-    pub warm_from: f64,
-    /// Its share of new work against those of share 1: above 0, at most 1.
-    pub share: f64,
-}
-
-/// A record that can be filed.
-pub trait Indexed {
-    /// What it is to be filed by now.
-    fn attributes(&self) -> Attributes;
-}
-
-/// How many backends of a group are drawn.
-#[derive(Clone, Copy, Debug)]
-pub struct Sampling {
-    /// Groups of up to so many are drawn whole.
-    pub whole_up_to: usize,
-    /// So many are drawn from larger ones.
-    pub choices: usize,
-}
-
-/// Draws from a large group for each candidate that is wanted: one that was drawn before is passed over.
-const DRAWS_PER_CHOICE: usize = 4;
 /// Shortest time in which a push fades, ms.
 const SHORTEST_WINDOW_MS: f64 = 1.0;
 const NO_BACKEND: &str = "a slot is used only while its backend is there";
@@ -411,25 +362,8 @@
         random: &mut impl FnMut() -> f64,
         into: &mut Vec<usize>,
     ) {
-        let Some(group) = self.groups.get(scope) else { return };
-        let (all, begin) = (group.len(with_ejected), into.len());
-        if all <= self.sampling.whole_up_to {
-            for slot in (0..all).map(|position| group.at(position) as usize) {
-                if !into[..begin].contains(&slot) {
-                    into.push(slot);
-                }
-            }
-            return;
-        }
-        // Where most were drawn before, it ends with fewer than are wanted.
-        for _ in 0..DRAWS_PER_CHOICE * self.sampling.choices {
-            let slot = group.at(((random() * all as f64) as usize).min(all - 1)) as usize;
-            if !into.contains(&slot) {
-                into.push(slot);
-                if into.len() == begin + self.sampling.choices {
-                    return;
-                }
-            }
+        if let Some(group) = self.groups.get(scope) {
+            self.sampling.draw(group, with_ejected, random, into);
         }
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,16 +14,20 @@
 //!                               └─ membership                which backends are this gateway's subset
 //! ```
 
+mod attributes;
 mod group;
 mod groups;
 mod index;
 mod membership;
 mod push;
+mod sampling;
 mod schedule;
 mod subset;
 
+pub use attributes::{Attributes, Indexed, ListState};
 pub use group::Counts;
 pub use groups::Scope;
-pub use index::{Attributes, Index, Indexed, ListState, Sampling};
+pub use index::Index;
 pub use membership::MIN_SUBSET_SIZE;
+pub use sampling::Sampling;
 pub use subset::Subset;
