--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -159,7 +159,7 @@
         for id in 1_000..1_300 {
             let r = fresh(&rig, id);
             let actions = rig.ask(r);
-            refusals += u32::from(refused(&actions));
+            refusals += u32::from(rejected(&actions));
             if let Some(backend) = sent_to(&actions) {
                 answer(&mut rig, id, backend, 900.0);
             }
@@ -251,7 +251,7 @@
 fn request_without_backends_is_rejected() {
     let mut rig = Rig::new(settings(), 0);
     let r = fresh(&rig, 1);
-    assert!(refused(&rig.ask(r)));
+    assert!(rejected(&rig.ask(r)));
 }
 
 #[test]
@@ -400,7 +400,7 @@
     let mut rig = Rig::new(settings(), 4);
     learn(&mut rig, 200, 0, |_| 200.0);
     let r = Request { deadline_ms: rig.now + 60.0, ..fresh(&rig, 1_000) };
-    assert!(refused(&rig.ask(r)));
+    assert!(rejected(&rig.ask(r)));
     let r = Request { deadline_ms: rig.now + 900.0, ..fresh(&rig, 1_001) };
     assert!(sent_to(&rig.ask(r)).is_some());
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -19,7 +19,7 @@
         match sent_to(&actions) {
             Some(backend) => rig.end(id, 0, backend, Outcome::Ok),
             None => {
-                assert!(refused(&actions), "refused at once");
+                assert!(rejected(&actions), "refused at once");
                 break;
             }
         };
@@ -63,8 +63,8 @@
     for units in [17.0, f64::INFINITY, f64::NAN, -1.0, 0.0] {
         let (mut rig, plan) = alone(0, 4);
         let actions = rig.ask(request(1, 0, plan, units));
-        assert!(refused(&actions) || sent_to(&actions).is_some(), "{units}");
-        assert_eq!(refused(&actions), units == 17.0, "{units}");
+        assert!(rejected(&actions) || sent_to(&actions).is_some(), "{units}");
+        assert_eq!(rejected(&actions), units == 17.0, "{units}");
     }
 }
 
@@ -86,7 +86,7 @@
         assert_eq!(sent_to(&actions), None, "waits for the total");
         let actions = counter.settle(&mut rig, actions);
         assert_eq!(sent_to(&actions).is_some(), passes, "{others}");
-        assert_eq!(refused(&actions), !passes, "{others}");
+        assert_eq!(rejected(&actions), !passes, "{others}");
     }
 }
 
@@ -96,7 +96,7 @@
     let (name, _) = counted(&rig.ask(request(1, 0, 0, 4.0))).expect("one call");
     rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 100.0 });
     let actions = rig.ask(request(2, 0, 0, 4.0));
-    assert!(refused(&actions));
+    assert!(rejected(&actions));
     assert_eq!(counted(&actions), None);
 }
 
@@ -142,7 +142,7 @@
             assert_eq!(amount, 4.0);
             rig.now += wait_ms;
             let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 400.0 });
-            assert!(refused(&actions));
+            assert!(rejected(&actions));
             let back = counted(&actions);
             back.into_iter().for_each(|back| assert_eq!(back, (name, -4.0)));
             back.is_some()
@@ -305,7 +305,7 @@
     assert_eq!(passed.count(), 3, "16 but for the 4 before");
     // Another gateway, which asks the same counter, finds the store as empty.
     let mut other = Rig::seeded(with_counter(), 4, 2);
-    assert!(refused(&counter.ask(&mut other, request(20, 0, 0, 4.0))));
+    assert!(rejected(&counter.ask(&mut other, request(20, 0, 0, 4.0))));
 }
 
 /// A total of a restarted counter that lacks debts still on their way must not be read as a full bucket.
@@ -325,7 +325,7 @@
     });
     assert!(told[0] >= 12.0 && told[1] == 0.0, "{told:?}: the debt, and once");
     let actions = rig.ask(request(12, 0, 0, 2.0));
-    assert!(refused(&actions) && counted(&actions).is_none(), "{actions:?}");
+    assert!(rejected(&actions) && counted(&actions).is_none(), "{actions:?}");
 }
 
 #[test]
--- a/crates/policy/tests/room.rs
+++ b/crates/policy/tests/room.rs
@@ -73,7 +73,7 @@
                 out.insert((asked, 0), (backend, takes));
                 ends.push(Reverse((((rig.now + takes) * 1000.0) as u64, asked, 0)));
             }
-            None => turned_away += u64::from(refused(&actions)),
+            None => turned_away += u64::from(rejected(&actions)),
         }
         asked += 1;
         next += dice.exponential(1000.0 / a_second);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -15,7 +15,7 @@
         let backend = sent_to(&rig.ask(request(1, 2, 3, 1.0))).expect("sent");
         let actions = rig.end(1, 0, backend, outcome);
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
-        assert!(!refused(&actions) && surrendered(&actions), "{outcome:?}");
+        assert!(!rejected(&actions) && failed(&actions), "{outcome:?}");
     }
 }
 
@@ -40,7 +40,7 @@
         rig.now += 500.0;
         let late = rig.end(1, 0, first, outcome);
         assert_eq!(sent_to(&late), None, "{outcome:?}: after the window");
-        assert!(surrendered(&late) && !refused(&late));
+        assert!(failed(&late) && !rejected(&late));
     }
 }
 
@@ -84,7 +84,7 @@
     let mut rig = Rig::new(settings(), 8);
     let first = sent_to(&rig.ask(request(1, 3, 3, 1.0))).expect("sent");
     rig.now += 500.0;
-    assert!(refused(&rig.end(1, 0, first, Outcome::Error)));
+    assert!(rejected(&rig.end(1, 0, first, Outcome::Error)));
 }
 
 #[test]
@@ -97,7 +97,7 @@
         attempts += 1;
     }
     assert_eq!(attempts, 5);
-    assert!(refused(&actions));
+    assert!(rejected(&actions));
 }
 
 #[test]
@@ -112,8 +112,8 @@
         assert!(at <= T0 + 300.0 && at > T0);
         rig.now = at;
         let last = rig.on(Event::TimerExpired { token });
-        assert_eq!(refused(&last), answer_is_refusal, "class {class}");
-        assert_eq!(surrendered(&last), !answer_is_refusal, "class {class}");
+        assert_eq!(rejected(&last), answer_is_refusal, "class {class}");
+        assert_eq!(failed(&last), !answer_is_refusal, "class {class}");
         // Nothing more, whatever comes: a late answer, the timer again, the client leaving.
         let backend = 0;
         for event in [
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -6,8 +6,8 @@
 
 pub const T0: f64 = 1_000_000.0;
 
-/// Classes: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all. Plans: 0 rate only, 1 with a hard
-/// ceiling, 2 with only a cap on open attempts, 3 without limits.
+/// Classes: 0 idempotent, 1 keyed by cell, 2 not idempotent, 3 keyed by all. Plans: 0 rate only, 1 with a
+/// ceiling, 2 with only a concurrency limit, 3 without limits.
 pub fn settings() -> Settings {
     let class = |effect, group| Class {
         latency_objective_ms: 1_000.0,
@@ -129,11 +129,11 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn surrendered(actions: &[Action]) -> bool {
+pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
