--- a/crates/agent/src/control_loop/requests.rs
+++ b/crates/agent/src/control_loop/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fleet::wire::{ErrorCode, FirstCallReport, FleetStatus, GatewayRequest, ToolRequest, ToolResponse};
+use fleet::wire::{ErrorCode, FirstCall, FleetStatus, GatewayRequest, ToolRequest, ToolResponse};
 use fleet::Name;
 
 use super::ControlLoop;
@@ -105,7 +105,7 @@
         }
     }
 
-    fn first_call_ended(&mut self, name: &Name, incarnation: u64, call: FirstCallReport) {
+    fn first_call_ended(&mut self, name: &Name, incarnation: u64, call: FirstCall) {
         let now_ms = self.gateways.now_ms();
         let Some(coordinator) = &mut self.start_coordinator else { return };
         if let Some(version) = coordinator.first_call_ended(now_ms, name, incarnation, call) {
--- a/crates/agent/src/start_coordinator.rs
+++ b/crates/agent/src/start_coordinator.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cold_start::{PollOutcome, StartBatches, StartTurn};
-use fleet::wire::{FirstCallOutcome, FirstCallReport, StartInstructions, MAX_START_LIST_BYTES};
+use fleet::wire::{FirstCall, FirstCallOutcome, StartInstructions, MAX_START_LIST_BYTES};
 use fleet::Name;
 
 /// A gateway without any list asks again so soon, ms, while there is none to hand out.
@@ -71,7 +71,7 @@
         now_ms: f64,
         name: &Name,
         incarnation: u64,
-        call: FirstCallReport,
+        call: FirstCall,
     ) -> Option<u64> {
         let outcome = match call.outcome {
             FirstCallOutcome::Answered => PollOutcome::Unchanged,
--- a/crates/agent/tests/conversation/orders.rs
+++ b/crates/agent/tests/conversation/orders.rs
@@ -84,7 +84,9 @@
             self.watcher.event().await,
             format!("order o-1 drain backend/s-1 at revision {}.1", self.term)
         );
-        let told = json!({"id": "o-1", "revision": self.revision(1), "subject": {"backend": "s-1"}, "change": "drain"});
+        let revision = self.revision(1);
+        let told =
+            json!({"id": "o-1", "revision": revision, "subject": {"backend": "s-1"}, "change": "drain"});
         assert_eq!(self.gateway.receive().await, json!({"n": 4, "op": "apply", "orders": [told]}));
         let verdict = json!({"id": "o-1", "outcome": "applied", "matched": 1});
         let applied = json!({"boot": 7, "holds": self.revision(1), "verdicts": [verdict]});
@@ -121,7 +123,8 @@
             (
                 json!({"id": "o-2", "subject": {"type": "m2"}, "change": "drain"}),
                 "too-few",
-                "would leave 0 of 4 backends ready (3 are now); 2 are to be left; --force orders it all the same",
+                "would leave 0 of 4 backends ready (3 are now); 2 are to be left; \
+                 --force orders it all the same",
             ),
             (
                 json!({"id": "o-2", "subject": {"backend": "x"}, "change": "drain"}),
@@ -198,7 +201,8 @@
 
     /// An order while the gateway is silent, and its removal.
     async fn remove_gateway(&mut self) {
-        let order = json!({"n": 8, "op": "order", "id": "o-2", "subject": {"backend": "s-2"}, "change": "drain",
+        let order = json!({
+            "n": 8, "op": "order", "id": "o-2", "subject": {"backend": "s-2"}, "change": "drain",
             "forced": true, "deadline_ms": 20_000});
         ask(&mut self.tool, order).await;
         assert_eq!(
--- a/crates/cold-start/src/connection_ramp.rs
+++ b/crates/cold-start/src/connection_ramp.rs
@@ -109,7 +109,8 @@
 
     /// The list names a backend that takes work: its id at this gateway, its key at all gateways, and from
     /// when it is warming up, Unix time in ms. Returns whether it may be selected now; if not,
-    /// [`ConnectionRamp::choose`] and [`ConnectionRamp::release`] are to follow once the whole list was added.
+    /// [`ConnectionRamp::choose`] and [`ConnectionRamp::release`] are to follow once the whole list was
+    /// added.
     ///
     /// A later incarnation is empty, so it waits for its slot as a new backend does.
     pub fn add(&mut self, id: u32, key: u64, warming_from_ms: f64) -> bool {
@@ -199,8 +200,8 @@
 
     /// How many backends are to be open or to have a slot at `now_ms`.
     ///
-    /// Half of an unconfirmed list may be gone, and a fleet whose gateways all tried all of it would only find
-    /// that out. So a gateway keeps to few backends until then; all of them if that takes ten rounds.
+    /// Half of an unconfirmed list may be gone, and a fleet whose gateways all tried all of it would only
+    /// find that out. So a gateway keeps to few backends until then; all of them if that takes ten rounds.
     fn wanted_count(&self, now_ms: f64, attempts_in_flight: usize) -> usize {
         let until_ms = self.confirmed_ms.unwrap_or(now_ms);
         let rounds = ((until_ms - self.started_ms).max(0.0) / self.round_ms) as u64;
@@ -208,8 +209,8 @@
         by_time.saturating_add(attempts_in_flight / ATTEMPTS_PER_BACKEND).saturating_add(self.failed_attempts)
     }
 
-    /// Gives slots to as many deferred backends as are wanted, those whose slots come first; once the list was
-    /// confirmed, to the whole subset. A backend whose first connection failed does not count: another is
+    /// Gives slots to as many deferred backends as are wanted, those whose slots come first; once the list
+    /// was confirmed, to the whole subset. A backend whose first connection failed does not count: another is
     /// tried in its place.
     pub fn choose(&mut self, now_ms: f64, attempts_in_flight: usize) {
         let wanted = if self.released { 0 } else { self.wanted_count(now_ms, attempts_in_flight) };
@@ -240,8 +241,8 @@
         later.or(self.deferred_by_slot.first()).map(|backend| backend.id)
     }
 
-    /// Opens the deferred backends, once the list was confirmed and all that have a slot were tried or had two
-    /// rounds for it. Returns those that may be selected from now on.
+    /// Opens the deferred backends, once the list was confirmed and all that have a slot were tried or had
+    /// two rounds for it. Returns those that may be selected from now on.
     pub fn release(&mut self, now_ms: f64) -> Vec<u32> {
         let Some(confirmed_ms) = self.confirmed_ms else { return Vec::new() };
         let waited_enough = self.pending_count == 0 || now_ms - confirmed_ms > RELEASE_ROUNDS * self.round_ms;
@@ -319,8 +320,8 @@
         false
     }
 
-    /// Gives a backend this gateway's first slot for it from a moment on. It is called after the moment of the
-    /// last slot, so that no round has two.
+    /// Gives a backend this gateway's first slot for it from a moment on. It is called after the moment of
+    /// the last slot, so that no round has two.
     fn enqueue(&mut self, id: u32, from_ms: f64) {
         let Some(key) = self.backends.get(&id).map(|backend| backend.key) else { return };
         let slot = self.slots_for(key).next_slot(from_ms, None);
--- a/crates/cold-start/src/slot_schedule.rs
+++ b/crates/cold-start/src/slot_schedule.rs
@@ -34,8 +34,8 @@
 }
 
 impl SlotSchedule {
-    /// The schedule of gateway `index`, from 0, of `gateways` (0 counts as 1; an index beyond them wraps) that
-    /// share a service of `calls_per_s` calls a second, at least 0.001.
+    /// The schedule of gateway `index`, from 0, of `gateways` (0 counts as 1; an index beyond them wraps)
+    /// that share a service of `calls_per_s` calls a second, at least 0.001.
     #[must_use]
     pub fn new(index: u32, gateways: u32, calls_per_s: f64) -> SlotSchedule {
         let gateways = gateways.max(1);
@@ -75,8 +75,8 @@
 
     /// This gateway's moment in a round, Unix time in ms.
     ///
-    /// It lies anywhere in the slot, by chance and anew in each round: two gateways whose clocks differ do not
-    /// meet in every one.
+    /// It lies anywhere in the slot, by chance and anew in each round: two gateways whose clocks differ do
+    /// not meet in every one.
     #[must_use]
     pub fn slot_start_ms(&self, round: u64) -> f64 {
         let seed = round.wrapping_mul(SEEDS_PER_ROUND).wrapping_add(u64::from(self.slot_index));
--- a/crates/cold-start/src/start_batches.rs
+++ b/crates/cold-start/src/start_batches.rs
@@ -71,8 +71,8 @@
 
 /// The starting gateways of a fleet, and their queue for turns.
 ///
-/// Slots are laid out for the whole fleet. When a part of it starts and the service is idle, turns are sooner.
-/// They use up to 0.45 of the service's stated capacity on top of the slots.
+/// Slots are laid out for the whole fleet. When a part of it starts and the service is idle, turns are
+/// sooner. They use up to 0.45 of the service's stated capacity on top of the slots.
 #[derive(Clone, Debug)]
 pub struct StartBatches {
     calls_per_s: f64,
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// A running fleet, of which `starts` gateways restart together, spread over its slots; the service handles one
-/// call after another, `bears` a second, with a queue of 50.
+/// A running fleet, of which `starts` gateways restart together, spread over its slots; the service handles
+/// one call after another, `bears` a second, with a queue of 50.
 fn play(gateways: u32, starts: u32, bears: f64, with_agent: bool, seconds: f64) -> Played {
     let mut batches = StartBatches::new(BEARS);
     let anew = |place: u32| place * starts / gateways != (place + 1) * starts / gateways;
--- a/crates/dns-sd/src/cache.rs
+++ b/crates/dns-sd/src/cache.rs
@@ -6,8 +6,8 @@
 
 use crate::answer::{Answer, NegativeAnswer, Question, RecordData};
 
-/// Part of its lifetime after which an answer is refreshed, before jitter: early enough for the resolver to be
-/// asked once or twice more before it ends.
+/// Part of its lifetime after which an answer is refreshed, before jitter: early enough for the resolver to
+/// be asked once or twice more before it ends.
 const REFRESH_PART: f64 = 0.8;
 /// Up to this part of a time is taken off by chance. Without it, thousands of records of one answer would be
 /// asked for in the same millisecond for good.
@@ -24,8 +24,8 @@
     pub max_ttl_ms: f64,
     /// The longest lifetime of a negative answer (RFC 2308 asks for 3 hours at most).
     pub max_negative_ttl_ms: f64,
-    /// How long after its lifetime a record is still served while no answer can be had (RFC 8767 proposes 1 to
-    /// 3 days). After that it is unknown, which removes nothing from a list.
+    /// How long after its lifetime a record is still served while no answer can be had (RFC 8767 proposes 1
+    /// to 3 days). After that it is unknown, which removes nothing from a list.
     pub max_stale_ms: f64,
     /// The first backoff after a failure. It doubles with each failure in a row.
     pub min_retry_ms: f64,
--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -108,9 +108,9 @@
 
     /// Takes instances that are gone off the list.
     ///
-    /// A resolver may serve an old or an empty zone. So if too many would leave at once, each waits for another
-    /// answer. A true loss of most of a service is believed one answer later; until then gateways find by
-    /// themselves which backends do not answer.
+    /// A resolver may serve an old or an empty zone. So if too many would leave at once, each waits for
+    /// another answer. A true loss of most of a service is believed one answer later; until then gateways
+    /// find by themselves which backends do not answer.
     fn remove_departed(
         &mut self,
         cache: &Cache,
--- a/crates/endpoint-sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -328,8 +328,8 @@
     (name.to_string(), listed)
 }
 
-/// Follows a source for good, keeps the table up to date, and responds to status requests. Cancelling ends it;
-/// the table stays.
+/// Follows a source for good, keeps the table up to date, and responds to status requests. Cancelling ends
+/// it; the table stays.
 pub async fn follow(
     settings: Settings,
     resolver: Resolver,
--- a/crates/endpoint-sources/src/resolver.rs
+++ b/crates/endpoint-sources/src/resolver.rs
@@ -132,8 +132,8 @@
         Resolver { servers, timeout, first: AtomicUsize::new(0) }
     }
 
-    /// Asks the servers one after another, each once, until one answers. With `doubted`, the others come before
-    /// the one that answered last. Cancelling leaves nothing behind.
+    /// Asks the servers one after another, each once, until one answers. With `doubted`, the others come
+    /// before the one that answered last. Cancelling leaves nothing behind.
     ///
     /// # Errors
     /// [`QueryFailure`], with what each server did.
--- a/crates/endpoint-sources/src/table.rs
+++ b/crates/endpoint-sources/src/table.rs
@@ -85,8 +85,8 @@
 }
 
 impl EndpointTable {
-    /// An empty table that is not known yet. Versions begin above `index`, which has to grow with each start of
-    /// the agent: readers wait for a version above theirs.
+    /// An empty table that is not known yet. Versions begin above `index`, which has to grow with each start
+    /// of the agent: readers wait for a version above theirs.
     #[must_use]
     pub fn new(index: u64) -> EndpointTable {
         EndpointTable { index, horizon: index, ..EndpointTable::default() }
@@ -154,7 +154,8 @@
 
     /// The response to a reader that has version `after`, or none yet.
     ///
-    /// It is the whole list where `after` is of another start of the agent, or from before what is remembered.
+    /// It is the whole list where `after` is of another start of the agent, or from before what is
+    /// remembered.
     #[must_use]
     pub fn updates_after(&self, after: Option<u64>) -> TableUpdate<'_> {
         let after = after.filter(|after| (self.horizon..=self.index).contains(after));
--- a/crates/fleet/src/guard.rs
+++ b/crates/fleet/src/guard.rs
@@ -65,8 +65,8 @@
 const BACKENDS: &str = "backends";
 const GATEWAYS: &str = "gateways";
 
-/// Counts what an order would leave ready. `gateways` are the names of those that answer; `min_ready_fraction`
-/// is the part of those serving, from 0 to 1, that has to be left ready, rounded up.
+/// Counts what an order would leave ready. `gateways` are the names of those that answer;
+/// `min_ready_fraction` is the part of those serving, from 0 to 1, that has to be left ready, rounded up.
 ///
 /// Only a drain is ever rejected, and one that changes nothing never is. The guard is there for a drain of a
 /// whole instance type by mistake; in an emergency such an order has to be forced.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,13 +2,13 @@
 //! is known of each gateway. No I/O, no clock, no tasks.
 //!
 //! ```text
-//!  Order ─▶ guard ─▶ DesiredState (agent) ─▶ Snapshot, Order ─▶ DesiredState (each gateway) ─▶ EffectiveState
-//!             ▲                                                          │
+//!  Order ─▶ guard ─▶ DesiredState (agent) ─▶ Snapshot, Order ─▶ DesiredState (each gateway) ─▶
+//! EffectiveState ▲                                                          │
 //!             └───── Backend, as gateways list them ◀────────────────────┘    GatewayRecord: ok, unreachable
 //! ```
 //!
-//! [`DesiredState`] is a state-based replicated data type: a register for each subject and aspect, in which the
-//! newest revision wins, with a floor below which all is settled. Orders and snapshots may arrive in any
+//! [`DesiredState`] is a state-based replicated data type: a register for each subject and aspect, in which
+//! the newest revision wins, with a floor below which all is settled. Orders and snapshots may arrive in any
 //! sequence and any number of times; whoever has received the same ones holds the same state.
 
 mod desired;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages between tools, agent and gateways: one JSON object a line, in both directions.
 //!
-//! Each request has an id, and each response carries the id of its request. A gateway responds to each request
-//! once and in order. The agent may send several responses to one request; the last of them is
+//! Each request has an id, and each response carries the id of its request. A gateway responds to each
+//! request once and in order. The agent may send several responses to one request; the last of them is
 //! [`ToolResponse::Done`], [`ToolResponse::Error`] or the only one.
 //!
 //! Names on the line differ from those here where `#[serde(rename = ...)]` says so: peers of other versions
@@ -23,7 +23,7 @@
 pub use gateway::{Applied, GatewayRequest, GatewayResponse, OrderResult};
 pub use gateway_state::{BackendState, GatewayState, GatewayStatistics};
 pub use order::{InstanceOutcome, InstanceReport, LoggedOrder, OrderAccepted, OrderSummary};
-pub use start::{FirstCallOutcome, FirstCallReport, StartInstructions};
+pub use start::{FirstCall, FirstCallOutcome, StartInstructions};
 pub use tool::{FleetStatus, GatewayBackends, GatewayStatus, ToolRequest, ToolResponse};
 
 /// The longest line that a gateway or an agent accepts, bytes: a snapshot with all registers fits.
--- a/crates/fleet/src/wire/start.rs
+++ b/crates/fleet/src/wire/start.rs
@@ -21,8 +21,7 @@
 
 /// The outcome of the first call for the endpoint list of a gateway that starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "FirstCall", expecting = "struct FirstCall")]
-pub struct FirstCallReport {
+pub struct FirstCall {
     /// The outcome.
     #[serde(rename = "came")]
     pub outcome: FirstCallOutcome,
--- a/crates/fleet/src/wire/tool.rs
+++ b/crates/fleet/src/wire/tool.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    EndpointListStatus, ErrorResponse, FirstCallReport, GatewayState, InstanceReport, LoggedOrder,
-    OrderAccepted, OrderSummary, StartInstructions,
+    EndpointListStatus, ErrorResponse, FirstCall, GatewayState, InstanceReport, LoggedOrder, OrderAccepted,
+    OrderSummary, StartInstructions,
 };
 use crate::desired::Register;
 use crate::gateway_record::Health;
@@ -86,7 +86,7 @@
         #[serde(rename = "boot")]
         incarnation: u64,
         /// The outcome.
-        call: FirstCallReport,
+        call: FirstCall,
     },
     /// Oversee a gateway no more.
     Deregister {
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -65,7 +65,7 @@
             order.swap(i, (x >> 33) as usize % (i + 1));
         }
         let mut state = DesiredState::default();
-        order.iter().for_each(|o| drop(state.apply(o)));
+        for o in &order { drop(state.apply(o)); }
         prop_assert_eq!(held(&state), truth(&log));
     }
 
@@ -112,7 +112,7 @@
         let cut = cut.index(a.len());
         let state = |orders: &[Order], settled: bool| {
             let mut s = DesiredState::default();
-            orders.iter().for_each(|o| drop(s.apply(o)));
+            for o in orders { drop(s.apply(o)); }
             if settled { s.compact(); }
             s
         };
--- a/crates/fleet/tests/wire_form.rs
+++ b/crates/fleet/tests/wire_form.rs
@@ -41,7 +41,7 @@
 }
 
 fn names(all: &[&str]) -> BTreeSet<String> {
-    all.iter().map(|name| name.to_string()).collect()
+    all.iter().map(std::string::ToString::to_string).collect()
 }
 
 #[test]
--- a/crates/gateway/src/client/admission.rs
+++ b/crates/gateway/src/client/admission.rs
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Has connections close that have been idle for as long as they are kept while so many permits are taken.
+    /// Has connections close that have been idle for as long as they are kept while so many permits are
+    /// taken.
     fn close_idle(&mut self) {
         let taken = self.total - self.permits.available_permits().min(self.total);
         let limits = Usage::ALL.map(|usage| usage.idle_limit(taken + 1, self.total));
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Hands a request to the event loop. Requests must not fill the memory: without room reading stops first,
-    /// then they are rejected.
+    /// Hands a request to the event loop. Requests must not fill the memory: without room reading stops
+    /// first, then they are rejected.
     async fn request(&mut self, mut call: Box<Call>) -> Result<Pending, Disconnected> {
         let room = Arc::clone(&self.clients.memory).acquire_many_owned(call.size() as u32);
         let room = tokio::select! {
--- a/crates/gateway/src/counter/activity.rs
+++ b/crates/gateway/src/counter/activity.rs
@@ -1,4 +1,5 @@
-//! What each connection to the counter has come to, as the connections tell it to the counter and to each other.
+//! What each connection to the counter has come to, as the connections tell it to the counter and to each
+//! other.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -123,7 +123,10 @@
             tokio::select! {
                 read = stream.read_buf(&mut buffer) => match read {
                     // Closed while idle is no fault.
-                    Ok(0) => return Ended { responded: responded || self.in_flight.is_empty(), unwritten: None },
+                    Ok(0) => {
+                        responded |= self.in_flight.is_empty();
+                        return Ended { responded, unwritten: None };
+                    }
                     Err(_) => return Ended { responded, unwritten: None },
                     Ok(_) => {
                         responded = true;
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// A call that was never written was not counted; and one on a connection that is silent alone is no sign that
-/// the counter is crowded.
+/// A call that was never written was not counted; and one on a connection that is silent alone is no sign
+/// that the counter is crowded.
 #[tokio::test]
 async fn an_unanswered_call_is_judged_by_its_write_and_by_other_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -84,9 +84,9 @@
 /// its own: the next call follows after `apart`, a fourth of `within` at least, while those before it stay
 /// open for `within`. None where no connection comes up.
 ///
-/// A call that went into the silence is not answered when discovery is back, and what is told meanwhile counts
-/// as told: so later calls overlap with it. The price: a discovery that is slower than `apart` is asked for
-/// four lists in place of one.
+/// A call that went into the silence is not answered when discovery is back, and what is told meanwhile
+/// counts as told: so later calls overlap with it. The price: a discovery that is slower than `apart` is
+/// asked for four lists in place of one.
 pub async fn reconnect(
     agent: SocketAddr,
     apart: Duration,
--- a/crates/gateway/src/discovery/start_order.rs
+++ b/crates/gateway/src/discovery/start_order.rs
@@ -1,11 +1,12 @@
-//! A start ordered by the agent: a slot for the first call to the list service, and the list that it hands out.
+//! A start ordered by the agent: a slot for the first call to the list service, and the list that it hands
+//! out.
 
 use std::fmt;
 use std::time::Duration;
 
 use cold_start::PollOutcome;
 use fleet::wire::{
-    Envelope, ErrorResponse, FirstCallOutcome, FirstCallReport, StartInstructions, ToolRequest, ToolResponse,
+    Envelope, ErrorResponse, FirstCall, FirstCallOutcome, StartInstructions, ToolRequest, ToolResponse,
     MAX_LINE_BYTES, MAX_START_LIST_BYTES,
 };
 use fleet::Name;
@@ -102,7 +103,7 @@
         PollOutcome::OlderVersion | PollOutcome::Failed => FirstCallOutcome::Failed,
     };
     let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
-    let call = FirstCallReport { outcome, took_ms: took.as_secs_f64() * 1_000.0, list };
+    let call = FirstCall { outcome, took_ms: took.as_secs_f64() * 1_000.0, list };
     let StartOrder { name, incarnation, .. } = order.clone();
     // Without it the agent goes by what others tell it.
     let _ = request(&order, ToolRequest::Started { name, incarnation, call }).await;
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -18,9 +18,9 @@
 /// Backoff after a call that failed: the first, and the longest, of a gateway with few beside it.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Time that discovery is taken to need for a call. Otherwise all gateways of a large fleet would call at once
-/// when they start, and all that are turned away again together. The price: the more there are, the later each
-/// calls.
+/// Time that discovery is taken to need for a call. Otherwise all gateways of a large fleet would call at
+/// once when they start, and all that are turned away again together. The price: the more there are, the
+/// later each calls.
 const CALL_SHARE: Duration = Duration::from_millis(20);
 /// Part of the time that a gateway may go on after it was told to stop in which its first call is made: the
 /// answer needs the rest.
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -199,7 +199,7 @@
             Input::Counted(counted) => self.counted(counted),
             Input::CounterMoved(counter) => self.move_counter(counter),
             Input::EndpointUpdate(EndpointUpdate { scope, endpoints, unread }) => {
-                self.update_endpoints(scope, endpoints, &unread)
+                self.update_endpoints(scope, endpoints, &unread);
             }
             Input::TimerExpired(Due::Policy(token)) => self.handle(Event::TimerExpired { token }),
             Input::TimerExpired(Due::Call(number)) => self.counter_call_timed_out(number),
@@ -225,7 +225,7 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::SendAttempt { id, backend, write_deadline_ms } => {
-                self.send(id, backend, write_deadline_ms)
+                self.send(id, backend, write_deadline_ms);
             }
             Action::CancelAttempt { id, attempt } => self.cancel(AttemptKey { request: id, number: attempt }),
             Action::Reject { id, retry_after_ms } => {
--- a/crates/gateway/src/event_loop/oversight.rs
+++ b/crates/gateway/src/event_loop/oversight.rs
@@ -84,14 +84,14 @@
                 let _ = reply.send(());
             }
             ControlRequest::TakeUnreported { reply } => {
-                drop(reply.send(self.policy.take_unreported_charges()))
+                drop(reply.send(self.policy.take_unreported_charges()));
             }
             ControlRequest::AddUnreported { unreported, reply } => {
                 self.policy.adopt_unreported_charges(self.clock.now_ms(), &unreported);
                 let _ = reply.send(());
             }
             ControlRequest::ChangeSettings { service_settings, reply } => {
-                drop(reply.send(self.change_settings(&service_settings)))
+                drop(reply.send(self.change_settings(&service_settings)));
             }
             ControlRequest::Adopt { state, reply } => {
                 self.adopt(state);
--- a/crates/gateway/src/maintenance.rs
+++ b/crates/gateway/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! Commands of operators at the second address, and what they leave in force in all processes of this gateway.
+//! Commands of operators at the second address, and what they leave in force in all processes of this
+//! gateway.
 //!
 //! ```text
 //! listener ── PendingCommand ──▶ controller ── ControlRequest ──▶ event loop
--- a/crates/gateway/src/maintenance/state_directory.rs
+++ b/crates/gateway/src/maintenance/state_directory.rs
@@ -174,7 +174,8 @@
         all
     }
 
-    /// The lock on the maintenance state, until what is given is dropped; `None` while another process has it.
+    /// The lock on the maintenance state, until what is given is dropped; `None` while another process has
+    /// it.
     ///
     /// # Errors
     /// What the file system says.
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -234,7 +234,8 @@
         Controller::new(directory, self.clock, warm_up_ms, self.status.clone(), control)
     }
 
-    /// Puts the endpoint list of the configuration in force, and gives what discovery is to be asked for then.
+    /// Puts the endpoint list of the configuration in force, and gives what discovery is to be asked for
+    /// then.
     fn adopt_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<SlotSchedule>) -> FollowOptions {
         let known = std::mem::replace(&mut self.config.known, EndpointList::empty());
         discovery::log_rejected("known", &known);
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -18,8 +18,8 @@
 const MARGIN: Duration = Duration::from_millis(300);
 /// How long new connections go on coming after SIGTERM, at least.
 const MIN_ACCEPTING: Duration = Duration::from_millis(500);
-/// The last part, in which connections close behind an answer, and after [`IDLE_CLOSE_DELAY`] of it as they are idle.
-/// Until then clients that use one go on being served: other gateways may be down as well.
+/// The last part, in which connections close behind an answer, and after [`IDLE_CLOSE_DELAY`] of it as they
+/// are idle. Until then clients that use one go on being served: other gateways may be down as well.
 const CLOSING: Duration = Duration::from_millis(700).saturating_add(IDLE_CLOSE_DELAY);
 /// The end of that, in which no answer is waited for.
 const NO_ANSWERS: Duration = Duration::from_millis(50);
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -35,9 +35,9 @@
 }
 
 impl Connection {
-    /// Whether a request may be written to it. One that is written to a connection that its backend has closed
-    /// is a reset, which may have run. So the connection must be young, and show neither an end nor bytes that
-    /// nobody asked for.
+    /// Whether a request may be written to it. One that is written to a connection that its backend has
+    /// closed is a reset, which may have run. So the connection must be young, and show neither an end nor
+    /// bytes that nobody asked for.
     pub(super) fn is_usable(&self, now: Instant, idle_max: Duration) -> bool {
         let read = self.stream.try_read(&mut [0; 1]);
         let is_silent = matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
--- a/crates/gateway/src/upstream/pool/tests.rs
+++ b/crates/gateway/src/upstream/pool/tests.rs
@@ -19,7 +19,9 @@
         };
         open.push((id, pending.open(limit).await.expect("it listens")));
     }
-    open.into_iter().for_each(|(id, connection)| pool.check_in(id, connection));
+    for (id, connection) in open.into_iter() {
+        pool.check_in(id, connection);
+    }
     assert_eq!(pool.idle_connections(), 3);
     let checkout = pool.check_out(3, Instant::now());
     assert!(matches!(checkout, Checkout::Open(_)), "{checkout:?}");
--- a/crates/gateway/tests/as_run.rs
+++ b/crates/gateway/tests/as_run.rs
@@ -70,7 +70,9 @@
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
     }
     let mut arrived: Vec<Arrived> = clients.iter().map(|_| rig.next().1).collect();
-    arrived.iter_mut().for_each(|a| a.serve("fine"));
+    for a in &mut arrived {
+        a.serve("fine");
+    }
     assert!(clients.iter_mut().all(|c| c.read() == "fine"));
     // The counter: a call for each customer with a quota, none left out.
     for id in 11..15 {
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -131,7 +131,9 @@
 fn quiet_connections_are_closed_while_half_of_the_places_are_free_yet() {
     let rig = Rig::with(1, |config| config["limits"]["sockets"] = json!(48));
     let mut quiet: Vec<Client> = (0..5).map(|_| rig.gateway.client()).collect();
-    quiet.iter_mut().for_each(|client| assert_eq!(client.ask(&["PING"]), "+PONG"));
+    for client in &mut quiet {
+        assert_eq!(client.ask(&["PING"]), "+PONG");
+    }
     let since = Instant::now();
     sleep(Duration::from_millis(2_500));
     let mut new = rig.gateway.client();
@@ -198,7 +200,9 @@
     (1..5).for_each(|id| client.send(&words(&large(id))));
     let mut arrived: Vec<Arrived> = (1..5).map(|_| rig.next().1).collect();
     assert_eq!(other.ask(&words(&large(5))), "-BUSY");
-    arrived.iter_mut().for_each(|a| a.serve("fine"));
+    for a in &mut arrived {
+        a.serve("fine");
+    }
     (1..5).for_each(|_| assert_eq!(client.read(), "fine"));
     other.send(&words(&large(6)));
     rig.next().1.serve("fine");
--- a/crates/gateway/tests/counter.rs
+++ b/crates/gateway/tests/counter.rs
@@ -162,9 +162,13 @@
         other.send(&words(&of_customer(customer, customer)));
     }
     let out: Vec<Arrived> = (0..BURST).map(|_| rig.counter.next()).collect();
-    out.into_iter().for_each(|mut bump| bump.say("busy\r\n"));
+    for mut bump in out.into_iter() {
+        bump.say("busy\r\n");
+    }
     (0..BURST).for_each(|_| rig.next().1.serve("fine"));
-    others.iter_mut().for_each(|other| assert_eq!(other.read(), "fine"));
+    for other in &mut others {
+        assert_eq!(other.read(), "fine");
+    }
     (100..103).for_each(asked_for);
 }
 
--- a/crates/gateway/tests/counter_lines.rs
+++ b/crates/gateway/tests/counter_lines.rs
@@ -50,7 +50,9 @@
     let calls = || -> Vec<Arrived> { (0..EACH * CLIENTS).map(|_| rig.counter.next()).collect() };
     wave(&mut clients, 100);
     let mut first = calls();
-    first.iter_mut().for_each(|bump| bump.say("ok 60\r\n"));
+    for bump in &mut first {
+        bump.say("ok 60\r\n");
+    }
     served(&rig, &mut clients);
     let silent = first[0].connection;
     assert_eq!(first.iter().map(|bump| bump.connection).collect::<HashSet<_>>().len(), 4);
@@ -61,14 +63,18 @@
     sleep(wait / 3);
     let (unheard, answered): (Vec<_>, Vec<_>) = out.iter_mut().partition(|b| b.connection == silent);
     assert!(!unheard.is_empty() && !answered.is_empty());
-    answered.into_iter().for_each(|bump| bump.say("ok 60\r\n"));
+    for bump in answered.into_iter() {
+        bump.say("ok 60\r\n");
+    }
     served(&rig, &mut clients);
 
     // Each calls as before, and none on the silent one.
     wave(&mut clients, 300);
     let mut last = calls();
     assert!(last.iter().all(|bump| bump.connection != silent));
-    last.iter_mut().for_each(|bump| bump.say("ok 60\r\n"));
+    for bump in &mut last {
+        bump.say("ok 60\r\n");
+    }
     served(&rig, &mut clients);
     first[0].closed();
 }
--- a/crates/gatewayctl/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -108,7 +108,9 @@
     for i in 0..args.backends {
         backends.push(Backend::start(Spec::plain(i), Journal::new(1)).await?);
     }
-    backends.iter().for_each(|b| service.list(b, "SERVING"));
+    for b in &backends {
+        service.list(b, "SERVING");
+    }
     let known = if start.known { service.known() } else { Discovery::start().await?.known() };
     let operator = folder.path().join("operator.toml");
     let per_s = 1.0 / each.as_secs_f64();
--- a/crates/gatewayctl/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -176,7 +176,9 @@
         let spec = Spec { takes: Duration::from_millis(1), slots: 64, ..Spec::plain(i) };
         backends.push(Backend::start(spec, journal.clone()).await?);
     }
-    backends.iter().for_each(|b| discovery.list(b, "SERVING"));
+    for b in &backends {
+        discovery.list(b, "SERVING");
+    }
     let (file, _) = operator(dir.path(), "agent", 1)?;
     let operator_file = file.display().to_string();
     let mut gateways = Vec::new();
--- a/crates/gatewayctl/examples/measure_operation.rs
+++ b/crates/gatewayctl/examples/measure_operation.rs
@@ -201,7 +201,9 @@
         sleep(Duration::from_millis(300));
     }
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|c| c.join().expect("a client"));
+    for c in clients.into_iter() {
+        c.join().expect("a client");
+    }
     let (gap, slow) = (connecting.join().expect("a thread"), readiness.join().expect("a thread"));
     let all = std::mem::take(&mut *seen.answers.lock().expect("unpoisoned"));
     let within = |t: &Instant| spans.iter().any(|(from, to)| t >= from && t <= to);
@@ -236,7 +238,9 @@
             let (seen, clients) = load(at, &stop, &last);
             sleep(Duration::from_secs(2));
             stop.store(true, Ordering::Relaxed);
-            clients.into_iter().for_each(|c| c.join().expect("a client"));
+            for c in clients.into_iter() {
+                c.join().expect("a client");
+            }
             let answers = seen.answers.lock().expect("unpoisoned").len();
             costs[i] += (cpu_us(pid)? - before) / answers as f64 / ROUNDS as f64;
         }
--- a/crates/gatewayctl/src/endpoint_list.rs
+++ b/crates/gatewayctl/src/endpoint_list.rs
@@ -25,9 +25,8 @@
 /// unanswered.
 pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
-    let status = match agent.request(ToolRequest::Sources { records }).await? {
-        ToolResponse::Sources(status) => status,
-        _ => return Err(AgentClientError::UnexpectedResponse.into()),
+    let ToolResponse::Sources(status) = agent.request(ToolRequest::Sources { records }).await? else {
+        return Err(AgentClientError::UnexpectedResponse.into());
     };
     print(&status, output)?;
     let is_fresh = status.list.iter().all(|endpoint| endpoint.stale_ms.is_none());
--- a/crates/gatewayctl/src/gateway_command.rs
+++ b/crates/gatewayctl/src/gateway_command.rs
@@ -1,4 +1,5 @@
-//! `gateway ready`, `disable`, `enable`, `drain`, `undrain`: commands at the management addresses of gateways.
+//! `gateway ready`, `disable`, `enable`, `drain`, `undrain`: commands at the management addresses of
+//! gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/gatewayctl/src/order.rs
+++ b/crates/gatewayctl/src/order.rs
@@ -110,9 +110,8 @@
 }
 
 async fn receive_result(agent: &mut AgentClient, limit: Duration) -> Result<OrderResult, AgentClientError> {
-    let accepted = match agent.receive(limit).await? {
-        ToolResponse::Accepted(accepted) => accepted,
-        _ => return Err(AgentClientError::UnexpectedResponse),
+    let ToolResponse::Accepted(accepted) = agent.receive(limit).await? else {
+        return Err(AgentClientError::UnexpectedResponse);
     };
     let mut instances = Vec::new();
     loop {
--- a/crates/gatewayctl/src/order_log.rs
+++ b/crates/gatewayctl/src/order_log.rs
@@ -15,9 +15,8 @@
 /// Shows at most so many orders, the newest first.
 pub async fn run(address: &Address, limit: usize, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
-    let orders = match agent.request(ToolRequest::Orders { limit }).await? {
-        ToolResponse::Orders(orders) => orders,
-        _ => return Err(AgentClientError::UnexpectedResponse.into()),
+    let ToolResponse::Orders(orders) = agent.request(ToolRequest::Orders { limit }).await? else {
+        return Err(AgentClientError::UnexpectedResponse.into());
     };
     match output {
         Output::Json => orders.iter().try_for_each(print_json)?,
--- a/crates/gatewayctl/src/status.rs
+++ b/crates/gatewayctl/src/status.rs
@@ -22,9 +22,10 @@
 /// Shows all gateways. Succeeds only if each of them is well.
 pub async fn run(address: &Address, args: &Status, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
-    let mut status = match agent.request(ToolRequest::Status { backends: args.backends }).await? {
-        ToolResponse::Status(status) => status,
-        _ => return Err(AgentClientError::UnexpectedResponse.into()),
+    let ToolResponse::Status(mut status) =
+        agent.request(ToolRequest::Status { backends: args.backends }).await?
+    else {
+        return Err(AgentClientError::UnexpectedResponse.into());
     };
     if args.backends {
         receive_backends(&mut agent, &mut status).await?;
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -218,11 +218,11 @@
     // Some are stopped before their call, some between it and the answer.
     fleet.sleep(round() / 3);
     fleet.timeline.note("5 to 29 stopped");
-    fleet.nodes[5..].iter_mut().for_each(|n| n.stop());
+    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::stop);
     fleet.sleep(round() * 3 / 2);
     fleet.timeline.note("they go on");
     let since = fleet.service.now();
-    fleet.nodes[5..].iter_mut().for_each(|n| n.go_on());
+    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::go_on);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.sleep(round());
     let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
--- a/crates/gatewayctl/tests/crashes.rs
+++ b/crates/gatewayctl/tests/crashes.rs
@@ -174,7 +174,9 @@
         (0..good.len() - needle.len()).filter(|at| &good[*at..*at + needle.len()] == needle).collect();
     assert!(!places.is_empty(), "the order is in the log");
     let mut flipped = good.clone();
-    places.iter().for_each(|at| flipped[at + 7] ^= 1);
+    for at in &places {
+        flipped[at + 7] ^= 1;
+    }
     fs::write(fleet.log(), &flipped).expect("room");
     refuses("flipped");
     // Any byte, by a seed: found, or of no weight, but never an order less or another one.
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -29,7 +29,7 @@
     let then = fleet.backends[0].arrived();
     sleep(Duration::from_millis(900));
     assert_eq!(fleet.backends[0].arrived(), then, "sent to after --wait was over");
-    let others = || fleet.backends[1..].iter().map(|b| b.arrived()).sum::<u64>();
+    let others = || fleet.backends[1..].iter().map(testbed::backend::Backend::arrived).sum::<u64>();
     let now = others();
     wait_until("the others have the work", || others() > now + 100);
     assert_eq!(fleet.backends[0].arrived(), then, "sent to while the others had the work");
@@ -85,7 +85,7 @@
     wait_until("there is enough", || loading.load.tally().served > 1_200);
     fleet.finish(loading);
     let [few, others @ ..] = &fleet.backends[..] else { panic!("four") };
-    let mean = others.iter().map(|b| b.arrived()).sum::<u64>() as f64 / 3.0;
+    let mean = others.iter().map(testbed::backend::Backend::arrived).sum::<u64>() as f64 / 3.0;
     let part = few.arrived() as f64 / mean;
     // Not how little: one slow answer at first keeps any backend without work for some seconds, and how much
     // a share gives is tested where there is no clock.
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -145,7 +145,9 @@
     let mut fleet = Fleet::start(2, 3);
     fleet.wait_until_healthy();
     let old = std::mem::take(&mut fleet.backends);
-    old.iter().for_each(|b| fleet.discovery.delete(b));
+    for b in &old {
+        fleet.discovery.delete(b);
+    }
     drop(old);
     for number in 3..6 {
         let backend = fleet.runtime.block_on(Backend::start(Spec::plain(number), fleet.journal.clone()));
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -107,7 +107,9 @@
             (service, Counter::with(counter_takes).await.expect("it starts"), all, links)
         });
         let empty = service.known();
-        backends.iter().for_each(|b| service.list(b, "SERVING"));
+        for b in &backends {
+            service.list(b, "SERVING");
+        }
         let list = if known { service.known() } else { empty };
         let file = folder.path().join("operator.toml");
         let operator = operator.replace("{folder}", &folder.path().display().to_string());
--- a/crates/gatewayctl/tests/support/fleet.rs
+++ b/crates/gatewayctl/tests/support/fleet.rs
@@ -61,7 +61,9 @@
             }
             (Discovery::start().await.expect("it starts"), Counter::start().await.expect("it starts"), all)
         });
-        started.iter().for_each(|b| discovery.list(b, "SERVING"));
+        for b in &started {
+            discovery.list(b, "SERVING");
+        }
         let dir = tempfile::Builder::new().prefix("br-").tempdir().expect("a folder");
         let (at, operator) = (dir.path().display(), dir.path().join("operator.toml"));
         let mut text = format!("[admin]\nlisten = \"unix:{at}/{{name}}.sock\"\n\n[agent]\n");
@@ -71,7 +73,7 @@
             text += "answer_ms = 600\n";
         }
         text += &format!("{settings}\n");
-        let names = (0..gateways).map(|i| format!("n{i}")).chain(members.iter().map(|m| m.to_string()));
+        let names = (0..gateways).map(|i| format!("n{i}")).chain(members.iter().map(ToString::to_string));
         for name in names {
             text += &format!("\n[[gateway]]\nname = \"{name}\"\nadmin = \"unix:{at}/{name}.sock\"\n");
         }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model check: no more than a slot is in use, in every order of events up to a bound. An owner and two others
-//! that claim its slot, all three its grantors, run by the functions that gateways run.
+//! Model check: no more than a slot is in use, in every order of events up to a bound. An owner and two
+//! others that claim its slot, all three its grantors, run by the functions that gateways run.
 
 use std::collections::BTreeMap;
 
@@ -289,7 +289,9 @@
                 let now = self.clock(&state, by);
                 let grantor = &mut state.nodes[by as usize].grantor;
                 let silent: Vec<Member> = grantor.silent_owners(now).collect();
-                silent.into_iter().for_each(|owner| grantor.owner_unreachable(now, owner));
+                for owner in silent.into_iter() {
+                    grantor.owner_unreachable(now, owner);
+                }
             }
         }
         // A response that changes nothing now never will.
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -159,7 +159,9 @@
             assert_eq!(grantors.len(), members.min(7) as usize);
             assert!(members <= 7 || !grantors.contains(&slot));
             assert!(grantors.windows(2).all(|two| two[0] < two[1]) && grantors.iter().all(|k| *k < members));
-            grantors.into_iter().for_each(|grantor| kept[grantor as usize] += 1);
+            for grantor in grantors.into_iter() {
+                kept[grantor as usize] += 1;
+            }
         }
         // Nobody keeps for a crowd.
         assert!(kept.iter().all(|slots| *slots <= 24), "{kept:?}");
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,5 +1,5 @@
-//! Fleets of 3 to 300 members in simulated time: the sum of their allocations under faults, and how much of the
-//! bound is in use.
+//! Fleets of 3 to 300 members in simulated time: the sum of their allocations under faults, and how much of
+//! the bound is in use.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -104,8 +104,8 @@
     number: u64,
     rng: ChaCha8Rng,
     links: Links,
-    /// The part of what they could have that is in use at each sample: of all that are up, of the side that is
-    /// cut off; and the same by even parts.
+    /// The part of what they could have that is in use at each sample: of all that are up, of the side that
+    /// is cut off; and the same by even parts.
     served: Vec<(u64, f64, f64, f64)>,
     /// Factor of the needs of live members, as the others are gone.
     more: f64,
@@ -129,7 +129,9 @@
             .map(|_| 1.0 + (shape.uneven - 1.0) * rng.random::<f64>().powi(2) * 3.0)
             .collect();
         let sum: f64 = needs.iter().sum();
-        needs.iter_mut().for_each(|need| *need *= mean * f64::from(shape.members) / sum);
+        for need in &mut needs {
+            *need *= mean * f64::from(shape.members) / sum;
+        }
         let nodes = needs.into_iter().map(|need| Node {
             coordinator: None,
             incarnation: 0,
@@ -212,10 +214,10 @@
                 let gone: Vec<u32> = (0..self.shape.members)
                     .filter(|i| self.nodes[*i as usize].coordinator.is_none())
                     .collect();
-                gone.into_iter().for_each(|i| {
+                for i in gone.into_iter() {
                     self.nodes[i as usize].changed_ms = now;
                     self.start(i);
-                });
+                }
             }
             Fault::Stop(part) => self.first(part).for_each(|i| {
                 let node = &mut self.nodes[i as usize];
--- a/crates/operator-config/src/admin.rs
+++ b/crates/operator-config/src/admin.rs
@@ -12,8 +12,8 @@
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Admin", expecting = "struct Admin")]
 pub struct AdminConfig {
-    /// Where it listens; [`NAME_MARK`](crate::NAME_MARK) in a path stands for the gateway's name. Over TCP only
-    /// with `tls`.
+    /// Where it listens; [`NAME_MARK`](crate::NAME_MARK) in a path stands for the gateway's name. Over TCP
+    /// only with `tls`.
     pub listen: Address,
     /// Where the agent takes registrations, [`AgentConfig::register`](crate::AgentConfig::register), if the
     /// gateway is to register.
--- a/crates/operator-config/src/start.rs
+++ b/crates/operator-config/src/start.rs
@@ -20,8 +20,8 @@
     /// Calls that the shared counter takes from all gateways, calls a second: 0.1 to 1,000,000. None: each
     /// gateway makes all its calls from its start on.
     pub counter_calls_per_s: Option<f64>,
-    /// Whether gateways ask the agent, [`AdminConfig::agent`](crate::AdminConfig::agent), for a turn for their
-    /// first call and for the endpoint list, and the agent gives both.
+    /// Whether gateways ask the agent, [`AdminConfig::agent`](crate::AdminConfig::agent), for a turn for
+    /// their first call and for the endpoint list, and the agent gives both.
     #[serde(default)]
     pub ordered_by_agent: bool,
 }
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -171,8 +171,8 @@
         started.checked_sub(1).map(|last| &of_customer[last].plan)
     }
 
-    /// A customer's limits over time. Before the first plan that the catalogue gives it they are `default`, as
-    /// the request itself names them.
+    /// A customer's limits over time. Before the first plan that the catalogue gives it they are `default`,
+    /// as the request itself names them.
     #[must_use]
     pub fn timeline(&self, customer: u64, default: PlanLimits) -> PlanTimeline {
         let mut timeline = PlanTimeline::always(default);
--- a/crates/plans/src/catalogue_file.rs
+++ b/crates/plans/src/catalogue_file.rs
@@ -124,8 +124,8 @@
 /// Reads a catalogue.
 ///
 /// # Errors
-/// A [`CatalogueFileError`] with all values that are not allowed. Of unknown, missing and mistyped keys it has
-/// the first alone, as the rest cannot be read past it.
+/// A [`CatalogueFileError`] with all values that are not allowed. Of unknown, missing and mistyped keys it
+/// has the first alone, as the rest cannot be read past it.
 pub fn read_catalogue(text: &str) -> Result<Catalogue, CatalogueFileError> {
     let mut collector = FaultCollector { text, faults: Vec::new() };
     let file: File = toml::from_str(text).map_err(|error| {
--- a/crates/plans/src/reservations.rs
+++ b/crates/plans/src/reservations.rs
@@ -1,9 +1,9 @@
 //! Reservations of allowance: leases with fencing tokens, within what the ceiling allows.
 //!
 //! A reservation holds units of a customer for a time to come. They are charged ahead to the customer's one
-//! token bucket: the holder's gateway charges them when the time begins and gives back at its end what was not
-//! used. The ceiling bounds what may be reserved as an arrival curve (RFC 2212's token bucket: burst, and rate
-//! times time, over every span): within any span no more is reserved than the ceiling admits in it.
+//! token bucket: the holder's gateway charges them when the time begins and gives back at its end what was
+//! not used. The ceiling bounds what may be reserved as an arrival curve (RFC 2212's token bucket: burst, and
+//! rate times time, over every span): within any span no more is reserved than the ceiling admits in it.
 
 mod capacity;
 mod error;
@@ -210,8 +210,8 @@
         Ok(reservation)
     }
 
-    /// The holder extends the lease: it ends `lease_ms` from now, if that is later than it did. So an old repeat
-    /// shortens nothing.
+    /// The holder extends the lease: it ends `lease_ms` from now, if that is later than it did. So an old
+    /// repeat shortens nothing.
     ///
     /// # Errors
     /// A [`ReservationError`] if the lease is not allowed or the token is not that of an open reservation.
@@ -261,8 +261,8 @@
 
     /// Ends reservations of a customer that its new limits leave no room for.
     ///
-    /// They are chosen within a span that has too much: pending ones before confirmed ones, of each the newest
-    /// first. The holder is told with its next request.
+    /// They are chosen within a span that has too much: pending ones before confirmed ones, of each the
+    /// newest first. The holder is told with its next request.
     pub fn plan_lowered(
         &mut self,
         now_ms: u64,
--- a/crates/plans/src/timeline.rs
+++ b/crates/plans/src/timeline.rs
@@ -118,8 +118,8 @@
         self.spans(from_ms, to_ms).map(|span| span.limits.rate * span.duration_ms / 1000.0).sum()
     }
 
-    /// The level of the quota's token bucket at `now_ms`. `total` has, since the window began, all charges and
-    /// all refill that overflowed.
+    /// The level of the quota's token bucket at `now_ms`. `total` has, since the window began, all charges
+    /// and all refill that overflowed.
     ///
     /// It may be below 0 after a plan was lowered: nothing is admitted until that is made good.
     #[must_use]
--- a/crates/policy/tests/ceiling.rs
+++ b/crates/policy/tests/ceiling.rs
@@ -149,7 +149,7 @@
                     fleet.tell(now, gateway, ended, lost);
                 }
                 Due::Timer { gateway, token } => {
-                    fleet.tell(now, gateway, Event::TimerExpired { token }, lost)
+                    fleet.tell(now, gateway, Event::TimerExpired { token }, lost);
                 }
             }
         }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -144,7 +144,9 @@
             let actions = rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total: 400.0 });
             assert!(rejected(&actions));
             let back = counted(&actions);
-            back.into_iter().for_each(|back| assert_eq!(back, (name, -4.0)));
+            for back in back.into_iter() {
+                assert_eq!(back, (name, -4.0));
+            }
             back.is_some()
         });
         assert_eq!(back.count(), if wait_ms > 0.0 { 0 } else { 40 });
--- a/crates/policy/tests/records.rs
+++ b/crates/policy/tests/records.rs
@@ -22,7 +22,9 @@
     let asked = Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, plan, units) };
     let actions = counter.ask(rig, asked);
     let to = sent_to(&actions);
-    to.into_iter().for_each(|to| drop(rig.end(id, 0, to, Outcome::Ok)));
+    for to in to.into_iter() {
+        drop(rig.end(id, 0, to, Outcome::Ok));
+    }
     to.is_some()
 }
 
--- a/crates/policy/tests/reload.rs
+++ b/crates/policy/tests/reload.rs
@@ -105,7 +105,7 @@
                 places(value, &format!("{at}/{key}"), into);
             }),
             Value::Array(items) => {
-                items.iter().enumerate().for_each(|(i, v)| places(v, &format!("{at}/{i}"), into))
+                items.iter().enumerate().for_each(|(i, v)| places(v, &format!("{at}/{i}"), into));
             }
             _ => {}
         }
--- a/crates/routing/tests/index.rs
+++ b/crates/routing/tests/index.rs
@@ -245,7 +245,9 @@
     let mut got = vec![0u32; 100];
     for seed in 0..50_000u32 {
         let seed = seed.wrapping_mul(2_654_435_761);
-        drawn(&index, Scope::Fleet, false, seed).into_iter().for_each(|id| got[id as usize] += 1);
+        for id in drawn(&index, Scope::Fleet, false, seed).into_iter() {
+            got[id as usize] += 1;
+        }
     }
     // 2,000 each on the mean; a fifth is more than four deviations.
     assert!(got.iter().all(|n| (1_600..2_400).contains(n)), "{got:?}");
--- a/crates/spool/src/store.rs
+++ b/crates/spool/src/store.rs
@@ -30,8 +30,8 @@
 pub struct SpoolLimits {
     /// A segment is full at this size, bytes.
     pub segment_bytes: u64,
-    /// Limit of all segments together, bytes. Beyond it the newest records are dropped, so that those retained
-    /// have no gap.
+    /// Limit of all segments together, bytes. Beyond it the newest records are dropped, so that those
+    /// retained have no gap.
     pub total_bytes: u64,
     /// When records are flushed to the disk.
     pub fsync: FsyncPolicy,
@@ -55,8 +55,8 @@
     pub segment: u64,
     /// The records.
     pub records: Vec<Record>,
-    /// Sequence numbers before or between them that no segment has: they were dropped or are corrupt, and lost
-    /// for good.
+    /// Sequence numbers before or between them that no segment has: they were dropped or are corrupt, and
+    /// lost for good.
     pub lost: Vec<SequenceRange>,
 }
 
@@ -312,8 +312,8 @@
         Ok(None)
     }
 
-    /// Removes segments whose records are all acknowledged, oldest first and without a gap, so that the others
-    /// are a chain. The open one stays.
+    /// Removes segments whose records are all acknowledged, oldest first and without a gap, so that the
+    /// others are a chain. The open one stays.
     ///
     /// # Errors
     /// A segment cannot be removed; it is offered again.
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -63,7 +63,9 @@
         for i in 0..backends {
             all.push(Backend::start(Spec::plain(i), journal.clone()).await?);
         }
-        all.iter().for_each(|b| service.list(b, "SERVING"));
+        for b in &all {
+            service.list(b, "SERVING");
+        }
         let known = service.known();
         let file = folder.path().join("operator.toml");
         std::fs::write(&file, operator.replace("{folder}", &folder.path().display().to_string()))?;
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -43,6 +43,8 @@
 /// A command as bytes.
 pub(crate) fn command(words: &[&str]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len());
-    words.iter().for_each(|w| bytes += &format!("${}\r\n{w}\r\n", w.len()));
+    for w in words {
+        bytes += &format!("${}\r\n{w}\r\n", w.len());
+    }
     bytes.into_bytes()
 }
--- a/crates/testbed/src/rig/backend.rs
+++ b/crates/testbed/src/rig/backend.rs
@@ -46,7 +46,8 @@
     pub work_sent: f64,
     /// What was sent while it was cold.
     pub slow_start_sends: Vec<SlowStartSend>,
-    /// The place among the changes of the list of the one that told of its present incarnation; none: not told yet.
+    /// The place among the changes of the list of the one that told of its present incarnation; none: not
+    /// told yet.
     pub list_position: Option<usize>,
     slots: u32,
     queue: usize,
--- a/crates/testbed/src/rig/requests.rs
+++ b/crates/testbed/src/rig/requests.rs
@@ -118,7 +118,7 @@
                     );
                 }
                 Action::ScheduleTimer { token, at_ms } => {
-                    self.schedule(at_ms - self.now, SimulationEvent::Timer(g, incarnation, token))
+                    self.schedule(at_ms - self.now, SimulationEvent::Timer(g, incarnation, token));
                 }
                 Action::IncrementCounter { .. } | Action::BroadcastToPeers { .. } | Action::PollEndpoints => {
                 }
--- a/crates/testbed/src/scripted/resp.rs
+++ b/crates/testbed/src/scripted/resp.rs
@@ -28,6 +28,8 @@
 /// A command as RESP.
 pub fn command(words: &[&str]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len());
-    words.iter().for_each(|w| bytes += &format!("${}\r\n{w}\r\n", w.len()));
+    for w in words {
+        bytes += &format!("${}\r\n{w}\r\n", w.len());
+    }
     bytes.into_bytes()
 }
--- a/crates/testbed/tests/sizes.rs
+++ b/crates/testbed/tests/sizes.rs
@@ -16,7 +16,9 @@
     fn the_rules_hold_at_every_size(
         gateways in 1u32..=500,
         backends in 1u32..=1_000,
-        trouble in prop::sample::select(vec![FaultKind::Dead, FaultKind::Lost, FaultKind::Failing(0.5), FaultKind::Slow(5.0)]),
+        trouble in prop::sample::select(vec![
+            FaultKind::Dead, FaultKind::Lost, FaultKind::Failing(0.5), FaultKind::Slow(5.0),
+        ]),
         part in 0.0f64..0.6,
         seed in any::<u64>(),
     ) {
@@ -30,17 +32,27 @@
         let shape = Scenario {
             gateways, backends, load, duration_ms: lasts_ms, seed,
             cold: (backends / 10, at(0.1)),
-            faults: vec![Fault { from_ms: at(0.3), to_ms: at(0.7), target: FaultTarget::Fraction(part), kind: trouble }],
+            faults: vec![Fault {
+                from_ms: at(0.3),
+                to_ms: at(0.7),
+                target: FaultTarget::Fraction(part),
+                kind: trouble,
+            }],
             restarts: vec![restart],
             replacements: vec![replace],
             discovery: Some(Discovery { calls_per_s: 50.0, max_delay_ms: 200.0 }),
-            connections: Some(Connections { handshake_ms: 1.0, max_per_backend: gateways.max(32), idle_ms: 5_000.0 }),
+            connections: Some(Connections {
+                handshake_ms: 1.0,
+                max_per_backend: gateways.max(32),
+                idle_ms: 5_000.0,
+            }),
             ..Scenario::default()
         };
         let report = run(&shape);
         prop_assert!(report.requests > 1_000, "{} asked", report.requests);
         prop_assert_eq!((report.wrongly_answered, report.repeated_across_cells), (0, 0));
-        prop_assert!(report.max_slow_start_use <= 1.0, "a cold one had {} of what it may be sent", report.max_slow_start_use);
+        let max_use = report.max_slow_start_use;
+        prop_assert!(max_use <= 1.0, "a warming backend had {max_use} of what it may be sent");
         // A tenth of the requests, what was saved up before, and what never ran, which costs none.
         let ran = report.attempts - report.never_executed;
         let budget = 1.1 * report.requests as f64 + 20.0 + f64::from(gateways);
--- a/crates/transport/src/json_lines.rs
+++ b/crates/transport/src/json_lines.rs
@@ -66,8 +66,8 @@
         JsonLines { framed: Framed::new(stream, codec), max_line_bytes }
     }
 
-    /// The next value; `None` when the peer has closed the connection. Cancelling loses nothing: the part of a
-    /// line that has arrived stays for the next call.
+    /// The next value; `None` when the peer has closed the connection. Cancelling loses nothing: the part of
+    /// a line that has arrived stays for the next call.
     ///
     /// # Errors
     /// A [`JsonLinesError`]. Only after [`JsonLinesError::Malformed`] can the connection still be used.
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -198,9 +198,9 @@
         all_noted
     }
 
-    /// A source reports, at `now_ms`, that it has sent everything up to `sent_upto_ms`, both Unix time. What it
-    /// reported before stands, also if its clock went back. Returns `false` if there is no room for another
-    /// source.
+    /// A source reports, at `now_ms`, that it has sent everything up to `sent_upto_ms`, both Unix time. What
+    /// it reported before stands, also if its clock went back. Returns `false` if there is no room for
+    /// another source.
     pub fn report_progress(&mut self, now_ms: u64, source: &Source, sent_upto_ms: u64) -> bool {
         let Some(state) = self.source_mut(source) else { return false };
         state.sent_upto_ms = state.sent_upto_ms.max(sent_upto_ms);
--- a/crates/usage/tests/ledger.rs
+++ b/crates/usage/tests/ledger.rs
@@ -115,12 +115,12 @@
             prop_assert!((1..=upto).all(|s| unique.contains(&(*life, s))));
             prop_assert!(!unique.contains(&(*life, upto + 1)));
             if i % closes == 0 {
-                lives.iter().for_each(|life| { ledger.report_progress(now, life, now); });
+                for life in &lives { ledger.report_progress(now, life, now); }
                 batches.extend(ledger.close_periods(now));
             }
         }
         let end = 1_000_000;
-        lives.iter().for_each(|life| { ledger.report_progress(end, life, end); });
+        for life in &lives { ledger.report_progress(end, life, end); }
         batches.extend(ledger.close_periods(end));
         let units = unique.iter().map(|(_, s)| *s as i64 * 333).sum::<i64>();
         prop_assert_eq!(sums(&batches), (unique.len() as u64, units));
