--- a/crates/policy/src/policy/backend.rs
+++ b/crates/policy/src/policy/backend.rs
@@ -62,7 +62,7 @@
     }
 
     /// Surely warm part of the capacity at `now`.
-    pub(crate) fn warmth(&self, now: f64, settings: &Settings) -> f64 {
+    pub(crate) fn capacity_fraction(&self, now: f64, settings: &Settings) -> f64 {
         let slow_start = &settings.slow_start;
         if self.started_at <= 0.0 || slow_start.warm_up_ms <= 0.0 {
             return 1.0;
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -163,12 +163,12 @@
         if !self.may_attempt(open, backend, draw.now) {
             return None;
         }
-        let warmth = backend.warmth(draw.now, &self.settings);
-        let eligibility = self.eligibility_while_warming_up(slot, warmth, draw, random);
+        let capacity_fraction = backend.capacity_fraction(draw.now, &self.settings);
+        let eligibility = self.eligibility_while_warming_up(slot, capacity_fraction, draw, random);
         if eligibility == Eligibility::Excluded {
             return None;
         }
-        let slowness = self.likely_slowness(backend, draw.now, random) / warmth;
+        let slowness = self.likely_slowness(backend, draw.now, random) / capacity_fraction;
         let load = self.load_of(backend, draw.now);
         let zone_cost = self.zone_cost(backend);
         let trust = self.trust_in(slot, &open.request, draw);
@@ -190,21 +190,21 @@
     fn eligibility_while_warming_up(
         &self,
         slot: usize,
-        warmth: f64,
+        capacity_fraction: f64,
         draw: &Draw,
         random: &mut Random,
     ) -> Eligibility {
-        if warmth >= 1.0 {
+        if capacity_fraction >= 1.0 {
             return Eligibility::ByScore;
         }
         let sharing = self.backends.degree() * self.processes;
-        let budget_ms = self.warm_up_budget_ms(warmth, sharing, draw.warm_push + draw.work_ms);
+        let budget_ms = self.warm_up_budget_ms(capacity_fraction, sharing, draw.warm_push + draw.work_ms);
         let pushed_ms = self.backends.pushed(slot, draw.now);
         let under_a_request = budget_ms < draw.work_ms;
         let within = pushed_ms + draw.work_ms <= budget_ms;
         let overlooked = draw.partial || self.backends.get(slot).returned_from_ban();
-        let lucky =
-            (under_a_request || overlooked && within) && random.fraction() * draw.drawn as f64 <= warmth;
+        let lucky = (under_a_request || overlooked && within)
+            && random.fraction() * draw.drawn as f64 <= capacity_fraction;
         // Gateways of whose subset it is none would each have a part of their own.
         let allowed = self.backends.is_in_subset(slot) && (within || under_a_request && lucky);
         match (allowed, lucky) {
@@ -216,10 +216,10 @@
 
     /// Work that this gateway may send lately to a backend of some warmth, ms: the warm part of what warm
     /// ones get of it, or of its part of one core's work. All gateways together would else overload it.
-    fn warm_up_budget_ms(&self, warmth: f64, gateways: f64, warm_push: f64) -> f64 {
+    fn warm_up_budget_ms(&self, capacity_fraction: f64, gateways: f64, warm_push: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
         let core_ms = slow_start.overload_multiple * slow_start.overload_window_ms / gateways;
-        warmth * core_ms.max(warm_push)
+        capacity_fraction * core_ms.max(warm_push)
     }
 
     /// Slowness of a backend, by its own answers and, as they age, by the fleet's.
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -23,7 +23,7 @@
         listed.map(move |backend| BackendView {
             id: backend.entry.id,
             ejected: backend.ejected,
-            capacity_fraction: backend.warmth(now, &self.settings),
+            capacity_fraction: backend.capacity_fraction(now, &self.settings),
         })
     }
 
