--- a/crates/policy/src/policy/arrival.rs
+++ b/crates/policy/src/policy/arrival.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Action, Request};
 
 /// Customers' records that each arrival looks at, to drop those that hold nothing.
-const RECORDS_SWEPT: usize = 2;
+const RECORDS_SWEPT_PER_REQUEST: usize = 2;
 
 impl Policy {
     /// Accepts a request that arrived. One whose number is in use is ignored.
@@ -15,14 +15,14 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        request.units = self.sound_units(request.units);
+        request.units = self.valid_units(request.units);
         if !self.is_servable(now, &request) {
             return actions.push(Action::Reject { id, retry_after_ms: None });
         }
         self.retry_budget.earn(self.settings.gateway_count);
         self.latency.request_received(request.units);
         self.sweep_customers(now);
-        self.check_silence(now, actions);
+        self.run_due_checks(now, actions);
         // Each request has this timer, whatever else it waits for, so that each is answered in time.
         let deadline_at = request.deadline_ms - self.settings.clock_granularity_ms;
         actions.push(Action::ScheduleTimer {
@@ -35,7 +35,7 @@
     }
 
     /// The units of a request, or the most that one may have if they make no sense.
-    fn sound_units(&self, units: f64) -> f64 {
+    fn valid_units(&self, units: f64) -> f64 {
         if units.is_finite() && units >= 0.0 {
             units
         } else {
@@ -51,6 +51,6 @@
 
     /// Drops records that hold nothing a new one would not: else customers seen once would fill the memory.
     fn sweep_customers(&mut self, now: f64) {
-        self.customers.sweep(RECORDS_SWEPT, |quota| quota.is_like_new(now));
+        self.customers.sweep(RECORDS_SWEPT_PER_REQUEST, |quota| quota.is_like_new(now));
     }
 }
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_selection::Selection;
 use super::fleet_load::OBJECTIVE_FRACTION;
-use super::request::{Attempt, InFlight, OpenRequest};
+use super::request::{Attempt, InFlightCounts, OpenRequest};
 use super::timers::TimerKind;
 use super::Policy;
 use crate::interface::Action;
@@ -10,11 +10,11 @@
 /// An attempt is overdue, and a hedge may be sent, after this many times its expected latency.
 const OVERDUE_AFTER_LATENCIES: f64 = 3.0;
 /// What a hedge costs of the retry budget, and a retry that multiplies work.
-const FULL_COST: f64 = 1.0;
+const ATTEMPT_COST: f64 = 1.0;
 
 /// An attempt that is overdue, and its request.
 #[derive(Clone, Copy, Debug)]
-struct Overdue {
+struct OverdueAttempt {
     backend: u32,
     sent_at: f64,
     /// When the request's first attempt was sent.
@@ -26,14 +26,20 @@
 
 impl Policy {
     /// Sends an attempt of a request.
-    pub(super) fn send(&mut self, now: f64, id: u64, selection: Selection, actions: &mut Vec<Action>) {
+    pub(super) fn send_attempt(
+        &mut self,
+        now: f64,
+        id: u64,
+        selection: Selection,
+        actions: &mut Vec<Action>,
+    ) {
         let overdue_after_ms = self.overdue_after_ms(now, id, selection);
         // By the attempts before this one: a connection that comes up late must not begin a repeat after
         // its window.
         let write_deadline_ms = self.write_deadline(&self.requests[&id]);
         let attempt = self.start_attempt(now, id, selection.slot, overdue_after_ms);
         let backend = attempt.backend;
-        let open = self.requests.get_mut(&id).expect("the caller found it");
+        let open = self.requests.get_mut(&id).expect("request is open");
         open.attempts.push(attempt);
         if let Some(quota) = self.customers.get_mut(open.request.customer) {
             quota.attempts_in_flight += 1;
@@ -46,28 +52,28 @@
     /// Time after which an attempt at a backend is overdue, ms.
     fn overdue_after_ms(&self, now: f64, id: u64, selection: Selection) -> f64 {
         let slowness = self.slowness(self.backends.get(selection.slot), now);
-        let expected_ms = self.work_of(id) * selection.slowness.max(slowness);
+        let expected_ms = self.expected_work_ms(id) * selection.slowness.max(slowness);
         let class = self.requests[&id].request.class;
         (expected_ms * OVERDUE_AFTER_LATENCIES).min(self.settings.classes[class].latency_objective_ms)
     }
 
     /// Expected latency of a request on an idle backend, ms.
-    fn work_of(&self, id: u64) -> f64 {
+    fn expected_work_ms(&self, id: u64) -> f64 {
         let request = &self.requests[&id].request;
         self.latency.work_ms(request.class, request.units)
     }
 
     /// Counts an attempt as in flight, at its backend and in all.
     fn start_attempt(&mut self, now: f64, id: u64, slot: usize, overdue_after_ms: f64) -> Attempt {
-        self.backends.push(slot, now, self.work_of(id));
+        self.backends.push(slot, now, self.expected_work_ms(id));
         let backend = self.backends.get_mut(slot);
-        let in_flight = InFlight { backend: backend.in_flight, fleet: self.fleet.in_flight() };
+        let in_flight = InFlightCounts { backend: backend.in_flight, gateway: self.fleet.in_flight() };
         let attempt = Attempt::new(&backend.entry, now, overdue_after_ms, in_flight);
         let idle = backend.in_flight <= 0.0;
         backend.in_flight += 1.0;
         if idle {
-            backend.last_seen_at = now;
-            self.look_again_after_connect(now, slot);
+            backend.last_alive_at = now;
+            self.recheck_after_connect(now, slot);
         }
         self.fleet.attempt_sent(now);
         attempt
@@ -75,30 +81,30 @@
 
     /// An attempt may be overdue: stuck on a bad backend, or its answer lost. It counts against its
     /// backend; a hedge is sent where the class allows it, the budget covers it and there is room.
-    pub(super) fn overdue_timer_fired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
+    pub(super) fn hedge_timer_fired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let Some(overdue) = self.mark_overdue(now, id) else { return };
-        self.learn_recent(now, now - overdue.sent_at, overdue.work_ms);
+        self.record_recent_latency(now, now - overdue.sent_at, overdue.work_ms);
         self.fleet.attempt_overdue(overdue.sent_at);
         if let Some(backend) = self.backend_mut(overdue.backend) {
-            backend.count_outcome(true);
+            backend.record_outcome(true);
         }
-        if let Some(selection) = self.select_for_hedge(now, id, &overdue) {
-            self.retry_budget.spend(FULL_COST);
-            self.send(now, id, selection, actions);
+        if let Some(selection) = self.select_hedge_backend(now, id, &overdue) {
+            self.retry_budget.spend(ATTEMPT_COST);
+            self.send_attempt(now, id, selection, actions);
         }
     }
 
     /// Marks an attempt of a request as overdue, if one is. One whose answer is streamed never is.
-    fn mark_overdue(&mut self, now: f64, id: u64) -> Option<Overdue> {
-        let tick_ms = self.settings.clock_granularity_ms;
+    fn mark_overdue(&mut self, now: f64, id: u64) -> Option<OverdueAttempt> {
+        let granularity_ms = self.settings.clock_granularity_ms;
         let open = self.requests.get_mut(&id).filter(|open| !open.streaming)?;
         let first_sent_at = open.attempts.first()?.sent_at;
         let attempt = open.attempts.iter_mut().find(|attempt| {
-            let waited_ms = now - attempt.sent_at + tick_ms;
+            let waited_ms = now - attempt.sent_at + granularity_ms;
             attempt.pending && !attempt.overdue && waited_ms >= attempt.overdue_after_ms
         })?;
         attempt.overdue = true;
-        Some(Overdue {
+        Some(OverdueAttempt {
             backend: attempt.backend,
             sent_at: attempt.sent_at,
             first_sent_at,
@@ -108,17 +114,17 @@
     }
 
     /// Another backend for a request whose attempt is overdue, if it is likely to answer in time.
-    fn select_for_hedge(&mut self, now: f64, id: u64, overdue: &Overdue) -> Option<Selection> {
-        let still_waits = |attempt: &Attempt| attempt.pending && !attempt.overdue;
-        let waits = self.requests[&id].attempts.iter().any(still_waits);
-        if waits || !self.settings.limits.hedges || !self.retry_budget.covers(FULL_COST) {
+    fn select_hedge_backend(&mut self, now: f64, id: u64, overdue: &OverdueAttempt) -> Option<Selection> {
+        let awaited = |attempt: &Attempt| attempt.pending && !attempt.overdue;
+        let has_awaited = self.requests[&id].attempts.iter().any(awaited);
+        if has_awaited || !self.settings.limits.hedges || !self.retry_budget.covers(ATTEMPT_COST) {
             return None;
         }
         let left_ms = (overdue.objective_ms - (now - overdue.first_sent_at)) * OBJECTIVE_FRACTION;
         let selection = self.select_backend(now, id)?;
         let in_time = selection.slowness * overdue.work_ms < left_ms;
-        let elsewhere = self.backends.get(selection.slot).entry.id != overdue.backend;
-        (in_time && elsewhere).then_some(selection)
+        let different_backend = self.backends.get(selection.slot).entry.id != overdue.backend;
+        (in_time && different_backend).then_some(selection)
     }
 
     /// The answer of an attempt has begun to flow to the client: the others are called off.
@@ -131,7 +137,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(backend) = self.backend_mut(backend) {
-            backend.last_seen_at = now;
+            backend.last_alive_at = now;
         }
         if let Some(open) = self.requests.get_mut(&id) {
             open.streaming = true;
@@ -155,32 +161,32 @@
             return;
         }
         if client_answered || (open.answered && !pending) {
-            return self.finish(id, actions);
+            return self.finish_request(id, actions);
         }
         if !(open.awaits_total || open.answered || pending) {
-            self.retry_or_give_up(now, id, actions);
+            self.retry_or_end(now, id, actions);
         }
     }
 
-    fn retry_or_give_up(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
+    fn retry_or_end(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let open = &self.requests[&id];
-        let late = now >= open.request.deadline_ms - self.settings.clock_granularity_ms;
+        let too_late = now >= open.request.deadline_ms - self.settings.clock_granularity_ms;
         let cost = self.retry_cost(now, open);
-        let affordable = !late && self.retry_budget.covers(cost);
-        let selection = if affordable { self.select_backend(now, id) } else { None };
+        let may_retry = !too_late && self.retry_budget.covers(cost);
+        let selection = if may_retry { self.select_backend(now, id) } else { None };
         let Some(selection) = selection else {
-            return self.give_up(id, actions);
+            return self.reject_or_fail(id, actions);
         };
         self.retry_budget.spend(cost);
-        self.send(now, id, selection, actions);
+        self.send_attempt(now, id, selection, actions);
     }
 
     /// What a retry costs of the budget. What ran nowhere multiplies no work: it costs nothing while the
     /// fleet is not pressed.
     fn retry_cost(&self, now: f64, open: &OpenRequest) -> f64 {
-        let multiplies_work = open.may_have_run() || self.is_pressed(now);
+        let multiplies_work = open.may_have_run() || self.is_congested(now);
         if multiplies_work {
-            FULL_COST
+            ATTEMPT_COST
         } else {
             0.0
         }
--- a/crates/policy/src/policy/backend.rs
+++ b/crates/policy/src/policy/backend.rs
@@ -6,40 +6,40 @@
 use crate::interface::{BackendEndpoint, EndpointState, Outcome, Settings};
 
 /// Failures, weighted to the recent, above which a backend is ejected.
-const EJECTED_ABOVE_FAILURES: f64 = 0.5;
+const EJECTION_FAILURE_RATE: f64 = 0.5;
 /// Weight of one failure.
-const FAILURE_WEIGHT: f64 = 0.2;
+const OUTCOME_WEIGHT: f64 = 0.2;
 /// The first pause between trials of an ejected backend, in connection time-outs.
-const FIRST_EJECTION: f64 = 2.0;
+const FIRST_EJECTION_TIMEOUTS: f64 = 2.0;
 /// The longest such pause, in connection time-outs.
-const LONGEST_EJECTION: f64 = 16.0;
+const MAX_EJECTION_TIMEOUTS: f64 = 16.0;
 
 /// A backend as this gateway knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
     pub(crate) entry: BackendEndpoint,
     /// Last start by the list, or return after silence.
-    pub(crate) started_at: f64,
+    pub(crate) warm_up_started_at: f64,
     /// It is warm after this time from then.
     pub(crate) warm_up_ms: f64,
     /// Own attempts in flight there.
     pub(crate) in_flight: f64,
     /// Latency over the work that was expected.
     pub(crate) latency: DecayedRatio,
-    pub(crate) latency_at: f64,
+    pub(crate) latency_updated_at: f64,
     /// Own attempts in flight, on the mean, when those that make up `latency` were sent.
-    pub(crate) usual_in_flight: f64,
+    pub(crate) mean_in_flight: f64,
     /// Failures against successes, weighted to the recent: from 0 to 1.
-    pub(crate) failures: f64,
+    pub(crate) failure_rate: f64,
     /// When it was last seen alive.
-    pub(crate) last_seen_at: f64,
+    pub(crate) last_alive_at: f64,
     pub(crate) ejected: bool,
     /// Time between trials while it is ejected; 0 where it answered last.
-    pub(crate) ejection_ms: f64,
-    pub(crate) trial_at: f64,
+    pub(crate) ejection_interval_ms: f64,
+    pub(crate) probe_at: f64,
     /// Requests waiting there by its last report, and when that came.
-    pub(crate) waiting: f64,
-    pub(crate) reported_at: f64,
+    pub(crate) queued: f64,
+    pub(crate) load_reported_at: f64,
     /// When it last rejected each plan, then each class, as full.
     pub(crate) rejected_at: Vec<f64>,
 }
@@ -48,9 +48,9 @@
     pub(crate) fn new(now: f64, entry: &BackendEndpoint, settings: &Settings) -> Self {
         // A start that lies ahead, by another clock or in another unit, would keep it warming up until
         // then. By a clock that goes a little before this one it is taken for that much warmer.
-        let started_at = entry.slow_start_from_ms().min(now);
+        let warm_up_started_at = entry.slow_start_from_ms().min(now);
         let warm_up_ms = settings.slow_start.warm_up_ms;
-        Backend { started_at, warm_up_ms, entry: entry.clone(), ..Backend::default() }
+        Backend { warm_up_started_at, warm_up_ms, entry: entry.clone(), ..Backend::default() }
     }
 
     pub(crate) fn is_ready(&self) -> bool {
@@ -64,11 +64,11 @@
     /// Surely warm part of the capacity at `now`.
     pub(crate) fn capacity_fraction(&self, now: f64, settings: &Settings) -> f64 {
         let slow_start = &settings.slow_start;
-        if self.started_at <= 0.0 || slow_start.warm_up_ms <= 0.0 {
+        if self.warm_up_started_at <= 0.0 || slow_start.warm_up_ms <= 0.0 {
             return 1.0;
         }
-        let grown = ((now - self.started_at) / slow_start.warm_up_ms).clamp(0.0, 1.0);
-        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * grown
+        let progress = ((now - self.warm_up_started_at) / slow_start.warm_up_ms).clamp(0.0, 1.0);
+        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress
     }
 
     /// Operators gave it back after a ban, and it has not started since.
@@ -77,38 +77,39 @@
     }
 
     /// An attempt ended, or is overdue, which counts for a failure or a success.
-    pub(crate) fn count_outcome(&mut self, failed: bool) {
-        self.failures += FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.failures);
+    pub(crate) fn record_outcome(&mut self, failed: bool) {
+        self.failure_rate += OUTCOME_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
     /// Whether a failure that was just counted is one too many.
     pub(crate) fn is_outlier(&self) -> bool {
-        self.failures > EJECTED_ABOVE_FAILURES && !self.ejected
+        self.failure_rate > EJECTION_FAILURE_RATE && !self.ejected
     }
 
     pub(crate) fn eject(&mut self, now: f64, connect_timeout_ms: f64) {
         self.ejected = true;
-        let unit = connect_timeout_ms.max(1.0);
-        self.ejection_ms = (self.ejection_ms * 2.0).clamp(unit * FIRST_EJECTION, unit * LONGEST_EJECTION);
-        self.trial_at = now + self.ejection_ms;
+        let timeout_ms = connect_timeout_ms.max(1.0);
+        self.ejection_interval_ms = (self.ejection_interval_ms * 2.0)
+            .clamp(timeout_ms * FIRST_EJECTION_TIMEOUTS, timeout_ms * MAX_EJECTION_TIMEOUTS);
+        self.probe_at = now + self.ejection_interval_ms;
     }
 
     /// Readmits it to take work. A machine back from a silence of more than `restart_ms` may have
     /// restarted, and warm up before the list says so.
     pub(crate) fn readmit(&mut self, now: f64, restart_ms: f64) {
-        if now - self.last_seen_at > restart_ms {
-            self.started_at = now;
+        if now - self.last_alive_at > restart_ms {
+            self.warm_up_started_at = now;
         }
         self.ejected = false;
-        self.failures = 0.0;
-        self.last_seen_at = now;
+        self.failure_rate = 0.0;
+        self.last_alive_at = now;
     }
 
     /// Records that an attempt has ended here.
     pub(crate) fn attempt_finished(&mut self, now: f64, outcome: Outcome) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
-            self.last_seen_at = now;
+            self.last_alive_at = now;
         }
     }
 }
@@ -122,7 +123,8 @@
             EndpointState::Removed => ListState::Removed,
         };
         // One that started long ago, or says nothing, is warm.
-        let warm_from = if self.started_at > 0.0 { self.started_at + self.warm_up_ms } else { 0.0 };
+        let warm_from =
+            if self.warm_up_started_at > 0.0 { self.warm_up_started_at + self.warm_up_ms } else { 0.0 };
         Attributes {
             id,
             key,
--- a/crates/policy/src/policy/call_throttle.rs
+++ b/crates/policy/src/policy/call_throttle.rs
@@ -1,76 +1,76 @@
 //! How many calls the shared counter gets: fewer while they fail or wait.
 
-use super::latency::FLEET_MEMORY;
+use super::latency::FLEET_DECAY;
 use super::ratio::DecayedRatio;
 use crate::interface::Outcome;
 
 /// Least chance of a call, so that a counter that is back shows.
-const LEAST_CHANCE: f64 = 0.05;
+const MIN_PROBABILITY: f64 = 0.05;
 /// Least chance of a call that decides nothing while the counter is well, so that totals show its customer.
-const LEAST_CHANCE_DISPENSABLE: f64 = 0.2;
+const MIN_PROBABILITY_OPTIONAL: f64 = 0.2;
 /// What a failed call leaves of the chance.
 const FACTOR_AFTER_FAILURE: f64 = 0.75;
 /// What a slow call leaves of the chance.
-const FACTOR_WHEN_SLOW: f64 = 0.9;
+const FACTOR_AFTER_SLOW_ANSWER: f64 = 0.9;
 /// What the chance gains in a second of answers.
 const GAIN_PER_SECOND: f64 = 0.3;
 /// Time in which the chance doubles, ms, until it is what it was when answers ceased (as TCP's slow start,
 /// RFC 5681).
 const DOUBLING_MS: f64 = 150.0;
 /// Longest time between two answers that raises the chance, ms.
-const LONGEST_GAIN_MS: f64 = 1000.0;
+const MAX_GAIN_MS: f64 = 1000.0;
 /// Weight of an answer in the least latency of calls, where it is above that.
-const LEAST_LATENCY_RISE: f64 = 0.001;
+const MIN_LATENCY_RISE: f64 = 0.001;
 /// Cheapness of a request beyond its quota: so much less its over-quota penalty.
-const CHEAPEST: f64 = 1.15;
+const MAX_SKIP_WEIGHT: f64 = 1.15;
 
 /// The chance with which a call is made. It follows the counter's latency and failures, and is the same law
 /// for one that slows, turns calls away or is silent.
 #[derive(Debug)]
 pub(crate) struct CallThrottle {
-    chance: f64,
+    probability: f64,
     /// What the chance is to be again at once when a counter answers after an outage.
-    goal: f64,
+    recovery_target: f64,
     /// The last call that says something of the counter was answered.
-    answering: bool,
+    counter_answering: bool,
     lowered_at: f64,
-    changed_at: f64,
-    least_latency_ms: f64,
+    last_call_finished_at: f64,
+    min_latency_ms: f64,
     /// How cheap the requests that came would be beyond their quotas.
-    cheapness: DecayedRatio,
+    skip_weight: DecayedRatio,
 }
 
 impl CallThrottle {
     pub(crate) fn new(now: f64) -> CallThrottle {
         CallThrottle {
-            chance: 1.0,
-            goal: 1.0,
-            answering: true,
+            probability: 1.0,
+            recovery_target: 1.0,
+            counter_answering: true,
             lowered_at: now,
-            changed_at: now,
-            least_latency_ms: f64::MAX,
-            cheapness: DecayedRatio::default(),
+            last_call_finished_at: now,
+            min_latency_ms: f64::MAX,
+            skip_weight: DecayedRatio::default(),
         }
     }
 
     /// Whether the counter answered last.
-    pub(crate) fn answering(&self) -> bool {
-        self.answering
+    pub(crate) fn is_counter_answering(&self) -> bool {
+        self.counter_answering
     }
 
     /// Whether every call is made.
-    pub(crate) fn unthrottled(&self) -> bool {
-        self.chance >= 1.0
+    pub(crate) fn is_unthrottled(&self) -> bool {
+        self.probability >= 1.0
     }
 
     /// The chance of a call without which nothing is wrong, only something lost: the first to be left out.
-    pub(crate) fn surplus_chance(&self) -> f64 {
-        self.chance * 2.0 - 1.0
+    pub(crate) fn optional_call_probability(&self) -> f64 {
+        self.probability * 2.0 - 1.0
     }
 
     /// The chance of a call that takes back a charge.
-    pub(crate) fn correction_chance(&self) -> f64 {
-        self.chance * 2.0
+    pub(crate) fn correction_call_probability(&self) -> f64 {
+        self.probability * 2.0
     }
 
     /// The chance of a call for a request. More calls than a counter can take would end too late for all,
@@ -79,16 +79,16 @@
     /// Of these the first are of plans whose requests cost least beyond the quota. The order is relative to
     /// the requests that come, as a lower chance has to lessen the calls where all cost the same as well:
     /// on the whole calls fall as fast as if there was no order.
-    pub(crate) fn chance_of_call(&mut self, dispensable: bool, over_quota_penalty: f64) -> f64 {
-        let cheapness = CHEAPEST - over_quota_penalty.min(1.0);
-        self.cheapness.add(cheapness, 1.0, FLEET_MEMORY);
-        let relative_cheapness = cheapness / self.cheapness.or(cheapness);
-        let (most, slope, least) = if dispensable {
-            (1.0, 2.0 * relative_cheapness, LEAST_CHANCE_DISPENSABLE)
+    pub(crate) fn request_call_probability(&mut self, optional: bool, over_quota_penalty: f64) -> f64 {
+        let skip_weight = MAX_SKIP_WEIGHT - over_quota_penalty.min(1.0);
+        self.skip_weight.add(skip_weight, 1.0, FLEET_DECAY);
+        let relative_skip_weight = skip_weight / self.skip_weight.value_or(skip_weight);
+        let (intercept, slope, floor) = if optional {
+            (1.0, 2.0 * relative_skip_weight, MIN_PROBABILITY_OPTIONAL)
         } else {
-            (2.0, 2.0, LEAST_CHANCE)
+            (2.0, 2.0, MIN_PROBABILITY)
         };
-        (most - (1.0 - self.chance) * slope).clamp(least.min(self.chance), 1.0)
+        (intercept - (1.0 - self.probability) * slope).clamp(floor.min(self.probability), 1.0)
     }
 
     /// Learns from the end of a call that was made at `made_at`.
@@ -104,14 +104,14 @@
         } else if outcome == Outcome::Ok && factor >= 1.0 {
             self.raise(now);
         }
-        self.answering = outcome == Outcome::Ok || (self.answering && factor >= 1.0);
-        self.changed_at = now;
+        self.counter_answering = outcome == Outcome::Ok || (self.counter_answering && factor >= 1.0);
+        self.last_call_finished_at = now;
     }
 
     /// The factor of the chance for the end of a call.
     fn factor_after(&mut self, outcome: Outcome, latency_ms: f64, timeout_ms: f64) -> f64 {
         match outcome {
-            Outcome::Ok if self.is_slow(latency_ms, timeout_ms) => FACTOR_WHEN_SLOW,
+            Outcome::Ok if self.is_slow(latency_ms, timeout_ms) => FACTOR_AFTER_SLOW_ANSWER,
             Outcome::Ok => 1.0,
             // A broken or silent connection says nothing of how busy the counter is.
             Outcome::Reset | Outcome::NotSent => 1.0,
@@ -121,29 +121,29 @@
 
     /// Whether a latency is nearer to the time-out than to the least latency, which learns from it.
     fn is_slow(&mut self, latency_ms: f64, timeout_ms: f64) -> bool {
-        let least = self.least_latency_ms.min(latency_ms);
-        self.least_latency_ms = least + LEAST_LATENCY_RISE * (latency_ms - least);
-        let slow_above_ms = (self.least_latency_ms + timeout_ms) / 2.0;
+        let lowest = self.min_latency_ms.min(latency_ms);
+        self.min_latency_ms = lowest + MIN_LATENCY_RISE * (latency_ms - lowest);
+        let slow_above_ms = (self.min_latency_ms + timeout_ms) / 2.0;
         latency_ms > slow_above_ms
     }
 
     fn lower(&mut self, now: f64, factor: f64) {
-        self.chance = (self.chance * factor).max(LEAST_CHANCE);
+        self.probability = (self.probability * factor).max(MIN_PROBABILITY);
         // Failures with no answer between them are one trouble, and say nothing of how many calls are too
         // many: the first alone lowers the goal. Else an outage would be followed by seconds without
         // totals.
-        if self.answering {
-            self.goal = self.chance;
+        if self.counter_answering {
+            self.recovery_target = self.probability;
         }
         self.lowered_at = now;
     }
 
     fn raise(&mut self, now: f64) {
-        let elapsed_ms = (now - self.changed_at).min(LONGEST_GAIN_MS);
-        self.chance = if self.chance < self.goal {
-            (self.chance * (elapsed_ms / DOUBLING_MS).exp2()).min(self.goal)
+        let elapsed_ms = (now - self.last_call_finished_at).min(MAX_GAIN_MS);
+        self.probability = if self.probability < self.recovery_target {
+            (self.probability * (elapsed_ms / DOUBLING_MS).exp2()).min(self.recovery_target)
         } else {
-            (self.chance + GAIN_PER_SECOND * elapsed_ms / 1000.0).min(1.0)
+            (self.probability + GAIN_PER_SECOND * elapsed_ms / 1000.0).min(1.0)
         };
     }
 }
--- a/crates/policy/src/policy/counter_calls.rs
+++ b/crates/policy/src/policy/counter_calls.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use super::admission::Evidence;
+use super::admission::AdmissionBasis;
 use super::quota::WINDOW_MS;
-use super::random::mix;
+use super::random::splitmix64;
 use super::request::OpenRequest;
 use super::Policy;
 use crate::interface::{Action, Outcome};
@@ -34,11 +34,11 @@
 
 /// Calls in flight by key; the counter answers those of a key in order.
 #[derive(Debug, Default)]
-pub(super) struct CallsInFlight {
+pub(super) struct CounterCallsInFlight {
     by_key: HashMap<u64, VecDeque<CounterCall>>,
 }
 
-impl CallsInFlight {
+impl CounterCallsInFlight {
     fn push(&mut self, key: u64, call: CounterCall) {
         self.by_key.entry(key).or_default().push_back(call);
     }
@@ -77,7 +77,7 @@
         let window = quota.window;
         let Report { overflow, extra } = report;
         let call = CounterCall { request, customer, window, charge, overflow, extra, made_at: now };
-        let key = mix(customer ^ mix(window));
+        let key = splitmix64(customer ^ splitmix64(window));
         actions.push(Action::IncrementCounter { key, amount: call.amount(), ttl_ms: 2.0 * WINDOW_MS });
         self.counter_calls.push(key, call);
     }
@@ -94,7 +94,7 @@
         let Some(call) = self.counter_calls.pop(key) else { return };
         let total = Some(total).filter(|total| outcome == Outcome::Ok && total.is_finite());
         self.call_throttle.call_finished(now, call.made_at, outcome, self.settings.counter_timeout_ms);
-        let covered = self.learn_from_call(now, &call, outcome, total, actions);
+        let covered = self.apply_call_result(now, &call, outcome, total, actions);
         let Some(id) = call.request else { return };
         let Some(open) = self.requests.get_mut(&id) else { return };
         if !open.awaits_total || open.answered {
@@ -106,16 +106,16 @@
         open.awaits_total = false;
         if covered {
             let selection = self.select_backend(now, id);
-            self.send_first(now, id, selection, Evidence::Total, actions);
+            self.send_first_attempt(now, id, selection, AdmissionBasis::Total, actions);
         } else {
-            self.give_up(id, actions);
-            self.take_back_rejected_charge(now, call.customer, actions);
+            self.reject_or_fail(id, actions);
+            self.withdraw_rejected_charge(now, call.customer, actions);
         }
     }
 
     /// Updates the customer's record with the result of a call, and reports overflow that it showed.
     /// Returns whether the bucket covers what was charged.
-    fn learn_from_call(
+    fn apply_call_result(
         &mut self,
         now: f64,
         call: &CounterCall,
@@ -123,16 +123,18 @@
         total: Option<f64>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let spare = self.random.fraction() < self.call_throttle.surplus_chance();
+        let allow_optional_call = self.random.next_f64() < self.call_throttle.optional_call_probability();
         let Some(quota) = self.customers.get_mut(call.customer) else { return true };
         quota.refill(now);
         quota.end_call(call);
         let overflow = match total {
             None => {
-                quota.learn_no_total(call, outcome);
+                quota.record_missing_total(call, outcome);
                 0.0
             }
-            Some(total) if call.window == quota.window => quota.learn_total(now, total, call, spare),
+            Some(total) if call.window == quota.window => {
+                quota.apply_total(now, total, call, allow_optional_call)
+            }
             Some(_) => 0.0,
         };
         let covered = quota.level >= 0.0;
@@ -147,17 +149,17 @@
     /// Rejected charges that stand in the total would empty the buckets of all gateways, and these would
     /// then let no call pass that would take them back. It is a second call where the quota is spent, so
     /// there is none while the counter is crowded.
-    fn take_back_rejected_charge(&mut self, now: f64, customer: u64, actions: &mut Vec<Action>) {
+    fn withdraw_rejected_charge(&mut self, now: f64, customer: u64, actions: &mut Vec<Action>) {
         let in_window = self.customers.get(customer).is_some_and(|quota| quota.in_window(now));
-        if in_window && self.random.fraction() < self.call_throttle.correction_chance() {
+        if in_window && self.random.next_f64() < self.call_throttle.correction_call_probability() {
             self.call_counter(now, None, customer, Report::default(), actions);
         }
     }
 
     /// A silent counter must not use up the request's time: the request proceeds without the total.
-    pub(super) fn counter_wait_expired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
-        let waits = |open: &OpenRequest| open.awaits_total && !open.answered;
-        if self.requests.get(&id).is_some_and(waits) {
+    pub(super) fn counter_wait_timer_fired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
+        let is_waiting = |open: &OpenRequest| open.awaits_total && !open.answered;
+        if self.requests.get(&id).is_some_and(is_waiting) {
             self.proceed_without_total(now, id, actions);
         }
     }
@@ -165,14 +167,14 @@
     /// Continues a request for which no call was made, or whose call brought no total. The bucket decides
     /// alone; what it lets pass is charged for the gateways unseen as well, by this one's learned share.
     pub(super) fn proceed_without_total(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
-        let open = self.requests.get_mut(&id).expect("the caller found it");
+        let open = self.requests.get_mut(&id).expect("request is open");
         let charged = std::mem::take(&mut open.awaits_total);
         let (customer, units) = (open.request.customer, open.request.units);
         if !self.charge_without_total(customer, units, charged) {
-            return self.give_up(id, actions);
+            return self.reject_or_fail(id, actions);
         }
         let selection = self.select_backend(now, id);
-        self.send_first(now, id, selection, Evidence::Estimate, actions);
+        self.send_first_attempt(now, id, selection, AdmissionBasis::Estimate, actions);
     }
 
     /// Charges a request for all gateways, if that is not done yet, and returns whether it passes.
@@ -185,14 +187,14 @@
         if quota.level < 0.0 {
             return false;
         }
-        let unseen = units * (1.0 / quota.own_share(share_prior) - 1.0);
-        if unseen <= quota.plan.burst {
-            quota.assume_of_others(unseen);
+        let others_units = units * (1.0 / quota.own_share(share_prior) - 1.0);
+        if others_units <= quota.plan.burst {
+            quota.assume_others_use(others_units);
             return true;
         }
         // The gateway's share is under one request, and none would ever pass. Such pass by chance, so that
         // all gateways together pass the rate.
-        let rejected = self.random.fraction() * quota.demand(units) >= 1.0;
+        let rejected = self.random.next_f64() * quota.demand(units) >= 1.0;
         !rejected
     }
 }
--- a/crates/policy/src/policy/endpoint_list.rs
+++ b/crates/policy/src/policy/endpoint_list.rs
@@ -8,11 +8,11 @@
 use crate::interface::{Action, BackendEndpoint, EndpointState, LoadField, UpdateScope};
 
 /// Part of the time within which a gateway must ask for the list that it waits after a failure.
-const POLL_AGAIN_FRACTION: f64 = 0.1;
+const POLL_RETRY_FRACTION: f64 = 0.1;
 
 impl Policy {
     /// Applies an update of the endpoint list.
-    pub(super) fn update_list(
+    pub(super) fn update_endpoints(
         &mut self,
         now: f64,
         scope: UpdateScope,
@@ -33,7 +33,7 @@
     /// Schedules another poll of the list where this update brings nothing new.
     fn schedule_poll(&self, now: f64, scope: UpdateScope, actions: &mut Vec<Action>) {
         let wait_ms = match scope {
-            UpdateScope::Failed => self.settings.poll_within_ms * POLL_AGAIN_FRACTION,
+            UpdateScope::Failed => self.settings.poll_within_ms * POLL_RETRY_FRACTION,
             UpdateScope::Cached => 0.0,
             UpdateScope::Delta | UpdateScope::Full => return,
         };
@@ -67,7 +67,7 @@
             // What was learned of the process before says nothing of this one.
             let restarted = Backend {
                 in_flight: known.in_flight,
-                last_seen_at: known.last_seen_at,
+                last_alive_at: known.last_alive_at,
                 ..Backend::new(now, endpoint, &self.settings)
             };
             self.backends.renew(now, slot, restarted);
@@ -94,23 +94,23 @@
     }
 
     /// Records a backend's load report; an empty one is none.
-    pub(super) fn learn_load(&mut self, now: f64, id: u32, load: &[f32]) {
+    pub(super) fn record_load(&mut self, now: f64, id: u32, load: &[f32]) {
         if load.is_empty() {
             return;
         }
         let Some(slot) = self.backends.find(id) else { return };
         let backend = self.backends.get_mut(slot);
-        backend.last_seen_at = now;
+        backend.last_alive_at = now;
         for (field, value) in self.settings.load_fields.iter().zip(load) {
             match (field, f64::from(*value)) {
-                (LoadField::Waiting, n) if n.is_finite() => backend.waiting = n.max(0.0),
+                (LoadField::Waiting, n) if n.is_finite() => backend.queued = n.max(0.0),
                 (LoadField::Active, n) if n.is_finite() => {
-                    backend.waiting = (n - backend.in_flight).max(0.0);
+                    backend.queued = (n - backend.in_flight).max(0.0);
                 }
                 _ => continue,
             }
-            backend.reported_at = now;
-            self.fleet.queue_reported(backend.waiting);
+            backend.load_reported_at = now;
+            self.fleet.queue_reported(backend.queued);
         }
     }
 }
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -10,19 +10,19 @@
 use crate::interface::{DeduplicationScope, Idempotency, Request};
 
 /// Part of a group that may be ejected; beyond it the estimate is wrong or the trouble is shared.
-const MOST_EJECTED_FRACTION: f64 = 0.5;
+const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// Longest deadlines for which a backend that turned a plan and class away as full comes last for it.
-const AVOIDED_FOR_DEADLINES: f64 = 4.0;
+const AVOID_AFTER_REJECTION_DEADLINES: f64 = 4.0;
 /// Scatter of scores, lest gateways that know the same all choose the same.
 const SCORE_NOISE: f64 = 0.1;
 /// Part by which a backend of which nothing is known may be taken for faster than the fleet.
-const UNKNOWN_MAY_BE_FASTER: f64 = 0.5;
+const MAX_OPTIMISM: f64 = 0.5;
 /// Attempts that a backend of a few cores serves at once with little slowing.
-const SERVED_AT_ONCE: f64 = 6.0;
+const BASE_CONCURRENCY: f64 = 6.0;
 /// What a backend that is to come last counts for, against one that is not.
-const AVOIDED_TRUST: f64 = 0.2;
+const AVOIDED_PREFERENCE: f64 = 0.2;
 /// The most of its failures that counts against a backend.
-const MOST_DISTRUST: f64 = 0.9;
+const MAX_FAILURE_DISCOUNT: f64 = 0.9;
 
 /// A backend that was selected.
 #[derive(Clone, Copy, Debug)]
@@ -52,14 +52,14 @@
 
 /// What all candidates of a draw are looked at for.
 #[derive(Clone, Copy, Debug)]
-struct Draw {
+struct DrawContext {
     now: f64,
     /// Expected latency of the request on an idle backend, ms.
     work_ms: f64,
     /// Work that was sent lately to each warm backend of the subset.
     warm_push: f64,
     /// Backends that were drawn.
-    drawn: usize,
+    drawn_count: usize,
     /// They are some of those that there are.
     partial: bool,
 }
@@ -79,7 +79,7 @@
     /// If its score is best.
     ByScore,
     /// Before all others.
-    First,
+    Preferred,
 }
 
 impl Policy {
@@ -87,12 +87,12 @@
     pub(super) fn select_backend(&mut self, now: f64, id: u64) -> Option<Selection> {
         self.backends.advance(now);
         let mut random = self.random;
-        let mut drawn = std::mem::take(&mut self.drawn);
+        let mut drawn = std::mem::take(&mut self.drawn_slots);
         drawn.clear();
         let open = self.requests.get(&id);
         let best = open.and_then(|open| self.best_candidate(now, open, &mut random, &mut drawn));
         self.random = random;
-        self.drawn = drawn;
+        self.drawn_slots = drawn;
         best.map(|best| best.selection)
     }
 
@@ -109,12 +109,12 @@
         let warm_push = self.backends.warm_push(now);
         let mut best: Option<Candidate> = None;
         for group in self.groups_to_draw_from(open) {
-            let begin = drawn.len();
-            self.backends.draw(group, ignore_ejection, &mut || random.fraction(), drawn);
-            let drawn = &drawn[begin..];
+            let start = drawn.len();
+            self.backends.draw(group, ignore_ejection, &mut || random.next_f64(), drawn);
+            let drawn = &drawn[start..];
             let counts = self.backends.counts(group);
             let partial = drawn.len() < counts.ready - counts.ejected;
-            let draw = Draw { now, work_ms, warm_push, drawn: drawn.len(), partial };
+            let draw = DrawContext { now, work_ms, warm_push, drawn_count: drawn.len(), partial };
             for slot in drawn {
                 let candidate = self.candidate(open, *slot, &draw, random);
                 best = match (best, candidate) {
@@ -132,7 +132,7 @@
     /// Whether so many backends of a group are ejected that ejection means nothing.
     fn is_mostly_ejected(&self, group: Scope) -> bool {
         let counts = self.backends.counts(group);
-        counts.ejected as f64 > counts.ready as f64 * MOST_EJECTED_FRACTION
+        counts.ejected as f64 > counts.ready as f64 * MAX_EJECTED_FRACTION
     }
 
     /// Where candidates are drawn from, one group after another. A repeat of a keyed request stays where
@@ -141,8 +141,9 @@
     /// them: one gateway's view of its subset is no view of the fleet.
     fn groups_to_draw_from(&self, open: &OpenRequest) -> [Scope; 3] {
         let class = &self.settings.classes[open.request.class];
-        let ran = open.possibly_run().next().filter(|_| class.idempotency == Idempotency::Keyed);
-        match (ran, class.deduplication_scope) {
+        let earlier_attempt =
+            open.attempts_that_may_have_run().next().filter(|_| class.idempotency == Idempotency::Keyed);
+        match (earlier_attempt, class.deduplication_scope) {
             (Some(attempt), DeduplicationScope::Cell) => [Scope::Cell(attempt.cell); 3],
             (Some(attempt), DeduplicationScope::Zone) => [Scope::Zone(attempt.zone); 3],
             _ if self.is_mostly_ejected(Scope::Subset) => [Scope::Fleet; 3],
@@ -155,10 +156,10 @@
         &self,
         open: &OpenRequest,
         slot: usize,
-        draw: &Draw,
+        draw: &DrawContext,
         random: &mut Random,
     ) -> Option<Candidate> {
-        let noise = 1.0 + SCORE_NOISE * random.fraction();
+        let noise = 1.0 + SCORE_NOISE * random.next_f64();
         let backend = self.backends.get(slot);
         if !self.may_attempt(open, backend, draw.now) {
             return None;
@@ -168,15 +169,15 @@
         if eligibility == Eligibility::Excluded {
             return None;
         }
-        let slowness = self.likely_slowness(backend, draw.now, random) / capacity_fraction;
-        let load = self.load_of(backend, draw.now);
+        let slowness = self.optimistic_slowness(backend, draw.now, random) / capacity_fraction;
+        let load = self.estimated_load(backend, draw.now);
         let zone_cost = self.zone_cost(backend);
-        let trust = self.trust_in(slot, &open.request, draw);
+        let preference = self.preference(slot, &open.request, draw);
         let score = match eligibility {
-            Eligibility::First => 0.0,
-            _ => slowness * load * noise * zone_cost / trust,
+            Eligibility::Preferred => 0.0,
+            _ => slowness * load * noise * zone_cost / preference,
         };
-        let selection = Selection { slot, slowness: self.finish_slowness(backend, slowness) };
+        let selection = Selection { slot, slowness: self.expected_finish(backend, slowness) };
         let tried = open.attempts.iter().any(|attempt| attempt.backend == backend.entry.id);
         Some(Candidate { selection, tried, score })
     }
@@ -191,26 +192,28 @@
         &self,
         slot: usize,
         capacity_fraction: f64,
-        draw: &Draw,
+        draw: &DrawContext,
         random: &mut Random,
     ) -> Eligibility {
         if capacity_fraction >= 1.0 {
             return Eligibility::ByScore;
         }
-        let sharing = self.backends.degree() * self.processes;
-        let budget_ms = self.warm_up_budget_ms(capacity_fraction, sharing, draw.warm_push + draw.work_ms);
+        let sharing_gateways = self.backends.degree() * self.process_count;
+        let budget_ms =
+            self.warm_up_budget_ms(capacity_fraction, sharing_gateways, draw.warm_push + draw.work_ms);
         let pushed_ms = self.backends.pushed(slot, draw.now);
-        let under_a_request = budget_ms < draw.work_ms;
-        let within = pushed_ms + draw.work_ms <= budget_ms;
-        let overlooked = draw.partial || self.backends.get(slot).returned_from_ban();
-        let lucky = (under_a_request || overlooked && within)
-            && random.fraction() * draw.drawn as f64 <= capacity_fraction;
+        let below_one_request = budget_ms < draw.work_ms;
+        let within_budget = pushed_ms + draw.work_ms <= budget_ms;
+        let rarely_chosen = draw.partial || self.backends.get(slot).returned_from_ban();
+        let chosen_by_chance = (below_one_request || rarely_chosen && within_budget)
+            && random.next_f64() * draw.drawn_count as f64 <= capacity_fraction;
         // Gateways of whose subset it is none would each have a part of their own.
-        let allowed = self.backends.is_in_subset(slot) && (within || under_a_request && lucky);
-        match (allowed, lucky) {
+        let allowed =
+            self.backends.is_in_subset(slot) && (within_budget || below_one_request && chosen_by_chance);
+        match (allowed, chosen_by_chance) {
             (false, _) => Eligibility::Excluded,
             (true, false) => Eligibility::ByScore,
-            (true, true) => Eligibility::First,
+            (true, true) => Eligibility::Preferred,
         }
     }
 
@@ -218,8 +221,8 @@
     /// ones get of it, or of its part of one core's work. All gateways together would else overload it.
     fn warm_up_budget_ms(&self, capacity_fraction: f64, gateways: f64, warm_push: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
-        let core_ms = slow_start.overload_multiple * slow_start.overload_window_ms / gateways;
-        capacity_fraction * core_ms.max(warm_push)
+        let core_budget_ms = slow_start.overload_multiple * slow_start.overload_window_ms / gateways;
+        capacity_fraction * core_budget_ms.max(warm_push)
     }
 
     /// Slowness of a backend, by its own answers and, as they age, by the fleet's.
@@ -228,7 +231,7 @@
     }
 
     fn estimate_slowness(&self, backend: &Backend, now: f64) -> SlownessEstimate {
-        let age_ms = now - backend.latency_at;
+        let age_ms = now - backend.latency_updated_at;
         let keep = (-age_ms / (2.0 * self.longest.deadline_ms)).exp().max(f64::EPSILON);
         let prior = self.fleet.mean_work_ms() * PRIOR_REQUESTS / keep;
         SlownessEstimate {
@@ -239,49 +242,49 @@
 
     /// The slowness that an idle backend may have by chance, the less is known of it. Backends never tried,
     /// or slow once, would get nothing while one of those drawn with them has always answered well.
-    fn likely_slowness(&self, backend: &Backend, now: f64, random: &mut Random) -> f64 {
+    fn optimistic_slowness(&self, backend: &Backend, now: f64, random: &mut Random) -> f64 {
         let estimate = self.estimate_slowness(backend, now);
         let idle = backend.in_flight <= 0.0;
-        let faster =
-            if idle { UNKNOWN_MAY_BE_FASTER * estimate.fleet_fraction * random.fraction() } else { 0.0 };
-        estimate.slowness * (1.0 - faster)
+        let speedup = if idle { MAX_OPTIMISM * estimate.fleet_fraction * random.next_f64() } else { 0.0 };
+        estimate.slowness * (1.0 - speedup)
     }
 
     /// Attempts that are taken to be at a backend. A report that is old, or that stops as the backend gets
     /// busy, is no sign of idleness.
-    fn load_of(&self, backend: &Backend, now: f64) -> f64 {
-        let freshness = (-(now - backend.reported_at) / self.longest.deadline_ms).exp();
-        let usual = self.fleet.reported_queue();
-        let waiting = usual + (backend.waiting - usual) * freshness;
+    fn estimated_load(&self, backend: &Backend, now: f64) -> f64 {
+        let freshness = (-(now - backend.load_reported_at) / self.longest.deadline_ms).exp();
+        let fleet_queue = self.fleet.reported_queue();
+        let queued = fleet_queue + (backend.queued - fleet_queue) * freshness;
         let by_share = backend.in_flight * self.backends.degree();
-        by_share.max(backend.in_flight + waiting) + SERVED_AT_ONCE
+        by_share.max(backend.in_flight + queued) + BASE_CONCURRENCY
     }
 
     /// What an attempt costs there by its zone: 1 in the own.
     fn zone_cost(&self, backend: &Backend) -> f64 {
-        let crosses = f64::from(u8::from(backend.entry.zone != self.settings.zone));
-        1.0 + crosses * self.settings.cross_zone_cost
+        let crosses_zone = f64::from(u8::from(backend.entry.zone != self.settings.zone));
+        1.0 + crosses_zone * self.settings.cross_zone_cost
     }
 
     /// How far a backend is trusted to take the request; some come last.
-    fn trust_in(&self, slot: usize, request: &Request, draw: &Draw) -> f64 {
+    fn preference(&self, slot: usize, request: &Request, draw: &DrawContext) -> f64 {
         let backend = self.backends.get(slot);
         // An operator's weight: beyond its share of what others get, it comes last.
         let share = backend.entry.weight_share;
-        let sated = share < 1.0 && self.backends.pushed(slot, draw.now) > share * draw.warm_push;
-        let avoided = backend.ejected || self.rejected_of_late(backend, request, draw.now) || sated;
-        let trust = if avoided { AVOIDED_TRUST } else { 1.0 };
-        trust * (1.0 - backend.failures.min(MOST_DISTRUST))
+        let over_weight_share = share < 1.0 && self.backends.pushed(slot, draw.now) > share * draw.warm_push;
+        let avoided =
+            backend.ejected || self.recently_rejected(backend, request, draw.now) || over_weight_share;
+        let preference = if avoided { AVOIDED_PREFERENCE } else { 1.0 };
+        preference * (1.0 - backend.failure_rate.min(MAX_FAILURE_DISCOUNT))
     }
 
     /// Whether a backend rejected the request's plan and its class of late, as full. It may have room for
     /// others, which go on there.
-    fn rejected_of_late(&self, backend: &Backend, request: &Request, now: f64) -> bool {
-        let avoid_ms = self.longest.deadline_ms * AVOIDED_FOR_DEADLINES;
-        let of_late = |at: Option<&f64>| at.is_some_and(|at| now - at < avoid_ms);
+    fn recently_rejected(&self, backend: &Backend, request: &Request, now: f64) -> bool {
+        let avoid_ms = self.longest.deadline_ms * AVOID_AFTER_REJECTION_DEADLINES;
+        let recently = |at: Option<&f64>| at.is_some_and(|at| now - at < avoid_ms);
         let indices = self.rejection_indices(request);
         !backend.rejected_at.is_empty()
-            && indices.iter().all(|index| of_late(backend.rejected_at.get(*index)))
+            && indices.iter().all(|index| recently(backend.rejected_at.get(*index)))
     }
 
     /// Where a request's plan and class stand in [`Backend::rejected_at`]: the plans, one entry for plans
@@ -292,11 +295,11 @@
     }
 
     /// Expected finish at a backend of some slowness, as a multiple of an idle one's; 0 at an idle one.
-    fn finish_slowness(&self, backend: &Backend, slowness: f64) -> f64 {
+    fn expected_finish(&self, backend: &Backend, slowness: f64) -> f64 {
         if backend.in_flight <= 0.0 {
             return 0.0;
         }
         let queueing = (slowness / self.fleet.baseline() - 1.0).max(0.0);
-        1.0 + queueing * (backend.in_flight + 1.0) / (backend.usual_in_flight + 1.0)
+        1.0 + queueing * (backend.in_flight + 1.0) / (backend.mean_in_flight + 1.0)
     }
 }
--- a/crates/policy/src/policy/final_answer.rs
+++ b/crates/policy/src/policy/final_answer.rs
@@ -5,7 +5,7 @@
 
 impl Policy {
     /// Ends a request with the best answer that is legal: rejected where nothing ran, else failed.
-    pub(super) fn give_up(&mut self, id: u64, actions: &mut Vec<Action>) {
+    pub(super) fn reject_or_fail(&mut self, id: u64, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
         if open.answered || open.streaming {
             return;
@@ -16,7 +16,7 @@
             Action::Fail { id }
         };
         actions.push(answer);
-        self.finish(id, actions);
+        self.finish_request(id, actions);
     }
 
     /// When a rejected client should come again: once its quota covers the request. None without advice.
@@ -30,7 +30,7 @@
     }
 
     /// Marks a request as answered, or as one that needs no answer any more.
-    pub(super) fn finish(&mut self, id: u64, actions: &mut Vec<Action>) {
+    pub(super) fn finish_request(&mut self, id: u64, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         open.answered = true;
         // What was never sent is not charged.
--- a/crates/policy/src/policy/handover.rs
+++ b/crates/policy/src/policy/handover.rs
@@ -8,13 +8,13 @@
 impl Policy {
     /// Sets how many processes serve as this gateway, this one among them: while one takes over from
     /// another, all that a gateway may do without asking is shared between them.
-    pub fn set_process_count(&mut self, now: f64, processes: u32) {
-        let processes = f64::from(processes.max(1));
+    pub fn set_process_count(&mut self, now: f64, process_count: u32) {
+        let process_count = f64::from(process_count.max(1));
         self.customers.for_each_mut(|quota| {
             quota.refill(now);
-            quota.share_among(processes);
+            quota.set_process_count(process_count);
         });
-        self.processes = processes;
+        self.process_count = process_count;
     }
 
     /// Removes and returns the charges that were not reported to the counter, so that another process
@@ -39,19 +39,19 @@
     /// be a charge is ignored.
     pub fn adopt_unreported_charges(&mut self, now: f64, charges: &[UnreportedCharge]) {
         for charge in charges {
-            let sound = charge.units.is_finite() && charge.units > 0.0 && charge.fan_out >= 1.0;
-            if sound {
-                self.take_over_charge(now, charge);
+            let valid = charge.units.is_finite() && charge.units > 0.0 && charge.fan_out >= 1.0;
+            if valid {
+                self.adopt_charge(now, charge);
             }
         }
     }
 
-    fn take_over_charge(&mut self, now: f64, charge: &UnreportedCharge) {
+    fn adopt_charge(&mut self, now: f64, charge: &UnreportedCharge) {
         let Some(plan) = self.settings.plans.get(charge.plan).cloned() else { return };
         if self.customers.get(charge.customer).is_none() {
             let context = self.customer_context(now, charge.fan_out);
             let mut quota = CustomerQuota::new(charge.customer, plan, &context);
-            quota.share_among(self.processes);
+            quota.set_process_count(self.process_count);
             // Where there is no room for the record the charge is lost, and its units may pass again.
             let _ = self.customers.insert(now, charge.customer, quota);
         }
--- a/crates/policy/src/policy/latency.rs
+++ b/crates/policy/src/policy/latency.rs
@@ -4,19 +4,19 @@
 use crate::interface::{Class, Settings};
 
 /// Part of a backend's latency figures that each further answer leaves.
-pub(crate) const BACKEND_MEMORY: f64 = 0.9;
+pub(crate) const BACKEND_DECAY: f64 = 0.9;
 /// The same of the whole fleet's.
-pub(crate) const FLEET_MEMORY: f64 = 0.98;
+pub(crate) const FLEET_DECAY: f64 = 0.98;
 /// The same of a class's.
-const CLASS_MEMORY: f64 = 0.998;
+const CLASS_DECAY: f64 = 0.998;
 /// Latency of a mean request before any was seen, as a part of the latency objective.
-pub(crate) const UNSEEN_LATENCY: f64 = 0.125;
+pub(crate) const ASSUMED_LATENCY_FRACTION: f64 = 0.125;
 /// Answers that the assumed latency of a class counts for, so that a flood at the start shows as slowness.
-pub(crate) const UNSEEN_WEIGHT: f64 = 20.0;
+pub(crate) const ASSUMED_LATENCY_ANSWERS: f64 = 20.0;
 
 /// Latency of a mean request of a class on an idle backend before any was seen, ms.
-fn unseen_work_ms(class: &Class) -> f64 {
-    class.latency_objective_ms * UNSEEN_LATENCY
+fn assumed_work_ms(class: &Class) -> f64 {
+    class.latency_objective_ms * ASSUMED_LATENCY_FRACTION
 }
 
 /// What is known of a class.
@@ -29,9 +29,12 @@
 }
 
 impl ClassLatency {
-    fn unseen(class: &Class) -> ClassLatency {
-        let assumed_ms = unseen_work_ms(class);
-        let latency = DecayedRatio { observed: assumed_ms * UNSEEN_WEIGHT, expected: UNSEEN_WEIGHT };
+    fn assumed(class: &Class) -> ClassLatency {
+        let assumed_ms = assumed_work_ms(class);
+        let latency = DecayedRatio {
+            observed: assumed_ms * ASSUMED_LATENCY_ANSWERS,
+            expected: ASSUMED_LATENCY_ANSWERS,
+        };
         ClassLatency { latency, mean_work_ms: assumed_ms }
     }
 }
@@ -56,7 +59,7 @@
 
 impl LatencyEstimates {
     pub(crate) fn new(classes: &[Class]) -> LatencyEstimates {
-        let classes = classes.iter().map(ClassLatency::unseen).collect();
+        let classes = classes.iter().map(ClassLatency::assumed).collect();
         LatencyEstimates { classes, units: DecayedRatio::default() }
     }
 
@@ -66,18 +69,18 @@
         &mut self,
         old: &[Class],
         new: &[Class],
-        place_before: impl Fn(usize) -> Option<usize>,
+        old_index: impl Fn(usize) -> Option<usize>,
     ) {
-        for (place, class) in new.iter().enumerate() {
-            if old.get(place).is_some_and(|old| old.same_rules(class)) {
+        for (index, class) in new.iter().enumerate() {
+            if old.get(index).is_some_and(|old| old.same_rules(class)) {
                 continue;
             }
-            let latency = match place_before(place).filter(|before| *before < old.len()) {
-                Some(before) => self.classes[before],
-                None => ClassLatency::unseen(class),
+            let latency = match old_index(index).filter(|i| *i < old.len()) {
+                Some(old_index) => self.classes[old_index],
+                None => ClassLatency::assumed(class),
             };
-            if place < self.classes.len() {
-                self.classes[place] = latency;
+            if index < self.classes.len() {
+                self.classes[index] = latency;
             } else {
                 self.classes.push(latency);
             }
@@ -86,17 +89,17 @@
 
     /// Records the units of a request that arrived.
     pub(crate) fn request_received(&mut self, units: f64) {
-        self.units.add(units.max(1.0), 1.0, FLEET_MEMORY);
+        self.units.add(units.max(1.0), 1.0, FLEET_DECAY);
     }
 
     /// Units of a mean request.
     pub(crate) fn mean_units(&self) -> f64 {
-        self.units.or(1.0)
+        self.units.value_or(1.0)
     }
 
     /// Expected latency on an idle backend, ms.
     pub(crate) fn work_ms(&self, class: usize, units: f64) -> f64 {
-        let latency = self.classes[class].latency.or(0.0);
+        let latency = self.classes[class].latency.value_or(0.0);
         (latency * self.relative_size(units)).max(f64::MIN_POSITIVE)
     }
 
@@ -108,11 +111,11 @@
     /// Learns from an answer, while the fleet is as slow as `slowness` says. Learned against the present
     /// slowness, classes keep their scale on the whole, whatever the load; learned from the latency as it
     /// is, the yardstick would shrink by its own use.
-    pub(crate) fn learn(&mut self, answer: &AnsweredWork, slowness: f64) {
+    pub(crate) fn record_answer(&mut self, answer: &AnsweredWork, slowness: f64) {
         let relative_size = self.relative_size(answer.units);
         let class = &mut self.classes[answer.class];
-        class.latency.add(answer.latency_ms / slowness, relative_size, CLASS_MEMORY);
-        class.mean_work_ms += (1.0 - FLEET_MEMORY) * (answer.work_ms - class.mean_work_ms);
+        class.latency.add(answer.latency_ms / slowness, relative_size, CLASS_DECAY);
+        class.mean_work_ms += (1.0 - FLEET_DECAY) * (answer.work_ms - class.mean_work_ms);
     }
 
     /// The least of the classes' latency objectives, as a multiple of their work. Classes that were dropped
@@ -125,8 +128,8 @@
 
 /// Latency of a mean request of the first class before any was seen, ms: it stands for the fleet's at
 /// first.
-pub(crate) fn unseen_fleet_work_ms(classes: &[Class]) -> f64 {
-    unseen_work_ms(&classes[0])
+pub(crate) fn assumed_fleet_work_ms(classes: &[Class]) -> f64 {
+    assumed_work_ms(&classes[0])
 }
 
 /// The longest times of all classes, ms.
@@ -137,7 +140,7 @@
 }
 
 impl LongestTimes {
-    pub(crate) fn of(settings: &Settings) -> LongestTimes {
+    pub(crate) fn from_settings(settings: &Settings) -> LongestTimes {
         let longest = |time: fn(&Class) -> f64| settings.classes.iter().map(time).fold(1.0, f64::max);
         LongestTimes {
             objective_ms: longest(|c| c.latency_objective_ms),
--- a/crates/policy/src/policy/load_shedding.rs
+++ b/crates/policy/src/policy/load_shedding.rs
@@ -10,32 +10,32 @@
     pub(super) fn find_capacity(&mut self, now: f64, id: u64) -> Option<Selection> {
         let limit = self.fleet.slowness_limit();
         let selection = self.select_backend(now, id).filter(|selection| selection.slowness <= limit);
-        let pressure = self.pressure(now);
-        let room = selection.filter(|_| self.is_done_in_time(now, id, pressure) && pressure <= limit);
-        self.fleet.record_capacity_search(room.is_some());
-        room
+        let congestion = self.congestion(now);
+        let selection = selection.filter(|_| self.meets_deadline(now, id, congestion) && congestion <= limit);
+        self.fleet.record_capacity_search(selection.is_some());
+        selection
     }
 
     /// Whether a request is expected to be done before its deadline; else it is not begun.
-    fn is_done_in_time(&self, now: f64, id: u64, pressure: f64) -> bool {
+    fn meets_deadline(&self, now: f64, id: u64, congestion: f64) -> bool {
         let request = &self.requests[&id].request;
         let work_ms = self.latency.work_ms(request.class, request.units);
-        work_ms * self.fleet.baseline() * pressure <= request.deadline_ms - now
+        work_ms * self.fleet.baseline() * congestion <= request.deadline_ms - now
     }
 
     /// Present slowness of the fleet against its baseline.
-    fn pressure(&self, now: f64) -> f64 {
+    fn congestion(&self, now: f64) -> f64 {
         let gateways = f64::from(self.settings.gateway_count);
-        self.fleet.pressure(now, gateways, self.longest.objective_ms)
+        self.fleet.congestion(now, gateways, self.longest.objective_ms)
     }
 
     /// Whether the fleet is slower than the class with the tightest objective can bear.
-    pub(super) fn is_pressed(&self, now: f64) -> bool {
-        self.pressure(now) > self.fleet.slowness_limit()
+    pub(super) fn is_congested(&self, now: f64) -> bool {
+        self.congestion(now) > self.fleet.slowness_limit()
     }
 
     /// Records the latency of an answer, or the time in which none came.
-    pub(super) fn learn_recent(&mut self, now: f64, observed_ms: f64, work_ms: f64) {
-        self.fleet.learn_recent(now, observed_ms, work_ms, self.longest.objective_ms);
+    pub(super) fn record_recent_latency(&mut self, now: f64, observed_ms: f64, work_ms: f64) {
+        self.fleet.record_recent_latency(now, observed_ms, work_ms, self.longest.objective_ms);
     }
 }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -55,7 +55,7 @@
 use self::attempt_results::AttemptResult;
 use self::backend::Backend;
 use self::call_throttle::CallThrottle;
-use self::counter_calls::CallsInFlight;
+use self::counter_calls::CounterCallsInFlight;
 use self::fleet_load::FleetLoad;
 use self::latency::{LatencyEstimates, LongestTimes};
 use self::random::Random;
@@ -75,17 +75,17 @@
     random: Random,
     requests: HashMap<u64, OpenRequest>,
     pub(crate) customers: BoundedCache<CustomerQuota>,
-    counter_calls: CallsInFlight,
+    counter_calls: CounterCallsInFlight,
     call_throttle: CallThrottle,
     pub(crate) backends: Index<Backend>,
     /// Slots of the candidates of the selection that is being made; its memory is reused.
-    drawn: Vec<usize>,
+    drawn_slots: Vec<usize>,
     longest: LongestTimes,
     latency: LatencyEstimates,
     fleet: FleetLoad,
     retry_budget: RetryBudget,
     /// Processes that serve as this gateway by now.
-    processes: f64,
+    process_count: f64,
 }
 
 impl Policy {
@@ -108,15 +108,15 @@
             random: Random::new(seed),
             requests: HashMap::new(),
             customers: BoundedCache::new(settings.max_customers),
-            counter_calls: CallsInFlight::default(),
+            counter_calls: CounterCallsInFlight::default(),
             call_throttle: CallThrottle::new(now),
             backends: Index::new(subset, sampling, settings.slow_start.overload_window_ms),
-            drawn: Vec::new(),
-            longest: LongestTimes::of(&settings),
+            drawn_slots: Vec::new(),
+            longest: LongestTimes::from_settings(&settings),
             latency: LatencyEstimates::new(&settings.classes),
-            fleet: FleetLoad::new(now, latency::unseen_fleet_work_ms(&settings.classes)),
+            fleet: FleetLoad::new(now, latency::assumed_fleet_work_ms(&settings.classes)),
             retry_budget: RetryBudget::new(),
-            processes: 1.0,
+            process_count: 1.0,
             settings,
         })
     }
@@ -124,23 +124,23 @@
     /// Changes the classes, limits and slow-start figures. A class at the place that it had before is the
     /// same one; what was learned of a class that changed goes with its name, and `before` maps the place
     /// of each new class to its earlier one. Open requests keep the class and the attempts they came with.
-    pub fn update_settings(&mut self, settings: Settings, before: impl Fn(usize) -> Option<usize>) {
-        self.latency.change_classes(&self.settings.classes, &settings.classes, before);
-        self.longest = LongestTimes::of(&settings);
+    pub fn update_settings(&mut self, settings: Settings, old_index: impl Fn(usize) -> Option<usize>) {
+        self.latency.change_classes(&self.settings.classes, &settings.classes, old_index);
+        self.longest = LongestTimes::from_settings(&settings);
         self.settings = settings;
     }
 
     /// Whether a request that is open came with the class at a place.
     #[must_use]
-    pub fn has_request_of_class(&self, place: usize) -> bool {
-        self.requests.values().any(|open| open.request.class == place)
+    pub fn has_request_of_class(&self, class: usize) -> bool {
+        self.requests.values().any(|open| open.request.class == class)
     }
 
     /// The request that a timer is for, if any. When that has its final answer and no attempt in flight,
     /// the timer need not fire.
     #[must_use]
     pub fn request_of_timer(token: u64) -> Option<u64> {
-        let (kind, request) = TimerKind::of(token);
+        let (kind, request) = TimerKind::from_token(token);
         (kind != TimerKind::PollEndpoints).then_some(request)
     }
 
@@ -148,7 +148,7 @@
     pub fn handle(&mut self, now: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { scope, endpoints } => {
-                self.update_list(now, scope, endpoints, actions);
+                self.update_endpoints(now, scope, endpoints, actions);
             }
             Event::Request(request) => self.request_arrived(now, request, actions),
             Event::AttemptEnded {
@@ -162,7 +162,7 @@
                 actual_units,
                 load,
             } => {
-                self.learn_load(now, backend, load);
+                self.record_load(now, backend, load);
                 self.attempt_finished(
                     now,
                     &AttemptResult { id, attempt, outcome, latency_ms, actual_units, metered_use },
@@ -173,9 +173,9 @@
             Event::StreamStarted { id, attempt, backend } => {
                 self.stream_started(now, id, attempt, backend, actions);
             }
-            Event::ClientDisconnected { id } => self.finish(id, actions),
+            Event::ClientDisconnected { id } => self.finish_request(id, actions),
             Event::ProbeEnded { backend, outcome, load } => {
-                self.learn_load(now, backend, load);
+                self.record_load(now, backend, load);
                 self.probe_finished(now, backend, outcome);
             }
             Event::CounterReplied { key, outcome, total } => {
@@ -187,11 +187,11 @@
     }
 
     fn timer_fired(&mut self, now: f64, token: u64, actions: &mut Vec<Action>) {
-        let (kind, id) = TimerKind::of(token);
+        let (kind, id) = TimerKind::from_token(token);
         match kind {
-            TimerKind::Deadline => self.give_up(id, actions),
-            TimerKind::Hedge => self.overdue_timer_fired(now, id, actions),
-            TimerKind::CounterWait => self.counter_wait_expired(now, id, actions),
+            TimerKind::Deadline => self.reject_or_fail(id, actions),
+            TimerKind::Hedge => self.hedge_timer_fired(now, id, actions),
+            TimerKind::CounterWait => self.counter_wait_timer_fired(now, id, actions),
             TimerKind::PollEndpoints => actions.push(Action::PollEndpoints),
         }
     }
--- a/crates/policy/src/policy/outlier_ejection.rs
+++ b/crates/policy/src/policy/outlier_ejection.rs
@@ -9,7 +9,7 @@
 
 impl Policy {
     /// Ejects silent backends, and starts trials of those whose pause is over.
-    pub(super) fn check_silence(&mut self, now: f64, actions: &mut Vec<Action>) {
+    pub(super) fn run_due_checks(&mut self, now: f64, actions: &mut Vec<Action>) {
         while let Some(slot) = self.backends.next_due(now) {
             let backend = self.backends.get(slot);
             // When the list has it take work again, it is looked at anew.
@@ -18,7 +18,7 @@
                 continue;
             }
             if backend.ejected {
-                self.try_ejected(now, slot, actions);
+                self.probe_or_readmit(now, slot, actions);
             } else {
                 self.eject_if_silent(now, slot);
             }
@@ -26,18 +26,18 @@
     }
 
     /// Starts a trial of an ejected backend, if its pause is over.
-    fn try_ejected(&mut self, now: f64, slot: usize, actions: &mut Vec<Action>) {
+    fn probe_or_readmit(&mut self, now: f64, slot: usize, actions: &mut Vec<Action>) {
         let backend = self.backends.get(slot);
-        let (id, trial_at) = (backend.entry.id, backend.trial_at);
-        if now < trial_at {
-            return self.look_again(now, slot, trial_at);
+        let (id, probe_at) = (backend.entry.id, backend.probe_at);
+        if now < probe_at {
+            return self.recheck_at(now, slot, probe_at);
         }
         self.eject(now, slot);
         if self.settings.limits.probes {
             actions.push(Action::Probe { backend: id });
         } else {
             self.backends.update(now, slot, |backend| backend.readmit(now, 0.0));
-            self.look_again_after_connect(now, slot);
+            self.recheck_after_connect(now, slot);
         }
     }
 
@@ -45,10 +45,10 @@
     fn eject_if_silent(&mut self, now: f64, slot: usize) {
         let connect_ms = self.settings.limits.connect_timeout_ms;
         let backend = self.backends.get(slot);
-        let silent_at = backend.last_seen_at + self.silence_limit_ms(backend, now);
+        let silent_at = backend.last_alive_at + self.silence_limit_ms(backend, now);
         if now <= silent_at {
             // What is expected of an answer may fall, and the wait for it with that.
-            return self.look_again(now, slot, silent_at.min(now + connect_ms));
+            return self.recheck_at(now, slot, silent_at.min(now + connect_ms));
         }
         self.eject(now, slot);
     }
@@ -58,19 +58,19 @@
         latency.max(self.settings.limits.connect_timeout_ms)
     }
 
-    fn look_again(&mut self, now: f64, slot: usize, at: f64) {
+    fn recheck_at(&mut self, now: f64, slot: usize, at: f64) {
         self.backends.check_at(slot, at.max(now + 1.0));
     }
 
     /// Looks at a backend that was just sent to, once a connection must be up.
-    pub(super) fn look_again_after_connect(&mut self, now: f64, slot: usize) {
+    pub(super) fn recheck_after_connect(&mut self, now: f64, slot: usize) {
         self.backends.check_at(slot, now + self.settings.limits.connect_timeout_ms.max(1.0));
     }
 
     pub(super) fn eject(&mut self, now: f64, slot: usize) {
         let connect_ms = self.settings.limits.connect_timeout_ms;
         self.backends.update(now, slot, |backend| backend.eject(now, connect_ms));
-        self.backends.check_at(slot, self.backends.get(slot).trial_at);
+        self.backends.check_at(slot, self.backends.get(slot).probe_at);
     }
 
     /// A probe ended: a backend that answers it well gets work again.
--- a/crates/policy/src/policy/quota/mod.rs
+++ b/crates/policy/src/policy/quota/mod.rs
@@ -18,14 +18,14 @@
 
 use self::ceiling::CeilingShare;
 use super::counter_calls::CounterCall;
-use super::random::{fraction_of, mix};
+use super::random::{splitmix64, unit_fraction};
 use super::ratio::DecayedRatio;
 use crate::interface::Plan;
 
 /// Part of an even share of burst and rate that a gateway spends before it calls the counter.
-const LOCAL_FRACTION: f64 = 0.1;
+const LOCAL_ALLOWANCE_FRACTION: f64 = 0.1;
 /// Fill times of the bucket in which what was seen of a customer's demand fades.
-pub(super) const MEMORY_FILLS: f64 = 4.0;
+pub(super) const DECAY_FILL_TIMES: f64 = 4.0;
 /// Length of a window, ms. Its key is kept for two of them, and 60 s is the longest a counter keeps one.
 /// What others spend between a window's last total and its end is seen by nobody, so longer is better.
 pub(super) const WINDOW_MS: f64 = 30_000.0;
@@ -52,7 +52,7 @@
     /// A limit is reached: the request is rejected.
     pub(super) exceeded: bool,
     /// The bucket covers the request but for what is only assumed of other gateways.
-    pub(super) doubtful: bool,
+    pub(super) inconclusive: bool,
     /// This gateway's part of the ceiling does not cover it.
     pub(super) ceiling_scarce: bool,
 }
@@ -82,15 +82,15 @@
     /// What all gateways charged, over what the rate gave in that time.
     demand: DecayedRatio,
     /// Amounts of calls that may or may not have been added.
-    uncertain: f64,
+    possibly_added: f64,
     /// Of these, charges of calls whose connection broke or fell silent.
-    lost_in_transit: f64,
+    reset_charges: f64,
     /// Charged for others without a total.
-    assumed_of_others: f64,
+    assumed_others_use: f64,
     /// Charges of calls in flight.
-    reporting: f64,
+    charges_in_flight: f64,
     /// A call that reports overflow is in flight; until it is answered totals may lack it.
-    reporting_overflow: bool,
+    overflow_in_flight: bool,
     /// The totals lack overflow that is known here: until they have it the own estimate bounds them.
     totals_lack_overflow: bool,
     /// What this gateway charged of late.
@@ -100,7 +100,7 @@
     /// What this gateway may send of the ceiling without a total.
     ceiling: CeilingShare,
     /// Processes that serve as this gateway by now, which share what is this gateway's.
-    processes: f64,
+    process_count: f64,
     /// What totals let pass is within the ceiling by itself.
     totals_enforce_ceiling: bool,
     pub(super) attempts_in_flight: u32,
@@ -119,11 +119,11 @@
             refilled_at: now,
             level: plan.burst,
             overflow: plan.burst,
-            local_allowance: plan.burst * LOCAL_FRACTION / fan_out,
+            local_allowance: plan.burst * LOCAL_ALLOWANCE_FRACTION / fan_out,
             window: NO_WINDOW,
             last_total_at: NEVER,
             ceiling,
-            processes: 1.0,
+            process_count: 1.0,
             totals_enforce_ceiling,
             plan,
             ..Self::default()
@@ -132,11 +132,11 @@
 
     /// Sets how many processes serve as this gateway and share its allowances. What is there beyond the new
     /// share is lost; a share that grows fills as it always does.
-    pub(super) fn share_among(&mut self, processes: f64) {
-        let part = (self.processes / processes).min(1.0);
-        self.ceiling.level *= part;
-        self.local_allowance *= part;
-        self.processes = processes;
+    pub(super) fn set_process_count(&mut self, process_count: f64) {
+        let factor = (self.process_count / process_count).min(1.0);
+        self.ceiling.level *= factor;
+        self.local_allowance *= factor;
+        self.process_count = process_count;
     }
 
     /// Leaves no local allowance, so that charges are reported at once.
@@ -146,7 +146,7 @@
 
     /// Windows since the clock began, those of a customer with a phase of its own.
     fn windows(&self, now: f64) -> f64 {
-        now / WINDOW_MS + fraction_of(mix(self.customer))
+        now / WINDOW_MS + unit_fraction(splitmix64(self.customer))
     }
 
     /// Whether the window of the last call still is the present one.
@@ -160,47 +160,48 @@
             self.window = self.windows(now) as u64;
             self.last_total = 0.0;
             self.withdrawn = 0.0;
-            self.forget_uncertain();
+            self.clear_unconfirmed();
         }
     }
 
     /// Forgets amounts that a total covers, or none ever will.
-    fn forget_uncertain(&mut self) {
-        self.uncertain = 0.0;
-        self.lost_in_transit = 0.0;
-        self.assumed_of_others = 0.0;
+    fn clear_unconfirmed(&mut self) {
+        self.possibly_added = 0.0;
+        self.reset_charges = 0.0;
+        self.assumed_others_use = 0.0;
     }
 
     /// Fills what fills with time.
     pub(super) fn refill(&mut self, now: f64) {
         let seconds = (now - self.refilled_at).max(0.0) / 1000.0;
         self.refilled_at = now;
-        let given = self.plan.rate * seconds;
-        self.refill_bucket(given);
-        self.refill_local_allowance(given);
-        self.ceiling.refill(seconds, self.processes);
+        let refilled = self.plan.rate * seconds;
+        self.refill_bucket(refilled);
+        self.refill_local_allowance(refilled);
+        self.ceiling.refill(seconds, self.process_count);
         // Refill has made good charges that are reported long after, as when the counter is back.
         self.unreported = self.unreported.min((self.plan.burst - self.level).max(0.0));
-        let factor = self.memory_factor(given);
+        let factor = self.decay_factor(refilled);
         self.own_use *= factor;
         self.others_use *= factor;
     }
 
-    fn refill_bucket(&mut self, given: f64) {
-        let filled = self.level + given;
-        self.overflow += (filled - self.plan.burst).max(0.0);
-        self.level = filled.min(self.plan.burst);
+    fn refill_bucket(&mut self, refilled: f64) {
+        let level = self.level + refilled;
+        self.overflow += (level - self.plan.burst).max(0.0);
+        self.level = level.min(self.plan.burst);
     }
 
-    fn refill_local_allowance(&mut self, given: f64) {
-        let even = 1.0 / (self.fan_out * self.processes);
-        let most = self.plan.burst * LOCAL_FRACTION * even;
-        self.local_allowance = (self.local_allowance + given * LOCAL_FRACTION * even).min(most);
+    fn refill_local_allowance(&mut self, refilled: f64) {
+        let even_share = 1.0 / (self.fan_out * self.process_count);
+        let max_allowance = self.plan.burst * LOCAL_ALLOWANCE_FRACTION * even_share;
+        self.local_allowance =
+            (self.local_allowance + refilled * LOCAL_ALLOWANCE_FRACTION * even_share).min(max_allowance);
     }
 
     /// What is left of a memory after the rate gave so many units.
-    fn memory_factor(&self, given: f64) -> f64 {
-        (-given / (self.plan.burst * MEMORY_FILLS).max(f64::MIN_POSITIVE)).exp()
+    fn decay_factor(&self, refilled: f64) -> f64 {
+        (-refilled / (self.plan.burst * DECAY_FILL_TIMES).max(f64::MIN_POSITIVE)).exp()
     }
 
     /// What the limits say to a request of so many units. `share_prior`: see [`CustomerQuota::own_share`].
@@ -209,23 +210,23 @@
         let ceiling_scarce = has_ceiling && self.ceiling.level < units;
         let uncovered = self.level < units;
         // What is only assumed of others must not reject: no call would be made that shows better.
-        let doubtful = uncovered && self.level + self.assumed_of_others >= units;
-        let over_quota = self.plan.rate > 0.0 && uncovered && !doubtful;
+        let inconclusive = uncovered && self.level + self.assumed_others_use >= units;
+        let over_quota = self.plan.rate > 0.0 && uncovered && !inconclusive;
         let over_ceiling = ceiling_scarce && !self.totals_enforce_ceiling;
         let exceeded = self.is_at_concurrency_limit(share_prior) || over_ceiling || over_quota;
-        QuotaCheck { exceeded, doubtful, ceiling_scarce }
+        QuotaCheck { exceeded, inconclusive, ceiling_scarce }
     }
 
     /// Whether this gateway's part of the concurrency limit is in flight.
     fn is_at_concurrency_limit(&self, share_prior: f64) -> bool {
         let share = self.own_share(share_prior).max(1.0 / self.fan_out);
-        let limit = (f64::from(self.plan.max_in_flight) * share / self.processes).max(1.0);
+        let limit = (f64::from(self.plan.max_in_flight) * share / self.process_count).max(1.0);
         self.plan.max_in_flight > 0 && f64::from(self.attempts_in_flight) + 1.0 > limit
     }
 
     /// Whether a request needs no total: no other gateway has the customer, or the local allowance covers
     /// it.
-    pub(super) fn spend_locally(&mut self, units: f64) -> bool {
+    pub(super) fn try_spend_locally(&mut self, units: f64) -> bool {
         let covered = self.fan_out <= 1.0 || self.local_allowance >= units;
         if covered {
             self.local_allowance -= units;
@@ -242,9 +243,9 @@
     }
 
     /// Charges units for what other gateways pass unseen.
-    pub(super) fn assume_of_others(&mut self, units: f64) {
+    pub(super) fn assume_others_use(&mut self, units: f64) {
         self.level -= units;
-        self.assumed_of_others += units;
+        self.assumed_others_use += units;
         // Counted as their use, too: with no word of them the own share would creep up to the whole.
         self.others_use += units;
     }
@@ -258,8 +259,8 @@
     }
 
     /// Learns the customer's use over all gateways, as a part of its rate, from a usage meter.
-    pub(super) fn learn_metered_use(&mut self, fraction_of_rate: f64) {
-        self.others_use = (fraction_of_rate * self.plan.burst * MEMORY_FILLS - self.own_use).max(0.0);
+    pub(super) fn record_metered_use(&mut self, fraction_of_rate: f64) {
+        self.others_use = (fraction_of_rate * self.plan.burst * DECAY_FILL_TIMES - self.own_use).max(0.0);
     }
 
     /// This gateway's learned share of the customer's use; even until known. `prior`: units that the even
@@ -302,9 +303,9 @@
     /// Starts a call that reports all unreported charges, and so much overflow. Returns the charges.
     pub(super) fn start_call(&mut self, overflow: f64) -> f64 {
         let charge = std::mem::take(&mut self.unreported) - std::mem::take(&mut self.withdrawn);
-        self.reporting += charge;
+        self.charges_in_flight += charge;
         self.calls_in_flight += 1;
-        self.reporting_overflow |= overflow != 0.0;
+        self.overflow_in_flight |= overflow != 0.0;
         self.totals_lack_overflow &= overflow == 0.0;
         charge
     }
@@ -312,15 +313,16 @@
     /// A call has ended, one way or another.
     pub(super) fn end_call(&mut self, call: &CounterCall) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
-        self.reporting = if self.calls_in_flight == 0 { 0.0 } else { self.reporting - call.charge };
-        self.reporting_overflow &= call.overflow == 0.0;
+        self.charges_in_flight =
+            if self.calls_in_flight == 0 { 0.0 } else { self.charges_in_flight - call.charge };
+        self.overflow_in_flight &= call.overflow == 0.0;
     }
 
     /// Removes and returns the charges that no call reported, if there are any.
     pub(super) fn take_unreported(&mut self) -> Option<f64> {
         let units = self.unreported - self.withdrawn;
-        let some = units.is_finite() && units > 0.0;
-        some.then(|| {
+        let has_units = units.is_finite() && units > 0.0;
+        has_units.then(|| {
             self.unreported = 0.0;
             self.withdrawn = 0.0;
             units
@@ -338,7 +340,7 @@
         self.refill(now);
         let full = self.level >= self.plan.burst && !self.is_ceiling_spent();
         let demand_known =
-            (now - self.last_total_at) * self.plan.rate < self.plan.burst * MEMORY_FILLS * 1000.0;
+            (now - self.last_total_at) * self.plan.rate < self.plan.burst * DECAY_FILL_TIMES * 1000.0;
         full && !demand_known && self.is_idle()
     }
 
@@ -352,9 +354,9 @@
     /// forgotten, nor a ceiling that is spent.
     fn eviction_cost(&mut self, now: f64) -> Option<f64> {
         self.refill(now);
-        let lacks = self.plan.burst - self.level;
-        let charge_unreported = self.unreported != 0.0 && lacks > 0.0;
-        let may_be_forgotten = self.is_idle() && !charge_unreported && !self.is_ceiling_spent();
-        may_be_forgotten.then_some(lacks.max(0.0))
+        let missing = self.plan.burst - self.level;
+        let charge_unreported = self.unreported != 0.0 && missing > 0.0;
+        let evictable = self.is_idle() && !charge_unreported && !self.is_ceiling_spent();
+        evictable.then_some(missing.max(0.0))
     }
 }
--- a/crates/policy/src/policy/ratio.rs
+++ b/crates/policy/src/policy/ratio.rs
@@ -20,7 +20,7 @@
     }
 
     /// The ratio, or `prior` where nothing was observed.
-    pub(crate) fn or(&self, prior: f64) -> f64 {
+    pub(crate) fn value_or(&self, prior: f64) -> f64 {
         self.with_prior(prior, f64::MIN_POSITIVE)
     }
 }
--- a/crates/policy/src/policy/repeat_safety.rs
+++ b/crates/policy/src/policy/repeat_safety.rs
@@ -31,9 +31,9 @@
     }
 
     fn has_attempt_left(&self, open: &OpenRequest) -> bool {
-        let spent = open.attempts.len() >= open.max_attempts as usize;
-        let beside_another = open.has_pending_attempt() && !self.settings.limits.hedges;
-        !(open.answered || open.streaming || spent || beside_another)
+        let exhausted = open.attempts.len() >= open.max_attempts as usize;
+        let hedge_forbidden = open.has_pending_attempt() && !self.settings.limits.hedges;
+        !(open.answered || open.streaming || exhausted || hedge_forbidden)
     }
 
     fn is_repeat_safe(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
@@ -41,14 +41,14 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => !open.may_have_run(),
             Idempotency::Keyed => {
-                open.possibly_run().all(|attempt| self.drops_repeats_of(open, attempt, to))
+                open.attempts_that_may_have_run().all(|attempt| self.deduplicates(open, attempt, to))
                     && self.write_deadline(open).is_none_or(|deadline| now < deadline)
             }
         }
     }
 
     /// Whether a backend drops repeats of an attempt: it is in the same deduplication scope.
-    fn drops_repeats_of(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
+    fn deduplicates(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
         match self.class_of(open).deduplication_scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => attempt.zone == backend.entry.zone,
@@ -63,7 +63,8 @@
         if class.idempotency != Idempotency::Keyed {
             return None;
         }
-        let earliest = open.possibly_run().map(|attempt| attempt.sent_at).min_by(f64::total_cmp)?;
+        let earliest =
+            open.attempts_that_may_have_run().map(|attempt| attempt.sent_at).min_by(f64::total_cmp)?;
         Some(earliest + class.deduplication_window_ms - self.settings.clock_granularity_ms)
     }
 }
--- a/crates/policy/src/policy/request.rs
+++ b/crates/policy/src/policy/request.rs
@@ -28,22 +28,22 @@
     }
 
     /// Attempts that may have had their effect.
-    pub(crate) fn possibly_run(&self) -> impl Iterator<Item = &Attempt> {
+    pub(crate) fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.may_have_run)
     }
 
     pub(crate) fn may_have_run(&self) -> bool {
-        self.possibly_run().next().is_some()
+        self.attempts_that_may_have_run().next().is_some()
     }
 }
 
 /// Attempts in flight at a moment.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightCounts {
     /// Those at the backend that was chosen.
     pub(crate) backend: f64,
     /// All of this gateway's.
-    pub(crate) fleet: f64,
+    pub(crate) gateway: f64,
 }
 
 /// One send of a request to a backend.
@@ -56,7 +56,7 @@
     /// Time after which its answer is overdue, ms.
     pub(crate) overdue_after_ms: f64,
     /// What was in flight when it was sent.
-    pub(crate) in_flight_at_send: InFlight,
+    pub(crate) in_flight_at_send: InFlightCounts,
     pub(crate) pending: bool,
     pub(crate) overdue: bool,
     pub(crate) may_have_run: bool,
@@ -67,7 +67,7 @@
         to: &BackendEndpoint,
         now: f64,
         overdue_after_ms: f64,
-        in_flight_at_send: InFlight,
+        in_flight_at_send: InFlightCounts,
     ) -> Self {
         Attempt {
             backend: to.id,
--- a/crates/policy/src/policy/timers.rs
+++ b/crates/policy/src/policy/timers.rs
@@ -27,7 +27,7 @@
     pub(crate) const POLL_TOKEN: u64 = TimerKind::PollEndpoints as u64;
 
     /// The kind and the request of a token.
-    pub(crate) fn of(token: u64) -> (TimerKind, u64) {
+    pub(crate) fn from_token(token: u64) -> (TimerKind, u64) {
         let kind = match token & KIND_MASK {
             0 => TimerKind::Deadline,
             1 => TimerKind::Hedge,
