--- a/crates/policy/src/policy/call_throttle.rs
+++ b/crates/policy/src/policy/call_throttle.rs
@@ -1,42 +1,42 @@
-//! How many calls the shared counter gets: fewer while they fail or wait.
+//! Throttling of calls to the shared counter: fewer calls are made while they fail or are slow.
 
 use super::latency::FLEET_DECAY;
 use super::ratio::DecayedRatio;
 use crate::interface::Outcome;
 
-/// Least chance of a call, so that a counter that is back shows.
+/// Minimum call probability, so that the recovery of a counter is noticed.
 const MIN_PROBABILITY: f64 = 0.05;
-/// Least chance of a call that decides nothing while the counter is well, so that totals show its customer.
+/// Minimum probability of an optional call while the counter works well, so that totals include its customer.
 const MIN_PROBABILITY_OPTIONAL: f64 = 0.2;
-/// What a failed call leaves of the chance.
+/// Factor applied to the call probability after a failed call.
 const FACTOR_AFTER_FAILURE: f64 = 0.75;
-/// What a slow call leaves of the chance.
+/// Factor applied to the call probability after a slow answer.
 const FACTOR_AFTER_SLOW_ANSWER: f64 = 0.9;
-/// What the chance gains in a second of answers.
+/// Increase of the call probability per second of answered calls.
 const GAIN_PER_SECOND: f64 = 0.3;
-/// Time in which the chance doubles, ms, until it is what it was when answers ceased (as TCP's slow start,
-/// RFC 5681).
+/// Time in which the call probability doubles, ms, until it reaches the value it had when answers ceased (as
+/// in TCP slow start, RFC 5681).
 const DOUBLING_MS: f64 = 150.0;
-/// Longest time between two answers that raises the chance, ms.
+/// Maximum time between two answers that raises the call probability, ms.
 const MAX_GAIN_MS: f64 = 1000.0;
-/// Weight of an answer in the least latency of calls, where it is above that.
+/// Weight of an answer in the minimum latency if it is slower than that minimum.
 const MIN_LATENCY_RISE: f64 = 0.001;
-/// Cheapness of a request beyond its quota: so much less its over-quota penalty.
+/// Skip weight of a plan without an over-quota penalty; the penalty is subtracted from it.
 const MAX_SKIP_WEIGHT: f64 = 1.15;
 
-/// The chance with which a call is made. It follows the counter's latency and failures, and is the same law
-/// for one that slows, turns calls away or is silent.
+/// The probability of making a call. It follows the counter's latency and failures by the same rule whether
+/// the counter is slow, rejects calls or is silent.
 #[derive(Debug)]
 pub(crate) struct CallThrottle {
     probability: f64,
-    /// What the chance is to be again at once when a counter answers after an outage.
+    /// Value to which the probability returns quickly once a counter answers again after an outage.
     recovery_target: f64,
-    /// The last call that says something of the counter was answered.
+    /// Whether the last call that reveals the counter's state was answered.
     counter_answering: bool,
     lowered_at: f64,
     last_call_finished_at: f64,
     min_latency_ms: f64,
-    /// How cheap the requests that came would be beyond their quotas.
+    /// Mean skip weight of recent requests.
     skip_weight: DecayedRatio,
 }
 
@@ -53,32 +53,34 @@
         }
     }
 
-    /// Whether the counter answered last.
+    /// Returns whether the counter answered the last call that reveals its state.
     pub(crate) fn is_counter_answering(&self) -> bool {
         self.counter_answering
     }
 
-    /// Whether every call is made.
+    /// Returns whether every call is made.
     pub(crate) fn is_unthrottled(&self) -> bool {
         self.probability >= 1.0
     }
 
-    /// The chance of a call without which nothing is wrong, only something lost: the first to be left out.
+    /// Returns the probability of a call that only improves estimates. Such calls are the first to be
+    /// skipped.
     pub(crate) fn optional_call_probability(&self) -> f64 {
         self.probability * 2.0 - 1.0
     }
 
-    /// The chance of a call that takes back a charge.
+    /// Returns the probability of a call that withdraws a charge.
     pub(crate) fn correction_call_probability(&self) -> f64 {
         self.probability * 2.0
     }
 
-    /// The chance of a call for a request. More calls than a counter can take would end too late for all,
-    /// so those that decide nothing (`dispensable`) are left out first.
+    /// Returns the probability of a call for a request. If the counter got more calls than it can handle, all
+    /// of them would end too late, so calls that would not change a decision (`optional`) are skipped first.
     ///
-    /// Of these the first are of plans whose requests cost least beyond the quota. The order is relative to
-    /// the requests that come, as a lower chance has to lessen the calls where all cost the same as well:
-    /// on the whole calls fall as fast as if there was no order.
+    /// Among optional calls, those of plans with the lowest over-quota penalty are skipped first. Their skip
+    /// weight is taken relative to the mean of recent requests, because a lower probability must reduce the
+    /// calls even if all plans have the same penalty: overall, the number of calls falls as fast as without
+    /// this preference.
     pub(crate) fn request_call_probability(&mut self, optional: bool, over_quota_penalty: f64) -> f64 {
         let skip_weight = MAX_SKIP_WEIGHT - over_quota_penalty.min(1.0);
         self.skip_weight.add(skip_weight, 1.0, FLEET_DECAY);
@@ -91,12 +93,13 @@
         (intercept - (1.0 - self.probability) * slope).clamp(floor.min(self.probability), 1.0)
     }
 
-    /// Learns from the end of a call that was made at `made_at`.
+    /// Updates the probability after a call that was made at `made_at` has ended.
     ///
-    /// The counter works on calls that nobody waits for as well, so a chance that is held down by failures
-    /// alone would rest where many fail. It is lowered as answers begin to wait, well before, and once for
-    /// all calls that were out when it was: they met the same queue. Latency that is not the counter's own,
-    /// as of a path that wavers, makes calls fewer than need be.
+    /// The counter also spends work on calls whose callers have given up, so a probability reduced by
+    /// failures alone would settle at a level at which many calls still fail. It is therefore reduced as soon
+    /// as answers become slow, well before calls fail, and only once for all calls that were in flight at the
+    /// time of the reduction, since they met the same queue. Latency that the counter does not cause, such as
+    /// that of an unstable network path, reduces the calls more than necessary.
     pub(crate) fn call_finished(&mut self, now: f64, made_at: f64, outcome: Outcome, timeout_ms: f64) {
         let factor = self.factor_after(outcome, now - made_at, timeout_ms);
         if factor < 1.0 && made_at >= self.lowered_at {
@@ -108,18 +111,18 @@
         self.last_call_finished_at = now;
     }
 
-    /// The factor of the chance for the end of a call.
+    /// Returns the factor that a finished call applies to the probability.
     fn factor_after(&mut self, outcome: Outcome, latency_ms: f64, timeout_ms: f64) -> f64 {
         match outcome {
             Outcome::Ok if self.is_slow(latency_ms, timeout_ms) => FACTOR_AFTER_SLOW_ANSWER,
             Outcome::Ok => 1.0,
-            // A broken or silent connection says nothing of how busy the counter is.
+            // A broken or silent connection says nothing about the counter's load.
             Outcome::Reset | Outcome::NotSent => 1.0,
             _ => FACTOR_AFTER_FAILURE,
         }
     }
 
-    /// Whether a latency is nearer to the time-out than to the least latency, which learns from it.
+    /// Returns whether a latency is closer to the timeout than to the minimum latency, which it also updates.
     fn is_slow(&mut self, latency_ms: f64, timeout_ms: f64) -> bool {
         let lowest = self.min_latency_ms.min(latency_ms);
         self.min_latency_ms = lowest + MIN_LATENCY_RISE * (latency_ms - lowest);
@@ -129,9 +132,9 @@
 
     fn lower(&mut self, now: f64, factor: f64) {
         self.probability = (self.probability * factor).max(MIN_PROBABILITY);
-        // Failures with no answer between them are one trouble, and say nothing of how many calls are too
-        // many: the first alone lowers the goal. Else an outage would be followed by seconds without
-        // totals.
+        // Consecutive failures without an answer in between are a single incident and do not show how many
+        // calls are too many, so only the first of them lowers the recovery target. Otherwise an outage would
+        // be followed by seconds without totals.
         if self.counter_answering {
             self.recovery_target = self.probability;
         }
--- a/crates/policy/src/policy/counter_calls.rs
+++ b/crates/policy/src/policy/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the shared counter: what is reported, what a total decides, and what is done without one.
+//! Calls to the shared counter: what they report, how totals are applied, and decisions without a total.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,27 +12,27 @@
 /// A call in flight.
 #[derive(Debug)]
 pub(super) struct CounterCall {
-    /// The request that waits for it, if any.
+    /// The request that waits for the total, if any.
     request: Option<u64>,
     customer: u64,
     window: u64,
-    /// Charges that it reports.
+    /// Charges that the call reports.
     pub(super) charge: f64,
-    /// Overflow that it reports: refill that found the bucket full.
+    /// Overflow that the call reports: refill that arrived while the bucket was full.
     pub(super) overflow: f64,
-    /// Charges that it stands for, of requests for which no call was made.
+    /// Charges that the call reports on behalf of requests without a call.
     pub(super) extra: f64,
     made_at: f64,
 }
 
 impl CounterCall {
-    /// What the call adds to the total.
+    /// Returns the amount that the call adds to the total.
     pub(super) fn amount(&self) -> f64 {
         self.charge + self.overflow + self.extra
     }
 }
 
-/// Calls in flight by key; the counter answers those of a key in order.
+/// Calls in flight by key. The counter answers the calls of one key in order.
 #[derive(Debug, Default)]
 pub(super) struct CounterCallsInFlight {
     by_key: HashMap<u64, VecDeque<CounterCall>>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a call reports beside the charges that the customer's record has for it.
+/// Amounts that a call reports in addition to the unreported charges in the customer's record.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Report {
     pub(super) overflow: f64,
@@ -62,8 +62,8 @@
 }
 
 impl Policy {
-    /// Reports to the counter what is unreported of a customer in this window. `request` waits for the
-    /// total.
+    /// Reports the unreported charges of a customer in the current window to the counter. `request` waits for
+    /// the total.
     pub(super) fn call_counter(
         &mut self,
         now: f64,
@@ -82,7 +82,7 @@
         self.counter_calls.push(key, call);
     }
 
-    /// A counter call ended.
+    /// Handles the end of a counter call.
     pub(super) fn counter_call_finished(
         &mut self,
         now: f64,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Updates the customer's record with the result of a call, and reports overflow that it showed.
-    /// Returns whether the bucket covers what was charged.
+    /// Updates the customer's record with the result of a call, and reports overflow that the total revealed.
+    /// Returns whether the bucket covers the charge.
     fn apply_call_result(
         &mut self,
         now: f64,
@@ -138,7 +138,8 @@
             Some(_) => 0.0,
         };
         let covered = quota.level >= 0.0;
-        // The total holds charges that were rejected; the bucket itself can't be so far below nothing.
+        // The total includes charges that were rejected; the level of the bucket itself cannot be that far
+        // below zero.
         quota.level = quota.level.max(-self.settings.max_request_units);
         if overflow != 0.0 {
             self.call_counter(now, None, call.customer, Report { overflow, extra: 0.0 }, actions);
@@ -146,9 +147,10 @@
         covered
     }
 
-    /// Rejected charges that stand in the total would empty the buckets of all gateways, and these would
-    /// then let no call pass that would take them back. It is a second call where the quota is spent, so
-    /// there is none while the counter is crowded.
+    /// Withdraws a rejected charge from the total with another call. Rejected charges that remain in the
+    /// total would empty the buckets of all gateways, which would then admit no request whose call could
+    /// withdraw them. Since this is a second call for a customer whose quota is exhausted, it may be skipped
+    /// while calls are throttled.
     fn withdraw_rejected_charge(&mut self, now: f64, customer: u64, actions: &mut Vec<Action>) {
         let in_window = self.customers.get(customer).is_some_and(|quota| quota.in_window(now));
         if in_window && self.random.next_f64() < self.call_throttle.correction_call_probability() {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A silent counter must not use up the request's time: the request proceeds without the total.
+    /// Continues a request without the total, so that a silent counter does not use up the request's time.
     pub(super) fn counter_wait_timer_fired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let is_waiting = |open: &OpenRequest| open.awaits_total && !open.answered;
         if self.requests.get(&id).is_some_and(is_waiting) {
@@ -164,8 +166,9 @@
         }
     }
 
-    /// Continues a request for which no call was made, or whose call brought no total. The bucket decides
-    /// alone; what it lets pass is charged for the gateways unseen as well, by this one's learned share.
+    /// Continues a request for which no call was made or whose call returned no total. The local bucket alone
+    /// decides. For a request that passes, it is also charged for the other gateways, whose use is
+    /// extrapolated from this gateway's learned share.
     pub(super) fn proceed_without_total(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let open = self.requests.get_mut(&id).expect("request is open");
         let charged = std::mem::take(&mut open.awaits_total);
@@ -177,7 +180,8 @@
         self.send_first_attempt(now, id, selection, AdmissionBasis::Estimate, actions);
     }
 
-    /// Charges a request for all gateways, if that is not done yet, and returns whether it passes.
+    /// Charges a request on behalf of all gateways and returns whether it passes. If `charged`, the request's
+    /// own units are charged already.
     fn charge_without_total(&mut self, customer: u64, units: f64, charged: bool) -> bool {
         let share_prior = self.share_prior();
         let Some(quota) = self.customers.get_mut(customer).filter(|quota| quota.plan.rate > 0.0) else {
@@ -192,8 +196,8 @@
             quota.assume_others_use(others_units);
             return true;
         }
-        // The gateway's share is under one request, and none would ever pass. Such pass by chance, so that
-        // all gateways together pass the rate.
+        // This gateway's share is less than one request, so no request would ever pass. Requests pass at
+        // random instead, such that all gateways together admit the rate.
         let rejected = self.random.next_f64() * quota.demand(units) >= 1.0;
         !rejected
     }
--- a/crates/policy/src/policy/quota/totals.rs
+++ b/crates/policy/src/policy/quota/totals.rs
@@ -1,46 +1,48 @@
-//! What a customer's quota learns from a call to the shared counter, answered or not.
+//! Updates of a customer's quota by the result of a call to the shared counter.
 
 use super::{CustomerQuota, WINDOW_MS};
 use crate::interface::Outcome;
 use crate::policy::counter_calls::CounterCall;
 
-/// A total below this part of the last one is that of a counter that began anew.
+/// A total below this fraction of the previous one shows that the counter restarted without its data.
 const RESTART_TOTAL_FRACTION: f64 = 0.5;
-/// Overflow that is worth a call, units. Up to so much may pass beyond the quota in a spike.
+/// Minimum overflow that is worth a call, units. Up to this amount may pass beyond the quota in a spike.
 const MIN_OVERFLOW: f64 = 1.0;
-/// Part of the overflow that a call added from which on others had added the same before.
+/// Fraction of the overflow reported by a call above which other gateways had already reported the same
+/// overflow.
 const DOUBLE_REPORT_FRACTION: f64 = 0.8;
-/// Difference of two totals up to which they are equal, units: a counter keeps seven digits.
+/// Maximum difference of two totals that count as equal, units: a counter keeps seven digits.
 const TOTAL_TOLERANCE: f64 = 0.01;
 
-/// Where a total stands against what was known before.
+/// Relation of a total to the previous knowledge.
 #[derive(Clone, Copy, Debug)]
 struct Continuity {
-    /// The counter lost what it held.
+    /// The counter lost its data.
     counter_restarted: bool,
-    /// Nothing is known of the totals before: the window began, or the counter restarted.
+    /// There is no earlier total to compare with: the window has just begun, or the counter restarted.
     no_previous_total: bool,
-    /// The total holds this call alone.
+    /// The total includes this call only.
     first_call: bool,
-    /// No total of this customer came before.
+    /// This is the first total of this customer.
     new_customer: bool,
 }
 
-/// The level by a total, and how it compares to what is possible.
+/// The level computed from a total, and its relation to what is possible.
 #[derive(Clone, Copy, Debug)]
 struct LevelReading {
+    /// Level computed from the total alone.
     level: f64,
-    /// How far the level is above what it can be: overflow that no total holds.
+    /// Amount by which the level is above its upper bound: overflow that no total includes.
     excess: f64,
-    /// The most that it can be.
+    /// Upper bound of the level.
     bound: f64,
-    /// Charges of this gateway that the total does not hold.
+    /// Charges of this gateway that the total does not include.
     not_in_total: f64,
 }
 
 impl CustomerQuota {
-    /// A call ended without a total. An amount that was added, or may have been, must not be reported a
-    /// second time.
+    /// Records the end of a call without a total. An amount that was or may have been added must not be
+    /// reported again.
     pub(in crate::policy) fn record_missing_total(&mut self, call: &CounterCall, outcome: Outcome) {
         match outcome {
             Outcome::Ok | Outcome::Timeout => self.possibly_added += call.charge + call.extra,
@@ -53,9 +55,9 @@
         self.totals_lack_overflow |= call.overflow != 0.0;
     }
 
-    /// Updates the quota with a total of the last call's window, as it stood after a call. Returns the
-    /// overflow that is to be added to it: 0 for none, below 0 where it was added twice. Where there is no
-    /// call to `spare`, small overflow is left.
+    /// Updates the quota with a total of the last call's window, as it stood after `call`. Returns the
+    /// overflow to be added to the total: 0 for none, negative if it was added twice. Small overflow is not
+    /// reported unless `allow_optional_call`.
     pub(in crate::policy) fn apply_total(
         &mut self,
         now: f64,
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Learns what others charged from what a total grew by, beside what is known. They spent at least what
-    /// refill that overflowed here does not explain.
+    /// Derives the charges of other gateways from the growth of the total beyond what is known. They charged
+    /// at least the growth that is not explained by refill that overflowed at this gateway.
     fn update_others_use(&mut self, now: f64, total: f64, call: &CounterCall) {
         let surely_added = self.possibly_added - self.reset_charges;
         let growth = total - self.last_total - call.amount() - surely_added - self.overflow;
@@ -106,10 +108,10 @@
         self.others_use += others;
     }
 
-    /// Of the charges that a broken connection took, those that a total shows to be there when it grew by
-    /// so much. What others are expected to have charged comes first; else charges that are not there would
-    /// be lost for good, and such that are there reported twice. Those that are not there are reported with
-    /// the next call.
+    /// Returns which part of the charges in `reset_charges` the total includes, given its growth. The
+    /// expected use of the other gateways is subtracted from the growth first. Without this estimate, charges
+    /// that did not arrive would be lost, or charges that did arrive would be reported twice. The charges
+    /// that did not arrive are reported with the next call.
     fn settle_reset_charges(&mut self, now: f64, growth: f64) -> f64 {
         let reset_charges = std::mem::take(&mut self.reset_charges);
         let others = self.expected_others_use(now - self.last_total_at);
@@ -118,25 +120,27 @@
         arrived
     }
 
-    /// What others are expected to have charged in so many ms, by what they did of late.
+    /// Returns the units that other gateways are expected to have charged in a time, from their recent use.
     fn expected_others_use(&self, ms: f64) -> f64 {
         let decay_ms =
             self.plan.burst * super::DECAY_FILL_TIMES / self.plan.rate.max(f64::MIN_POSITIVE) * 1000.0;
         self.others_use * (ms / decay_ms.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Reads the level off a total.
+    /// Computes the level from a total.
     fn read_level(&self, now: f64, total: f64, call: &CounterCall, continuity: &Continuity) -> LevelReading {
         let burst = self.plan.burst;
-        // An answer that comes when its window is over is read by the time in that window, not in the next.
+        // An answer that arrives after the end of its window is interpreted by the time in that window, not
+        // in the next.
         let in_window_ms = (self.windows(now) - self.window as f64) * WINDOW_MS;
-        // What was assumed of others meanwhile is given back, unless the counter restarted and can't show
-        // it.
+        // The assumed use of other gateways is released, unless the counter restarted and cannot show their
+        // real use.
         let released = if continuity.counter_restarted { 0.0 } else { self.assumed_others_use };
-        // Charges that the total does not hold yet; taken off once.
+        // Charges that the total does not include yet; they are subtracted exactly once.
         let not_in_total = self.charges_in_flight + self.unreported - self.withdrawn;
         let estimate = (self.level + call.charge + not_in_total + released).min(burst);
-        // A counter back empty, and a window that began, know of no debts. The estimate here does.
+        // A counter that restarted empty, and a window that has just begun, know of no debt. The local
+        // estimate does.
         let estimate_binds =
             continuity.no_previous_total || self.totals_lack_overflow || self.overflow_in_flight;
         let bound = if estimate_binds { estimate } else { burst };
@@ -144,8 +148,9 @@
         LevelReading { level, excess: level - bound, bound, not_in_total }
     }
 
-    /// The overflow that a call added though others had added most of it; it is taken back. Two gateways
-    /// that see the same overflow at the same time and both add it would empty the bucket.
+    /// Returns the overflow that a call added although other gateways had already added most of it, so that
+    /// it can be withdrawn. Two gateways that see the same overflow at the same time and both add it would
+    /// empty the bucket.
     fn double_reported_overflow(&self, call: &CounterCall, reading: &LevelReading) -> Option<f64> {
         let double_reported = call.overflow - (call.overflow + reading.excess).max(0.0);
         let significant =
@@ -161,15 +166,17 @@
         self.clear_unconfirmed();
     }
 
-    /// Whether overflow is to be added with a call.
+    /// Returns whether overflow is to be reported with a call.
     ///
-    /// Of a window that begins only the first to call may know all of it: others would meet it halfway. For
-    /// a customer that was never seen before, a call that nobody made one before is worth no second one, as
-    /// crowds are seen once; but in a fleet in which each gateway meets a customer for the first time none
-    /// would report, so who finds that others called before it does.
+    /// At the start of a window, only the gateway that calls first may know all of the overflow; the others
+    /// would see it while it is only partly reported. For a customer without any earlier total, a gateway
+    /// whose call is the first of the window makes no second call, because in a crowd most customers are seen
+    /// only once. If each gateway of a fleet serves a customer for the first time, however, none would report
+    /// the overflow, so a gateway that finds earlier calls of others does.
     ///
-    /// While the counter is crowded (no call to `spare`), up to a burst is borne. More is worth a call:
-    /// else the bucket would read as full until its gateways have passed all of it once more.
+    /// While calls are throttled (not `allow_optional_call`), overflow of up to a burst is left unreported.
+    /// More is worth a call, because otherwise the bucket would appear full until the gateways have admitted
+    /// that amount once more.
     fn should_report_overflow(
         &self,
         reading: &LevelReading,
