--- a/crates/policy/src/policy/backend.rs
+++ b/crates/policy/src/policy/backend.rs
@@ -1,53 +1,57 @@
-//! One backend: what is known of it, and when it is ejected and readmitted.
+//! State of a backend, including its ejection and readmission.
 
 use routing::{Attributes, Indexed, ListState};
 
 use super::ratio::DecayedRatio;
 use crate::interface::{BackendEndpoint, EndpointState, Outcome, Settings};
 
-/// Failures, weighted to the recent, above which a backend is ejected.
+/// Failure rate above which a backend is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// Weight of one failure.
+/// Weight of one outcome in the moving average of the failure rate.
 const OUTCOME_WEIGHT: f64 = 0.2;
-/// The first pause between trials of an ejected backend, in connection time-outs.
+/// First interval between probes of an ejected backend, as a multiple of the connection timeout.
 const FIRST_EJECTION_TIMEOUTS: f64 = 2.0;
-/// The longest such pause, in connection time-outs.
+/// Maximum interval between probes of an ejected backend, as a multiple of the connection timeout.
 const MAX_EJECTION_TIMEOUTS: f64 = 16.0;
 
 /// A backend as this gateway knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Backend {
     pub(crate) entry: BackendEndpoint,
-    /// Last start by the list, or return after silence.
+    /// Start of the current warm-up: the backend's last start by the endpoint list, or its return after
+    /// silence.
     pub(crate) warm_up_started_at: f64,
-    /// It is warm after this time from then.
+    /// Duration of the warm-up, ms.
     pub(crate) warm_up_ms: f64,
-    /// Own attempts in flight there.
+    /// This gateway's attempts in flight at the backend.
     pub(crate) in_flight: f64,
-    /// Latency over the work that was expected.
+    /// Observed latency over the expected latency on an idle backend.
     pub(crate) latency: DecayedRatio,
     pub(crate) latency_updated_at: f64,
-    /// Own attempts in flight, on the mean, when those that make up `latency` were sent.
+    /// Mean number of this gateway's attempts in flight when the answers in `latency` were requested.
     pub(crate) mean_in_flight: f64,
-    /// Failures against successes, weighted to the recent: from 0 to 1.
+    /// Exponentially weighted failure rate, from 0 to 1.
     pub(crate) failure_rate: f64,
-    /// When it was last seen alive.
+    /// Last time at which the backend was known to be alive.
     pub(crate) last_alive_at: f64,
     pub(crate) ejected: bool,
-    /// Time between trials while it is ejected; 0 where it answered last.
+    /// Interval between probes while ejected, ms; reset to 0 by a successful answer.
     pub(crate) ejection_interval_ms: f64,
+    /// Time of the next probe while ejected.
     pub(crate) probe_at: f64,
-    /// Requests waiting there by its last report, and when that came.
+    /// Requests queued at the backend by its last load report.
     pub(crate) queued: f64,
+    /// Time of that load report.
     pub(crate) load_reported_at: f64,
-    /// When it last rejected each plan, then each class, as full.
+    /// Last times at which the backend rejected a request as full, by plan and then by class.
     pub(crate) rejected_at: Vec<f64>,
 }
 
 impl Backend {
     pub(crate) fn new(now: f64, entry: &BackendEndpoint, settings: &Settings) -> Self {
-        // A start that lies ahead, by another clock or in another unit, would keep it warming up until
-        // then. By a clock that goes a little before this one it is taken for that much warmer.
+        // Without the cap, a start time in the future, from another clock or in another unit, would keep the
+        // backend warming up until then. If the backend's clock is slightly behind, the backend is taken to
+        // be warmer by that difference.
         let warm_up_started_at = entry.slow_start_from_ms().min(now);
         let warm_up_ms = settings.slow_start.warm_up_ms;
         Backend { warm_up_started_at, warm_up_ms, entry: entry.clone(), ..Backend::default() }
@@ -61,7 +65,7 @@
         self.entry.state == EndpointState::Removed
     }
 
-    /// Surely warm part of the capacity at `now`.
+    /// Returns the fraction of its full capacity that the backend has at least at `now`.
     pub(crate) fn capacity_fraction(&self, now: f64, settings: &Settings) -> f64 {
         let slow_start = &settings.slow_start;
         if self.warm_up_started_at <= 0.0 || slow_start.warm_up_ms <= 0.0 {
@@ -71,17 +75,17 @@
         slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress
     }
 
-    /// Operators gave it back after a ban, and it has not started since.
+    /// Returns whether operators re-enabled the backend after a ban and it has not restarted since.
     pub(crate) fn returned_from_ban(&self) -> bool {
         self.entry.reenabled_ms > self.entry.started_ms
     }
 
-    /// An attempt ended, or is overdue, which counts for a failure or a success.
+    /// Records the outcome of an attempt in the failure rate. An overdue attempt counts as a failure.
     pub(crate) fn record_outcome(&mut self, failed: bool) {
         self.failure_rate += OUTCOME_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
-    /// Whether a failure that was just counted is one too many.
+    /// Returns whether the failure rate calls for ejection of a backend that is not ejected yet.
     pub(crate) fn is_outlier(&self) -> bool {
         self.failure_rate > EJECTION_FAILURE_RATE && !self.ejected
     }
@@ -94,8 +98,8 @@
         self.probe_at = now + self.ejection_interval_ms;
     }
 
-    /// Readmits it to take work. A machine back from a silence of more than `restart_ms` may have
-    /// restarted, and warm up before the list says so.
+    /// Readmits an ejected backend. One that was silent for more than `restart_ms` may have restarted, and be
+    /// warming up before the endpoint list says so.
     pub(crate) fn readmit(&mut self, now: f64, restart_ms: f64) {
         if now - self.last_alive_at > restart_ms {
             self.warm_up_started_at = now;
@@ -105,7 +109,7 @@
         self.last_alive_at = now;
     }
 
-    /// Records that an attempt has ended here.
+    /// Records that an attempt at this backend has ended.
     pub(crate) fn attempt_finished(&mut self, now: f64, outcome: Outcome) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
@@ -122,7 +126,7 @@
             EndpointState::Draining => ListState::Draining,
             EndpointState::Removed => ListState::Removed,
         };
-        // One that started long ago, or says nothing, is warm.
+        // A backend that started long ago, or whose start is unknown, counts as warm.
         let warm_from =
             if self.warm_up_started_at > 0.0 { self.warm_up_started_at + self.warm_up_ms } else { 0.0 };
         Attributes {
--- a/crates/policy/src/policy/endpoint_list.rs
+++ b/crates/policy/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the backends by the endpoint list and by load reports.
+//! Updates of the backends from the endpoint list and from load reports.
 
 use std::collections::HashSet;
 
@@ -7,7 +7,8 @@
 use super::Policy;
 use crate::interface::{Action, BackendEndpoint, EndpointState, LoadField, UpdateScope};
 
-/// Part of the time within which a gateway must ask for the list that it waits after a failure.
+/// Wait before the list is polled again after a failure, as a fraction of the time within which a gateway
+/// must poll.
 const POLL_RETRY_FRACTION: f64 = 0.1;
 
 impl Policy {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Schedules another poll of the list where this update brings nothing new.
+    /// Schedules another poll if this update brought nothing new.
     fn schedule_poll(&self, now: f64, scope: UpdateScope, actions: &mut Vec<Action>) {
         let wait_ms = match scope {
             UpdateScope::Failed => self.settings.poll_within_ms * POLL_RETRY_FRACTION,
@@ -40,7 +41,7 @@
         actions.push(Action::ScheduleTimer { token: TimerKind::POLL_TOKEN, at_ms: now + wait_ms });
     }
 
-    /// Removes the backends that a full list does not name.
+    /// Removes the backends that a full list does not contain.
     fn remove_unlisted(&mut self, now: f64, endpoints: &[BackendEndpoint]) {
         let listed: HashSet<u32> = endpoints.iter().map(|endpoint| endpoint.id).collect();
         let known = self.backends.slots().map(|slot| self.backends.get(slot).entry.id);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Applies what the list says of one backend.
+    /// Applies one entry of the endpoint list.
     fn update_backend(&mut self, now: f64, endpoint: &BackendEndpoint) {
         let removed = endpoint.state == EndpointState::Removed;
         let Some(slot) = self.backends.find(endpoint.id) else {
@@ -64,7 +65,7 @@
         if removed {
             self.backends.update(now, slot, |backend| backend.entry.state = endpoint.state);
         } else if endpoint.slow_start_from_ms() > known.entry.slow_start_from_ms() {
-            // What was learned of the process before says nothing of this one.
+            // Observations of the previous process do not apply to the new one.
             let restarted = Backend {
                 in_flight: known.in_flight,
                 last_alive_at: known.last_alive_at,
@@ -78,7 +79,7 @@
         self.forget_if_removed(now, endpoint.id);
     }
 
-    /// Forgets a backend that is removed and has nothing in flight.
+    /// Forgets a backend that is removed and has no attempts in flight.
     pub(super) fn forget_if_removed(&mut self, now: f64, id: u32) {
         let Some(slot) = self.backends.find(id) else { return };
         let backend = self.backends.get(slot);
@@ -87,13 +88,13 @@
         }
     }
 
-    /// The record of a backend, for what it is not filed by.
+    /// Returns the record of a backend, for changes that do not affect how it is indexed.
     pub(super) fn backend_mut(&mut self, id: u32) -> Option<&mut Backend> {
         let slot = self.backends.find(id)?;
         Some(self.backends.get_mut(slot))
     }
 
-    /// Records a backend's load report; an empty one is none.
+    /// Records a backend's load report. An empty slice means that there is no report.
     pub(super) fn record_load(&mut self, now: f64, id: u32, load: &[f32]) {
         if load.is_empty() {
             return;
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -1,4 +1,5 @@
-//! Which backend takes a request: the one of least expected finish among a few that are drawn.
+//! Selection of the backend for an attempt: the one with the least expected finish among a few candidates
+//! drawn at random.
 
 use routing::Scope;
 
@@ -9,27 +10,29 @@
 use super::Policy;
 use crate::interface::{DeduplicationScope, Idempotency, Request};
 
-/// Part of a group that may be ejected; beyond it the estimate is wrong or the trouble is shared.
+/// Maximum ejected fraction of a group. Beyond it, either the failure rates mislead or all backends share the
+/// fault.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
-/// Longest deadlines for which a backend that turned a plan and class away as full comes last for it.
+/// Time for which a backend that rejected a plan and class as full is avoided for them, as a multiple of the
+/// longest deadline.
 const AVOID_AFTER_REJECTION_DEADLINES: f64 = 4.0;
-/// Scatter of scores, lest gateways that know the same all choose the same.
+/// Random scatter of the scores, so that gateways with the same knowledge do not all choose the same backend.
 const SCORE_NOISE: f64 = 0.1;
-/// Part by which a backend of which nothing is known may be taken for faster than the fleet.
+/// Maximum fraction by which a backend without observations may be assumed faster than the fleet.
 const MAX_OPTIMISM: f64 = 0.5;
-/// Attempts that a backend of a few cores serves at once with little slowing.
+/// Attempts that a backend with a few cores serves concurrently with little slowdown.
 const BASE_CONCURRENCY: f64 = 6.0;
-/// What a backend that is to come last counts for, against one that is not.
+/// Preference for a backend that is avoided, relative to 1 for the others.
 const AVOIDED_PREFERENCE: f64 = 0.2;
-/// The most of its failures that counts against a backend.
+/// Maximum reduction of the preference for a backend by its failure rate.
 const MAX_FAILURE_DISCOUNT: f64 = 0.9;
 
-/// A backend that was selected.
+/// A selected backend.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Selection {
-    /// Its slot in the index.
+    /// The backend's slot in the index.
     pub(super) slot: usize,
-    /// Expected finish, as a multiple of an idle backend's.
+    /// Expected finish, as a multiple of that of an idle backend.
     pub(super) slowness: f64,
 }
 
@@ -37,53 +40,55 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     selection: Selection,
-    /// The request was there before.
+    /// Whether an attempt of the request was already sent there.
     tried: bool,
-    /// Less is better.
+    /// Lower is better.
     score: f64,
 }
 
 impl Candidate {
-    /// Whether this one is to be taken before another. Never the same backend while another is there.
+    /// Returns whether this candidate is preferred to another. A backend is never tried again while there is
+    /// one that has not been tried.
     fn is_better_than(&self, other: &Candidate) -> bool {
         (self.tried, self.score) < (other.tried, other.score)
     }
 }
 
-/// What all candidates of a draw are looked at for.
+/// Data shared by all candidates of one draw.
 #[derive(Clone, Copy, Debug)]
 struct DrawContext {
     now: f64,
     /// Expected latency of the request on an idle backend, ms.
     work_ms: f64,
-    /// Work that was sent lately to each warm backend of the subset.
+    /// Work recently sent to each warm backend of the subset, ms.
     warm_push: f64,
-    /// Backends that were drawn.
+    /// Number of backends drawn.
     drawn_count: usize,
-    /// They are some of those that there are.
+    /// Whether only some of the available backends were drawn.
     partial: bool,
 }
 
-/// A backend's slowness, and how much of that is the fleet's: 1 where nothing is known of it.
+/// A backend's slowness, and the fraction of the estimate that comes from the fleet: 1 if nothing is known
+/// about the backend.
 #[derive(Clone, Copy, Debug)]
 struct SlownessEstimate {
     slowness: f64,
     fleet_fraction: f64,
 }
 
-/// Whether a backend takes a request.
+/// Whether a backend may take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Eligibility {
-    /// Not now.
+    /// Not at present.
     Excluded,
-    /// If its score is best.
+    /// If it has the best score.
     ByScore,
-    /// Before all others.
+    /// In preference to all others.
     Preferred,
 }
 
 impl Policy {
-    /// The backend of least expected finish for a further attempt of a request.
+    /// Selects the backend with the least expected finish for another attempt of a request.
     pub(super) fn select_backend(&mut self, now: f64, id: u64) -> Option<Selection> {
         self.backends.advance(now);
         let mut random = self.random;
@@ -96,7 +101,8 @@
         best.map(|best| best.selection)
     }
 
-    /// Draws candidates until one may be taken, and returns the best. `drawn` holds their slots.
+    /// Draws candidates, group by group, until one is eligible, and returns the best. `drawn` receives their
+    /// slots.
     fn best_candidate(
         &self,
         now: f64,
@@ -129,16 +135,17 @@
         best
     }
 
-    /// Whether so many backends of a group are ejected that ejection means nothing.
+    /// Returns whether so many backends of a group are ejected that their ejection is not meaningful.
     fn is_mostly_ejected(&self, group: Scope) -> bool {
         let counts = self.backends.counts(group);
         counts.ejected as f64 > counts.ready as f64 * MAX_EJECTED_FRACTION
     }
 
-    /// Where candidates are drawn from, one group after another. A repeat of a keyed request stays where
-    /// its first attempt may have run. A subset that is mostly ejected would push over what is left of it,
-    /// so work spills over to the whole fleet. Ejections are passed over only where most of the fleet has
-    /// them: one gateway's view of its subset is no view of the fleet.
+    /// Returns the groups to draw candidates from, in order. A repeat of a keyed request stays in the
+    /// deduplication scope in which its first attempt may have run. If the subset is mostly ejected, work
+    /// spills over to the whole fleet, because the remaining backends of the subset would be overloaded.
+    /// Ejections are ignored only if most of the fleet is ejected: a gateway's view of its subset is not
+    /// representative of the fleet.
     fn groups_to_draw_from(&self, open: &OpenRequest) -> [Scope; 3] {
         let class = &self.settings.classes[open.request.class];
         let earlier_attempt =
@@ -151,7 +158,7 @@
         }
     }
 
-    /// What is expected of a backend that was drawn; none if nothing may be sent there.
+    /// Evaluates a drawn backend. Returns `None` if the attempt must not be sent there.
     fn candidate(
         &self,
         open: &OpenRequest,
@@ -182,12 +189,13 @@
         Some(Candidate { selection, tried, score })
     }
 
-    /// What a backend of some warmth may get of this request.
+    /// Returns whether a backend with the given capacity fraction may take this request.
     ///
-    /// A backend that warms up would stay idle where each gateway's part of it is under a request, or where
-    /// one of those that are drawn with it is always faster; or one that operators gave back, as warm ones
-    /// are always free beside it. So it gets the warm part of an even share by chance; the sum over
-    /// gateways is the same. Its answers are slower, so it is not done for each that starts.
+    /// A backend that is warming up would stay idle if each gateway's share of its capacity is less than one
+    /// request, if a faster backend is always drawn with it, or if operators re-enabled it while there are
+    /// always idle warm backends. In these cases it gets its capacity fraction of an even share at random,
+    /// which leaves the sum over all gateways the same. Its answers are slower, so this does not apply to
+    /// every backend that starts.
     fn eligibility_while_warming_up(
         &self,
         slot: usize,
@@ -207,7 +215,7 @@
         let rarely_chosen = draw.partial || self.backends.get(slot).returned_from_ban();
         let chosen_by_chance = (below_one_request || rarely_chosen && within_budget)
             && random.next_f64() * draw.drawn_count as f64 <= capacity_fraction;
-        // Gateways of whose subset it is none would each have a part of their own.
+        // Gateways whose subset does not contain the backend would each add a share of their own.
         let allowed =
             self.backends.is_in_subset(slot) && (within_budget || below_one_request && chosen_by_chance);
         match (allowed, chosen_by_chance) {
@@ -217,15 +225,16 @@
         }
     }
 
-    /// Work that this gateway may send lately to a backend of some warmth, ms: the warm part of what warm
-    /// ones get of it, or of its part of one core's work. All gateways together would else overload it.
+    /// Returns the work that this gateway may recently have sent to a backend with the given capacity
+    /// fraction, ms: that fraction of the work that it sends to a warm backend, or of its share of one core's
+    /// work, whichever is larger. Without this limit, all gateways together would overload the backend.
     fn warm_up_budget_ms(&self, capacity_fraction: f64, gateways: f64, warm_push: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
         let core_budget_ms = slow_start.overload_multiple * slow_start.overload_window_ms / gateways;
         capacity_fraction * core_budget_ms.max(warm_push)
     }
 
-    /// Slowness of a backend, by its own answers and, as they age, by the fleet's.
+    /// Returns the slowness of a backend by its own answers and, as these age, increasingly by the fleet's.
     pub(super) fn slowness(&self, backend: &Backend, now: f64) -> f64 {
         self.estimate_slowness(backend, now).slowness
     }
@@ -240,8 +249,9 @@
         }
     }
 
-    /// The slowness that an idle backend may have by chance, the less is known of it. Backends never tried,
-    /// or slow once, would get nothing while one of those drawn with them has always answered well.
+    /// Returns a backend's slowness, reduced at random for an idle backend, and by more the less is known
+    /// about it. Otherwise backends that were never tried, or were slow once, would get no requests while one
+    /// of the candidates drawn with them always answers well.
     fn optimistic_slowness(&self, backend: &Backend, now: f64, random: &mut Random) -> f64 {
         let estimate = self.estimate_slowness(backend, now);
         let idle = backend.in_flight <= 0.0;
@@ -249,8 +259,8 @@
         estimate.slowness * (1.0 - speedup)
     }
 
-    /// Attempts that are taken to be at a backend. A report that is old, or that stops as the backend gets
-    /// busy, is no sign of idleness.
+    /// Estimates the attempts at a backend. A report that is old, or reports that cease as the backend
+    /// becomes busy, do not indicate that it is idle.
     fn estimated_load(&self, backend: &Backend, now: f64) -> f64 {
         let freshness = (-(now - backend.load_reported_at) / self.longest.deadline_ms).exp();
         let fleet_queue = self.fleet.reported_queue();
@@ -259,16 +269,16 @@
         by_share.max(backend.in_flight + queued) + BASE_CONCURRENCY
     }
 
-    /// What an attempt costs there by its zone: 1 in the own.
+    /// Returns the relative cost of an attempt by the backend's zone: 1 in the gateway's own zone.
     fn zone_cost(&self, backend: &Backend) -> f64 {
         let crosses_zone = f64::from(u8::from(backend.entry.zone != self.settings.zone));
         1.0 + crosses_zone * self.settings.cross_zone_cost
     }
 
-    /// How far a backend is trusted to take the request; some come last.
+    /// Returns the preference for sending a request to a backend. Avoided backends come last.
     fn preference(&self, slot: usize, request: &Request, draw: &DrawContext) -> f64 {
         let backend = self.backends.get(slot);
-        // An operator's weight: beyond its share of what others get, it comes last.
+        // Beyond the share of work set by an operator's weight, a backend is avoided.
         let share = backend.entry.weight_share;
         let over_weight_share = share < 1.0 && self.backends.pushed(slot, draw.now) > share * draw.warm_push;
         let avoided =
@@ -277,8 +287,8 @@
         preference * (1.0 - backend.failure_rate.min(MAX_FAILURE_DISCOUNT))
     }
 
-    /// Whether a backend rejected the request's plan and its class of late, as full. It may have room for
-    /// others, which go on there.
+    /// Returns whether a backend recently rejected, as full, both the plan and the class of a request. It may
+    /// have capacity for other plans and classes, which are still sent there.
     fn recently_rejected(&self, backend: &Backend, request: &Request, now: f64) -> bool {
         let avoid_ms = self.longest.deadline_ms * AVOID_AFTER_REJECTION_DEADLINES;
         let recently = |at: Option<&f64>| at.is_some_and(|at| now - at < avoid_ms);
@@ -287,14 +297,15 @@
             && indices.iter().all(|index| recently(backend.rejected_at.get(*index)))
     }
 
-    /// Where a request's plan and class stand in [`Backend::rejected_at`]: the plans, one entry for plans
-    /// that are not known, the classes.
+    /// Returns the indices of a request's plan and class in [`Backend::rejected_at`], which holds the plans,
+    /// one entry for unknown plans, and the classes.
     pub(super) fn rejection_indices(&self, request: &Request) -> [usize; 2] {
         let plans = self.settings.plans.len();
         [request.plan.min(plans), plans + 1 + request.class]
     }
 
-    /// Expected finish at a backend of some slowness, as a multiple of an idle one's; 0 at an idle one.
+    /// Returns the expected finish at a backend with the given slowness, as a multiple of that of an idle
+    /// backend; 0 if the backend is idle.
     fn expected_finish(&self, backend: &Backend, slowness: f64) -> f64 {
         if backend.in_flight <= 0.0 {
             return 0.0;
--- a/crates/policy/src/policy/fleet_load.rs
+++ b/crates/policy/src/policy/fleet_load.rs
@@ -1,67 +1,68 @@
-//! How slow and how loaded the fleet is, by this gateway's own answers and attempts.
+//! Slowness and load of the fleet, estimated from this gateway's own answers and attempts.
 
 use super::latency::{ASSUMED_LATENCY_ANSWERS, ASSUMED_LATENCY_FRACTION, FLEET_DECAY};
 use super::ratio::DecayedRatio;
 use super::request::InFlightCounts;
 
-/// Mean requests that a backend has to answer until it is judged by these as much as by the fleet's.
+/// Number of mean requests after which a backend's own answers weigh as much as the fleet's slowness.
 pub(crate) const PRIOR_REQUESTS: f64 = 2.0;
-/// Part of the latency objective that an expected finish may take; the rest is for the scatter of the work.
-/// Where that is exponential, 6 in 7 are in time at this limit. At a quarter 49 in 50 would be, but where
-/// objectives are few times the work, a fleet half busy is as slow as that, and would reject what it has
-/// room for.
+/// Fraction of the latency objective that an expected finish may take; the rest allows for the variance of
+/// the work. If the work is exponentially distributed, 6 of 7 requests are in time at this limit. At a
+/// quarter, 49 of 50 would be; but if objectives are only a few times the work, a fleet that is half busy is
+/// already that slow, and requests would be rejected although there is capacity for them.
 pub(crate) const OBJECTIVE_FRACTION: f64 = 0.5;
-/// Up to so many gateways, what one of them has in flight shows the load of all.
+/// Number of gateways up to which the attempts in flight of one gateway represent the load of all.
 pub(crate) const REPRESENTATIVE_GATEWAYS: f64 = 2.0;
-/// Slowness against the baseline that is always borne, lest a misjudged class shut the gateway.
+/// Slowness relative to the baseline that is always tolerated, so that a class with a wrong estimate cannot
+/// make the gateway reject everything.
 const MIN_SLOWNESS_LIMIT: f64 = 1.5;
-/// Part of the requests that is rejected for want of room when rejecting is no cure.
+/// Fraction of requests rejected for lack of capacity above which rejecting evidently does not help.
 const MOSTLY_REJECTED_FRACTION: f64 = 0.75;
-/// Part of the baseline that each answer leaves where the fleet is faster.
+/// Fraction of the baseline that is kept with each answer while the fleet is faster than the baseline.
 const BASELINE_FALL_DECAY: f64 = 0.9;
-/// Answers in which the baseline rises to the present slowness.
+/// Number of answers in which the baseline rises to the current slowness.
 const BASELINE_RISE_ANSWERS: f64 = 4000.0;
-/// How many times faster it rises while most is rejected.
+/// Factor by which the baseline rises faster while most requests are rejected.
 const BASELINE_RISE_WHILE_REJECTING: f64 = 10.0;
 
-/// Attempts in flight that are not overdue.
+/// Attempts that are in flight and not overdue.
 #[derive(Debug, Default)]
 struct AwaitedAttempts {
     count: f64,
-    /// The sum of the times at which they were sent.
+    /// Sum of the times at which they were sent.
     sent_at_sum: f64,
 }
 
-/// What this gateway learned of the fleet from all answers. Slowness is latency as a multiple of the work
-/// that was expected.
+/// Load of the fleet as learned from all answers. Slowness is the observed latency as a multiple of the
+/// expected latency on an idle backend.
 #[derive(Debug, Default)]
 pub(crate) struct FleetLoad {
     latency: DecayedRatio,
-    /// The same over a few answers only.
+    /// Like `latency`, over the last few answers only.
     recent: DecayedRatio,
     recent_updated_at: f64,
-    /// How many were served.
+    /// Number of answers recorded.
     answers: f64,
     awaited: AwaitedAttempts,
-    /// Time that the waiting attempts have usually spent, when answers came.
+    /// Mean total time that the awaited attempts had spent when answers arrived, ms.
     mean_time_in_flight: f64,
-    /// Part of the late requests that found no room.
+    /// Fraction of recent requests that found no capacity.
     rejected_fraction: f64,
-    /// Requests waiting at a backend by all reports.
+    /// Mean number of requests queued at a backend by recent load reports.
     reported_queue: f64,
-    /// Least slowness of late: the yardstick for load.
+    /// Recent minimum of the slowness, the reference for congestion.
     baseline: f64,
     /// Expected latency of a mean request on an idle backend, ms.
     mean_work_ms: f64,
     in_flight: f64,
-    /// Attempts in flight, on the mean, when those that make up `latency` were sent.
+    /// Mean number of attempts in flight when the answers in `latency` were requested.
     mean_in_flight: f64,
-    /// Slowness that the class with the tightest objective can bear.
+    /// Slowness that the class with the tightest latency objective tolerates.
     slowness_limit: f64,
 }
 
 impl FleetLoad {
-    /// A fleet of which nothing is known.
+    /// Creates the estimates for a fleet without observations.
     pub(crate) fn new(now: f64, mean_work_ms: f64) -> FleetLoad {
         let slowness_limit = OBJECTIVE_FRACTION / ASSUMED_LATENCY_FRACTION;
         FleetLoad {
@@ -93,7 +94,7 @@
         self.reported_queue
     }
 
-    /// Slowness by all answers of late.
+    /// Returns the slowness by all recent answers.
     pub(crate) fn slowness(&self) -> f64 {
         self.latency.with_prior(1.0, self.mean_work_ms)
     }
@@ -103,7 +104,7 @@
         self.in_flight += 1.0;
     }
 
-    /// An attempt is overdue: it is waited for no more, and still in flight.
+    /// Records that an attempt is overdue: it is not awaited any more, but still in flight.
     pub(crate) fn attempt_overdue(&mut self, sent_at: f64) {
         self.adjust_awaited(sent_at, -1.0);
     }
@@ -118,47 +119,50 @@
         self.awaited.sent_at_sum += sent_at * attempts;
     }
 
-    /// Time spent so far by the attempts that are in flight and not overdue.
+    /// Returns the total time spent so far by the awaited attempts, ms.
     fn time_in_flight(&self, now: f64) -> f64 {
         self.awaited.count * now - self.awaited.sent_at_sum
     }
 
-    /// Records how many requests wait at a backend, by its load report.
+    /// Records the number of requests queued at a backend, from its load report.
     pub(crate) fn queue_reported(&mut self, queued: f64) {
         self.reported_queue += (1.0 - FLEET_DECAY) * (queued - self.reported_queue);
     }
 
-    /// A request looked for a backend with room.
+    /// Records whether a request found a backend with capacity.
     pub(crate) fn record_capacity_search(&mut self, found: bool) {
         self.rejected_fraction +=
             (1.0 - FLEET_DECAY) * (f64::from(u8::from(!found)) - self.rejected_fraction);
     }
 
-    /// Present slowness of the fleet against its baseline. Answers may be few, and none come from backends
-    /// that stall, so time spent counts, answered or not, over what was expected of the answers.
+    /// Returns the current slowness of the fleet relative to its baseline. Answers may be few, and stalled
+    /// backends send none, so all time spent counts, answered or not, relative to the expected time of the
+    /// answers.
     pub(crate) fn congestion(&self, now: f64, gateways: f64, longest_objective_ms: f64) -> f64 {
         let keep = (-(now - self.recent_updated_at) / longest_objective_ms).exp().max(f64::EPSILON);
         let prior = self.mean_work_ms * PRIOR_REQUESTS / keep;
-        // What is usually in flight counts as well where the gateway is one of many, and sees little else.
+        // One of many gateways sees little beyond its usual attempts in flight, so these count as well there.
         let visible = (REPRESENTATIVE_GATEWAYS / gateways).min(1.0);
         let typical_time = self
             .typical_or_current(self.mean_time_in_flight * visible, self.awaited.count * self.mean_work_ms);
         let time = (self.recent.observed + self.time_in_flight(now) - typical_time).max(0.0);
         let time = DecayedRatio { observed: time, ..self.recent };
         let queueing = time.with_prior(self.baseline, prior) / self.baseline - 1.0;
-        // What this gateway has in flight stands for the whole as far as the others are few.
+        // This gateway's attempts in flight represent the whole load only if there are few other gateways.
         let mean_in_flight = self.typical_or_current(self.mean_in_flight, self.in_flight);
         1.0 + queueing * (self.in_flight + gateways) / (mean_in_flight + gateways)
     }
 
-    /// A gateway that begins knows no usual load, and would take its first requests for a jam. Until it has
-    /// some answers, what is in flight now is usual, for as long as it may take.
+    /// Returns the typical value, raised towards a higher current one while there are few answers. A gateway
+    /// that has just started knows no typical load and would take its first requests for congestion; until it
+    /// has enough answers, its current attempts in flight count as typical, however long they take.
     fn typical_or_current(&self, typical: f64, current: f64) -> f64 {
         let assumed = (1.0 - self.answers / ASSUMED_LATENCY_ANSWERS).max(0.0);
         typical + assumed * (current - typical).max(0.0)
     }
 
-    /// Records an answer, or that none came in time: what is overdue would show a queue long past.
+    /// Records the latency of an answer, or the time waited when an attempt becomes overdue. The answer of an
+    /// overdue attempt would reflect a queue of the past.
     pub(crate) fn record_recent_latency(
         &mut self,
         now: f64,
@@ -173,14 +177,15 @@
         self.recent_updated_at = now;
     }
 
-    /// Records the latency of an answer, and updates the baseline.
+    /// Records the latency of an answer and updates the baseline.
     pub(crate) fn record_latency(&mut self, observed_ms: f64, work_ms: f64) {
         self.latency.add(observed_ms, work_ms, FLEET_DECAY);
         self.update_baseline();
     }
 
-    /// The baseline rises slowly, lest a long trouble become it. It rises faster where most is rejected and
-    /// the fleet is still slow: then an idle fleet is slower than was assumed.
+    /// Updates the baseline. It rises slowly, so that a long incident does not become the baseline. It rises
+    /// faster if most requests are rejected and the fleet is still slow: then an idle fleet is slower than
+    /// was assumed.
     fn update_baseline(&mut self) {
         let slowness = self.slowness();
         let baseline_too_low =
@@ -190,14 +195,15 @@
         self.baseline += weight * (slowness - self.baseline);
     }
 
-    /// Counts an answer, before which so much was in flight.
+    /// Counts an answer, given the numbers of attempts in flight when its attempt was sent.
     pub(crate) fn count_answer(&mut self, in_flight_at_send: InFlightCounts) {
         self.answers += 1.0;
         let weight = (1.0 - FLEET_DECAY).max(1.0 / self.answers);
         self.mean_in_flight += weight * (in_flight_at_send.gateway - self.mean_in_flight);
     }
 
-    /// Records the work of an answer, and the tightest latency objective as a multiple of its class's work.
+    /// Records the expected work of an answer, ms, and the tightest latency objective, as a multiple of the
+    /// work of its class.
     pub(crate) fn record_work(&mut self, work_ms: f64, tightest_objective: f64) {
         let tightest = tightest_objective / self.baseline;
         self.slowness_limit = (tightest * OBJECTIVE_FRACTION).max(MIN_SLOWNESS_LIMIT);
--- a/crates/policy/src/policy/latency.rs
+++ b/crates/policy/src/policy/latency.rs
@@ -1,30 +1,31 @@
-//! What requests are expected to take on an idle backend.
+//! Expected latency of requests on an idle backend.
 
 use super::ratio::DecayedRatio;
 use crate::interface::{Class, Settings};
 
-/// Part of a backend's latency figures that each further answer leaves.
+/// Fraction of a backend's latency statistics that is kept with each further answer.
 pub(crate) const BACKEND_DECAY: f64 = 0.9;
-/// The same of the whole fleet's.
+/// Like [`BACKEND_DECAY`], for the statistics of the fleet.
 pub(crate) const FLEET_DECAY: f64 = 0.98;
-/// The same of a class's.
+/// Like [`BACKEND_DECAY`], for the statistics of a class.
 const CLASS_DECAY: f64 = 0.998;
-/// Latency of a mean request before any was seen, as a part of the latency objective.
+/// Latency assumed for a mean request before any answer, as a fraction of the latency objective.
 pub(crate) const ASSUMED_LATENCY_FRACTION: f64 = 0.125;
-/// Answers that the assumed latency of a class counts for, so that a flood at the start shows as slowness.
+/// Weight of a class's assumed latency, in answers, so that a flood of requests at the start is recognised as
+/// slowness.
 pub(crate) const ASSUMED_LATENCY_ANSWERS: f64 = 20.0;
 
-/// Latency of a mean request of a class on an idle backend before any was seen, ms.
+/// Returns the latency assumed for a mean request of a class on an idle backend before any answer, ms.
 fn assumed_work_ms(class: &Class) -> f64 {
     class.latency_objective_ms * ASSUMED_LATENCY_FRACTION
 }
 
-/// What is known of a class.
+/// Latency statistics of a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassLatency {
-    /// Latency, freed of the fleet's slowness, over the relative size of the requests.
+    /// Latency divided by the fleet's slowness, over the relative size of the requests.
     latency: DecayedRatio,
-    /// Expected latency of its requests of late, ms.
+    /// Mean expected latency of recent requests on an idle backend, ms.
     mean_work_ms: f64,
 }
 
@@ -39,21 +40,21 @@
     }
 }
 
-/// An answer, as the estimates learn from it.
+/// An answer as input to the estimates.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnsweredWork {
     pub(crate) class: usize,
     pub(crate) units: f64,
     pub(crate) latency_ms: f64,
-    /// What was expected of it on an idle backend.
+    /// Expected latency on an idle backend, ms.
     pub(crate) work_ms: f64,
 }
 
-/// Expected latency on an idle backend, by class and units. "Work" is this latency, in ms.
+/// Expected latency on an idle backend by class and units. This latency, in ms, is called work.
 #[derive(Debug)]
 pub(crate) struct LatencyEstimates {
     classes: Vec<ClassLatency>,
-    /// Units of the requests that came.
+    /// Mean units of recent requests.
     units: DecayedRatio,
 }
 
@@ -63,8 +64,9 @@
         LatencyEstimates { classes, units: DecayedRatio::default() }
     }
 
-    /// Changes from the classes of `old` settings to those of `new` ones. What was learned of a class that
-    /// changed goes with its name, whose earlier place `place_before` gives.
+    /// Changes from the classes of the `old` settings to those of the `new` ones. A class that changed
+    /// inherits the estimates of the class of the same name, whose index in the old settings is given by
+    /// `old_index`.
     pub(crate) fn change_classes(
         &mut self,
         old: &[Class],
@@ -92,25 +94,26 @@
         self.units.add(units.max(1.0), 1.0, FLEET_DECAY);
     }
 
-    /// Units of a mean request.
+    /// Returns the units of a mean request.
     pub(crate) fn mean_units(&self) -> f64 {
         self.units.value_or(1.0)
     }
 
-    /// Expected latency on an idle backend, ms.
+    /// Returns the expected latency of a request on an idle backend, ms.
     pub(crate) fn work_ms(&self, class: usize, units: f64) -> f64 {
         let latency = self.classes[class].latency.value_or(0.0);
         (latency * self.relative_size(units)).max(f64::MIN_POSITIVE)
     }
 
-    /// Units against those of a mean request.
+    /// Returns units as a multiple of those of a mean request.
     fn relative_size(&self, units: f64) -> f64 {
         units.max(1.0) / self.mean_units().max(1.0)
     }
 
-    /// Learns from an answer, while the fleet is as slow as `slowness` says. Learned against the present
-    /// slowness, classes keep their scale on the whole, whatever the load; learned from the latency as it
-    /// is, the yardstick would shrink by its own use.
+    /// Records an answer, given the current slowness of the fleet. Dividing the latency by the slowness keeps
+    /// the scale of the classes stable on average, whatever the load. If raw latencies were recorded, the
+    /// expected latency would follow the load, and the slowness, which is measured relative to it, would
+    /// shrink.
     pub(crate) fn record_answer(&mut self, answer: &AnsweredWork, slowness: f64) {
         let relative_size = self.relative_size(answer.units);
         let class = &mut self.classes[answer.class];
@@ -118,21 +121,21 @@
         class.mean_work_ms += (1.0 - FLEET_DECAY) * (answer.work_ms - class.mean_work_ms);
     }
 
-    /// The least of the classes' latency objectives, as a multiple of their work. Classes that were dropped
-    /// do not count.
+    /// Returns the smallest latency objective of all classes, as a multiple of the work of its class. Retired
+    /// classes do not count.
     pub(crate) fn tightest_objective(&self, classes: &[Class]) -> f64 {
         let in_use = classes.iter().zip(&self.classes).filter(|(class, _)| !class.retired);
         in_use.map(|(class, known)| class.latency_objective_ms / known.mean_work_ms).fold(f64::MAX, f64::min)
     }
 }
 
-/// Latency of a mean request of the first class before any was seen, ms: it stands for the fleet's at
-/// first.
+/// Returns the latency assumed for a mean request of the first class before any answer, ms. It is the initial
+/// value for the whole fleet.
 pub(crate) fn assumed_fleet_work_ms(classes: &[Class]) -> f64 {
     assumed_work_ms(&classes[0])
 }
 
-/// The longest times of all classes, ms.
+/// Maxima over all classes, ms.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LongestTimes {
     pub(crate) objective_ms: f64,
--- a/crates/policy/src/policy/outlier_ejection.rs
+++ b/crates/policy/src/policy/outlier_ejection.rs
@@ -1,18 +1,18 @@
-//! Backends that fail or fall silent get no work until a trial succeeds.
+//! Ejection of backends that fail or fall silent, until a probe succeeds.
 
 use super::backend::Backend;
 use super::Policy;
 use crate::interface::{Action, Outcome};
 
-/// No answer from a backend for this many times its expected latency: it may be silent.
+/// Multiple of the expected latency after which a backend without a sign of life counts as silent.
 const SILENT_AFTER_LATENCIES: f64 = 5.0;
 
 impl Policy {
-    /// Ejects silent backends, and starts trials of those whose pause is over.
+    /// Ejects silent backends, and probes ejected backends whose probe is due.
     pub(super) fn run_due_checks(&mut self, now: f64, actions: &mut Vec<Action>) {
         while let Some(slot) = self.backends.next_due(now) {
             let backend = self.backends.get(slot);
-            // When the list has it take work again, it is looked at anew.
+            // When the endpoint list shows the backend as ready again, that update schedules a new check.
             let idle = !backend.ejected && backend.in_flight <= 0.0;
             if !backend.is_ready() || idle {
                 continue;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Starts a trial of an ejected backend, if its pause is over.
+    /// Probes an ejected backend if its probe is due. Without probes, it is readmitted on trial instead.
     fn probe_or_readmit(&mut self, now: f64, slot: usize, actions: &mut Vec<Action>) {
         let backend = self.backends.get(slot);
         let (id, probe_at) = (backend.entry.id, backend.probe_at);
@@ -41,13 +41,14 @@
         }
     }
 
-    /// Ejects a backend that has attempts in flight and was not seen alive for too long.
+    /// Ejects a backend that has attempts in flight and has shown no sign of life for too long.
     fn eject_if_silent(&mut self, now: f64, slot: usize) {
         let connect_ms = self.settings.limits.connect_timeout_ms;
         let backend = self.backends.get(slot);
         let silent_at = backend.last_alive_at + self.silence_limit_ms(backend, now);
         if now <= silent_at {
-            // What is expected of an answer may fall, and the wait for it with that.
+            // The expected latency may fall before then, and the limit with it, so the backend is checked
+            // again earlier.
             return self.recheck_at(now, slot, silent_at.min(now + connect_ms));
         }
         self.eject(now, slot);
@@ -62,7 +63,7 @@
         self.backends.check_at(slot, at.max(now + 1.0));
     }
 
-    /// Looks at a backend that was just sent to, once a connection must be up.
+    /// Schedules a check of a backend that was just sent to, for the time at which a connection must be up.
     pub(super) fn recheck_after_connect(&mut self, now: f64, slot: usize) {
         self.backends.check_at(slot, now + self.settings.limits.connect_timeout_ms.max(1.0));
     }
@@ -73,7 +74,7 @@
         self.backends.check_at(slot, self.backends.get(slot).probe_at);
     }
 
-    /// A probe ended: a backend that answers it well gets work again.
+    /// Handles the end of a probe: a backend that answered it successfully is readmitted.
     pub(super) fn probe_finished(&mut self, now: f64, id: u32, outcome: Outcome) {
         let Some(slot) = self.backends.find(id) else { return };
         if outcome != Outcome::Ok || !self.backends.get(slot).ejected {
