--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is admitted: concurrency limit, ceiling, quota, then room on the backends.
+//! Admission of requests: concurrency limit, ceiling and quota, then capacity of the backends.
 
 use super::counter_calls::Report;
 use super::endpoint_selection::Selection;
@@ -7,16 +7,16 @@
 use super::Policy;
 use crate::interface::{Action, Request};
 
-/// Part of the room for customers' records from which on newcomers have no local allowance.
+/// Fill ratio of the customer cache above which new customers get no local allowance.
 const NEAR_CAPACITY_FILL_RATIO: f64 = 0.75;
-/// Demand, as a part of the rate, up to which a customer needs no call while the counter is crowded.
+/// Demand, as a fraction of the rate, below which a customer needs no counter call while calls are throttled.
 const LOW_DEMAND: f64 = 0.5;
-/// Times its own charge that a call reports for requests without one, at most.
+/// Maximum units that a call reports on behalf of requests without a call, as a multiple of its own charge.
 const MAX_EXTRA_REPORT: f64 = 2.0;
-/// Part of a class's latency objective that waiting for the counter may take.
+/// Fraction of a class's latency objective that a request may wait for the counter.
 const COUNTER_WAIT_FRACTION: f64 = 0.125;
 
-/// What lets a request pass its quota.
+/// Knowledge on which a request passed its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AdmissionBasis {
     /// A total of the shared counter.
@@ -25,7 +25,7 @@
     Estimate,
 }
 
-/// A request that this gateway must not charge without asking, and what speaks for a call.
+/// A charge that the local allowance does not cover, and the data that decides whether to call the counter.
 #[derive(Clone, Copy, Debug)]
 struct UncoveredCharge {
     id: u64,
@@ -33,20 +33,21 @@
     class: usize,
     units: f64,
     selection: Selection,
-    /// The bucket covers it but for what is only assumed of other gateways.
+    /// The bucket would cover the charge without the units that other gateways are only assumed to have
+    /// spent.
     inconclusive: bool,
-    /// A call decides nothing.
+    /// A call would not change the decision.
     call_optional: bool,
-    /// The customer's use over all gateways, as a part of its rate.
+    /// The customer's use over all gateways, as a fraction of its rate.
     demand: f64,
     over_quota_penalty: f64,
-    /// Part of the charge that need not be reported now.
+    /// Fraction of the charge whose report may be deferred.
     deferred_fraction: f64,
 }
 
 impl Policy {
-    /// Decides on a request that just came: quota, ceiling, room; then sends it, calls the counter or
-    /// rejects.
+    /// Decides on a newly arrived request by its customer's limits and the capacity of the backends; then
+    /// sends it, calls the counter or rejects it.
     pub(super) fn admit(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request.clone();
         let Some(check) = self.check_quota(now, &request) else {
@@ -68,7 +69,8 @@
         self.decide_on_call(now, &charge, actions);
     }
 
-    /// Checks a request against its customer's limits; none if there is no room for the customer's record.
+    /// Checks a request against its customer's limits. Returns `None` if the customer cache has no room for a
+    /// new record.
     fn check_quota(&mut self, now: f64, request: &Request) -> Option<QuotaCheck> {
         self.ensure_customer(now, request)?;
         let share_prior = self.share_prior();
@@ -77,7 +79,7 @@
         Some(quota.check(request.units, share_prior))
     }
 
-    /// Creates the customer's record if there is none yet; none if there is no room for one.
+    /// Creates the customer's record if it does not exist. Returns `None` if the cache has no room for it.
     fn ensure_customer(&mut self, now: f64, request: &Request) -> Option<()> {
         if self.customers.get(request.customer).is_some() {
             return Some(());
@@ -86,8 +88,9 @@
         let fan_out_known = request.fan_out >= 1.0;
         let fan_out = if fan_out_known { request.fan_out } else { f64::from(self.settings.gateway_count) };
         let mut quota = CustomerQuota::new(request.customer, plan, &self.customer_context(now, fan_out));
-        // Charges of a crowd of newcomers that no total holds could not be forgotten. They are reported at
-        // once, so each newcomer waits for the counter, as far as calls have a chance.
+        // With many new customers, charges that no total includes would pin their records in the cache.
+        // Without a local allowance they are reported at once, so each new customer waits for the counter, as
+        // far as the throttle allows calls.
         if self.customers.fill_ratio() > NEAR_CAPACITY_FILL_RATIO {
             quota.withhold_local_allowance();
         }
@@ -95,13 +98,14 @@
         self.customers.insert(now, request.customer, quota).ok()
     }
 
-    /// What a new customer's record begins with.
+    /// Returns the initial data for a new customer's record.
     pub(super) fn customer_context(&self, now: f64, fan_out: f64) -> CustomerContext {
         let (gateway_started_at, has_counter) = (self.started_at, self.settings.shared_counter);
         CustomerContext { now, gateway_started_at, fan_out, has_counter }
     }
 
-    /// Units that the even share of a customer's use counts for until more is known.
+    /// Returns the weight, in units, of the assumption that each gateway has an even share of a customer's
+    /// use.
     pub(super) fn share_prior(&self) -> f64 {
         self.settings.max_request_units.max(1.0)
     }
@@ -115,8 +119,9 @@
         let units = request.units;
         let quota = self.customers.get(request.customer).expect("customer record exists");
         let demand = quota.demand(units);
-        // As far as is known, the customer uses little or came just now, and its bucket is half full after
-        // all. One who asks much from the first is found out only at half the bucket.
+        // As far as is known, the customer's demand is low or the customer is new, and its bucket stays at
+        // least half full. A customer with high demand from its first request on is therefore detected only
+        // once half of its bucket is spent.
         let low_demand = (quota.is_new() || demand < LOW_DEMAND) && quota.is_half_full_after(units);
         UncoveredCharge {
             id: request.id,
@@ -125,7 +130,7 @@
             units,
             selection,
             inconclusive: check.inconclusive,
-            // A total is what lets it pass under a scarce ceiling.
+            // Under a scarce ceiling a request needs a total in order to pass.
             call_optional: low_demand && !check.ceiling_scarce,
             demand,
             over_quota_penalty: quota.plan.over_quota_penalty,
@@ -133,7 +138,8 @@
         }
     }
 
-    /// Calls the counter for a charge, or proceeds without. While calls fail or wait, fewer are made.
+    /// Calls the counter for a charge, or continues without a call. Fewer calls are made while calls fail or
+    /// are slow.
     fn decide_on_call(&mut self, now: f64, charge: &UncoveredCharge, actions: &mut Vec<Action>) {
         let probability =
             self.call_throttle.request_call_probability(charge.call_optional, charge.over_quota_penalty);
@@ -144,7 +150,7 @@
         }
     }
 
-    /// Charges a request and asks the counter for the total; the request waits for that.
+    /// Charges a request and calls the counter; the request waits for the total.
     fn charge_with_call(
         &mut self,
         now: f64,
@@ -170,11 +176,11 @@
         actions.push(Action::ScheduleTimer { token, at_ms: now + wait_ms });
     }
 
-    /// Charges a request for which no call is made, and sends or rejects it.
+    /// Charges a request without a counter call, then sends or rejects it.
     fn charge_without_call(&mut self, now: f64, charge: &UncoveredCharge, actions: &mut Vec<Action>) {
         let passes = self.call_throttle.is_unthrottled() || self.random.next_f64() * charge.demand < 1.0;
         let call_skipped = self.settings.shared_counter && charge.call_optional;
-        // What was only assumed of others, and is still doubtful, must not be given back without a total.
+        // The units assumed to be spent by other gateways may be released only by a total.
         if charge.inconclusive || !(passes || call_skipped) {
             return self.reject_or_fail(charge.id, actions);
         }
@@ -190,7 +196,7 @@
         self.send_first_attempt(now, charge.id, Some(charge.selection), AdmissionBasis::Estimate, actions);
     }
 
-    /// Sends an admitted request for the first time, to the backend that was selected.
+    /// Sends the first attempt of an admitted request to the selected backend, if the ceiling allows it.
     pub(super) fn send_first_attempt(
         &mut self,
         now: f64,
@@ -206,8 +212,8 @@
         }
     }
 
-    /// Draws a request from the ceiling, if that is allowed. It is checked once more here, as it may have
-    /// been spent while a counter call was in flight.
+    /// Draws a request's units from the ceiling and returns whether that was allowed. The ceiling is checked
+    /// again here because it may have been spent while a counter call was in flight.
     fn try_draw_from_ceiling(&mut self, id: u64, basis: AdmissionBasis) -> bool {
         let request = &self.requests[&id].request;
         let Some(quota) = self.customers.get_mut(request.customer) else { return true };
--- a/crates/policy/src/policy/arrival.rs
+++ b/crates/policy/src/policy/arrival.rs
@@ -1,15 +1,15 @@
-//! A request arrives: it is checked, counted and given its deadline before anything is decided.
+//! Arrival of requests: validation, accounting and the deadline timer, before the admission decision.
 
 use super::request::OpenRequest;
 use super::timers::TimerKind;
 use super::Policy;
 use crate::interface::{Action, Request};
 
-/// Customers' records that each arrival looks at, to drop those that hold nothing.
+/// Customer records examined on each arrival in order to drop those that hold no information.
 const RECORDS_SWEPT_PER_REQUEST: usize = 2;
 
 impl Policy {
-    /// Accepts a request that arrived. One whose number is in use is ignored.
+    /// Accepts a new request. A request whose ID is already in use is ignored.
     pub(super) fn request_arrived(&mut self, now: f64, mut request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if self.requests.contains_key(&id) {
@@ -23,7 +23,7 @@
         self.latency.request_received(request.units);
         self.sweep_customers(now);
         self.run_due_checks(now, actions);
-        // Each request has this timer, whatever else it waits for, so that each is answered in time.
+        // Every request gets this timer, whatever else it waits for, so that it is always answered in time.
         let deadline_at = request.deadline_ms - self.settings.clock_granularity_ms;
         actions.push(Action::ScheduleTimer {
             token: TimerKind::Deadline.token(id),
@@ -34,7 +34,7 @@
         self.admit(now, id, actions);
     }
 
-    /// The units of a request, or the most that one may have if they make no sense.
+    /// Returns the units of a request, or the maximum units of a request if the value is invalid.
     fn valid_units(&self, units: f64) -> f64 {
         if units.is_finite() && units >= 0.0 {
             units
@@ -43,13 +43,14 @@
         }
     }
 
-    /// Whether the settings know the request's class and it has time left; else it is rejected, as nothing
-    /// was done.
+    /// Returns whether the class is known and the deadline has not passed. Any other request is rejected,
+    /// which is safe because nothing has run.
     fn is_servable(&self, now: f64, request: &Request) -> bool {
         request.class < self.settings.classes.len() && request.deadline_ms.max(now) > now
     }
 
-    /// Drops records that hold nothing a new one would not: else customers seen once would fill the memory.
+    /// Drops customer records that hold no more than a new one would. Without this, customers seen only once
+    /// would fill the memory.
     fn sweep_customers(&mut self, now: f64) {
         self.customers.sweep(RECORDS_SWEPT_PER_REQUEST, |quota| quota.is_like_new(now));
     }
--- a/crates/policy/src/policy/attempt_results.rs
+++ b/crates/policy/src/policy/attempt_results.rs
@@ -1,39 +1,40 @@
-//! How an attempt ended: what its customer, its backend and the fleet learn from it.
+//! Results of attempts: updates of the customer's quota, the backend's health and the fleet's latency.
 
 use super::latency::{AnsweredWork, BACKEND_DECAY};
 use super::request::{Attempt, OpenRequest};
 use super::Policy;
 use crate::interface::{Outcome, Request};
 
-/// An answer counts as no slower than so many times the expected: costly requests condemn no backend.
+/// Cap on an observed latency, as a multiple of the expected one, so that an expensive request does not
+/// discredit its backend.
 const MAX_OBSERVED_SLOWNESS: f64 = 5.0;
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub(super) struct AttemptResult {
     pub(super) id: u64,
-    /// Its number, from 0.
+    /// Index of the attempt within its request, from 0.
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
     pub(super) latency_ms: f64,
-    /// The actual units.
+    /// Actual units, if the answer reported them.
     pub(super) actual_units: Option<f64>,
-    /// The customer's use over all gateways, as a part of its rate.
+    /// The customer's use over all gateways, as a fraction of its rate, if the answer reported it.
     pub(super) metered_use: Option<f64>,
 }
 
-/// An attempt that has ended, and its request.
+/// A finished attempt and its request.
 struct FinishedAttempt {
     attempt: Attempt,
     request: Request,
-    /// The actual units, or the estimate.
+    /// Actual units, or the estimate if the answer did not report them.
     units: f64,
     /// Expected latency on an idle backend, ms.
     work_ms: f64,
 }
 
 impl Policy {
-    /// Records how an attempt ended.
+    /// Records the result of an attempt.
     pub(super) fn attempt_finished(&mut self, now: f64, result: &AttemptResult) {
         let Some(finished) = self.close_attempt(result) else { return };
         self.settle_charge(result, &finished.request);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Marks an attempt as ended; none if it is not in flight.
+    /// Marks an attempt as ended. Returns `None` if it is not in flight.
     fn close_attempt(&mut self, result: &AttemptResult) -> Option<FinishedAttempt> {
         let open: &mut OpenRequest = self.requests.get_mut(&result.id)?;
         let attempt = open.attempts.get_mut(result.attempt as usize).filter(|attempt| attempt.pending)?;
@@ -63,12 +64,13 @@
         Some(FinishedAttempt { attempt, request, units, work_ms })
     }
 
-    /// Records what an answer tells of its customer's use, and charges the actual units in place of the
-    /// estimate. The difference goes with the next call.
+    /// Records the metered use of the customer and replaces the estimated charge by the actual units. The
+    /// next counter call reports the difference.
     fn settle_charge(&mut self, result: &AttemptResult, request: &Request) {
         let Some(quota) = self.customers.get_mut(request.customer) else { return };
         quota.attempts_in_flight = quota.attempts_in_flight.saturating_sub(1);
-        // Without a counter, or while it is gone, a usage meter shows this one's share.
+        // Without a shared counter, or while it does not answer, the usage meter reveals this gateway's
+        // share.
         let without_totals = !self.settings.shared_counter || !self.call_throttle.is_counter_answering();
         if let Some(used) = result.metered_use.filter(|_| without_totals && quota.plan.rate > 0.0) {
             quota.record_metered_use(used);
@@ -83,12 +85,12 @@
         }
     }
 
-    /// Records what an outcome tells of a backend's health.
+    /// Records what an outcome reveals about a backend's health.
     fn record_health(&mut self, now: f64, slot: usize, outcome: Outcome, request: &Request) {
         let rejected = self.rejection_indices(request);
         let entry_count = self.settings.plans.len() + self.settings.classes.len() + 1;
         let backend = self.backends.get_mut(slot);
-        // Being full is no fault of the backend's health, but it is no room either.
+        // A full backend is healthy, but it has no capacity for this plan and class either.
         if outcome == Outcome::Rejected {
             backend.rejected_at.resize(entry_count, f64::MIN);
             for index in rejected {
@@ -96,7 +98,8 @@
             }
         }
         let failed = matches!(outcome, Outcome::Error | Outcome::ConnectFailed | Outcome::Reset);
-        // A time-out was counted when it was overdue; it is no sign of health.
+        // A timeout was already counted as a failure when the attempt became overdue, and it does not show
+        // that the backend is healthy.
         if outcome != Outcome::Timeout {
             backend.record_outcome(failed);
         }
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Records the latency of an answer, or of one that timed out.
+    /// Records the latency of an answer or of a timeout.
     fn record_latency(&mut self, now: f64, slot: usize, result: &AttemptResult, finished: &FinishedAttempt) {
         let max_ms = MAX_OBSERVED_SLOWNESS * finished.work_ms * self.fleet.slowness().max(1.0);
         let observed_ms = result.latency_ms.min(max_ms);
@@ -117,7 +120,7 @@
         backend.latency_updated_at = now;
         let in_flight = finished.attempt.in_flight_at_send.backend;
         backend.mean_in_flight += (1.0 - BACKEND_DECAY) * (in_flight - backend.mean_in_flight);
-        // Time-outs of a few silent backends say nothing of the fleet's load.
+        // Timeouts of a few silent backends say nothing about the load of the fleet.
         if result.outcome == Outcome::Ok {
             self.record_fleet_latency(now, observed_ms, result.latency_ms, finished);
         }
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! How an attempt begins, and how the next one follows: a hedge when it is overdue, a retry when it failed.
+//! Attempts: sending them, hedging an overdue attempt and retrying a failed one.
 
 use super::endpoint_selection::Selection;
 use super::fleet_load::OBJECTIVE_FRACTION;
@@ -7,12 +7,12 @@
 use super::Policy;
 use crate::interface::Action;
 
-/// An attempt is overdue, and a hedge may be sent, after this many times its expected latency.
+/// Multiple of its expected latency after which an attempt is overdue and a hedge may be sent.
 const OVERDUE_AFTER_LATENCIES: f64 = 3.0;
-/// What a hedge costs of the retry budget, and a retry that multiplies work.
+/// Cost, in the retry budget, of a hedge or of a retry that multiplies work.
 const ATTEMPT_COST: f64 = 1.0;
 
-/// An attempt that is overdue, and its request.
+/// An overdue attempt and the data of its request.
 #[derive(Clone, Copy, Debug)]
 struct OverdueAttempt {
     backend: u32,
@@ -34,8 +34,8 @@
         actions: &mut Vec<Action>,
     ) {
         let overdue_after_ms = self.overdue_after_ms(now, id, selection);
-        // By the attempts before this one: a connection that comes up late must not begin a repeat after
-        // its window.
+        // Computed from the earlier attempts only: if the connection is established late, the repeat must not
+        // start after the deduplication window of the first attempt.
         let write_deadline_ms = self.write_deadline(&self.requests[&id]);
         let attempt = self.start_attempt(now, id, selection.slot, overdue_after_ms);
         let backend = attempt.backend;
@@ -49,7 +49,7 @@
             .push(Action::ScheduleTimer { token: TimerKind::Hedge.token(id), at_ms: now + overdue_after_ms });
     }
 
-    /// Time after which an attempt at a backend is overdue, ms.
+    /// Returns the time after which an attempt at a backend is overdue, ms.
     fn overdue_after_ms(&self, now: f64, id: u64, selection: Selection) -> f64 {
         let slowness = self.slowness(self.backends.get(selection.slot), now);
         let expected_ms = self.expected_work_ms(id) * selection.slowness.max(slowness);
@@ -57,13 +57,13 @@
         (expected_ms * OVERDUE_AFTER_LATENCIES).min(self.settings.classes[class].latency_objective_ms)
     }
 
-    /// Expected latency of a request on an idle backend, ms.
+    /// Returns the expected latency of a request on an idle backend, ms.
     fn expected_work_ms(&self, id: u64) -> f64 {
         let request = &self.requests[&id].request;
         self.latency.work_ms(request.class, request.units)
     }
 
-    /// Counts an attempt as in flight, at its backend and in all.
+    /// Counts an attempt as in flight, both at its backend and for the whole gateway.
     fn start_attempt(&mut self, now: f64, id: u64, slot: usize, overdue_after_ms: f64) -> Attempt {
         self.backends.push(slot, now, self.expected_work_ms(id));
         let backend = self.backends.get_mut(slot);
@@ -79,8 +79,9 @@
         attempt
     }
 
-    /// An attempt may be overdue: stuck on a bad backend, or its answer lost. It counts against its
-    /// backend; a hedge is sent where the class allows it, the budget covers it and there is room.
+    /// Handles an attempt that may be overdue because its backend is stuck or its answer was lost. An overdue
+    /// attempt counts as a failure of its backend. A hedge is sent if the class allows it, the retry budget
+    /// covers it and another backend is likely to answer in time.
     pub(super) fn hedge_timer_fired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
         let Some(overdue) = self.mark_overdue(now, id) else { return };
         self.record_recent_latency(now, now - overdue.sent_at, overdue.work_ms);
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Marks an attempt of a request as overdue, if one is. One whose answer is streamed never is.
+    /// Marks the first overdue attempt of a request, if any. An attempt with a streamed answer is never
+    /// overdue.
     fn mark_overdue(&mut self, now: f64, id: u64) -> Option<OverdueAttempt> {
         let granularity_ms = self.settings.clock_granularity_ms;
         let open = self.requests.get_mut(&id).filter(|open| !open.streaming)?;
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Another backend for a request whose attempt is overdue, if it is likely to answer in time.
+    /// Selects another backend for the hedge of an overdue attempt, if one is likely to answer in time.
     fn select_hedge_backend(&mut self, now: f64, id: u64, overdue: &OverdueAttempt) -> Option<Selection> {
         let awaited = |attempt: &Attempt| attempt.pending && !attempt.overdue;
         let has_awaited = self.requests[&id].attempts.iter().any(awaited);
@@ -127,7 +129,7 @@
         (in_time && different_backend).then_some(selection)
     }
 
-    /// The answer of an attempt has begun to flow to the client: the others are called off.
+    /// Handles the start of a streamed answer: cancels the other attempts of the request.
     pub(super) fn stream_started(
         &mut self,
         now: f64,
@@ -145,8 +147,8 @@
         self.cancel_attempts(id, Some(attempt), actions);
     }
 
-    /// What to do for a request when one of its attempts has ended. `client_answered`: the client has its
-    /// answer.
+    /// Continues a request after one of its attempts has ended. `client_answered` means that the client
+    /// already has its answer.
     pub(super) fn continue_request(
         &mut self,
         now: f64,
@@ -156,7 +158,7 @@
     ) {
         let Some(open) = self.requests.get(&id) else { return };
         let pending = open.has_pending_attempt();
-        // An answer that is streamed must not be cut off as another attempt of the request ends.
+        // A streamed answer must not be cut off because another attempt of the request has ended.
         if open.streaming && pending && !open.answered {
             return;
         }
@@ -181,8 +183,8 @@
         self.send_attempt(now, id, selection, actions);
     }
 
-    /// What a retry costs of the budget. What ran nowhere multiplies no work: it costs nothing while the
-    /// fleet is not pressed.
+    /// Returns the cost of a retry in the retry budget. A request that ran nowhere does not multiply work, so
+    /// its retry is free while the fleet is not congested.
     fn retry_cost(&self, now: f64, open: &OpenRequest) -> f64 {
         let multiplies_work = open.may_have_run() || self.is_congested(now);
         if multiplies_work {
--- a/crates/policy/src/policy/final_answer.rs
+++ b/crates/policy/src/policy/final_answer.rs
@@ -1,10 +1,11 @@
-//! How a request ends: with one final answer, and everything else of it called off.
+//! The end of a request: its single final answer and the cancellation of its remaining attempts.
 
 use super::Policy;
 use crate::interface::{Action, Request};
 
 impl Policy {
-    /// Ends a request with the best answer that is legal: rejected where nothing ran, else failed.
+    /// Ends a request with the most favourable answer that is valid: rejected if that is safe, otherwise
+    /// failed.
     pub(super) fn reject_or_fail(&mut self, id: u64, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
         if open.answered || open.streaming {
@@ -19,7 +20,8 @@
         self.finish_request(id, actions);
     }
 
-    /// When a rejected client should come again: once its quota covers the request. None without advice.
+    /// Returns the time after which the customer's quota covers a rejected request, ms; `None` if no advice
+    /// is given.
     fn retry_after_ms(&self, request: &Request) -> Option<f64> {
         if !self.settings.limits.retry_advice {
             return None;
@@ -33,7 +35,7 @@
     pub(super) fn finish_request(&mut self, id: u64, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         open.answered = true;
-        // What was never sent is not charged.
+        // A request that was never sent is not charged.
         if open.attempts.is_empty() {
             if let Some(quota) = self.customers.get_mut(open.request.customer) {
                 quota.withdraw(open.charge, open.extra_report);
@@ -45,7 +47,7 @@
         self.cancel_attempts(id, None, actions);
     }
 
-    /// Cancels what is still in flight for a request, but for one attempt.
+    /// Cancels the pending attempts of a request, except for one.
     pub(super) fn cancel_attempts(&self, id: u64, except: Option<u32>, actions: &mut Vec<Action>) {
         if !self.settings.limits.cancel {
             return;
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -1,28 +1,29 @@
-//! Every decision of the gateway, one module each. The settings, events and actions are the plain types of
-//! `src/interface`; `docs/design.md` says what comes from the design and what was added.
+//! The decision logic of the gateway, one module per decision. Settings, events and actions are the plain
+//! types of `src/interface`; `docs/design.md` says which decisions come from the design and which were added
+//! to it.
 //!
-//! A request's way through the modules:
+//! How a request passes through the modules:
 //!
 //! ```text
-//!  request ─▶ arrival ─▶ admission: quota, ceiling ─▶ load_shedding: room ─▶ attempts: send, hedge, retry
-//!                          │        ▲                    │                        │           ▲
-//!                          ▼        │                    ▼                        ▼           │
-//!                     counter_calls ┘            endpoint_selection       attempt_results ────┘
+//!  request ─▶ arrival ─▶ admission: quota, ceiling ─▶ load_shedding ───▶ attempts: send, hedge, retry
+//!                          │        ▲                    │                    │           ▲
+//!                          ▼        │                    ▼                    ▼           │
+//!                     counter_calls ┘            endpoint_selection   attempt_results ────┘
 //!                                                        │
 //!                                                        ▼
 //!                                              final_answer: reject, fail
 //! ```
 //!
-//! | module | decides or knows |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `quota` | a customer's token bucket, ceiling and demand, and what a counter total says of them |
-//! | `call_throttle` | how many counter calls are made |
-//! | `endpoint_list`, `backend` | which backends there are, and what is known of each |
-//! | `outlier_ejection` | which backends get no work until a trial succeeds |
-//! | `latency`, `fleet_load` | expected latency by class; how slow and loaded the fleet is |
-//! | `repeat_safety` | whether another attempt or a rejection is safe: the one place that says so |
-//! | `retry_budget` | how many attempts beyond the first ones there may be |
-//! | `handover` | what passes from one process of a gateway to the next |
+//! | `quota` | a customer's token bucket, ceiling and demand, and how counter totals update them |
+//! | `call_throttle` | the rate of counter calls |
+//! | `endpoint_list`, `backend` | the known backends and the state kept for each |
+//! | `outlier_ejection` | which backends are ejected until a probe succeeds |
+//! | `latency`, `fleet_load` | expected latency by class; slowness and load of the fleet |
+//! | `repeat_safety` | whether another attempt or a rejection is safe; no other module decides this |
+//! | `retry_budget` | how many retries and hedges are allowed |
+//! | `handover` | state passed from one process of a gateway to its successor |
 
 mod admission;
 mod arrival;
@@ -66,11 +67,11 @@
 
 pub(crate) use self::quota::CustomerQuota;
 
-/// Decides for one gateway.
+/// Makes the decisions of one gateway.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) settings: Settings,
-    /// When this incarnation started.
+    /// Time at which this incarnation started, ms.
     started_at: f64,
     random: Random,
     requests: HashMap<u64, OpenRequest>,
@@ -78,21 +79,21 @@
     counter_calls: CounterCallsInFlight,
     call_throttle: CallThrottle,
     pub(crate) backends: Index<Backend>,
-    /// Slots of the candidates of the selection that is being made; its memory is reused.
+    /// Scratch buffer for the slots of drawn candidates, kept to reuse its allocation.
     drawn_slots: Vec<usize>,
     longest: LongestTimes,
     latency: LatencyEstimates,
     fleet: FleetLoad,
     retry_budget: RetryBudget,
-    /// Processes that serve as this gateway by now.
+    /// Number of processes that currently serve as this gateway.
     process_count: f64,
 }
 
 impl Policy {
-    /// A gateway that starts at `now` with nothing known.
+    /// Creates the policy of a gateway that starts at `now` with no prior knowledge.
     ///
     /// # Errors
-    /// A [`SettingsError`] if the settings can't be worked with.
+    /// Returns a [`SettingsError`] if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let routing = &settings.routing;
@@ -121,30 +122,31 @@
         })
     }
 
-    /// Changes the classes, limits and slow-start figures. A class at the place that it had before is the
-    /// same one; what was learned of a class that changed goes with its name, and `before` maps the place
-    /// of each new class to its earlier one. Open requests keep the class and the attempts they came with.
+    /// Replaces the classes, limits and slow-start settings. A class that keeps its index and its rules keeps
+    /// its latency estimates. For every other class, `old_index` maps its new index to the index that the
+    /// class of the same name had before, whose estimates it inherits. Open requests keep their class and
+    /// their maximum number of attempts.
     pub fn update_settings(&mut self, settings: Settings, old_index: impl Fn(usize) -> Option<usize>) {
         self.latency.change_classes(&self.settings.classes, &settings.classes, old_index);
         self.longest = LongestTimes::from_settings(&settings);
         self.settings = settings;
     }
 
-    /// Whether a request that is open came with the class at a place.
+    /// Returns whether any open request belongs to the class at index `class`.
     #[must_use]
     pub fn has_request_of_class(&self, class: usize) -> bool {
         self.requests.values().any(|open| open.request.class == class)
     }
 
-    /// The request that a timer is for, if any. When that has its final answer and no attempt in flight,
-    /// the timer need not fire.
+    /// Returns the request that a timer token belongs to, if any. The timer may be skipped once that request
+    /// has its final answer and no attempt in flight.
     #[must_use]
     pub fn request_of_timer(token: u64) -> Option<u64> {
         let (kind, request) = TimerKind::from_token(token);
         (kind != TimerKind::PollEndpoints).then_some(request)
     }
 
-    /// Handles an event, and appends what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: f64, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { scope, endpoints } => {
--- a/crates/policy/src/policy/repeat_safety.rs
+++ b/crates/policy/src/policy/repeat_safety.rs
@@ -1,7 +1,7 @@
-//! Whether a request may be attempted again, or rejected, without running twice.
+//! Whether a request may be attempted again, or rejected, without the risk that it runs twice.
 //!
-//! This is the one place that says so. A rejection promises that nothing ran, so it is safe only where
-//! another attempt would be.
+//! No other module decides this. A rejection promises that nothing ran, so it is safe only where another
+//! attempt would be safe.
 
 use super::backend::Backend;
 use super::request::{Attempt, OpenRequest};
@@ -13,7 +13,7 @@
         &self.settings.classes[open.request.class]
     }
 
-    /// Whether a request may be rejected.
+    /// Returns whether a request may be rejected.
     pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
         let class = self.class_of(open);
         match class.idempotency {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether an attempt of a request may be sent to a backend.
+    /// Returns whether an attempt of a request may be sent to a backend.
     pub(super) fn may_attempt(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
         self.has_attempt_left(open) && self.is_repeat_safe(open, to, now)
     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether a backend drops repeats of an attempt: it is in the same deduplication scope.
+    /// Returns whether a backend drops repeats of an attempt because it is in the same deduplication scope.
     fn deduplicates(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
         match self.class_of(open).deduplication_scope {
             DeduplicationScope::All => true,
@@ -56,8 +56,9 @@
         }
     }
 
-    /// Until when a repeat of a request may be written: for a keyed one, while the backends of its scope
-    /// still drop repeats of the earliest attempt that may have run. None: as long as it has time.
+    /// Returns the time until which a repeat of a request may be written. A keyed request may be repeated
+    /// while the backends of its deduplication scope still drop repeats of its earliest attempt that may have
+    /// run. `None` means that only the request's own deadline applies.
     pub(super) fn write_deadline(&self, open: &OpenRequest) -> Option<f64> {
         let class = self.class_of(open);
         if class.idempotency != Idempotency::Keyed {
--- a/crates/policy/src/policy/request.rs
+++ b/crates/policy/src/policy/request.rs
@@ -1,23 +1,23 @@
-//! Requests that are in flight, and their attempts.
+//! Requests in flight and their attempts.
 
 use crate::interface::{BackendEndpoint, Request};
 
-/// A request from its arrival until its last attempt has ended.
+/// A request, from its arrival until its last attempt has ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
-    /// Attempts that it may have, by the settings it came under.
+    /// Maximum number of attempts, from the settings in force when the request arrived.
     pub(crate) max_attempts: u32,
-    /// Units charged to its customer.
+    /// Units charged to the customer.
     pub(crate) charge: f64,
-    /// Units that its counter call reports for requests without a call; below 0, those of its own charge
-    /// that nobody reports.
+    /// If positive, units that this request's counter call reports on behalf of requests without a call. If
+    /// negative, the part of this request's own charge that is not reported.
     pub(crate) extra_report: f64,
-    /// It waits for the total of a counter call.
+    /// Whether the request waits for the total of a counter call.
     pub(crate) awaits_total: bool,
-    /// An answer is on its way to the client.
+    /// Whether an answer is being streamed to the client.
     pub(crate) streaming: bool,
-    /// It has its final answer.
+    /// Whether the request has its final answer.
     pub(crate) answered: bool,
     pub(crate) attempts: Vec<Attempt>,
 }
@@ -27,7 +27,7 @@
         self.attempts.iter().any(|attempt| attempt.pending)
     }
 
-    /// Attempts that may have had their effect.
+    /// Returns the attempts that may have taken effect on a backend.
     pub(crate) fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.may_have_run)
     }
@@ -37,25 +37,25 @@
     }
 }
 
-/// Attempts in flight at a moment.
+/// Numbers of attempts in flight at some moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlightCounts {
-    /// Those at the backend that was chosen.
+    /// This gateway's attempts at the selected backend.
     pub(crate) backend: f64,
-    /// All of this gateway's.
+    /// All of this gateway's attempts.
     pub(crate) gateway: f64,
 }
 
-/// One send of a request to a backend.
+/// One transmission of a request to a backend.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) backend: u32,
     pub(crate) cell: u32,
     pub(crate) zone: u32,
     pub(crate) sent_at: f64,
-    /// Time after which its answer is overdue, ms.
+    /// Time after sending at which the answer is overdue, ms.
     pub(crate) overdue_after_ms: f64,
-    /// What was in flight when it was sent.
+    /// Attempts in flight when this one was sent.
     pub(crate) in_flight_at_send: InFlightCounts,
     pub(crate) pending: bool,
     pub(crate) overdue: bool,
--- a/crates/policy/src/policy/retry_budget.rs
+++ b/crates/policy/src/policy/retry_budget.rs
@@ -1,26 +1,26 @@
-//! How many attempts beyond the first ones a gateway may make, so that trouble multiplies no load.
+//! Retry budget: limits the retries and hedges of a gateway, so that faults do not multiply the load.
 
 use super::fleet_load::REPRESENTATIVE_GATEWAYS;
 
-/// Attempts earned by each request that comes.
+/// Attempts earned by each arriving request.
 const EARNED_PER_REQUEST: f64 = 0.1;
-/// Attempts that a gateway can save up, where there are few gateways.
+/// Maximum number of attempts that a gateway can save up if there are few gateways.
 const MAX_SAVED: f64 = 10.0;
 
-/// Attempts that may be made beyond the first ones of requests.
+/// Number of attempts that may be made beyond the first attempts of requests.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     attempts: f64,
 }
 
 impl RetryBudget {
-    /// A full budget, so that a gateway that has just started can retry.
+    /// Creates a full budget, so that a gateway that has just started can retry.
     pub(crate) fn new() -> RetryBudget {
         RetryBudget { attempts: MAX_SAVED }
     }
 
-    /// Earns for a request that came. What many gateways save adds up to a storm, so all of them together
-    /// save as much as a few would.
+    /// Adds the attempts earned by an arriving request. The savings of many gateways could add up to a retry
+    /// storm, so all gateways together save no more than a few would.
     pub(crate) fn earn(&mut self, gateways: u32) {
         let max_saved = (MAX_SAVED * REPRESENTATIVE_GATEWAYS / f64::from(gateways)).max(1.0);
         self.attempts = (self.attempts + EARNED_PER_REQUEST).min(max_saved);
