--- a/crates/policy/src/policy/counter_calls.rs
+++ b/crates/policy/src/policy/counter_calls.rs
@@ -1,10 +1,10 @@
-//! Calls to the shared counter: what is reported, what a total decides, and what is done without one.
+//! Calls to the shared counter: what they report, how totals are applied, and decisions without a total.
 
 use std::collections::{HashMap, VecDeque};
 
-use super::admission::Evidence;
+use super::admission::AdmissionBasis;
 use super::quota::WINDOW_MS;
-use super::random::mix;
+use super::random::splitmix64;
 use super::request::OpenRequest;
 use super::Policy;
 use crate::interface::{Action, Outcome};
@@ -12,33 +12,33 @@
 /// A call in flight.
 #[derive(Debug)]
 pub(super) struct CounterCall {
-    /// The request that waits for it, if any.
+    /// The request that waits for the total, if any.
     request: Option<u64>,
     customer: u64,
     window: u64,
-    /// Charges that it reports.
+    /// Charges that the call reports.
     pub(super) charge: f64,
-    /// Overflow that it reports: refill that found the bucket full.
+    /// Overflow that the call reports: refill that arrived while the bucket was full.
     pub(super) overflow: f64,
-    /// Charges that it stands for, of requests for which no call was made.
+    /// Charges that the call reports on behalf of requests without a call.
     pub(super) extra: f64,
     made_at: f64,
 }
 
 impl CounterCall {
-    /// What the call adds to the total.
+    /// Returns the amount that the call adds to the total.
     pub(super) fn amount(&self) -> f64 {
         self.charge + self.overflow + self.extra
     }
 }
 
-/// Calls in flight by key; the counter answers those of a key in order.
+/// Calls in flight by key. The counter answers the calls of one key in order.
 #[derive(Debug, Default)]
-pub(super) struct CallsInFlight {
+pub(super) struct CounterCallsInFlight {
     by_key: HashMap<u64, VecDeque<CounterCall>>,
 }
 
-impl CallsInFlight {
+impl CounterCallsInFlight {
     fn push(&mut self, key: u64, call: CounterCall) {
         self.by_key.entry(key).or_default().push_back(call);
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a call reports beside the charges that the customer's record has for it.
+/// Amounts that a call reports in addition to the unreported charges in the customer's record.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Report {
     pub(super) overflow: f64,
@@ -62,8 +62,8 @@
 }
 
 impl Policy {
-    /// Reports to the counter what is unreported of a customer in this window. `request` waits for the
-    /// total.
+    /// Reports the unreported charges of a customer in the current window to the counter. `request` waits for
+    /// the total.
     pub(super) fn call_counter(
         &mut self,
         now: f64,
@@ -77,12 +77,12 @@
         let window = quota.window;
         let Report { overflow, extra } = report;
         let call = CounterCall { request, customer, window, charge, overflow, extra, made_at: now };
-        let key = mix(customer ^ mix(window));
+        let key = splitmix64(customer ^ splitmix64(window));
         actions.push(Action::IncrementCounter { key, amount: call.amount(), ttl_ms: 2.0 * WINDOW_MS });
         self.counter_calls.push(key, call);
     }
 
-    /// A counter call ended.
+    /// Handles the end of a counter call.
     pub(super) fn counter_call_finished(
         &mut self,
         now: f64,
@@ -94,7 +94,7 @@
         let Some(call) = self.counter_calls.pop(key) else { return };
         let total = Some(total).filter(|total| outcome == Outcome::Ok && total.is_finite());
         self.call_throttle.call_finished(now, call.made_at, outcome, self.settings.counter_timeout_ms);
-        let covered = self.learn_from_call(now, &call, outcome, total, actions);
+        let covered = self.apply_call_result(now, &call, outcome, total, actions);
         let Some(id) = call.request else { return };
         let Some(open) = self.requests.get_mut(&id) else { return };
         if !open.awaits_total || open.answered {
@@ -106,16 +106,16 @@
         open.awaits_total = false;
         if covered {
             let selection = self.select_backend(now, id);
-            self.send_first(now, id, selection, Evidence::Total, actions);
+            self.send_first_attempt(now, id, selection, AdmissionBasis::Total, actions);
         } else {
-            self.give_up(id, actions);
-            self.take_back_rejected_charge(now, call.customer, actions);
+            self.reject_or_fail(id, actions);
+            self.withdraw_rejected_charge(now, call.customer, actions);
         }
     }
 
-    /// Updates the customer's record with the result of a call, and reports overflow that it showed.
-    /// Returns whether the bucket covers what was charged.
-    fn learn_from_call(
+    /// Updates the customer's record with the result of a call, and reports overflow that the total revealed.
+    /// Returns whether the bucket covers the charge.
+    fn apply_call_result(
         &mut self,
         now: f64,
         call: &CounterCall,
@@ -123,20 +123,23 @@
         total: Option<f64>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let spare = self.random.fraction() < self.call_throttle.surplus_chance();
+        let allow_optional_call = self.random.next_f64() < self.call_throttle.optional_call_probability();
         let Some(quota) = self.customers.get_mut(call.customer) else { return true };
         quota.refill(now);
         quota.end_call(call);
         let overflow = match total {
             None => {
-                quota.learn_no_total(call, outcome);
+                quota.record_missing_total(call, outcome);
                 0.0
             }
-            Some(total) if call.window == quota.window => quota.learn_total(now, total, call, spare),
+            Some(total) if call.window == quota.window => {
+                quota.apply_total(now, total, call, allow_optional_call)
+            }
             Some(_) => 0.0,
         };
         let covered = quota.level >= 0.0;
-        // The total holds charges that were rejected; the bucket itself can't be so far below nothing.
+        // The total includes charges that were rejected; the level of the bucket itself cannot be that far
+        // below zero.
         quota.level = quota.level.max(-self.settings.max_request_units);
         if overflow != 0.0 {
             self.call_counter(now, None, call.customer, Report { overflow, extra: 0.0 }, actions);
@@ -144,38 +147,41 @@
         covered
     }
 
-    /// Rejected charges that stand in the total would empty the buckets of all gateways, and these would
-    /// then let no call pass that would take them back. It is a second call where the quota is spent, so
-    /// there is none while the counter is crowded.
-    fn take_back_rejected_charge(&mut self, now: f64, customer: u64, actions: &mut Vec<Action>) {
+    /// Withdraws a rejected charge from the total with another call. Rejected charges that remain in the
+    /// total would empty the buckets of all gateways, which would then admit no request whose call could
+    /// withdraw them. Since this is a second call for a customer whose quota is exhausted, it may be skipped
+    /// while calls are throttled.
+    fn withdraw_rejected_charge(&mut self, now: f64, customer: u64, actions: &mut Vec<Action>) {
         let in_window = self.customers.get(customer).is_some_and(|quota| quota.in_window(now));
-        if in_window && self.random.fraction() < self.call_throttle.correction_chance() {
+        if in_window && self.random.next_f64() < self.call_throttle.correction_call_probability() {
             self.call_counter(now, None, customer, Report::default(), actions);
         }
     }
 
-    /// A silent counter must not use up the request's time: the request proceeds without the total.
-    pub(super) fn counter_wait_expired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
-        let waits = |open: &OpenRequest| open.awaits_total && !open.answered;
-        if self.requests.get(&id).is_some_and(waits) {
+    /// Continues a request without the total, so that a silent counter does not use up the request's time.
+    pub(super) fn counter_wait_timer_fired(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
+        let is_waiting = |open: &OpenRequest| open.awaits_total && !open.answered;
+        if self.requests.get(&id).is_some_and(is_waiting) {
             self.proceed_without_total(now, id, actions);
         }
     }
 
-    /// Continues a request for which no call was made, or whose call brought no total. The bucket decides
-    /// alone; what it lets pass is charged for the gateways unseen as well, by this one's learned share.
+    /// Continues a request for which no call was made or whose call returned no total. The local bucket alone
+    /// decides. For a request that passes, it is also charged for the other gateways, whose use is
+    /// extrapolated from this gateway's learned share.
     pub(super) fn proceed_without_total(&mut self, now: f64, id: u64, actions: &mut Vec<Action>) {
-        let open = self.requests.get_mut(&id).expect("the caller found it");
+        let open = self.requests.get_mut(&id).expect("request is open");
         let charged = std::mem::take(&mut open.awaits_total);
         let (customer, units) = (open.request.customer, open.request.units);
         if !self.charge_without_total(customer, units, charged) {
-            return self.give_up(id, actions);
+            return self.reject_or_fail(id, actions);
         }
         let selection = self.select_backend(now, id);
-        self.send_first(now, id, selection, Evidence::Estimate, actions);
+        self.send_first_attempt(now, id, selection, AdmissionBasis::Estimate, actions);
     }
 
-    /// Charges a request for all gateways, if that is not done yet, and returns whether it passes.
+    /// Charges a request on behalf of all gateways and returns whether it passes. If `charged`, the request's
+    /// own units are charged already.
     fn charge_without_total(&mut self, customer: u64, units: f64, charged: bool) -> bool {
         let share_prior = self.share_prior();
         let Some(quota) = self.customers.get_mut(customer).filter(|quota| quota.plan.rate > 0.0) else {
@@ -185,14 +191,14 @@
         if quota.level < 0.0 {
             return false;
         }
-        let unseen = units * (1.0 / quota.own_share(share_prior) - 1.0);
-        if unseen <= quota.plan.burst {
-            quota.assume_of_others(unseen);
+        let others_units = units * (1.0 / quota.own_share(share_prior) - 1.0);
+        if others_units <= quota.plan.burst {
+            quota.assume_others_use(others_units);
             return true;
         }
-        // The gateway's share is under one request, and none would ever pass. Such pass by chance, so that
-        // all gateways together pass the rate.
-        let rejected = self.random.fraction() * quota.demand(units) >= 1.0;
+        // This gateway's share is less than one request, so no request would ever pass. Requests pass at
+        // random instead, such that all gateways together admit the rate.
+        let rejected = self.random.next_f64() * quota.demand(units) >= 1.0;
         !rejected
     }
 }
--- a/crates/policy/src/policy/repeat_safety.rs
+++ b/crates/policy/src/policy/repeat_safety.rs
@@ -1,7 +1,7 @@
-//! Whether a request may be attempted again, or rejected, without running twice.
+//! Whether a request may be attempted again, or rejected, without the risk that it runs twice.
 //!
-//! This is the one place that says so. A rejection promises that nothing ran, so it is safe only where
-//! another attempt would be.
+//! No other module decides this. A rejection promises that nothing ran, so it is safe only where another
+//! attempt would be safe.
 
 use super::backend::Backend;
 use super::request::{Attempt, OpenRequest};
@@ -13,7 +13,7 @@
         &self.settings.classes[open.request.class]
     }
 
-    /// Whether a request may be rejected.
+    /// Returns whether a request may be rejected.
     pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
         let class = self.class_of(open);
         match class.idempotency {
@@ -25,15 +25,15 @@
         }
     }
 
-    /// Whether an attempt of a request may be sent to a backend.
+    /// Returns whether an attempt of a request may be sent to a backend.
     pub(super) fn may_attempt(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
         self.has_attempt_left(open) && self.is_repeat_safe(open, to, now)
     }
 
     fn has_attempt_left(&self, open: &OpenRequest) -> bool {
-        let spent = open.attempts.len() >= open.max_attempts as usize;
-        let beside_another = open.has_pending_attempt() && !self.settings.limits.hedges;
-        !(open.answered || open.streaming || spent || beside_another)
+        let exhausted = open.attempts.len() >= open.max_attempts as usize;
+        let hedge_forbidden = open.has_pending_attempt() && !self.settings.limits.hedges;
+        !(open.answered || open.streaming || exhausted || hedge_forbidden)
     }
 
     fn is_repeat_safe(&self, open: &OpenRequest, to: &Backend, now: f64) -> bool {
@@ -41,14 +41,14 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => !open.may_have_run(),
             Idempotency::Keyed => {
-                open.possibly_run().all(|attempt| self.drops_repeats_of(open, attempt, to))
+                open.attempts_that_may_have_run().all(|attempt| self.deduplicates(open, attempt, to))
                     && self.write_deadline(open).is_none_or(|deadline| now < deadline)
             }
         }
     }
 
-    /// Whether a backend drops repeats of an attempt: it is in the same deduplication scope.
-    fn drops_repeats_of(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
+    /// Returns whether a backend drops repeats of an attempt because it is in the same deduplication scope.
+    fn deduplicates(&self, open: &OpenRequest, attempt: &Attempt, backend: &Backend) -> bool {
         match self.class_of(open).deduplication_scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => attempt.zone == backend.entry.zone,
@@ -56,14 +56,16 @@
         }
     }
 
-    /// Until when a repeat of a request may be written: for a keyed one, while the backends of its scope
-    /// still drop repeats of the earliest attempt that may have run. None: as long as it has time.
+    /// Returns the time until which a repeat of a request may be written. A keyed request may be repeated
+    /// while the backends of its deduplication scope still drop repeats of its earliest attempt that may have
+    /// run. `None` means that only the request's own deadline applies.
     pub(super) fn write_deadline(&self, open: &OpenRequest) -> Option<f64> {
         let class = self.class_of(open);
         if class.idempotency != Idempotency::Keyed {
             return None;
         }
-        let earliest = open.possibly_run().map(|attempt| attempt.sent_at).min_by(f64::total_cmp)?;
+        let earliest =
+            open.attempts_that_may_have_run().map(|attempt| attempt.sent_at).min_by(f64::total_cmp)?;
         Some(earliest + class.deduplication_window_ms - self.settings.clock_granularity_ms)
     }
 }
