--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -27,7 +27,7 @@
 use crate::clock::Clock;
 use crate::counter::{Counted, Counter};
 use crate::discovery::EndpointUpdate;
-use crate::input::{AttemptKey, Due, Input, Purpose};
+use crate::input::{AttemptKey, Input, ProbePurpose, TimerKind};
 use crate::maintenance::{ControlRequest, Partition};
 use crate::resp::{Answer, Call};
 use crate::upstream::ConnectionPool;
@@ -157,8 +157,8 @@
     }
 
     /// Forgets the key of a timer that has expired.
-    fn forget_timer(&mut self, timer: &Expired<Due>) {
-        let Due::Policy(token) = timer.get_ref() else { return };
+    fn forget_timer(&mut self, timer: &Expired<TimerKind>) {
+        let TimerKind::Policy(token) = timer.get_ref() else { return };
         if let Some(request) = Policy::request_of_timer(*token) {
             self.requests.forget_timer(request, timer.key());
         }
@@ -201,9 +201,9 @@
             Input::EndpointUpdate(EndpointUpdate { scope, endpoints, unread }) => {
                 self.update_endpoints(scope, endpoints, &unread);
             }
-            Input::TimerExpired(Due::Policy(token)) => self.handle(Event::TimerExpired { token }),
-            Input::TimerExpired(Due::Call(number)) => self.counter_call_timed_out(number),
-            Input::TimerExpired(Due::Ramp) => self.ramp_due(),
+            Input::TimerExpired(TimerKind::Policy(token)) => self.handle(Event::TimerExpired { token }),
+            Input::TimerExpired(TimerKind::CounterCall(number)) => self.counter_call_timed_out(number),
+            Input::TimerExpired(TimerKind::ConnectionRamp) => self.ramp_due(),
             Input::AdminRequest { request, reply } => {
                 let response = self.admin_request(request);
                 // Fails only when whoever asked is gone.
@@ -234,7 +234,7 @@
                 self.answer(id, Answer::Rejected(after));
             }
             Action::Fail { id } => self.answer(id, Answer::Failed),
-            Action::Probe { backend } => self.probe(backend, Purpose::Health),
+            Action::Probe { backend } => self.probe(backend, ProbePurpose::Health),
             Action::IncrementCounter { key, amount, ttl_ms } => {
                 self.count(&NewCall { key, amount, ttl_ms });
             }
@@ -250,7 +250,7 @@
         if request.is_some_and(|id| !self.requests.contains(id)) {
             return;
         }
-        let key = self.timers.set_at_ms(Due::Policy(token), at_ms);
+        let key = self.timers.set_at_ms(TimerKind::Policy(token), at_ms);
         if let Some(id) = request {
             self.requests.add_timer(id, key);
         }
@@ -265,7 +265,7 @@
             plan: call.plan,
             class: call.class,
             units: call.units,
-            fan_out: call.width,
+            fan_out: call.fan_out,
             deadline_ms: expires_ms,
             retry: call.retry,
         };
--- a/crates/gateway/src/event_loop/counter_calls.rs
+++ b/crates/gateway/src/event_loop/counter_calls.rs
@@ -9,7 +9,7 @@
 
 use super::timers::{TimerKey, Timers};
 use crate::counter::{Call, Counted, Counter};
-use crate::input::Due;
+use crate::input::TimerKind;
 
 /// A call whose outcome the policy does not have yet.
 struct InFlight {
@@ -49,7 +49,7 @@
         self.last_number += 1;
         let (number, made) = (self.last_number, Instant::now());
         let timeout = self.counter.as_ref().map_or(Duration::ZERO, |counter| counter.timeout);
-        let timer = timers.set_at(Due::Call(number), made + timeout);
+        let timer = timers.set_at(TimerKind::CounterCall(number), made + timeout);
         self.in_flight.insert(number, InFlight { key: call.key, made, timer });
         let NewCall { key: name, amount, ttl_ms: life_ms } = *call;
         // The outcome `Full` has the policy make fewer calls, and what it learns so lasts until the budget
--- a/crates/gateway/src/event_loop/probing.rs
+++ b/crates/gateway/src/event_loop/probing.rs
@@ -6,7 +6,7 @@
 use gateway_policy::interface::{Event, Outcome};
 use tokio::time::Instant;
 
-use crate::input::{Input, Purpose};
+use crate::input::{Input, ProbePurpose};
 use crate::upstream::{self, BackendReport, Checkout, Connection, Deadlines, Reply};
 
 use super::EventLoop;
@@ -18,7 +18,7 @@
 
 impl EventLoop {
     /// Asks a backend for a sign of life, or, where it may not be asked, for no more than a connection.
-    pub(super) fn probe(&mut self, backend: u32, purpose: Purpose) {
+    pub(super) fn probe(&mut self, backend: u32, purpose: ProbePurpose) {
         match self.pool.check_out(backend, Instant::now()) {
             Checkout::Idle(connection) => self.write_probe(backend, connection, purpose),
             Checkout::CoolingDown(connection) => {
@@ -40,7 +40,12 @@
     }
 
     /// Goes on with a probe when its connection is up, or not in time.
-    pub(super) fn probe_connected(&mut self, backend: u32, connection: Option<Connection>, purpose: Purpose) {
+    pub(super) fn probe_connected(
+        &mut self,
+        backend: u32,
+        connection: Option<Connection>,
+        purpose: ProbePurpose,
+    ) {
         match connection {
             // Not to a backend that drains by now, as the connection came up late.
             Some(c) if self.pool.is_current(backend, &c) => self.write_probe(backend, c, purpose),
@@ -48,12 +53,12 @@
         }
     }
 
-    fn probe_unsent(&mut self, backend: u32, purpose: Purpose) {
+    fn probe_unsent(&mut self, backend: u32, purpose: ProbePurpose) {
         let reply = Reply::failed(Outcome::ConnectFailed);
         self.follow_ups.push_back(Input::Probed { backend, reply, connection: None, purpose });
     }
 
-    fn write_probe(&mut self, backend: u32, connection: Connection, purpose: Purpose) {
+    fn write_probe(&mut self, backend: u32, connection: Connection, purpose: ProbePurpose) {
         if !self.service_settings.borrow().settings.limits.probes {
             let (reply, connection) =
                 (Reply::Served(Bytes::new(), BackendReport::default()), Some(connection));
@@ -72,16 +77,16 @@
     }
 
     /// Handles the outcome of a probe.
-    pub(super) fn probed(&mut self, backend: u32, reply: Reply, purpose: Purpose) {
+    pub(super) fn probed(&mut self, backend: u32, reply: Reply, purpose: ProbePurpose) {
         match purpose {
-            Purpose::Health => {
+            ProbePurpose::Health => {
                 let (outcome, report) = match reply {
                     Reply::Served(_, report) => (Outcome::Ok, report),
                     Reply::Failed(outcome, report) => (outcome, report),
                 };
                 self.handle(Event::ProbeEnded { backend, outcome, load: &report.load });
             }
-            Purpose::FirstConnection { started_ms } => self.ramp_tried(backend, started_ms, &reply),
+            ProbePurpose::FirstConnection { started_ms } => self.ramp_tried(backend, started_ms, &reply),
         }
     }
 }
--- a/crates/gateway/src/event_loop/ramp.rs
+++ b/crates/gateway/src/event_loop/ramp.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::input::{Due, Purpose};
+use crate::input::{ProbePurpose, TimerKind};
 use crate::upstream::Reply;
 
 use super::timers::TimerKey;
@@ -104,7 +104,7 @@
         if let Some((key, _)) = ramp.timer.take() {
             self.timers.cancel(&key);
         }
-        ramp.timer = next.map(|at_ms| (self.timers.set_at_ms(Due::Ramp, at_ms), at_ms));
+        ramp.timer = next.map(|at_ms| (self.timers.set_at_ms(TimerKind::ConnectionRamp, at_ms), at_ms));
     }
 
     /// Opens what is due.
@@ -121,7 +121,7 @@
             else {
                 continue;
             };
-            self.probe(backend, Purpose::FirstConnection { started_ms });
+            self.probe(backend, ProbePurpose::FirstConnection { started_ms });
         }
         self.settle_ramp();
     }
@@ -133,7 +133,7 @@
         let now = self.clock.now_ms();
         let Some(ramp) = &mut self.ramp else { return };
         if ramp.openings.first_connection_ended(now, backend, started_ms, answered) {
-            self.pool.first_answered(backend, Instant::now());
+            self.pool.first_connection_answered(backend, Instant::now());
             if let Some(entry) = ramp.held_back.remove(&backend) {
                 self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
             }
@@ -145,7 +145,7 @@
     pub(super) fn note_for_ramp(&mut self, backend: u32, reply: &Reply) {
         let Some(ramp) = &mut self.ramp else { return };
         match reply {
-            Reply::Served(..) => self.pool.answered(backend, Instant::now()),
+            Reply::Served(..) => self.pool.attempt_answered(backend, Instant::now()),
             Reply::Failed(Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout, _) => {
                 ramp.openings.record_failure();
                 self.arm_ramp();
--- a/crates/gateway/src/event_loop/timers.rs
+++ b/crates/gateway/src/event_loop/timers.rs
@@ -7,14 +7,14 @@
 use tokio_util::time::DelayQueue;
 
 use crate::clock::Clock;
-use crate::input::Due;
+use crate::input::TimerKind;
 
 /// Names a timer until it expires or is cancelled. Afterwards the same key may name another one.
 pub(super) type TimerKey = delay_queue::Key;
 
 /// Timers that have not expired yet.
 pub(super) struct Timers {
-    queue: DelayQueue<Due>,
+    queue: DelayQueue<TimerKind>,
     clock: Clock,
 }
 
@@ -25,13 +25,13 @@
     }
 
     /// Sets a timer for a moment in Unix time, ms.
-    pub fn set_at_ms(&mut self, due: Due, at_ms: f64) -> TimerKey {
+    pub fn set_at_ms(&mut self, due: TimerKind, at_ms: f64) -> TimerKey {
         let at = self.clock.instant(at_ms);
         self.set_at(due, at)
     }
 
     /// Sets a timer for a moment.
-    pub fn set_at(&mut self, due: Due, at: Instant) -> TimerKey {
+    pub fn set_at(&mut self, due: TimerKind, at: Instant) -> TimerKey {
         self.queue.insert_at(due, at)
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Waits for the next timer that expires; `None` at once where none is set.
-    pub async fn expired(&mut self) -> Option<Expired<Due>> {
+    pub async fn expired(&mut self) -> Option<Expired<TimerKind>> {
         poll_fn(|cx| self.queue.poll_expired(cx)).await
     }
 }
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -36,9 +36,9 @@
     /// An attempt has ended; its connection comes with it if it can be used again.
     AttemptEnded { key: AttemptKey, backend: u32, reply: Reply, connection: Option<Connection> },
     /// The connection that a probe waited for is up, or not in time.
-    ProbeConnected { backend: u32, connection: Option<Connection>, purpose: Purpose },
+    ProbeConnected { backend: u32, connection: Option<Connection>, purpose: ProbePurpose },
     /// A probe has ended; its connection comes with it if it can be used again.
-    Probed { backend: u32, reply: Reply, connection: Option<Connection>, purpose: Purpose },
+    Probed { backend: u32, reply: Reply, connection: Option<Connection>, purpose: ProbePurpose },
     /// A call to the counter has ended.
     Counted(Counted),
     /// The counter is at another address now.
@@ -46,7 +46,7 @@
     /// Discovery has an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
     /// A timer has expired.
-    TimerExpired(Due),
+    TimerExpired(TimerKind),
     /// A request of an operator or the agent at the admin listener.
     AdminRequest { request: GatewayRequest, reply: oneshot::Sender<GatewayResponse> },
     /// The gateway is asked to shut down: what comes from now on has to be answered by then, Unix time in ms.
@@ -57,7 +57,7 @@
 
 /// What a probe is for.
 #[derive(Clone, Copy, Debug)]
-pub enum Purpose {
+pub enum ProbePurpose {
     /// The policy wants to know whether an ejected backend answers again.
     Health,
     /// It is the first connection to a backend, of the incarnation that started then, Unix time in ms.
@@ -65,13 +65,13 @@
 }
 
 /// What a timer is for.
-pub enum Due {
+pub enum TimerKind {
     /// A timer of the policy, by its token.
     Policy(u64),
     /// A call to the counter, by its number, is out of time.
-    Call(u64),
+    CounterCall(u64),
     /// A backend's slot for a first connection.
-    Ramp,
+    ConnectionRamp,
 }
 
 impl From<Counted> for Input {
--- a/crates/gateway/src/resp/command.rs
+++ b/crates/gateway/src/resp/command.rs
@@ -40,7 +40,7 @@
     pub class: usize,
     pub units: f64,
     /// Gateways through which the customer's requests may come.
-    pub width: f64,
+    pub fan_out: f64,
     pub wait_ms: f64,
     /// Whether the client says that it is a retry.
     pub retry: bool,
@@ -103,7 +103,7 @@
             hex(&customer).filter(|n| *n < CUSTOMERS_END).ok_or(InvalidCommand("bad customer"))?;
         let id_number = hex(&id).ok_or(InvalidCommand("bad request id"))?;
         let text = std::str::from_utf8(&terms).map_err(|_| InvalidCommand("bad terms"))?;
-        let RequestTerms { class, plan, wait, units, width, keyed, retry } =
+        let RequestTerms { class, plan, wait, units, fan_out, keyed, retry } =
             RequestTerms::read(text, settings, names)?;
         let class_settings = &settings.classes[class];
         // A command that says safe of a class that is not might be run twice by a backend.
@@ -128,7 +128,7 @@
             plan,
             class,
             units,
-            width,
+            fan_out,
             // Nobody waits longer than the class allows.
             wait_ms: f64::from(wait.ms).min(class_settings.deadline_ms),
             retry,
@@ -161,7 +161,7 @@
     plan: usize,
     wait: Wait<'a>,
     units: f64,
-    width: f64,
+    fan_out: f64,
     /// Whether there is an idempotency key.
     keyed: bool,
     retry: bool,
@@ -195,9 +195,9 @@
         let plan = plan.ok_or(InvalidCommand("unknown plan"))?;
         let wait = wait.ok_or(InvalidCommand("bad d"))?;
         let units = units.ok_or(InvalidCommand("bad units"))?;
-        let width = f64::from(spread.ok_or(InvalidCommand("bad spread"))?);
+        let fan_out = f64::from(spread.ok_or(InvalidCommand("bad spread"))?);
         first.ok_or(InvalidCommand("bad first"))?;
-        Ok(RequestTerms { class, plan, wait, units, width, keyed, retry })
+        Ok(RequestTerms { class, plan, wait, units, fan_out, keyed, retry })
     }
 }
 
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -127,14 +127,14 @@
     }
 
     /// The first connection to a backend has answered: the time of one connection begins now.
-    pub fn first_answered(&mut self, backend: u32, now: Instant) {
+    pub fn first_connection_answered(&mut self, backend: u32, now: Instant) {
         if let Some(pool) = self.backends.get_mut(&backend) {
             pool.growth.grows_from = now + self.initial_limit.lasts;
         }
     }
 
     /// A backend has answered.
-    pub fn answered(&mut self, backend: u32, now: Instant) {
+    pub fn attempt_answered(&mut self, backend: u32, now: Instant) {
         let Some(pool) = self.backends.get_mut(&backend) else { return };
         let growth = &mut pool.growth;
         if growth.total < MAX_CONNECTIONS_PER_BACKEND && growth.grows_from <= now {
