--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,4 +1,5 @@
-//! The admin listener: off unless the operator's file turns it on.
+//! The admin listener, through which operators and the agent query and control this gateway. It is open only
+//! if the operator's file configures it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,41 +17,41 @@
 
 use crate::input::Input;
 
-/// Connections at once: they take their descriptors from those that are kept for the runtime.
+/// Maximum number of concurrent connections. Their file descriptors come from those reserved for the runtime.
 const MAX_CONNECTIONS: usize = 8;
-/// How long a connection may say nothing.
+/// Time to wait for the next request before a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a response may take to be written.
+/// Maximum time for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a registration may take.
+/// Maximum time for one registration with the agent.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between registrations.
+/// Time from a successful registration to the next one.
 const REGISTER_INTERVAL: Duration = Duration::from_secs(10);
-/// Time after a registration that failed.
+/// Time from a failed registration to the next one.
 const REGISTER_BACKOFF: Duration = Duration::from_secs(1);
-/// Pause after a connection could not be accepted.
+/// Pause after a failed `accept`.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Opens the listener for a gateway of this name.
+/// Opens the admin listener of the gateway with this name.
 pub async fn listen(admin: &AdminConfig, name: &str) -> Result<Listener, BindError> {
     Listener::bind(&admin.listen.for_gateway(name), admin.tls.as_ref(), MAX_LINE_BYTES).await
 }
 
-/// Accepts connections until the task ends. Each asks one thing after the other.
+/// Accepts connections until the task is cancelled. Requests on one connection are answered one at a time.
 pub async fn serve(listener: Listener, inbox: mpsc::Sender<Input>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        // Connections beyond the permits wait in the listener's line until others close.
+        // Further connections wait in the listener's backlog until a permit is free.
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
-        let Ok(arrival) = listener.accept().await else {
+        let Ok(incoming) = listener.accept().await else {
             sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         let inbox = inbox.clone();
         tokio::spawn(async move {
-            match arrival.open().await {
+            match incoming.open().await {
                 Ok(lines) => serve_connection(lines, inbox).await,
-                // Why somebody was turned away, never what they sent.
+                // Logs the reason only, never the bytes that the peer sent.
                 Err(e) => tracing::warn!("admin: turned away: {e}"),
             }
             drop(permit);
@@ -58,7 +59,7 @@
     }
 }
 
-/// Why the agent was not told of this gateway.
+/// An error that made a registration with the agent fail.
 #[derive(Debug)]
 enum RegisterError {
     Connect(ConnectError),
@@ -74,10 +75,10 @@
         match self {
             RegisterError::Connect(e) => e.fmt(f),
             RegisterError::Line(e) => e.fmt(f),
-            RegisterError::Rejected(fault) => f.write_str(&fault.message),
-            RegisterError::Unexpected => f.write_str("it answered something else"),
-            RegisterError::Closed => f.write_str("it ended the connection"),
-            RegisterError::TimedOut => f.write_str("no answer in time"),
+            RegisterError::Rejected(error) => f.write_str(&error.message),
+            RegisterError::Unexpected => f.write_str("unexpected response"),
+            RegisterError::Closed => f.write_str("the agent closed the connection"),
+            RegisterError::TimedOut => write!(f, "no response within {REGISTER_TIMEOUT:?}"),
         }
     }
 }
@@ -92,19 +93,19 @@
     }
 }
 
-/// Registers this gateway with an agent, again and again, until the task ends: the agent may start later, or
-/// have lost what it knew. The same again changes nothing there.
-pub async fn register(agent: Address, name: Name, admin: Address, dialer: Connector) {
+/// Registers this gateway with an agent periodically, until the task is cancelled: the agent may start later
+/// than the gateway, or lose its state. Registration is idempotent.
+pub async fn register(agent: Address, name: Name, admin: Address, connector: Connector) {
     let mut last_problem = String::new();
     loop {
-        let registered = timeout(REGISTER_TIMEOUT, register_once(&agent, &name, &admin, &dialer)).await;
+        let registered = timeout(REGISTER_TIMEOUT, register_once(&agent, &name, &admin, &connector)).await;
         let problem = match registered.unwrap_or(Err(RegisterError::TimedOut)) {
             Ok(()) => String::new(),
             Err(e) => e.to_string(),
         };
-        // Each reason once, and not every few seconds.
+        // Logs a problem when it first occurs, not at every retry.
         if problem != last_problem && !problem.is_empty() {
-            tracing::warn!("register at {agent}: {problem}");
+            tracing::warn!("registration with the agent at {agent} failed: {problem}");
         }
         sleep(if problem.is_empty() { REGISTER_INTERVAL } else { REGISTER_BACKOFF }).await;
         last_problem = problem;
@@ -115,59 +116,67 @@
     agent: &Address,
     name: &Name,
     admin: &Address,
-    dialer: &Connector,
+    connector: &Connector,
 ) -> Result<(), RegisterError> {
-    let connected = dialer.connect(agent, REGISTER_TIMEOUT, MAX_LINE_BYTES).await;
+    let connected = connector.connect(agent, REGISTER_TIMEOUT, MAX_LINE_BYTES).await;
     let mut lines = connected.map_err(RegisterError::Connect)?;
     let body = ToolRequest::Register { name: name.clone(), address: admin.to_string() };
     lines.send(&Envelope { request_id: 1, body }).await.map_err(RegisterError::Line)?;
     match lines.next::<Envelope<ToolResponse>>().await.map_err(RegisterError::Line)? {
         Some(Envelope { body: ToolResponse::Done(_), .. }) => Ok(()),
-        Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(RegisterError::Rejected(fault)),
+        Some(Envelope { body: ToolResponse::Error(error), .. }) => Err(RegisterError::Rejected(error)),
         Some(_) => Err(RegisterError::Unexpected),
         None => Err(RegisterError::Closed),
     }
 }
 
-/// A response, and whether the connection ends with it.
+/// A response to a request on an admin connection.
 struct Response {
-    line: Envelope<GatewayResponse>,
-    last: bool,
+    envelope: Envelope<GatewayResponse>,
+    /// Whether the connection is closed after this response.
+    closes: bool,
 }
 
 impl Response {
-    fn fault(code: ErrorCode, message: String, last: bool) -> Response {
+    /// An error response to a request whose id could not be read.
+    fn error(code: ErrorCode, message: String, closes: bool) -> Response {
         Response {
-            line: Envelope { request_id: 0, body: GatewayResponse::Error(ErrorResponse::new(code, message)) },
-            last,
+            envelope: Envelope {
+                request_id: 0,
+                body: GatewayResponse::Error(ErrorResponse::new(code, message)),
+            },
+            closes,
         }
     }
 }
 
 async fn serve_connection(mut lines: JsonLines, inbox: mpsc::Sender<Input>) {
-    while let Some(Response { line, last }) = next_response(&mut lines, &inbox).await {
-        let written = timeout(WRITE_TIMEOUT, lines.send(&line)).await;
-        if last || !matches!(written, Ok(Ok(()))) {
+    while let Some(Response { envelope, closes }) = next_response(&mut lines, &inbox).await {
+        let written = timeout(WRITE_TIMEOUT, lines.send(&envelope)).await;
+        if closes || !matches!(written, Ok(Ok(()))) {
             return;
         }
     }
 }
 
-/// Reads a request, and has the event loop answer it; `None` when the connection ends.
+/// Reads the next request and returns the event loop's response; `None` when the connection ends or is idle
+/// for too long.
 async fn next_response(lines: &mut JsonLines, inbox: &mpsc::Sender<Input>) -> Option<Response> {
     match timeout(IDLE_TIMEOUT, lines.next::<Envelope<GatewayRequest>>()).await {
         Ok(Ok(Some(Envelope { request_id, body: request }))) => {
             let (reply, response) = oneshot::channel();
             inbox.send(Input::AdminRequest { request, reply }).await.ok()?;
-            let ending = || {
+            let shutting_down = || {
                 GatewayResponse::Error(ErrorResponse::new(ErrorCode::Unavailable, "the gateway is ending"))
             };
-            let body = response.await.unwrap_or_else(|_| ending());
-            Some(Response { line: Envelope { request_id, body }, last: false })
+            let body = response.await.unwrap_or_else(|_| shutting_down());
+            Some(Response { envelope: Envelope { request_id, body }, closes: false })
+        }
+        Ok(Err(JsonLinesError::Malformed(reason))) => {
+            Some(Response::error(ErrorCode::BadRequest, reason, false))
         }
-        Ok(Err(JsonLinesError::Malformed(why))) => Some(Response::fault(ErrorCode::BadRequest, why, false)),
         Ok(Err(e @ JsonLinesError::TooLong(_))) => {
-            Some(Response::fault(ErrorCode::TooLong, e.to_string(), true))
+            Some(Response::error(ErrorCode::TooLong, e.to_string(), true))
         }
         Ok(Ok(None) | Err(JsonLinesError::Broken(_))) | Err(_) => None,
     }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the listener, and on each connection commands in and answers out, in order.
+//! The client side: the listener, and connections on which commands are read and answered in order.
 
 mod admission;
 mod connection;
@@ -19,22 +19,23 @@
 
 pub use shutdown::IDLE_CLOSE_DELAY;
 
-/// What all client connections share.
+/// State shared by all client connections.
 #[derive(Debug)]
 pub struct Clients {
-    /// What requests are read by.
+    /// Settings by which requests are parsed.
     pub service_settings: watch::Receiver<Arc<ServiceSettings>>,
+    /// Channel to the event loop.
     pub inbox: mpsc::Sender<Input>,
-    /// The memory budget of requests and answers, bytes.
+    /// Memory budget of requests and answers, bytes.
     pub memory: Arc<Semaphore>,
-    /// The last number of a request; they are never used again.
+    /// Number of the last request. Numbers are not reused.
     pub last_request: AtomicU64,
-    /// Has connections close as soon as they owe no answer.
+    /// When cancelled, each connection closes once all its commands are answered.
     pub closing: CancellationToken,
-    /// Ends accepting with the connections that have come by then.
+    /// When cancelled, the listener stops after the connections already in its backlog.
     pub not_accepting: CancellationToken,
     /// Whether operators have drained the gateway.
     pub drained: watch::Receiver<bool>,
-    /// One task for each connection.
+    /// Tasks of the connections.
     pub connections: TaskTracker,
 }
--- a/crates/gateway/src/client/admission.rs
+++ b/crates/gateway/src/client/admission.rs
@@ -1,5 +1,5 @@
-//! Which connections there may be at once. Clients that say nothing, or keep connections that they don't use,
-//! must not take the last permit from others.
+//! Limits the number of concurrent client connections. When permits run low, idle connections are closed, so
+//! that clients that hold connections without using them can't lock out others.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -8,97 +8,98 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{timeout, Instant};
 
-use super::idle_policy::Usage;
+use super::idle_policy::ConnectionUsage;
 
-/// How long a new connection may wait for a permit.
+/// Maximum time that a new connection waits for a permit.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often idle connections are looked for meanwhile.
+/// Interval at which idle connections are closed while a new one waits for a permit.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// What [`Activity::idle_ms`] holds while a command is open or half read.
+/// Value of [`Activity::idle_from_ms`] while a command is unanswered or partly read.
 const BUSY: u64 = u64::MAX;
-/// Bounds the time since a connection was opened, ms, so that it can be added to a moment.
-const MAX_IDLE_MS: u64 = 1 << 40;
+/// Upper bound of [`Activity::idle_from_ms`] when it is added to an [`Instant`], so that the sum can't
+/// overflow.
+const MAX_IDLE_FROM_MS: u64 = 1 << 40;
 
-/// What the listener knows of a connection.
+/// Activity of a connection, shared between its task and the listener.
 #[derive(Debug)]
 pub(super) struct Activity {
     opened: Instant,
-    /// Milliseconds from then until the last answer was given with no command after it; 0 before the first
-    /// command, and [`BUSY`] while one is open or half read.
-    idle_ms: AtomicU64,
-    /// Commands that came on it.
+    /// Time from `opened` to when the connection became idle, ms; 0 before the first command, [`BUSY`] while
+    /// a command is unanswered or partly read.
+    idle_from_ms: AtomicU64,
+    /// Number of commands received.
     commands: AtomicU64,
-    /// Has the connection close if it is still idle.
-    pub leave: Notify,
+    /// Asks the connection to close if it is still idle.
+    pub close_requested: Notify,
 }
 
 impl Activity {
     fn new() -> Activity {
         Activity {
             opened: Instant::now(),
-            idle_ms: AtomicU64::new(0),
+            idle_from_ms: AtomicU64::new(0),
             commands: AtomicU64::new(0),
-            leave: Notify::new(),
+            close_requested: Notify::new(),
         }
     }
 
-    /// When the connection was opened.
+    /// Returns when the connection was opened.
     pub fn opened(&self) -> Instant {
         self.opened
     }
 
-    /// A command came.
+    /// Counts a received command.
     pub fn count_command(&self) {
         self.commands.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Whether a command came by now.
+    /// Whether any command has been received.
     pub fn has_commands(&self) -> bool {
         self.commands.load(Ordering::Relaxed) > 0
     }
 
-    /// What the connection has been used for so far.
-    pub fn usage(&self) -> Usage {
-        Usage::of(self.commands.load(Ordering::Relaxed))
+    /// Returns how much the connection has been used.
+    pub fn usage(&self) -> ConnectionUsage {
+        ConnectionUsage::from_commands(self.commands.load(Ordering::Relaxed))
     }
 
-    /// A command is open or half read.
+    /// Marks the connection as busy: a command is unanswered or partly read.
     pub fn set_busy(&self) {
-        self.idle_ms.store(BUSY, Ordering::Relaxed);
+        self.idle_from_ms.store(BUSY, Ordering::Relaxed);
     }
 
-    /// Nothing is open or half read from now on.
+    /// Marks the connection as idle from now on.
     pub fn set_idle(&self) {
-        let idle_ms = self.opened.elapsed().as_millis() as u64;
-        self.idle_ms.store(idle_ms.max(1), Ordering::Relaxed);
+        let idle_from_ms = self.opened.elapsed().as_millis() as u64;
+        self.idle_from_ms.store(idle_from_ms.max(1), Ordering::Relaxed);
     }
 
-    /// How long nothing has been open or half read; `None` while something is.
+    /// Returns how long the connection has been idle; `None` while it is busy.
     fn idle_for(&self) -> Option<Duration> {
-        let idle_ms = self.idle_ms.load(Ordering::Relaxed);
-        let since = self.opened + Duration::from_millis(idle_ms.min(MAX_IDLE_MS));
-        (idle_ms != BUSY).then(|| since.elapsed())
+        let idle_from_ms = self.idle_from_ms.load(Ordering::Relaxed);
+        let since = self.opened + Duration::from_millis(idle_from_ms.min(MAX_IDLE_FROM_MS));
+        (idle_from_ms != BUSY).then(|| since.elapsed())
     }
 }
 
-/// The connections that there are, and permits for more.
+/// Admits new connections while permits are available.
 pub(super) struct Admission {
     permits: Arc<Semaphore>,
-    /// All permits.
+    /// Number of all permits, free and taken.
     total: usize,
     connections: Vec<Weak<Activity>>,
 }
 
 impl Admission {
-    /// Admits as many connections as there are permits, `total` at most.
+    /// Creates an admission control over `permits`, of which there are at most `total`.
     pub fn new(permits: Arc<Semaphore>, total: usize) -> Admission {
         Admission { permits, total, connections: Vec::new() }
     }
 
-    /// A permit for a new connection; `None` if there is none, or none in time where that may be `waited`
-    /// for.
-    pub async fn admit(&mut self, waited: bool) -> Option<(OwnedSemaphorePermit, Arc<Activity>)> {
-        let permit = if waited {
+    /// Takes a permit for a new connection. Returns `None` if no permit is free, or, if `may_wait`, none
+    /// becomes free within [`PERMIT_TIMEOUT`].
+    pub async fn admit(&mut self, may_wait: bool) -> Option<(OwnedSemaphorePermit, Arc<Activity>)> {
+        let permit = if may_wait {
             self.wait_for_permit().await?
         } else {
             Arc::clone(&self.permits).try_acquire_owned().ok()?
@@ -123,16 +124,15 @@
         }
     }
 
-    /// Has connections close that have been idle for as long as they are kept while so many permits are
-    /// taken.
+    /// Asks connections to close whose idle time exceeds the limit for the number of permits taken.
     fn close_idle(&mut self) {
         let taken = self.total - self.permits.available_permits().min(self.total);
-        let limits = Usage::ALL.map(|usage| usage.idle_limit(taken + 1, self.total));
+        let limits = ConnectionUsage::ALL.map(|usage| usage.idle_limit(taken + 1, self.total));
         self.connections.retain(|connection| {
             let Some(activity) = connection.upgrade() else { return false };
             let limit = limits[activity.usage() as usize];
             if activity.idle_for().is_some_and(|idle| idle > limit) {
-                activity.leave.notify_one();
+                activity.close_requested.notify_one();
             }
             true
         });
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: commands are read and answered in their order, until it closes.
+//! A client connection: reads commands and answers them in order.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,63 +15,66 @@
 use tokio_util::sync::CancellationToken;
 
 use super::admission::Activity;
-use super::idle_policy::Usage;
-use super::shutdown::{State, FIRST_COMMAND_TIMEOUT, IDLE_CLOSE_DELAY};
-use super::stream::{ended, forward, linger, write, Disconnected};
+use super::idle_policy::ConnectionUsage;
+use super::shutdown::{ConnectionState, FIRST_COMMAND_TIMEOUT, IDLE_CLOSE_DELAY};
+use super::stream::{forward, linger, peer_closed, write, Disconnected};
 use super::Clients;
 use crate::input::Input;
 use crate::resp::{self, Answer, Call, Command};
 use crate::streaming::StreamedValue;
 
-/// Commands that may wait for their answers; more are not parsed.
+/// Maximum number of unanswered commands; further ones are not parsed.
 const MAX_PIPELINED_COMMANDS: usize = 32;
-/// Bytes behind the commands that wait which are read all the same, so that the client's end shows.
+/// Maximum number of bytes read beyond the unanswered commands. Reading ahead makes it possible to notice
+/// that the client has closed.
 const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
-/// How long a command that has begun may take to come whole; clients may take 2 s for a head.
+/// Maximum time from the first byte of a command to its last. Clients may take 2 s to send the head.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a request may wait for room in the memory budget.
+/// Maximum time that a request waits for the memory budget.
 const MEMORY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Buffers larger than this are not kept, and answers beyond it wait for the next write.
+/// Buffers with a larger capacity are released when empty. Once the output reaches this size, it is written
+/// before more answers are encoded.
 const MAX_KEPT_BUFFER_BYTES: usize = 16 * 1024;
 
-/// An answer that is owed, in the order of the commands.
+/// The pending answer to a command.
 enum Pending {
-    /// It comes from the event loop, for the request of this number.
-    Later { id: u64, answer: oneshot::Receiver<Answer> },
-    /// It is there.
+    /// The event loop will answer the request with this number.
+    Awaited { id: u64, answer: oneshot::Receiver<Answer> },
+    /// The answer is available.
     Ready(Answer),
 }
 
-/// What came of writing the answers that were there.
+/// Result of writing the available answers.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Written {
-    /// There was none.
+enum WriteResult {
+    /// No answer was available.
     Nothing,
-    /// There may be more answers, and room for commands that came already.
-    Some,
-    /// Nothing more is owed, and no command is left to parse.
-    All,
+    /// Answers were written. More may be available, and input that was already read may now be parsed.
+    MayHaveMore,
+    /// Answers were written. No answer is pending, and no input is left to parse.
+    Finished,
 }
 
-/// A connection of a client.
+/// A client connection.
 pub(super) struct Connection {
     clients: Arc<Clients>,
     stream: TcpStream,
     activity: Arc<Activity>,
-    /// Has it close as soon as it owes no answer.
+    /// When cancelled, the connection closes once all commands are answered.
     closing: CancellationToken,
-    state: State,
+    state: ConnectionState,
     input: BytesMut,
     output: BytesMut,
+    /// Pending answers, in the order of the commands.
     pending: VecDeque<Pending>,
-    /// Since when nothing is open or half read.
+    /// When the connection became idle; `None` while a command is unanswered or partly read.
     idle_since: Option<Instant>,
-    /// Since when a command is half read.
+    /// When the first byte of a partly read command arrived.
     command_since: Option<Instant>,
 }
 
 impl Connection {
-    /// A connection that was admitted, and has done nothing yet.
+    /// Creates an admitted connection, on which nothing has been read yet.
     pub fn new(
         clients: Arc<Clients>,
         stream: TcpStream,
@@ -82,7 +85,7 @@
             clients,
             stream,
             closing,
-            state: State::Reading,
+            state: ConnectionState::Reading,
             input: BytesMut::new(),
             output: BytesMut::new(),
             pending: VecDeque::new(),
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Serves the connection until it is closed, and gives up what its client no longer waits for.
+    /// Serves the connection until it is closed, then reports its unanswered requests as disconnected.
     pub async fn run(mut self) {
         if self.stream.set_nodelay(true).is_ok() {
             self.serve().await;
@@ -101,44 +104,46 @@
     }
 
     async fn serve(&mut self) {
-        let mut timer = pin!(sleep(Usage::Silent.idle_max()));
+        let mut timer = pin!(sleep(ConnectionUsage::Unused.idle_max()));
         while self.state.is_open() {
             if self.advance(timer.as_mut()).await.is_err() {
-                self.state = State::Closed;
+                self.state = ConnectionState::Closed;
             }
         }
-        if self.state == State::Lingering {
+        if self.state == ConnectionState::Lingering {
             linger(&mut self.stream).await;
         }
     }
 
-    /// Parses and answers what is there, looks whether the connection is to close, and waits for more.
+    /// Parses the buffered commands, writes the available answers, closes the connection if it is due to
+    /// close, and otherwise waits for the next event.
     async fn advance(&mut self, mut timer: Pin<&mut Sleep>) -> Result<(), Disconnected> {
         self.parse_commands().await?;
         let written = self.write_answers().await?;
-        if written == Written::Some {
+        if written == WriteResult::MayHaveMore {
             return Ok(());
         }
-        if self.state == State::Closing && self.pending.is_empty() {
-            self.state = State::Lingering;
+        if self.state == ConnectionState::Closing && self.pending.is_empty() {
+            self.state = ConnectionState::Lingering;
             return Ok(());
         }
-        if self.state == State::Reading && self.closing.is_cancelled() {
-            self.state = State::Draining { since: Instant::now() };
+        if self.state == ConnectionState::Reading && self.closing.is_cancelled() {
+            self.state = ConnectionState::Draining { since: Instant::now() };
         }
         let may_read = self.state.may_read();
         let reading = may_read && self.pending.len() < MAX_PIPELINED_COMMANDS;
-        // A client that sends many commands and goes must not stay unseen behind those that wait.
+        // Without reading ahead, a client that sends many commands and closes would go unnoticed until the
+        // unanswered ones are answered.
         let reading_ahead = may_read && self.input.len() < MAX_READ_AHEAD_BYTES;
         if self.track_activity(reading) {
             timer.as_mut().reset(Instant::now() + COMMAND_TIMEOUT);
         }
-        if self.may_close(written == Written::All) && !(may_read && self.read_more()) {
-            self.state = State::Lingering;
+        if self.may_close(written == WriteResult::Finished) && !(may_read && self.read_available()) {
+            self.state = ConnectionState::Lingering;
             return Ok(());
         }
         if self.input.is_empty() {
-            clear(&mut self.input);
+            clear_and_shrink(&mut self.input);
         }
         tokio::select! {
             answer = next_answer(&mut self.pending) => {
@@ -147,104 +152,103 @@
                 Ok(())
             }
             readable = self.stream.readable(), if reading || reading_ahead => self.read(readable),
-            () = ended(&self.stream), if !reading => Err(Disconnected),
-            () = self.closing.cancelled(), if self.state == State::Reading => {
+            () = peer_closed(&self.stream), if !reading => Err(Disconnected),
+            () = self.closing.cancelled(), if self.state == ConnectionState::Reading => {
                 timer.as_mut().reset(Instant::now() + IDLE_CLOSE_DELAY);
                 Ok(())
             }
-            () = self.activity.leave.notified() => self.close_if_idle(),
-            () = timer.as_mut() => self.timer_expired(timer),
+            () = self.activity.close_requested.notified() => self.close_if_idle(),
+            () = timer.as_mut() => self.on_timer(timer),
         }
     }
 
-    /// Takes the whole commands off the input.
+    /// Removes the complete commands from the input and begins to execute them.
     async fn parse_commands(&mut self) -> Result<(), Disconnected> {
-        while self.state != State::Closing && self.pending.len() < MAX_PIPELINED_COMMANDS {
+        while self.state != ConnectionState::Closing && self.pending.len() < MAX_PIPELINED_COMMANDS {
             let frame = match resp::next_frame(&mut self.input) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
                 Err(malformed) => {
                     self.input.clear();
-                    self.close_with(malformed.0);
+                    self.close_with_error(malformed.0);
                     return Ok(());
                 }
             };
             self.command_since = None;
             self.activity.count_command();
-            let pending = self.begin(frame).await?;
+            let pending = self.execute(frame).await?;
             self.pending.push_back(pending);
         }
         Ok(())
     }
 
-    /// Begins a command.
-    async fn begin(&mut self, frame: BytesFrame) -> Result<Pending, Disconnected> {
+    /// Answers a command, or hands it to the event loop if it is a request.
+    async fn execute(&mut self, frame: BytesFrame) -> Result<Pending, Disconnected> {
         let service_settings = Arc::clone(&self.clients.service_settings.borrow());
-        match Command::read(frame, &service_settings.settings, &service_settings.names) {
+        match Command::parse(frame, &service_settings.settings, &service_settings.names) {
             Ok(Command::Ping) if *self.clients.drained.borrow() => Ok(Pending::Ready(Answer::Drained)),
             Ok(Command::Ping) => Ok(Pending::Ready(Answer::Pong)),
-            Ok(Command::Call(call)) => self.request(call).await,
+            Ok(Command::Call(call)) => self.submit_request(call).await,
             Err(invalid) => Ok(Pending::Ready(Answer::Invalid(invalid.0))),
         }
     }
 
-    /// Hands a request to the event loop. Requests must not fill the memory: without room reading stops
-    /// first, then they are rejected.
-    async fn request(&mut self, mut call: Box<Call>) -> Result<Pending, Disconnected> {
-        let room = Arc::clone(&self.clients.memory).acquire_many_owned(call.size() as u32);
-        let room = tokio::select! {
+    /// Hands a request to the event loop, once the memory budget allows it. Meanwhile nothing is read from
+    /// this connection; after [`MEMORY_TIMEOUT`] the request is rejected.
+    async fn submit_request(&mut self, mut call: Box<Call>) -> Result<Pending, Disconnected> {
+        let permit = Arc::clone(&self.clients.memory).acquire_many_owned(call.size() as u32);
+        let permit = tokio::select! {
             biased;
-            room = timeout(MEMORY_TIMEOUT, room) => room,
-            () = ended(&self.stream) => return Err(Disconnected),
+            permit = timeout(MEMORY_TIMEOUT, permit) => permit,
+            () = peer_closed(&self.stream) => return Err(Disconnected),
         };
-        let Ok(Ok(room)) = room else { return Ok(Pending::Ready(Answer::Rejected(None))) };
-        call.room = Some(room);
+        let Ok(Ok(permit)) = permit else { return Ok(Pending::Ready(Answer::Rejected(None))) };
+        call.memory_permit = Some(permit);
         let id = self.clients.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         let (reply, answer) = oneshot::channel();
-        // Fails only when the gateway ends.
+        // Fails only after the event loop has ended.
         let _ = self.clients.inbox.send(Input::Request { id, call: (*call).into(), reply }).await;
-        Ok(Pending::Later { id, answer })
+        Ok(Pending::Awaited { id, answer })
     }
 
-    /// Answers what is pending with an error behind which nothing more is read.
-    fn close_with(&mut self, error: &'static str) {
-        self.state = State::Closing;
+    /// Stops reading, and appends an error to the pending answers as the last one.
+    fn close_with_error(&mut self, error: &'static str) {
+        self.state = ConnectionState::Closing;
         self.pending.push_back(Pending::Ready(Answer::Invalid(error)));
     }
 
-    /// Writes the answers that are there and have none before them.
-    async fn write_answers(&mut self) -> Result<Written, Disconnected> {
+    /// Writes the answers that are available, up to the first command that is still unanswered.
+    async fn write_answers(&mut self) -> Result<WriteResult, Disconnected> {
         let streamed = self.encode_answers();
         if self.output.is_empty() {
-            return Ok(Written::Nothing);
+            return Ok(WriteResult::Nothing);
         }
         write(&mut self.stream, &self.output).await?;
-        clear(&mut self.output);
+        clear_and_shrink(&mut self.output);
         if let Some(value) = streamed {
             forward(&mut self.stream, value).await?;
         }
-        let all = self.input.is_empty() && self.pending.is_empty();
-        Ok(if all { Written::All } else { Written::Some })
+        let finished = self.input.is_empty() && self.pending.is_empty();
+        Ok(if finished { WriteResult::Finished } else { WriteResult::MayHaveMore })
     }
 
-    /// Appends the answers that are there to the output. Of a streamed value, the last that is appended, the
-    /// head alone.
+    /// Appends available answers to the output. Stops after the header of a streamed value, which it returns.
     fn encode_answers(&mut self) -> Option<StreamedValue> {
         while self.output.len() < MAX_KEPT_BUFFER_BYTES {
             let answer = match self.pending.pop_front()? {
                 Pending::Ready(answer) => answer,
-                Pending::Later { id, mut answer } => match answer.try_recv() {
+                Pending::Awaited { id, mut answer } => match answer.try_recv() {
                     Ok(answer) => answer,
                     Err(oneshot::error::TryRecvError::Closed) => Answer::Failed,
                     Err(oneshot::error::TryRecvError::Empty) => {
-                        self.pending.push_front(Pending::Later { id, answer });
+                        self.pending.push_front(Pending::Awaited { id, answer });
                         return None;
                     }
                 },
             };
             match answer {
                 Answer::Streamed(value) => {
-                    value.put_header(&mut self.output);
+                    value.encode_header(&mut self.output);
                     return Some(value);
                 }
                 answer => answer.encode(&mut self.output),
@@ -253,12 +257,13 @@
         None
     }
 
-    /// Notes whether anything is open or half read; returns whether a command has begun just now.
+    /// Records whether the connection is busy or idle. Returns whether the first bytes of a command have
+    /// arrived.
     fn track_activity(&mut self, reading: bool) -> bool {
-        let half_read = reading && !self.input.is_empty();
-        let begins = half_read && self.command_since.is_none();
-        self.command_since = half_read.then(|| self.command_since.unwrap_or_else(Instant::now));
-        if half_read || !self.pending.is_empty() {
+        let partly_read = reading && !self.input.is_empty();
+        let begins = partly_read && self.command_since.is_none();
+        self.command_since = partly_read.then(|| self.command_since.unwrap_or_else(Instant::now));
+        if partly_read || !self.pending.is_empty() {
             self.idle_since = None;
             self.activity.set_busy();
         } else if self.idle_since.is_none() {
@@ -268,14 +273,15 @@
         begins
     }
 
-    /// Whether it is to close and may: it owes nothing, and whoever opened it had time for a command, and has
-    /// just had an answer or time for one more.
+    /// Whether the connection is draining and may close now: it is idle, the client had time for a first
+    /// command, and has either just received an answer or had time for one more command.
     fn may_close(&self, just_answered: bool) -> bool {
         let fresh = !self.activity.has_commands() && self.activity.opened().elapsed() < FIRST_COMMAND_TIMEOUT;
         self.idle_since.is_some() && !fresh && self.state.may_close_idle(just_answered)
     }
 
-    /// When the present activity has lasted too long, if it is one that may.
+    /// Returns when the connection has been idle, or a command partly read, for too long; `None` if neither
+    /// is the case.
     fn activity_deadline(&self) -> Option<Instant> {
         let idle_max = self.activity.usage().idle_max();
         let idle_max = if self.state.is_draining() { idle_max.min(FIRST_COMMAND_TIMEOUT) } else { idle_max };
@@ -283,27 +289,29 @@
         idle.or(self.command_since.map(|since| since + COMMAND_TIMEOUT))
     }
 
-    fn timer_expired(&mut self, timer: Pin<&mut Sleep>) -> Result<(), Disconnected> {
+    /// Handles the expiry of the timer: closes the connection if its deadline has passed, or resets the
+    /// timer.
+    fn on_timer(&mut self, timer: Pin<&mut Sleep>) -> Result<(), Disconnected> {
         match self.activity_deadline() {
             Some(deadline) if deadline > Instant::now() => timer.reset(deadline),
             Some(_) if self.idle_since.is_some() => return self.close_if_idle(),
-            Some(_) => self.close_with("command not ended in time"),
+            Some(_) => self.close_with_error("command not ended in time"),
             None => timer.reset(Instant::now() + COMMAND_TIMEOUT),
         }
         Ok(())
     }
 
-    /// Closes the connection if it is idle and nothing has come just now.
+    /// Closes the connection if it is idle and no input is available.
     fn close_if_idle(&mut self) -> Result<(), Disconnected> {
-        if self.idle_since.is_some() && !self.read_more() {
+        if self.idle_since.is_some() && !self.read_available() {
             return Err(Disconnected);
         }
         Ok(())
     }
 
-    /// Reads what is there, where the stream says that something is.
+    /// Reads from the stream after it became readable.
     fn read(&mut self, readable: io::Result<()>) -> Result<(), Disconnected> {
-        resp::make_room(&mut self.input);
+        resp::reserve_for_read(&mut self.input);
         match readable.and_then(|()| self.stream.try_read_buf(&mut self.input)) {
             Ok(n) if n > 0 => Ok(()),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
@@ -311,35 +319,35 @@
         }
     }
 
-    /// Reads a command that came just before the connection closes; returns whether there is one.
-    fn read_more(&mut self) -> bool {
-        resp::make_room(&mut self.input);
-        let closing = self.state == State::Closing;
+    /// Reads input that arrived just before the connection was to close. Returns whether there was any.
+    fn read_available(&mut self) -> bool {
+        resp::reserve_for_read(&mut self.input);
+        let closing = self.state == ConnectionState::Closing;
         !closing && matches!(self.stream.try_read_buf(&mut self.input), Ok(n) if n > 0)
     }
 
-    /// Tells the event loop of the requests whose client has disconnected.
+    /// Reports to the event loop that the client of the unanswered requests has disconnected.
     async fn abandon_requests(&mut self) {
         for pending in self.pending.drain(..) {
-            if let Pending::Later { id, .. } = pending {
+            if let Pending::Awaited { id, .. } = pending {
                 let _ = self.clients.inbox.send(Input::ClientDisconnected { id }).await;
             }
         }
     }
 }
 
-/// Empties a buffer, and gives back what it grew by.
-fn clear(buffer: &mut BytesMut) {
+/// Clears a buffer, and releases its memory if it has grown beyond [`MAX_KEPT_BUFFER_BYTES`].
+fn clear_and_shrink(buffer: &mut BytesMut) {
     if buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
         *buffer = BytesMut::new();
     }
     buffer.clear();
 }
 
-/// The first answer that is owed, when it is there.
+/// Waits for the answer to the first pending command.
 async fn next_answer(pending: &mut VecDeque<Pending>) -> Answer {
     match pending.front_mut() {
-        Some(Pending::Later { answer, .. }) => answer.await.unwrap_or(Answer::Failed),
+        Some(Pending::Awaited { answer, .. }) => answer.await.unwrap_or(Answer::Failed),
         _ => std::future::pending().await,
     }
 }
--- a/crates/gateway/src/client/idle_policy.rs
+++ b/crates/gateway/src/client/idle_policy.rs
@@ -1,73 +1,74 @@
-//! How long a client's connection is kept on which nothing is open. No I/O, no clock.
+//! Idle timeouts of client connections, as a function of how many permits are taken. No I/O, no clock.
 //!
-//! The more permits are taken, the shorter: a continuous law, so that there is no threshold at which many are
-//! closed at once, and none under which permits run out unseen. Clients that come back keep theirs for longer
-//! than those that asked once and stayed.
+//! The timeout falls continuously as more permits are taken. With a threshold, many connections would be
+//! closed at once when it is crossed, and permits could run out below it. Connections that are reused are
+//! kept longer than those used for a single command.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// What a connection has been used for so far.
+/// How much a connection has been used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Usage {
-    /// Not a command yet.
-    Silent,
+pub enum ConnectionUsage {
+    /// No command yet.
+    Unused,
     /// One command.
-    Once,
-    /// More than one.
-    Steady,
+    UsedOnce,
+    /// More than one command.
+    Reused,
 }
 
-impl Usage {
-    /// All, in the order of their numbers.
-    pub const ALL: [Usage; 3] = [Usage::Silent, Usage::Once, Usage::Steady];
+impl ConnectionUsage {
+    /// All variants, in the order of their discriminants.
+    pub const ALL: [ConnectionUsage; 3] =
+        [ConnectionUsage::Unused, ConnectionUsage::UsedOnce, ConnectionUsage::Reused];
 
-    /// Of a connection on which so many commands came.
+    /// Classifies a connection by the number of commands received on it.
     #[must_use]
-    pub fn of(commands: u64) -> Usage {
+    pub fn from_commands(commands: u64) -> ConnectionUsage {
         match commands {
-            0 => Usage::Silent,
-            1 => Usage::Once,
-            _ => Usage::Steady,
+            0 => ConnectionUsage::Unused,
+            1 => ConnectionUsage::UsedOnce,
+            _ => ConnectionUsage::Reused,
         }
     }
 
-    /// The longest that it is kept, while hardly a permit is taken.
+    /// Returns the longest idle timeout, which applies while no permit is taken.
     #[must_use]
     pub fn idle_max(self) -> Duration {
         match self {
-            Usage::Silent => Duration::from_millis(2_000),
-            Usage::Once | Usage::Steady => Duration::from_secs(15),
+            ConnectionUsage::Unused => Duration::from_millis(2_000),
+            ConnectionUsage::UsedOnce | ConnectionUsage::Reused => Duration::from_secs(15),
         }
     }
 
-    /// The shortest. A slow client must not be cut off before its first command, nor one whose next is on its
-    /// way: what crosses the end of a connection costs it a new one.
+    /// Returns the shortest idle timeout. A slow client must not be cut off before its first command, nor one
+    /// whose next command is on its way: a command that crosses the close costs the client a new connection.
     fn idle_min(self) -> Duration {
         match self {
-            Usage::Silent | Usage::Once => Duration::from_millis(100),
-            Usage::Steady => Duration::from_millis(2_050),
+            ConnectionUsage::Unused | ConnectionUsage::UsedOnce => Duration::from_millis(100),
+            ConnectionUsage::Reused => Duration::from_millis(2_050),
         }
     }
 
-    /// How steeply the time falls with the permits that are taken.
-    fn steepness(self) -> i32 {
+    /// Returns the power of the fraction of free permits to which the idle timeout is proportional.
+    fn exponent(self) -> i32 {
         match self {
-            Usage::Silent | Usage::Once => 6,
-            Usage::Steady => 3,
+            ConnectionUsage::Unused | ConnectionUsage::UsedOnce => 6,
+            ConnectionUsage::Reused => 3,
         }
     }
 
-    /// How long it is kept while so many of all permits are taken.
+    /// Returns the idle timeout while `taken` of `total` permits are taken.
     ///
-    /// Clients that ask once on each connection and keep it may hold only so many themselves: their next
-    /// requests would find none, long before permits here run out. The price: clients that come back seldom
-    /// open theirs anew.
+    /// Clients that use each connection once but keep it open may have a connection limit of their own, and
+    /// would reach it long before permits run out here. In exchange, clients that reuse a connection only
+    /// rarely have to open a new one.
     #[must_use]
     pub fn idle_limit(self, taken: usize, total: usize) -> Duration {
         let free = total.saturating_sub(taken) as f64 / total.max(1) as f64;
-        self.idle_max().mul_f64(free.powi(self.steepness())).max(self.idle_min())
+        self.idle_max().mul_f64(free.powi(self.exponent())).max(self.idle_min())
     }
 }
--- a/crates/gateway/src/client/listener.rs
+++ b/crates/gateway/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients.
+//! Accepts client connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,15 +15,17 @@
 use super::stream::linger;
 use super::Clients;
 
-/// Pause after a connection could not be accepted, and the longest that a rejection may take to be written.
+/// Pause after a failed `accept`, and maximum time for writing a rejection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Rejected connections that linger, at most: they have no permit.
+/// Maximum number of rejected connections in a lingering close, as these hold no permit.
 const MAX_LINGERING: usize = 4;
 
 impl Clients {
-    /// Accepts connections until it is told not to, at most `total` at once. Those of a drained gateway close
-    /// as they become idle. The listener stays: the platform may hold it as well, and what is in its line
-    /// would wait there.
+    /// Accepts connections until [`Clients::not_accepting`] is cancelled, with at most `total` open at once.
+    ///
+    /// While the gateway is drained, connections are still accepted, and close when they become idle. The
+    /// listener is not closed: the platform may hold the same socket, and connections in its backlog would
+    /// wait there.
     pub async fn accept(self: Arc<Self>, listener: TcpListener, permits: Arc<Semaphore>, total: usize) {
         let mut acceptor = Acceptor {
             admission: Admission::new(permits, total),
@@ -35,12 +37,14 @@
     }
 }
 
+/// The accept loop.
 struct Acceptor {
     clients: Arc<Clients>,
     admission: Admission,
-    /// Permits for rejected connections that linger.
+    /// Permits for rejected connections in a lingering close.
     lingering: Arc<Semaphore>,
-    /// Has the connections that are accepted now close; a new one with each drain that is taken back.
+    /// When cancelled, the connections accepted with it close. Each undrain replaces it for later
+    /// connections.
     closing: CancellationToken,
 }
 
@@ -53,26 +57,26 @@
             tokio::select! {
                 biased;
                 Ok(()) = drained.changed() => {
-                    close_at = self.drained_changed(*drained.borrow_and_update());
+                    close_at = self.on_drained_changed(*drained.borrow_and_update());
                 }
                 () = sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
                     self.closing.cancel();
                     close_at = None;
                 }
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => self.accepted(stream).await,
-                    // Without descriptors, or with another failure that lasts, the loop must not spin.
+                    Ok((stream, _)) => self.on_accepted(stream).await,
+                    // Keeps the loop from spinning on a lasting error, such as no free file descriptors.
                     Err(_) => sleep(ACCEPT_BACKOFF).await,
                 },
-                // Last, as connections in the listener's line would be reset with requests that clients have
-                // written.
+                // Polled last: connections left in the backlog would be reset, with requests that clients
+                // have already written.
                 () = clients.not_accepting.cancelled() => return,
             }
         }
     }
 
-    /// Returns when the connections are to close.
-    fn drained_changed(&mut self, drained: bool) -> Option<Instant> {
+    /// Handles a drain or undrain. Returns when the connections are to close.
+    fn on_drained_changed(&mut self, drained: bool) -> Option<Instant> {
         if drained {
             return Some(Instant::now() + DRAIN_GRACE);
         }
@@ -80,11 +84,11 @@
         None
     }
 
-    /// Admits a connection with a permit and a task, or rejects it.
-    async fn accepted(&mut self, stream: TcpStream) {
-        // What is in the line when no more are accepted does not wait for a permit: nor would it be served.
-        let waited = !self.clients.not_accepting.is_cancelled();
-        let Some((permit, activity)) = self.admission.admit(waited).await else {
+    /// Starts a task for a connection if there is a permit for it, and rejects it otherwise.
+    async fn on_accepted(&mut self, stream: TcpStream) {
+        // After the end of accepting, the rest of the backlog must not wait for permits.
+        let may_wait = !self.clients.not_accepting.is_cancelled();
+        let Some((permit, activity)) = self.admission.admit(may_wait).await else {
             return self.reject(stream).await;
         };
         let connection = Connection::new(Arc::clone(&self.clients), stream, activity, self.closing.clone());
@@ -94,7 +98,7 @@
         });
     }
 
-    /// There are more connections than descriptors: whoever comes too late is told so.
+    /// Rejects a connection for which there is no permit: answers `BUSY` and closes it.
     async fn reject(&self, mut stream: TcpStream) {
         let written = timeout(ACCEPT_BACKOFF, stream.write_all(b"-BUSY\r\n")).await;
         let permit = Arc::clone(&self.lingering).try_acquire_owned();
--- a/crates/gateway/src/client/shutdown.rs
+++ b/crates/gateway/src/client/shutdown.rs
@@ -1,64 +1,68 @@
-//! When connections close as the gateway drains or shuts down.
+//! The states of a client connection, and when it closes while the gateway drains or shuts down.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long connections go on as before when the gateway is drained: new ones still come meanwhile.
+/// Time from a drain of the gateway until its connections begin to close. New connections may still arrive
+/// during that time.
 pub(super) const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// How long a connection that is to close waits for one more command, to close right behind its answer.
+/// How long an idle connection that is draining waits for one more command, so that it can close right after
+/// its answer.
 ///
-/// A command that crosses the end of an idle connection is neither answered nor sent elsewhere, but who waits
-/// for an answer sends nothing meanwhile. The price: clients that are seldom heard are closed so much later.
+/// A command that crosses the close of an idle connection is neither answered nor sent to another gateway. A
+/// client that waits for an answer sends nothing, so closing right after the answer avoids this. In exchange,
+/// connections without traffic close later by this time.
 pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(300);
-/// How long a connection that is to close goes on being read while it is never idle: a command that is read
-/// later would find the process ended before its answer. What is not read the client sends elsewhere.
+/// How long a draining connection that is never idle is still read. A command read later might not be
+/// answered before the process exits; one that is not read can be sent to another gateway by the client.
 const READING_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a connection that is opened late has for its first command.
+/// Time for the first command on a connection that is opened during a drain.
 pub(super) const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How far a connection is.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum State {
+pub(super) enum ConnectionState {
     /// Commands are read and answered.
     Reading,
-    /// The same, but it is to close as soon as it owes nothing.
+    /// Commands are read and answered, and the connection closes once all are answered.
     Draining {
-        /// Since when.
+        /// When draining began.
         since: Instant,
     },
-    /// Nothing more is read: what came was no command, or not whole in time. What is owed is written.
+    /// Nothing more is read, after input that was malformed or an incomplete command that timed out. Pending
+    /// answers are still written.
     Closing,
-    /// All is answered. What the client still sends is discarded until it closes as well.
+    /// All answers are written. Further input is discarded until the client closes as well.
     Lingering,
-    /// The client has disconnected, or the connection is of no more use.
+    /// The client has disconnected, or the connection failed.
     Closed,
 }
 
-impl State {
-    /// Whether commands are read or answered yet.
+impl ConnectionState {
+    /// Whether commands are still read or answered.
     pub fn is_open(self) -> bool {
-        !matches!(self, State::Lingering | State::Closed)
+        !matches!(self, ConnectionState::Lingering | ConnectionState::Closed)
     }
 
-    /// Whether it is to close as soon as it owes nothing.
+    /// Whether the connection closes once all commands are answered.
     pub fn is_draining(self) -> bool {
-        matches!(self, State::Draining { .. })
+        matches!(self, ConnectionState::Draining { .. })
     }
 
-    /// Whether more may be read.
+    /// Whether more input may be read.
     pub fn may_read(self) -> bool {
         match self {
-            State::Reading => true,
-            State::Draining { since } => since.elapsed() < READING_TIMEOUT,
-            State::Closing | State::Lingering | State::Closed => false,
+            ConnectionState::Reading => true,
+            ConnectionState::Draining { since } => since.elapsed() < READING_TIMEOUT,
+            ConnectionState::Closing | ConnectionState::Lingering | ConnectionState::Closed => false,
         }
     }
 
-    /// Whether an idle connection is to close now, which has `just_answered` or not.
+    /// Whether an idle connection is to close now. `just_answered`: its last answer has just been written.
     pub fn may_close_idle(self, just_answered: bool) -> bool {
         match self {
-            State::Draining { since } => just_answered || since.elapsed() >= IDLE_CLOSE_DELAY,
+            ConnectionState::Draining { since } => just_answered || since.elapsed() >= IDLE_CLOSE_DELAY,
             _ => false,
         }
     }
--- a/crates/gateway/src/client/stream.rs
+++ b/crates/gateway/src/client/stream.rs
@@ -1,4 +1,5 @@
-//! What is done with a client's stream: writes that end with the client, and the end of a connection.
+//! Operations on a client's TCP stream: writes that stop when the client disconnects, and the lingering
+//! close.
 
 use std::io;
 use std::time::Duration;
@@ -9,28 +10,30 @@
 
 use crate::streaming::StreamedValue;
 
-/// A client that takes no bytes for so long has disconnected.
+/// A client that accepts no bytes for this long is treated as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a client may take to close after the gateway has.
+/// How long a client may take to close after the gateway has closed its sending side.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// What it may still send meanwhile, bytes.
+/// Maximum number of bytes discarded during that time.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// How often a client that sends urgent bytes is looked at.
+/// Polling interval for a client that has sent TCP urgent data.
 const URGENT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The client has disconnected, or takes nothing.
+/// An error: the client has disconnected or accepts no bytes.
 #[derive(Debug)]
 pub(super) struct Disconnected;
 
-/// Writes all bytes. A client that is slow but takes some goes on; one that takes nothing for good, or
-/// disconnects while other requests of its wait, does not.
+/// Writes all bytes, however slowly the client accepts them.
+///
+/// # Errors
+/// Fails if the client accepts no bytes for [`WRITE_TIMEOUT`], or disconnects.
 pub(super) async fn write(stream: &mut TcpStream, mut bytes: &[u8]) -> Result<(), Disconnected> {
     while !bytes.is_empty() {
         let (read, mut write) = stream.split();
         let written = tokio::select! {
             biased;
             written = timeout(WRITE_TIMEOUT, write.write(bytes)) => written,
-            () = ended(read.as_ref()) => return Err(Disconnected),
+            () = peer_closed(read.as_ref()) => return Err(Disconnected),
         };
         match written {
             Ok(Ok(n)) if n > 0 => bytes = &bytes[n..],
@@ -40,52 +43,55 @@
     Ok(())
 }
 
-/// Writes the pieces of a streamed value as they come. A value that can't be finished must not be taken for a
-/// whole one: the connection ends with it.
+/// Writes the chunks of a streamed value as they arrive.
+///
+/// # Errors
+/// Fails if the client disconnects, or the value ends early: the connection is then closed, so that the
+/// client can't mistake the value for a complete one.
 pub(super) async fn forward(stream: &mut TcpStream, mut value: StreamedValue) -> Result<(), Disconnected> {
-    let mut left = value.length;
+    let mut remaining = value.length;
     loop {
-        let piece = tokio::select! {
+        let chunk = tokio::select! {
             biased;
-            piece = value.pieces.recv() => piece,
-            () = ended(stream) => return Err(Disconnected),
+            chunk = value.chunks.recv() => chunk,
+            () = peer_closed(stream) => return Err(Disconnected),
         };
-        let Some(piece) = piece else { break };
-        left = left.saturating_sub(piece.len());
-        write(stream, &piece).await?;
+        let Some(chunk) = chunk else { break };
+        remaining = remaining.saturating_sub(chunk.len());
+        write(stream, &chunk).await?;
     }
-    if left > 0 {
+    if remaining > 0 {
         return Err(Disconnected);
     }
     write(stream, b"\r\n").await
 }
 
-/// Ends the sending side and discards what comes until the client has closed, for a bounded time: bytes that
-/// nobody reads would reset the connection, and the client would lose the last answer.
+/// Closes the sending side and discards input until the client has closed, within bounds of time and bytes.
+/// Closing a socket with unread input would reset the connection, and the client could lose the last answer.
 pub(super) async fn linger(stream: &mut TcpStream) {
     let _ = timeout(LINGER_TIMEOUT, discard(stream)).await;
 }
 
 async fn discard(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
-    let (mut unread, mut left) = ([0; 4096], MAX_LINGER_BYTES);
-    while left > 0 {
-        match stream.read(&mut unread).await? {
+    let (mut discarded, mut remaining) = ([0; 4096], MAX_LINGER_BYTES);
+    while remaining > 0 {
+        match stream.read(&mut discarded).await? {
             0 => break,
-            n => left = left.saturating_sub(n),
+            n => remaining = remaining.saturating_sub(n),
         }
     }
     Ok(())
 }
 
-/// Waits until the client has ended its side, also behind bytes that nobody reads.
-pub(super) async fn ended(stream: &TcpStream) {
-    // Readiness for what is never sent: it comes with the end alone.
+/// Waits until the client has closed its sending side, even if there is unread input before that.
+pub(super) async fn peer_closed(stream: &TcpStream) {
+    // Clients send no urgent data, so this becomes ready only when the client closes.
     while let Ok(ready) = stream.ready(Interest::PRIORITY).await {
         if ready.is_read_closed() {
             return;
         }
-        // Urgent bytes would have this loop run without a pause.
+        // Keeps the loop from spinning if the client does send urgent data.
         sleep(URGENT_BACKOFF).await;
     }
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a gateway can't start.
+//! Errors at the start of a gateway.
 
 use std::fmt;
 use std::io;
@@ -12,48 +12,42 @@
 use crate::config::ConfigError;
 use crate::server::SocketError;
 
-/// Why a gateway can't start. Its text is one line that names the variable, file, key or socket at fault.
+/// An error that keeps a gateway from starting. It is displayed as one line that names the environment
+/// variable, file, key or socket at fault.
 #[derive(Debug)]
 pub enum StartError {
-    /// `GW_CONFIG` names no configuration.
+    /// `GW_CONFIG` is not set.
     ConfigUnset,
-    /// The operator's file can't be used.
+    /// The operator's file can't be read or is invalid.
     OperatorConfig(OperatorConfigError),
-    /// The configuration can't be used.
+    /// The configuration can't be read or is invalid.
     Config(ConfigError),
-    /// The policy does not accept the settings.
+    /// The policy rejects the settings.
     Settings(SettingsError),
-    /// The asynchronous runtime does not start.
+    /// The asynchronous runtime can't be started.
     Runtime(io::Error),
-    /// A signal can't be listened for.
+    /// The handler of a signal can't be installed.
     Signal {
-        /// The signal's name.
+        /// Name of the signal.
         name: &'static str,
-        /// What the system says.
         source: io::Error,
     },
-    /// The clients' socket can't be opened, or its address can't be told.
+    /// The clients' socket can't be opened, or its address is unavailable.
     Listen(io::Error),
-    /// The clients' socket that the platform holds can't be used.
+    /// The clients' socket that was passed to the process can't be used.
     InheritedSocket(SocketError),
-    /// The second address can't be listened at.
-    Management {
-        /// The address.
-        address: SocketAddr,
-        /// What the system says.
-        source: io::Error,
-    },
+    /// The management address can't be bound.
+    Management { address: SocketAddr, source: io::Error },
     /// The admin listener can't be opened.
     AdminBind(BindError),
-    /// The admin listener's address can't be told.
+    /// The address of the admin listener is unavailable.
     AdminAddress(io::Error),
-    /// The certificates for the agent can't be used.
+    /// The TLS certificates for connections to the agent can't be used.
     AdminTls(TlsError),
-    /// The gateway's name is none that the agent takes.
+    /// The gateway's name is not valid for the agent.
     Name {
         /// What the name is needed for.
         purpose: &'static str,
-        /// What is wrong with it.
         source: InvalidName,
     },
 }
@@ -73,7 +67,7 @@
             StartError::AdminBind(e) => write!(f, "admin: {e}"),
             StartError::AdminAddress(e) => write!(f, "admin: {e}"),
             StartError::AdminTls(e) => write!(f, "admin: {e}"),
-            StartError::Name { purpose, source } => write!(f, "{purpose}: {source}"),
+            StartError::Name { purpose, source } => write!(f, "gateway name, needed {purpose}: {source}"),
         }
     }
 }
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway, as tasks on sockets send it to the event loop.
+//! Inputs of the event loop, sent by the tasks that own sockets.
 
 use std::sync::Arc;
 
@@ -11,66 +11,66 @@
 use crate::streaming::StreamedValue;
 use crate::upstream::{Connection, Reply};
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
-    /// The request's number.
+    /// Number of the request within this gateway.
     pub request: u64,
-    /// The attempt's number among those of the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub number: u32,
 }
 
-/// What happens to a gateway.
+/// An input of the event loop.
 pub enum Input {
-    /// A client's request.
+    /// A client sent a request; the final answer goes to `reply`.
     Request { id: u64, call: Arc<Call>, reply: oneshot::Sender<Answer> },
     /// The client of a request has disconnected.
     ClientDisconnected { id: u64 },
-    /// The connection that an attempt waited for is up, or not in time.
+    /// The connection for an attempt is open; `None` if it failed or timed out.
     Connected { key: AttemptKey, backend: u32, connection: Option<Connection> },
-    /// The connection that an attempt is to use has cooled down.
+    /// The connection for an attempt has cooled down.
     CooledDown { key: AttemptKey, backend: u32, connection: Connection },
-    /// The answer of an attempt has begun to come; a value that is too long to be buffered whole comes with
-    /// it.
+    /// A backend has begun to answer an attempt. `streamed` is set if the value is too long to be buffered.
     ResponseStarted { key: AttemptKey, backend: u32, streamed: Option<StreamedValue> },
-    /// An attempt has ended; its connection comes with it if it can be used again.
+    /// An attempt has ended. `connection` is set if it can be reused.
     AttemptEnded { key: AttemptKey, backend: u32, reply: Reply, connection: Option<Connection> },
-    /// The connection that a probe waited for is up, or not in time.
+    /// The connection for a probe is open; `None` if it failed or timed out.
     ProbeConnected { backend: u32, connection: Option<Connection>, purpose: ProbePurpose },
-    /// A probe has ended; its connection comes with it if it can be used again.
+    /// A probe has ended. `connection` is set if it can be reused.
     Probed { backend: u32, reply: Reply, connection: Option<Connection>, purpose: ProbePurpose },
-    /// A call to the counter has ended.
+    /// A counter call has ended.
     Counted(Counted),
-    /// The counter is at another address now.
+    /// A reload has changed the address of the shared counter.
     CounterMoved(Counter),
-    /// Discovery has an update of the endpoint list.
+    /// Discovery has sent an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
     /// A timer has expired.
     TimerExpired(TimerKind),
-    /// A request of an operator or the agent at the admin listener.
+    /// An operator or the agent sent a request to the admin listener.
     AdminRequest { request: GatewayRequest, reply: oneshot::Sender<GatewayResponse> },
-    /// The gateway is asked to shut down: what comes from now on has to be answered by then, Unix time in ms.
+    /// The gateway is shutting down. Requests from now on must be answered by `answer_by_ms`, Unix time in
+    /// ms.
     ShuttingDown { answer_by_ms: f64 },
-    /// The gateway is about to end: what is still open fails now, and what comes is rejected.
+    /// The process is about to exit: open requests fail now, and new ones are rejected.
     FailAll,
 }
 
-/// What a probe is for.
+/// The purpose of a probe.
 #[derive(Clone, Copy, Debug)]
 pub enum ProbePurpose {
-    /// The policy wants to know whether an ejected backend answers again.
+    /// Tests for the policy whether an ejected backend answers again.
     Health,
-    /// It is the first connection to a backend, of the incarnation that started then, Unix time in ms.
+    /// Opens the first connection to the incarnation of a backend that started at `started_ms`, Unix time.
     FirstConnection { started_ms: f64 },
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 pub enum TimerKind {
     /// A timer of the policy, by its token.
     Policy(u64),
-    /// A call to the counter, by its number, is out of time.
+    /// The timeout of a counter call, by its number.
     CounterCall(u64),
-    /// A backend's slot for a first connection.
+    /// The next slot of the connection ramp, in which a first connection to a backend is opened.
     ConnectionRamp,
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,17 @@
-//! The gateway: serves clients on a socket as `gateway_policy` decides.
+//! An admission gateway: accepts clients' requests over RESP2 and forwards them to backends as
+//! [`gateway_policy::Policy`] decides.
 //!
 //! ```text
-//!  maintenance ── ControlRequest ──┐ (looked at first)
+//!  maintenance ── ControlRequest ──┐ (polled first)
 //!  admin ─────┐                    ▼
 //!  client ────┤                                   ┌── upstream  pools, exchanges
 //!  discovery ─┼── Input ──▶ event_loop ── Action ─┼── counter   calls
-//!  counter ───┘                  │                └── client    the one final answer
+//!  counter ───┘                  │                └── client    one final answer per request
 //!                      gateway_policy::Policy
 //! ```
 //!
-//! One thread. Tasks on sockets send an `Input` each; the event loop owns the policy and carries out its
-//! actions. `server` builds the parts, and has them start, reload and shut down.
+//! Everything runs on one thread. Tasks that own sockets send inputs to the event loop, which owns the policy
+//! and executes its actions. `server` builds these components and controls start, reload and shutdown.
 
 mod admin;
 mod backend_table;
@@ -36,18 +37,20 @@
 use config::Config;
 use error::StartError;
 
-/// Serves by the configuration that `GW_CONFIG` names until SIGTERM has been carried out. Where `operator`
-/// names an operator's file with an `[admin]` section, operators can control and observe it from there; its
-/// `[routing]` section says how many backends are looked at.
+/// Runs a gateway with the configuration file that `GW_CONFIG` names, until the shutdown after SIGTERM is
+/// complete.
+///
+/// `operator` is the path of an optional operator's file: its `[admin]` section opens a listener for
+/// operators and the agent, its `[routing]` section bounds how many backends are considered for a request.
 ///
 /// # Errors
-/// One line that names what is wrong: the variable, the file, a key, or a socket.
+/// Returns one line that names the environment variable, file, key or socket that is at fault.
 pub fn run(operator: Option<&Path>) -> Result<(), String> {
     start(operator).map_err(|e| e.to_string())
 }
 
 fn start(operator: Option<&Path>) -> Result<(), StartError> {
-    // Fails only where a log is set up already.
+    // Fails only if a subscriber is already installed.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
     let operator = operator.map(OperatorConfig::read).transpose().map_err(StartError::OperatorConfig)?;
     let path = PathBuf::from(std::env::var_os("GW_CONFIG").ok_or(StartError::ConfigUnset)?);
@@ -57,9 +60,9 @@
     runtime.block_on(server::serve(config, path, operator.unwrap_or_default()))
 }
 
-/// All that is wrong with a configuration's text, each with the key at fault, as in
-/// `configuration.settings.profiles[1].aim-ms`. Nothing is wrong with an empty answer.
+/// Returns every error in the text of a configuration, each with the key at fault, for example
+/// `configuration.settings.profiles[1].aim-ms`. The result is empty if the configuration is valid.
 #[must_use]
 pub fn check(text: &[u8]) -> Vec<gateway_policy::interface::SettingsError> {
-    Config::problems(text)
+    Config::find_errors(text)
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,14 +1,14 @@
-//! The gateway: serves clients on a socket as the policy decides.
+//! The gateway program: reads the command line and runs the gateway.
 
 use std::fmt;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Why the program fails.
+/// An error that ends the program.
 enum Failure {
-    /// The command line is none that it takes.
+    /// The command line is invalid.
     Usage,
-    /// The gateway could not start, for this reason.
+    /// The gateway could not start; holds the reason.
     Start(String),
 }
 
@@ -18,17 +18,17 @@
             Failure::Usage => {
                 f.write_str("usage: admission-gateway [--operator FILE]; GW_CONFIG names the configuration")
             }
-            Failure::Start(why) => f.write_str(why),
+            Failure::Start(reason) => f.write_str(reason),
         }
     }
 }
 
-/// The operator's file, if the command line names one.
+/// Returns the path of the operator's file, if the command line names one.
 fn operator_file() -> Result<Option<PathBuf>, Failure> {
-    let mut words = std::env::args_os().skip(1);
-    match (words.next(), words.next(), words.next()) {
+    let mut args = std::env::args_os().skip(1);
+    match (args.next(), args.next(), args.next()) {
         (None, ..) => Ok(None),
-        (Some(word), Some(path), None) if word == "--operator" => Ok(Some(path.into())),
+        (Some(flag), Some(path), None) if flag == "--operator" => Ok(Some(path.into())),
         _ => Err(Failure::Usage),
     }
 }
--- a/crates/gateway/src/resp.rs
+++ b/crates/gateway/src/resp.rs
@@ -1,4 +1,5 @@
-//! RESP2 as clients and backends speak it: bounds on what is read, and the commands of the service.
+//! The RESP2 protocol of clients and backends: framing with bounds on message sizes, and the service's
+//! commands.
 
 mod answer;
 mod command;
@@ -6,6 +7,6 @@
 mod header;
 
 pub use answer::Answer;
-pub use command::{amount, Call, Command};
-pub use frame::{make_room, next_frame};
-pub use header::{read_header, remainder_prefix, Header, WHOLE};
+pub use command::{parse_decimal, Call, Command};
+pub use frame::{next_frame, reserve_for_read};
+pub use header::{read_header, remainder_prefix, Header, NO_PREFIX};
--- a/crates/gateway/src/resp/answer.rs
+++ b/crates/gateway/src/resp/answer.rs
@@ -4,43 +4,43 @@
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::OwnedSemaphorePermit;
 
-use super::frame::put;
+use super::frame::encode_frame;
 use crate::streaming::StreamedValue;
 
 /// A final answer to a client.
 #[derive(Debug)]
 pub enum Answer {
-    /// The value as a backend gave it, and its part of the memory until it is written.
+    /// The value from a backend, and its permit of the memory budget, held until the answer is encoded.
     Served(Bytes, OwnedSemaphorePermit),
-    /// A value that is streamed.
+    /// A streamed value.
     Streamed(StreamedValue),
-    /// Trying again is harmless; when to come again, ms.
+    /// The request was rejected, and a retry is safe. Holds the time after which to retry, ms, if it is
+    /// known.
     Rejected(Option<u64>),
-    /// Nothing is promised.
+    /// The request failed. It may or may not have been run.
     Failed,
-    /// It was not a request of this service.
+    /// The input is not a valid command. Holds the reason.
     Invalid(&'static str),
-    /// The gateway serves.
+    /// The gateway is serving.
     Pong,
-    /// It serves, but operators have drained it.
+    /// The gateway is serving, but operators have drained it.
     Drained,
 }
 
 impl Answer {
-    /// Appends the answer.
+    /// Appends the encoded answer to `buffer`; of a streamed value, its header only.
     pub fn encode(self, buffer: &mut BytesMut) {
         let error = |text: String| BytesFrame::Error(text.into());
         let frame = match self {
-            Answer::Served(value, _room) => BytesFrame::BulkString(value),
-            // Its pieces follow, and the end of a value.
-            Answer::Streamed(value) => return value.put_header(buffer),
+            Answer::Served(value, _memory_permit) => BytesFrame::BulkString(value),
+            Answer::Streamed(value) => return value.encode_header(buffer),
             Answer::Rejected(None) => error("BUSY".to_string()),
             Answer::Rejected(Some(ms)) => error(format!("BUSY {ms}")),
             Answer::Failed => error("ERR failed".to_string()),
-            Answer::Invalid(what) => error(format!("ERR {what}")),
+            Answer::Invalid(reason) => error(format!("ERR {reason}")),
             Answer::Drained => error("ERR drained".to_string()),
             Answer::Pong => BytesFrame::SimpleString(Bytes::from_static(b"PONG")),
         };
-        put(buffer, &frame);
+        encode_frame(buffer, &frame);
     }
 }
--- a/crates/gateway/src/resp/command.rs
+++ b/crates/gateway/src/resp/command.rs
@@ -1,4 +1,4 @@
-//! Commands of clients.
+//! Parsing of client commands, and encoding of the commands that are forwarded to backends.
 
 use std::ops::RangeInclusive;
 
@@ -8,105 +8,110 @@
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::OwnedSemaphorePermit;
 
-use super::frame::put;
+use super::frame::encode_frame;
 
-/// What a request takes beside its words, bytes: its records here and in the policy.
+/// Memory that a request takes in addition to its arguments, bytes: its records here and in the policy.
 const RECORD_BYTES: usize = 1024;
-/// The longest time that a client can sensibly say it waits, ms: a day.
+/// Maximum time that a client may allow for an answer, ms: one day.
 const MAX_WAIT_MS: u32 = 86_400_000;
-/// Customers' numbers are below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMERS_END: u64 = 1 << 33;
 
-/// A command that is none of this service, with what is wrong.
+/// The reason why a command is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidCommand(pub &'static str);
 
-/// What a client asks for.
+/// A client's command.
 #[derive(Debug)]
 pub enum Command {
-    /// Whether the gateway serves.
+    /// A health check.
     Ping,
-    /// A request of a customer.
+    /// A customer's request.
     Call(Box<Call>),
 }
 
-/// A customer's request as it came.
+/// A customer's request, parsed.
 #[derive(Debug)]
 pub struct Call {
+    /// Number of the customer.
     pub customer: u64,
-    /// The client's id for the request.
+    /// The client's id of the request.
     pub id: u64,
+    /// Index of the plan in the settings.
     pub plan: usize,
+    /// Index of the class in the settings.
     pub class: usize,
+    /// Units that the request takes.
     pub units: f64,
-    /// Gateways through which the customer's requests may come.
+    /// Number of gateways over which the customer's requests are spread.
     pub fan_out: f64,
+    /// Time that the client waits for the answer, at most the deadline of the class, ms.
     pub wait_ms: f64,
-    /// Whether the client says that it is a retry.
+    /// Whether the client marks the request as a retry.
     pub retry: bool,
     forwarded: Forwarded,
-    /// Its part of the memory budget of requests and answers.
-    pub room: Option<OwnedSemaphorePermit>,
+    /// Permit of the memory budget of requests and answers.
+    pub memory_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// What goes on to backends: all as it came but for the waiting time, which stands between two parts of the
-/// list of terms.
+/// The arguments forwarded to backends: unchanged except for the waiting time, which is replaced within the
+/// terms.
 #[derive(Debug)]
 struct Forwarded {
     /// Verb, customer and id.
-    words: [Bytes; 3],
+    head: [Bytes; 3],
     terms_before_wait: Bytes,
     terms_after_wait: Bytes,
     body: Option<Bytes>,
 }
 
 impl Call {
-    /// About the bytes that it takes.
+    /// Returns the approximate memory that the request takes, bytes.
     pub fn size(&self) -> usize {
-        let Forwarded { words, terms_before_wait, terms_after_wait, body } = &self.forwarded;
-        let parts = words.iter().chain([terms_before_wait, terms_after_wait]).chain(body);
+        let Forwarded { head, terms_before_wait, terms_after_wait, body } = &self.forwarded;
+        let parts = head.iter().chain([terms_before_wait, terms_after_wait]).chain(body);
         RECORD_BYTES + parts.map(Bytes::len).sum::<usize>()
     }
 
-    /// The command for a backend that is given so long to answer.
+    /// Encodes the command for a backend, which is given `wait_ms` to answer.
     pub fn encode(&self, wait_ms: u64) -> Bytes {
-        let Forwarded { words, terms_before_wait, terms_after_wait, body } = &self.forwarded;
+        let Forwarded { head, terms_before_wait, terms_after_wait, body } = &self.forwarded;
         let terms = [terms_before_wait, wait_ms.to_string().as_bytes(), terms_after_wait].concat();
-        let words = words.iter().cloned().chain([Bytes::from(terms)]).chain(body.clone());
+        let arguments = head.iter().cloned().chain([Bytes::from(terms)]).chain(body.clone());
         let mut buffer = BytesMut::new();
-        put(&mut buffer, &BytesFrame::Array(words.map(BytesFrame::BulkString).collect()));
+        encode_frame(&mut buffer, &BytesFrame::Array(arguments.map(BytesFrame::BulkString).collect()));
         buffer.freeze()
     }
 }
 
 impl Command {
-    /// Reads a client's command by the names of the settings.
-    pub fn read(
+    /// Parses a client's command. Class and plan are looked up by their names in the settings.
+    pub fn parse(
         frame: BytesFrame,
         settings: &Settings,
         names: &SettingNames,
     ) -> Result<Command, InvalidCommand> {
-        let mut words = words_of(frame)?.into_iter();
-        let verb = words.next().ok_or(InvalidCommand("empty command"))?;
+        let mut args = arguments_of(frame)?.into_iter();
+        let verb = args.next().ok_or(InvalidCommand("empty command"))?;
         let writes = match () {
-            () if verb.eq_ignore_ascii_case(b"PING") && words.len() == 0 => return Ok(Command::Ping),
+            () if verb.eq_ignore_ascii_case(b"PING") && args.len() == 0 => return Ok(Command::Ping),
             () if verb.eq_ignore_ascii_case(b"API.READ") => false,
             () if verb.eq_ignore_ascii_case(b"API.WRITE") => true,
             () => return Err(InvalidCommand("unknown command")),
         };
         let (Some(customer), Some(id), Some(terms), body, None) =
-            (words.next(), words.next(), words.next(), words.next(), words.next())
+            (args.next(), args.next(), args.next(), args.next(), args.next())
         else {
             return Err(InvalidCommand("wrong number of arguments"));
         };
         let customer_number =
-            hex(&customer).filter(|n| *n < CUSTOMERS_END).ok_or(InvalidCommand("bad customer"))?;
-        let id_number = hex(&id).ok_or(InvalidCommand("bad request id"))?;
+            parse_hex(&customer).filter(|n| *n < CUSTOMERS_END).ok_or(InvalidCommand("bad customer"))?;
+        let id_number = parse_hex(&id).ok_or(InvalidCommand("bad request id"))?;
         let text = std::str::from_utf8(&terms).map_err(|_| InvalidCommand("bad terms"))?;
         let RequestTerms { class, plan, wait, units, fan_out, keyed, retry } =
-            RequestTerms::read(text, settings, names)?;
+            RequestTerms::parse(text, settings, names)?;
         let class_settings = &settings.classes[class];
-        // A command that says safe of a class that is not might be run twice by a backend.
+        // A backend might run a request twice if a class that is not idempotent came with the read command.
         if (class_settings.idempotency == Idempotency::Idempotent) == writes {
             return Err(InvalidCommand("wrong command for the class"));
         }
@@ -114,13 +119,13 @@
             return Err(InvalidCommand("no idempotency key"));
         }
         let wait_at = wait.digits.as_ptr() as usize - text.as_ptr() as usize;
-        // Copies: a few bytes would keep the whole buffer they came in.
-        let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
+        // Copied, as even a few bytes would otherwise keep the whole read buffer alive.
+        let copy = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
         let forwarded = Forwarded {
-            words: [own(&verb), own(&customer), own(&id)],
-            terms_before_wait: own(&terms[..wait_at]),
-            terms_after_wait: own(&terms[wait_at + wait.digits.len()..]),
-            body: body.as_deref().map(own),
+            head: [copy(&verb), copy(&customer), copy(&id)],
+            terms_before_wait: copy(&terms[..wait_at]),
+            terms_after_wait: copy(&terms[wait_at + wait.digits.len()..]),
+            body: body.as_deref().map(copy),
         };
         Ok(Command::Call(Box::new(Call {
             customer: customer_number,
@@ -129,47 +134,46 @@
             class,
             units,
             fan_out,
-            // Nobody waits longer than the class allows.
             wait_ms: f64::from(wait.ms).min(class_settings.deadline_ms),
             retry,
             forwarded,
-            room: None,
+            memory_permit: None,
         })))
     }
 }
 
-/// The words of a command.
-fn words_of(frame: BytesFrame) -> Result<Vec<Bytes>, InvalidCommand> {
-    let BytesFrame::Array(words) = frame else { return Err(InvalidCommand("a command is an array")) };
-    let word = |word| match word {
+/// Returns the elements of a command, which must all be bulk strings.
+fn arguments_of(frame: BytesFrame) -> Result<Vec<Bytes>, InvalidCommand> {
+    let BytesFrame::Array(elements) = frame else { return Err(InvalidCommand("a command is an array")) };
+    let argument = |element| match element {
         BytesFrame::BulkString(bytes) => Ok(bytes),
         _ => Err(InvalidCommand("a command holds bulk strings alone")),
     };
-    words.into_iter().map(word).collect()
+    elements.into_iter().map(argument).collect()
 }
 
-/// The time that a client waits, and its digits as they came.
+/// The time that a client waits, and the digits from which it was parsed.
 #[derive(Clone, Copy)]
 struct Wait<'a> {
     ms: u32,
     digits: &'a str,
 }
 
-/// The terms of a request, as in `c=safe,t=free,d=8000,units=1,spread=2,first=0`.
+/// The terms of a request, for example `c=safe,t=free,d=8000,units=1,spread=2,first=0`.
 struct RequestTerms<'a> {
     class: usize,
     plan: usize,
     wait: Wait<'a>,
     units: f64,
     fan_out: f64,
-    /// Whether there is an idempotency key.
+    /// Whether the request has an idempotency key.
     keyed: bool,
     retry: bool,
 }
 
 impl<'a> RequestTerms<'a> {
-    /// Reads the terms; of one that stands twice the last counts, and others than these are passed over.
-    fn read(
+    /// Parses the terms. If a term is repeated, the last one counts. Unknown terms are ignored.
+    fn parse(
         text: &'a str,
         settings: &Settings,
         names: &SettingNames,
@@ -182,12 +186,14 @@
             match name {
                 "c" => class = names.classes.iter().position(|n| n.as_deref() == Some(value)),
                 "t" => plan = names.plans.iter().position(|n| n == value),
-                "d" => wait = whole(value, 1..=MAX_WAIT_MS).map(|ms| Wait { ms, digits: value }),
+                "d" => wait = parse_integer(value, 1..=MAX_WAIT_MS).map(|ms| Wait { ms, digits: value }),
                 "k" => keyed = !value.is_empty(),
                 "r" => retry = value == "1",
-                "units" => units = amount(value).filter(|n| *n > 0.0 && *n <= settings.max_request_units),
-                "spread" => spread = whole(value, 1..=settings.gateway_count),
-                "first" => first = whole(value, 0..=settings.gateway_count - 1),
+                "units" => {
+                    units = parse_decimal(value).filter(|n| *n > 0.0 && *n <= settings.max_request_units);
+                }
+                "spread" => spread = parse_integer(value, 1..=settings.gateway_count),
+                "first" => first = parse_integer(value, 0..=settings.gateway_count - 1),
                 _ => {}
             }
         }
@@ -201,20 +207,20 @@
     }
 }
 
-/// Sixteen hex digits.
-fn hex(word: &[u8]) -> Option<u64> {
-    let text = std::str::from_utf8(word).ok().filter(|t| t.len() == 16 && !t.starts_with('+'))?;
+/// Parses sixteen hex digits.
+fn parse_hex(argument: &[u8]) -> Option<u64> {
+    let text = std::str::from_utf8(argument).ok().filter(|t| t.len() == 16 && !t.starts_with('+'))?;
     u64::from_str_radix(text, 16).ok()
 }
 
-/// A whole number in decimal digits, within bounds.
-fn whole(text: &str, bounds: RangeInclusive<u32>) -> Option<u32> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit());
-    text.parse().ok().filter(|n| plain && bounds.contains(n))
+/// Parses an integer within bounds, written in decimal digits only.
+fn parse_integer(text: &str, bounds: RangeInclusive<u32>) -> Option<u32> {
+    let only_digits = text.bytes().all(|b| b.is_ascii_digit());
+    text.parse().ok().filter(|n| only_digits && bounds.contains(n))
 }
 
-/// A decimal number of 0 or more.
-pub fn amount(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|n: &f64| plain && n.is_finite())
+/// Parses a finite decimal number without sign or exponent.
+pub fn parse_decimal(text: &str) -> Option<f64> {
+    let only_digits = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    text.parse().ok().filter(|n: &f64| only_digits && n.is_finite())
 }
--- a/crates/gateway/src/resp/header.rs
+++ b/crates/gateway/src/resp/header.rs
@@ -1,35 +1,36 @@
-//! How a backend's answer begins: whether it is read whole, or its value is streamed.
+//! The header of a backend's answer, which determines whether the answer is buffered or its value is
+//! streamed.
 
 #[cfg(test)]
 mod tests;
 
-use super::frame::{length, line_length, MAX_ARRAY_ELEMENTS, MAX_LINE_BYTES, MAX_VALUE_BYTES};
+use super::frame::{find_line_end, parse_length, MAX_ARRAY_ELEMENTS, MAX_LINE_BYTES, MAX_VALUE_BYTES};
 
-/// The longest value that is streamed: the longest that RESP has (Redis, "Protocol").
+/// Maximum length of a streamed value, bytes: the maximum that RESP allows (Redis, "Protocol").
 const MAX_STREAMED_VALUE_BYTES: usize = 512 << 20;
 
-/// How a backend's answer begins.
+/// The header of a backend's answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Header {
-    /// More bytes are needed to tell.
+    /// More bytes are needed to decide.
     Incomplete,
-    /// It is one that is read whole.
-    Whole,
-    /// An array of so many parts, of which the first is a value that is streamed.
+    /// The answer is read into memory completely.
+    Buffered,
+    /// The answer is an array whose first element is streamed.
     Streamed {
-        /// Parts of the array.
-        parts: usize,
-        /// Bytes of the value.
+        /// Number of elements of the array.
+        elements: usize,
+        /// Length of the streamed value, bytes.
         length: usize,
-        /// Bytes that stand before the value.
-        header: usize,
+        /// Number of bytes before the value.
+        header_length: usize,
     },
 }
 
-/// Tells how a backend's answer begins.
+/// Reads the header at the start of a backend's answer.
 pub fn read_header(buffer: &[u8]) -> Header {
     if buffer.first().is_some_and(|kind| *kind != b'*') {
-        return Header::Whole;
+        return Header::Buffered;
     }
     let Some((array, value_at)) = line_at(buffer, 0) else {
         return incomplete_unless(buffer.len() > MAX_LINE_BYTES);
@@ -37,41 +38,43 @@
     match buffer.get(value_at) {
         None => return Header::Incomplete,
         Some(b'$') => {}
-        Some(_) => return Header::Whole,
+        Some(_) => return Header::Buffered,
     }
-    let Some((value, header)) = line_at(buffer, value_at) else {
+    let Some((value, header_length)) = line_at(buffer, value_at) else {
         return incomplete_unless(buffer.len() > value_at + MAX_LINE_BYTES);
     };
-    let parts = length(&array[1..], MAX_ARRAY_ELEMENTS).ok().flatten();
-    match (parts, length(&value[1..], MAX_STREAMED_VALUE_BYTES)) {
-        (Some(parts), Ok(Some(length))) if length > MAX_VALUE_BYTES => {
-            Header::Streamed { parts, length, header }
+    let elements = parse_length(&array[1..], MAX_ARRAY_ELEMENTS).ok().flatten();
+    match (elements, parse_length(&value[1..], MAX_STREAMED_VALUE_BYTES)) {
+        (Some(elements), Ok(Some(length))) if length > MAX_VALUE_BYTES => {
+            Header::Streamed { elements, length, header_length }
         }
-        _ => Header::Whole,
+        _ => Header::Buffered,
     }
 }
 
-/// The line at a place, and where the bytes behind it begin.
+/// Returns the line that starts at `at`, and the position after its end.
 fn line_at(buffer: &[u8], at: usize) -> Option<(&[u8], usize)> {
     let rest = buffer.get(at..)?;
-    line_length(rest).map(|n| (&rest[..n], at + n + 2))
+    find_line_end(rest).map(|n| (&rest[..n], at + n + 2))
 }
 
-/// A line that is too long is no header; reading the answer whole finds that out.
+/// Classifies an answer whose header has no line end yet. One with a line that is too long is treated as
+/// buffered, so that reading it reports the error.
 fn incomplete_unless(too_long: bool) -> Header {
     if too_long {
-        Header::Whole
+        Header::Buffered
     } else {
         Header::Incomplete
     }
 }
 
-/// Stands before an answer that is read whole.
-pub const WHOLE: &[u8] = b"";
+/// The prefix of a buffered answer, which is empty. See [`remainder_prefix`].
+pub const NO_PREFIX: &[u8] = b"";
 
-/// Stands before what is left of an answer of so many parts whose first, a value, was streamed.
-pub fn remainder_prefix(parts: usize) -> Option<&'static [u8]> {
-    Some(match parts {
+/// Returns the prefix that makes the rest of an answer decodable after its first element was streamed: the
+/// header of an array with as many elements, and an empty value in place of the streamed one.
+pub fn remainder_prefix(elements: usize) -> Option<&'static [u8]> {
+    Some(match elements {
         1 => b"*1\r\n$0\r\n",
         2 => b"*2\r\n$0\r\n",
         3 => b"*3\r\n$0\r\n",
--- a/crates/gateway/src/resp/header/tests.rs
+++ b/crates/gateway/src/resp/header/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn reads_the_header_from_any_cut() {
-    let long = format!("*3\r\n${}\r\nabc", MAX_VALUE_BYTES + 1);
-    let head = long.len() - 3;
-    for cut in 0..=long.len() {
-        let wanted = match cut {
-            _ if cut < head => Header::Incomplete,
-            _ => Header::Streamed { parts: 3, length: MAX_VALUE_BYTES + 1, header: head },
+fn header_is_recognized_as_soon_as_it_is_complete() {
+    let answer = format!("*3\r\n${}\r\nabc", MAX_VALUE_BYTES + 1);
+    let header_length = answer.len() - 3;
+    for received in 0..=answer.len() {
+        let expected = match received {
+            _ if received < header_length => Header::Incomplete,
+            _ => Header::Streamed { elements: 3, length: MAX_VALUE_BYTES + 1, header_length },
         };
-        assert_eq!(read_header(&long.as_bytes()[..cut]), wanted, "{cut}");
+        assert_eq!(read_header(&answer.as_bytes()[..received]), expected, "{received} bytes");
     }
-    for whole in
+    for buffered in
         ["-BUSY\r\n", "+PONG", "*3\r\n$4\r\nfine", "*3\r\n-ERR", "*1\r\n$-1\r\n", "*x\r\n$999999\r\n"]
     {
-        assert_eq!(read_header(whole.as_bytes()), Header::Whole, "{whole}");
+        assert_eq!(read_header(buffered.as_bytes()), Header::Buffered, "{buffered}");
     }
 }
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of a gateway from its configuration and the operator's file.
+//! Builds the components of a gateway from its configuration and the operator's file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -36,20 +36,20 @@
 use crate::maintenance::{self, ControlRequest, Controller, PendingCommand, ProcessStatus, StateDirectory};
 use crate::upstream::ConnectionPool;
 
-/// Inputs that may wait for the event loop; whoever brings more waits.
+/// Capacity of the channel of inputs to the event loop. Senders wait while it is full.
 const INBOX_CAPACITY: usize = 1024;
-/// Requests of the maintenance controller, and commands, that may wait; there are few, one after another.
+/// Capacity of the channels for operators' commands and control requests, which are few and sequential.
 const COMMANDS_CAPACITY: usize = 32;
-/// How long the start waits for the list of backends where none is known.
+/// Maximum time that the start waits for the endpoint list if the configuration has none.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the start waits for an update of a list that is known.
+/// Maximum time that the start waits for an update of the configuration's endpoint list.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(50);
-/// The longest time that a gateway may go on sending to a backend that was told to stop, s.
+/// Upper bound of the time for which a gateway may continue to send to a backend that was told to stop, s.
 const MAX_STOP_SENDING_S: f64 = 60.0;
 
-/// The parts of a gateway, built but not running. The second address is served already, and says that the
-/// gateway starts.
-pub(super) struct Parts {
+/// The components of a gateway, built but not running. Only the management address is already served; it
+/// answers that the gateway is starting.
+pub(super) struct Components {
     pub event_loop: EventLoop,
     pub inputs: mpsc::Receiver<Input>,
     pub control: mpsc::Receiver<ControlRequest>,
@@ -59,24 +59,24 @@
     pub shutdown: Shutdown,
 }
 
-/// What is opened when the gateway is ready.
+/// The listeners that are opened when the gateway is ready.
 pub(super) struct ClientSide {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
     pub admin: Option<AdminConfig>,
     pub clients: Arc<Clients>,
     pub listener: TcpListener,
-    /// Permits for connections of clients.
+    /// Permits for client connections.
     pub permits: Arc<Semaphore>,
-    /// How many of those there are.
+    /// Total number of these permits.
     pub connections: usize,
-    /// Other processes of this gateway that lived when it started.
+    /// Number of other processes of this gateway that were running when it started.
     pub other_processes: usize,
 }
 
-/// Builds all parts. The second address and the clients' socket are opened, the endpoint list of the
-/// configuration and the maintenance state are in force.
-pub(super) async fn build(config: Config, operator: OperatorConfig) -> Result<Parts, StartError> {
+/// Builds all components. Opens the management address and the clients' socket, and applies the endpoint list
+/// of the configuration and the maintenance state to the event loop.
+pub(super) async fn build(config: Config, operator: OperatorConfig) -> Result<Components, StartError> {
     let mut builder = Builder::new(config, operator);
     let (control_sender, control) = mpsc::channel(COMMANDS_CAPACITY);
     let (command_sender, commands) = mpsc::channel(COMMANDS_CAPACITY);
@@ -111,9 +111,9 @@
     let mut event_loop = EventLoop::new(policy, builder.clock, resources);
     let controller = builder.controller(control_sender.clone());
     let other_processes = adopt_maintenance_state(&controller, &mut event_loop);
-    let (leaving, leave_requests) = mpsc::channel(1);
-    tokio::spawn(controller.run(commands, leave_requests));
-    let known = builder.adopt_known_list(&mut event_loop, fleet_start.slots);
+    let (handover, handover_requests) = mpsc::channel(1);
+    tokio::spawn(controller.run(commands, handover_requests));
+    let follow_options = builder.apply_known_list(&mut event_loop, fleet_start.slots);
     let start_order = builder.start_order()?;
 
     let clients = Arc::new(Clients {
@@ -128,7 +128,7 @@
     });
     let readiness = Readiness {
         started: builder.started,
-        first_list: first_list_max(known.index, fleet_start.slots),
+        list_timeout: list_timeout(follow_options.index, fleet_start.slots),
         in_slots: fleet_start.slots.is_some(),
         first_backend,
     };
@@ -145,25 +145,25 @@
         clock: builder.clock,
         status: builder.status,
         clients,
-        leaving,
+        handover,
         _commands: command_sender,
     };
     let counter_timeout = millis(builder.service_settings.settings.counter_timeout_ms);
     let reload = Reload {
         config: builder.config,
         counter_timeout,
-        known,
+        follow_options,
         start_order,
         inbox,
         control: control_sender,
     };
-    Ok(Parts { event_loop, inputs, control, readiness, reload, client_side, shutdown })
+    Ok(Components { event_loop, inputs, control, readiness, reload, client_side, shutdown })
 }
 
-/// What the parts are built from.
+/// The inputs from which the components are built.
 struct Builder {
     config: Config,
-    /// The settings of the configuration, with what the operator's file and the memory add to them.
+    /// Settings of the configuration, completed by the operator's file and the memory limits.
     service_settings: ServiceSettings,
     admin: Option<AdminConfig>,
     start: Option<StartConfig>,
@@ -196,10 +196,11 @@
         }
     }
 
-    /// Serves the second address, and opens the clients' socket.
+    /// Starts to serve the management address, and opens the clients' socket.
     async fn open_sockets(&self, commands: &mpsc::Sender<PendingCommand>) -> Result<TcpListener, StartError> {
         if let Some(address) = self.config.management {
-            // Before all that may take long: asked before the gateway is ready, it says so.
+            // Done before any step that may take long, so that operators can query a gateway that is
+            // starting.
             let listener = TcpListener::bind(address).await;
             let listener = listener.map_err(|source| StartError::Management { address, source })?;
             tokio::spawn(maintenance::serve(listener, commands.clone()));
@@ -214,7 +215,7 @@
 
     fn counter(&self, inbox: &mpsc::Sender<Input>) -> Option<Counter> {
         let timeout = millis(self.service_settings.settings.counter_timeout_ms);
-        self.config.peers.counter.map(|address| Counter::start(address, timeout, inbox))
+        self.config.addresses.counter.map(|address| Counter::start(address, timeout, inbox))
     }
 
     fn connection_pool(&self, ramp: Option<&ConnectionRamp>) -> ConnectionPool {
@@ -222,7 +223,7 @@
         let idle_close_ms = self.service_settings.names.idle_close_ms;
         let mut pool = ConnectionPool::new(self.capacity.connections, idle_close_ms, connect_timeout);
         if let Some(ramp) = ramp {
-            pool.grow_after(ramp.round());
+            pool.limit_initial_connections(ramp.round());
         }
         pool
     }
@@ -234,12 +235,12 @@
         Controller::new(directory, self.clock, warm_up_ms, self.status.clone(), control)
     }
 
-    /// Puts the endpoint list of the configuration in force, and gives what discovery is to be asked for
-    /// then.
-    fn adopt_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<SlotSchedule>) -> FollowOptions {
-        let known = std::mem::replace(&mut self.config.known, EndpointList::empty());
+    /// Applies the endpoint list of the configuration. Returns the options for following discovery from
+    /// there.
+    fn apply_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<SlotSchedule>) -> FollowOptions {
+        let known = std::mem::replace(&mut self.config.known_list, EndpointList::empty());
         discovery::log_rejected("known", &known);
-        // With the list's version the start asks for what has changed since, not for the whole list.
+        // With a version, discovery is asked for the changes since then instead of the whole list.
         let index = Some(known.index).filter(|_| !known.endpoints.is_empty());
         event_loop.take(Input::EndpointUpdate(EndpointUpdate {
             scope: UpdateScope::Cached,
@@ -257,21 +258,23 @@
         }
     }
 
-    /// How the agent orders this start, if it is to, and one is named.
+    /// Returns how the agent orders this start; `None` if that is disabled, or no agent is configured.
     fn start_order(&self) -> Result<Option<StartOrder>, StartError> {
         let ordered = self.start.is_some_and(|start| start.ordered_by_agent);
         let Some(admin) = self.admin.as_ref().filter(|_| ordered) else { return Ok(None) };
         let Some(agent) = admin.agent.clone() else { return Ok(None) };
         let dialer = Connector::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
         let name = self.config.name.parse();
-        let name = name.map_err(|source| StartError::Name { purpose: "to ask for a turn", source })?;
+        let purpose = "for a start slot from the agent";
+        let name = name.map_err(|source| StartError::Name { purpose, source })?;
         let gateways = self.service_settings.settings.gateway_count;
         Ok(Some(StartOrder { agent, dialer, name, incarnation: self.incarnation, gateways }))
     }
 }
 
-/// Puts the state of the processes before in force, before the first request: bans hold from the start, and
-/// other processes are left their shares. Returns how many of those live.
+/// Applies the maintenance state left by other processes of this gateway before the first request: bans are
+/// in force from the start, and the resources are shared with the processes still running. Returns their
+/// number.
 fn adopt_maintenance_state(controller: &Controller, event_loop: &mut EventLoop) -> usize {
     event_loop.adopt(controller.state());
     let other_processes = controller.other_processes();
@@ -283,23 +286,24 @@
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// A number that no other start of a gateway has: its millisecond and its process, below 2^53.
+/// Returns a number below 2^53 that is unique to this start of a gateway, from the time in ms and the process
+/// id.
 fn incarnation(clock: Clock) -> u64 {
     (((clock.now_ms() as u64) << 12) | u64::from(std::process::id() & 0xfff)) & ((1 << 53) - 1)
 }
 
-/// The directory that the processes of this gateway share. None without `$TMPDIR`; and what else can't be had
-/// is no reason not to serve.
+/// Opens the state directory that the processes of this gateway share. Returns `None` if `$TMPDIR` is unset
+/// or the directory can't be opened: the gateway serves without it.
 fn state_directory(listen: SocketAddr, incarnation: u64) -> Option<StateDirectory> {
     let parent = std::env::var_os("TMPDIR")?;
     StateDirectory::open(Path::new(&parent), listen, incarnation)
-        .inspect_err(|e| tracing::warn!("no folder under TMPDIR: {e}; bans end with this process"))
+        .inspect_err(|e| tracing::warn!("no state directory under TMPDIR: {e}; bans end with this process"))
         .ok()
 }
 
-/// How long to wait for the list as it is now: shortly for an update of one that is known, longer for the
-/// first.
-fn first_list_max(known: Option<u64>, slots: Option<SlotSchedule>) -> Duration {
+/// Returns how long the start waits for the current endpoint list: a short time for an update if the version
+/// `known` is already loaded, and longer for the first list.
+fn list_timeout(known: Option<u64>, slots: Option<SlotSchedule>) -> Duration {
     match (known, slots) {
         (Some(_), _) => FIRST_UPDATE_TIMEOUT,
         (None, None) => FIRST_LIST_TIMEOUT,
--- a/crates/gateway/src/server/capacity.rs
+++ b/crates/gateway/src/server/capacity.rs
@@ -1,4 +1,4 @@
-//! What the limits of a configuration come to: connections, and shares of the memory.
+//! Divides the socket and memory limits of a configuration into budgets.
 
 use std::sync::Arc;
 
@@ -8,29 +8,31 @@
 use crate::maintenance::{self, Partition};
 use crate::upstream::ConnectionPool;
 
-/// Descriptors for all but clients and backends: the runtime, the log, and the counter and discovery twice,
-/// as the old connections may still stand when a new configuration names others.
+/// File descriptors reserved for everything but clients and backends: the runtime, the log, and two sets of
+/// connections to the counter and discovery, as the old ones may still be open after a reload changes
+/// addresses.
 const RESERVED_SOCKETS: usize = 32;
-/// Of the memory, one in so many bytes may be taken by requests and answers, and as many by streamed values:
-/// buffers that are being read and written take about another part.
+/// Divisor of the memory limit that gives the budget of requests and answers, and the equal one of streamed
+/// values. Buffers being read and written take about another such part.
 const BUFFERS_DIVISOR: usize = 4;
-/// Of the memory, one in so many bytes may be taken by records of customers.
+/// Divisor of the memory limit that gives the memory for customers' records.
 const CUSTOMERS_DIVISOR: usize = 8;
-/// What the limits of a configuration come to.
+
+/// Number of connections and bytes of memory that the limits of a configuration allow.
 #[derive(Clone, Copy)]
 pub(super) struct Capacity {
-    /// Connections of clients, and as many to backends.
+    /// Number of client connections, and likewise of backend connections.
     pub connections: usize,
-    /// Bytes of requests and answers, and as many of streamed values.
+    /// Memory for requests and answers, and likewise for streamed values, bytes.
     pub buffer_bytes: usize,
-    /// Bytes of customers' records.
+    /// Memory for customers' records, bytes.
     pub customer_bytes: usize,
 }
 
 impl Capacity {
     pub fn of(config: &Config) -> Capacity {
-        let commands = if config.management.is_some() { maintenance::MAX_CONNECTIONS } else { 0 };
-        let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).saturating_sub(commands);
+        let management = if config.management.is_some() { maintenance::MAX_CONNECTIONS } else { 0 };
+        let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).saturating_sub(management);
         let memory_bytes = config.memory_mb << 20;
         Capacity {
             connections: sockets / 2,
@@ -40,13 +42,13 @@
     }
 }
 
-/// What clients and values may take together.
+/// Shared budgets of the client connections and their requests.
 pub(super) struct Budgets {
-    /// Bytes of requests and answers.
+    /// Memory for requests and answers, bytes.
     pub memory: Arc<Semaphore>,
-    /// Bytes of streamed values.
+    /// Memory for streamed values, bytes.
     pub streaming_memory: Arc<Semaphore>,
-    /// Connections of clients.
+    /// Permits for client connections.
     pub client_permits: Arc<Semaphore>,
 }
 
@@ -59,7 +61,7 @@
         }
     }
 
-    /// What other processes of this gateway may have a part of.
+    /// Returns the budgets that are shared with other processes of this gateway.
     pub fn partitions(&self, capacity: Capacity, pool: &ConnectionPool) -> Vec<Partition> {
         vec![
             Partition::new(Arc::clone(&self.client_permits), capacity.connections),
--- a/crates/gateway/src/server/fleet_start.rs
+++ b/crates/gateway/src/server/fleet_start.rs
@@ -1,4 +1,4 @@
-//! How a fleet shares out what its gateways do when they start.
+//! Limits on the load that the gateways of a fleet cause when they start, shared between them.
 
 use cold_start::{CallBudget, ConnectionRamp, SlotSchedule};
 use gateway_policy::interface::Routing;
@@ -9,14 +9,14 @@
 use super::readiness::FirstBackend;
 use crate::event_loop::StartRamp;
 
-/// How a fleet shares out what its gateways do when they start; each part is off where operators left it out.
+/// This gateway's share of the fleet's start limits. Each limit is absent if operators did not configure it.
 #[derive(Default)]
 pub(super) struct FleetStart {
-    /// This gateway's slots for calls for the list.
+    /// Slots for calls to discovery.
     pub slots: Option<SlotSchedule>,
-    /// First connections to backends.
+    /// Ramp of first connections to backends.
     pub ramp: Option<ConnectionRamp>,
-    /// Calls to the counter.
+    /// Budget of calls to the shared counter.
     pub counter_calls: Option<CallBudget>,
 }
 
@@ -24,24 +24,24 @@
     pub fn new(start: Option<StartConfig>, service_settings: &ServiceSettings, now_ms: f64) -> FleetStart {
         let Some(start) = start else { return FleetStart::default() };
         let settings = &service_settings.settings;
-        let (me, gateways) = (settings.gateway_index, settings.gateway_count);
+        let (index, gateways) = (settings.gateway_index, settings.gateway_count);
         let Routing { subset_size: subset, coverage, .. } = settings.routing;
         let ramp = |per_s| {
-            let subset = Subset::new(me, gateways, subset, coverage);
-            ConnectionRamp::new(me, gateways, subset, per_s, now_ms)
+            let subset = Subset::new(index, gateways, subset, coverage);
+            ConnectionRamp::new(index, gateways, subset, per_s, now_ms)
         };
-        let counter_calls = |per_s| CallBudget::new(me, gateways, per_s, now_ms);
+        let counter_calls = |per_s| CallBudget::new(index, gateways, per_s, now_ms);
         FleetStart {
-            slots: Some(SlotSchedule::new(me, gateways, start.list_calls_per_s)),
+            slots: Some(SlotSchedule::new(index, gateways, start.list_calls_per_s)),
             ramp: start.backend_connections_per_s.map(ramp),
             counter_calls: start.counter_calls_per_s.map(counter_calls),
         }
     }
 }
 
-/// The ramp of first connections, with what the start waits for.
+/// Prepares a connection ramp for the event loop. Also returns the first backend for which the start waits.
 pub(super) fn with_first_backend(ramp: ConnectionRamp) -> (StartRamp, FirstBackend) {
-    let within = ramp.first_timeout();
+    let timeout = ramp.first_timeout();
     let (ramp, reached) = StartRamp::new(ramp);
-    (ramp, FirstBackend { reached, within })
+    (ramp, FirstBackend { reached, timeout })
 }
--- a/crates/gateway/src/server/readiness.rs
+++ b/crates/gateway/src/server/readiness.rs
@@ -1,5 +1,5 @@
-//! What a start waits for before clients are accepted: the endpoint list as it is now, and where first
-//! connections follow a ramp, the first backend.
+//! The readiness of a starting gateway: before it accepts clients, it waits for the current endpoint list
+//! and, if first connections follow a ramp, for the first open backend.
 
 use std::time::Duration;
 
@@ -10,72 +10,76 @@
 use crate::event_loop::EventLoop;
 use crate::input::Input;
 
-/// A gateway is ready after this, whatever it waits for: a platform may give a start 30 s.
+/// A gateway is ready after this time even if it is still waiting, as a platform may allow a start only 30 s.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a wait of the start ended.
+/// Result of waiting during the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Wait {
-    /// What was waited for came, or its time is over.
-    Over,
-    /// SIGTERM came.
+pub(super) enum WaitResult {
+    /// The awaited event occurred, or its timeout expired.
+    Finished,
+    /// SIGTERM was received.
     Terminated,
 }
 
-/// What the start waits for, and for how long.
+/// The events for which the start waits, with their timeouts.
 pub(super) struct Readiness {
-    /// When the process began to start.
+    /// When the process started.
     pub started: Instant,
-    /// How long to wait for the endpoint list.
-    pub first_list: Duration,
-    /// Whether the list is asked for in slots, so that its wait is long.
+    /// Maximum time to wait for the endpoint list.
+    pub list_timeout: Duration,
+    /// Whether discovery is called in slots, so that the wait for the list may be long.
     pub in_slots: bool,
-    /// The first backend that can be sent to, where connections follow a ramp.
+    /// The first open backend, if first connections follow a ramp.
     pub first_backend: Option<FirstBackend>,
 }
 
-/// The first backend that can be sent to.
+/// The first backend to which the gateway can send requests.
 pub(super) struct FirstBackend {
-    /// Becomes true with it, or when the list is sure to name none.
+    /// Becomes true when a backend is open, or the list is confirmed to be empty.
     pub reached: watch::Receiver<bool>,
-    /// How long the ramp may take for it.
-    pub within: Duration,
+    /// Maximum time that the ramp takes to open it.
+    pub timeout: Duration,
 }
 
 impl Readiness {
-    /// Takes inputs in until the first list was among them. Without slots any input ends the wait.
+    /// Processes inputs until the first endpoint list has been processed, or the timeout expires. Without
+    /// slots any input ends the wait.
     pub async fn wait_for_list(
         &self,
         event_loop: &mut EventLoop,
         inputs: &mut mpsc::Receiver<Input>,
         terminate: &mut Signal,
-    ) -> Wait {
+    ) -> WaitResult {
         let first_list = async {
             while let Some(input) = inputs.recv().await {
                 let is_list = matches!(input, Input::EndpointUpdate(_));
                 event_loop.take(input);
-                // In slots the list is worth a long wait, which an answer of the counter must not end.
+                // With slots the wait for the list may be long, and other inputs, such as the result of a
+                // counter call, must not cut it short.
                 if is_list || !self.in_slots {
                     break;
                 }
             }
         };
         tokio::select! {
-            _ = timeout(self.first_list, first_list) => Wait::Over,
-            // A long wait has to end with SIGTERM: otherwise the platform would kill the process.
-            _ = terminate.recv(), if self.in_slots => Wait::Terminated,
+            _ = timeout(self.list_timeout, first_list) => WaitResult::Finished,
+            // SIGTERM ends a long wait, as the platform would otherwise kill the process.
+            _ = terminate.recv(), if self.in_slots => WaitResult::Terminated,
         }
     }
 
-    /// Waits for the first backend, where connections follow a ramp.
-    pub async fn wait_for_backend(self, terminate: &mut Signal) -> Wait {
-        let Some(FirstBackend { mut reached, within }) = self.first_backend else { return Wait::Over };
-        // The time that the list took counts.
-        let deadline = (self.started + within.max(self.first_list)).min(self.started + READY_TIMEOUT);
+    /// Waits for the first open backend, if first connections follow a ramp.
+    pub async fn wait_for_backend(self, terminate: &mut Signal) -> WaitResult {
+        let Some(FirstBackend { mut reached, timeout }) = self.first_backend else {
+            return WaitResult::Finished;
+        };
+        // Both waits count from the start of the process.
+        let deadline = (self.started + timeout.max(self.list_timeout)).min(self.started + READY_TIMEOUT);
         tokio::select! {
-            _ = timeout_at(deadline, reached.wait_for(|reached| *reached)) => Wait::Over,
-            // As above.
-            _ = terminate.recv() => Wait::Terminated,
+            _ = timeout_at(deadline, reached.wait_for(|reached| *reached)) => WaitResult::Finished,
+            // As in `wait_for_list`.
+            _ = terminate.recv() => WaitResult::Terminated,
         }
     }
 }
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the gateway goes over to what the configuration file names by then, in whole or not at all.
+//! Reload on SIGHUP: the gateway reads the configuration file again, and applies it completely or not at all.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,33 +8,34 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::config::{Config, ConfigError, Peers};
+use crate::config::{Config, ConfigError, ServiceAddresses};
 use crate::counter::Counter;
 use crate::discovery::{self, FollowOptions, StartOrder};
 use crate::input::Input;
 use crate::maintenance::ControlRequest;
 
-/// Follows discovery, and replaces it, the counter and the settings at each SIGHUP.
+/// Runs the task that follows discovery, and on each SIGHUP replaces the settings and the addresses of
+/// discovery and the counter.
 pub(super) struct Reload {
     /// The configuration in force.
     pub config: Config,
-    /// How long a call to the counter may take.
+    /// Timeout of a counter call.
     pub counter_timeout: Duration,
-    /// What is known of the list at the start.
-    pub known: FollowOptions,
-    /// Whom the start is ordered by, once.
+    /// Options for following discovery from the endpoint list of the configuration.
+    pub follow_options: FollowOptions,
+    /// The agent that orders the start; taken by the first task that follows discovery.
     pub start_order: Option<StartOrder>,
     pub inbox: mpsc::Sender<Input>,
     pub control: mpsc::Sender<ControlRequest>,
 }
 
 impl Reload {
-    /// Runs until the gateway ends.
+    /// Runs until the gateway shuts down.
     pub async fn run(mut self, path: PathBuf, mut hangup: Signal) {
-        let mut peers = self.config.peers;
-        let mut watch = self.watch(peers.discovery, self.known);
-        // Another discovery has versions of its own.
-        let unknown = FollowOptions { index: None, ..self.known };
+        let mut addresses = self.config.addresses;
+        let mut watch = self.follow_discovery(addresses.discovery, self.follow_options);
+        // Versions of one discovery service mean nothing to another, so a change of address starts over.
+        let from_scratch = FollowOptions { index: None, ..self.follow_options };
         while hangup.recv().await.is_some() {
             let config = match read(&path, &self.config) {
                 Ok(config) => config,
@@ -52,23 +53,24 @@
                 }
             }
             self.accept(config);
-            let new = self.config.peers;
-            if new.discovery != peers.discovery {
+            let new = self.config.addresses;
+            if new.discovery != addresses.discovery {
                 watch.abort();
-                watch = self.watch(new.discovery, unknown);
+                watch = self.follow_discovery(new.discovery, from_scratch);
             }
-            peers = Peers { discovery: new.discovery, counter: self.move_counter(peers.counter).await };
+            let counter = self.move_counter(addresses.counter).await;
+            addresses = ServiceAddresses { discovery: new.discovery, counter };
         }
     }
 
-    /// Follows the list at an address, until the handle is dropped.
-    fn watch(&mut self, discovery: SocketAddr, known: FollowOptions) -> AbortOnDropHandle<()> {
+    /// Starts a task that follows the endpoint list at an address, until the handle is dropped.
+    fn follow_discovery(&mut self, address: SocketAddr, options: FollowOptions) -> AbortOnDropHandle<()> {
         let following =
-            discovery::follow::<Input>(discovery, known, self.start_order.take(), self.inbox.clone());
+            discovery::follow::<Input>(address, options, self.start_order.take(), self.inbox.clone());
         AbortOnDropHandle::new(tokio::spawn(following))
     }
 
-    /// Has the settings changed that may change in service.
+    /// Asks the event loop to apply those settings that can change without a restart.
     async fn change_settings(&self, config: &Config) -> Result<(), Rejected> {
         let (reply, changed) = oneshot::channel();
         let change = ControlRequest::ChangeSettings {
@@ -82,6 +84,8 @@
         }
     }
 
+    /// Makes `config` the configuration in force, and logs the sections that take effect only after a
+    /// restart.
     fn accept(&mut self, config: Config) {
         let restart = self.config.service_settings.sections_needing_restart(&config.service_settings);
         tracing::info!("SIGHUP: the new configuration is in force");
@@ -91,29 +95,30 @@
         self.config = config;
     }
 
-    /// Goes over to the counter that the configuration names, if there was one before and it names another.
-    /// Returns the address of the one in use.
-    async fn move_counter(&self, before: Option<SocketAddr>) -> Option<SocketAddr> {
-        let named = self.config.peers.counter;
-        let moved = named.filter(|_| before.is_some() && named != before);
+    /// Replaces the counter if the configuration changes its address. A counter can't be added by a reload.
+    /// Returns the address of the counter in use.
+    async fn move_counter(&self, current: Option<SocketAddr>) -> Option<SocketAddr> {
+        let configured = self.config.addresses.counter;
+        let moved = configured.filter(|_| current.is_some() && configured != current);
         if let Some(address) = moved {
             let counter = Counter::start(address, self.counter_timeout, &self.inbox);
-            // Fails only when the gateway ends.
+            // Fails only after the event loop has ended.
             let _ = self.inbox.send(Input::CounterMoved(counter)).await;
         }
-        moved.or(before)
+        moved.or(current)
     }
 }
 
-/// Why new settings are not in force.
+/// The reason why new settings were not applied.
 enum Rejected {
     ShuttingDown,
     Settings(gateway_policy::interface::SettingsError),
 }
 
-/// Reads a configuration that has all that the one in force has: a file that is half written lacks some.
+/// Reads a configuration and checks that it has all keys of the one in force, as a partly written file may
+/// not.
 fn read(path: &Path, in_force: &Config) -> Result<Config, ConfigError> {
     let config = Config::read(path)?;
-    config.has_all_of(in_force)?;
+    config.check_keys_of(in_force)?;
     Ok(config)
 }
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown after SIGTERM: its phases, and what is still owed in each (`docs/design/endings.md`).
+//! The phases of the shutdown after SIGTERM (see `docs/design/endings.md`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,21 +12,22 @@
 use crate::input::Input;
 use crate::maintenance::{PendingCommand, ProcessStatus};
 
-/// A request that is still open so long after SIGTERM fails, or earlier if the deadlines are shorter.
+/// Upper bound of the time that requests have left after SIGTERM, ms. It is less if the longest deadline is.
 const MAX_OPEN_REQUESTS_MS: f64 = 3_000.0;
-/// Added to that: part of the 0.7 s that are left until the platform kills the process.
+/// Time added to that: part of the 0.7 s left until the platform kills the process.
 const MARGIN: Duration = Duration::from_millis(300);
-/// How long new connections go on coming after SIGTERM, at least.
+/// Minimum time for which connections are served as before after SIGTERM, since new ones still arrive.
 const MIN_ACCEPTING: Duration = Duration::from_millis(500);
-/// The last part, in which connections close behind an answer, and after [`IDLE_CLOSE_DELAY`] of it as they
-/// are idle. Until then clients that use one go on being served: other gateways may be down as well.
+/// Length of the closing phase, in which connections close after an answer, and after the first
+/// [`IDLE_CLOSE_DELAY`] of it also when idle. Closing starts this late because the other gateways that
+/// clients could use may be down as well.
 const CLOSING: Duration = Duration::from_millis(700).saturating_add(IDLE_CLOSE_DELAY);
-/// The end of that, in which no answer is waited for.
-const NO_ANSWERS: Duration = Duration::from_millis(50);
-/// How long the last answers may take to be written, and the unreported charges to be left.
-const LAST_WRITES: Duration = Duration::from_millis(200);
+/// Last part of the closing phase, in which requests are no longer waited for.
+const ANSWER_MARGIN: Duration = Duration::from_millis(50);
+/// Maximum time for writing the last answers, and for handing over unreported charges.
+const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long the phases of a shutdown last, one after another: serving, closing, last writes.
+/// The lengths of the phases of a shutdown: serving, then closing, then last writes.
 #[derive(Clone, Copy, Debug)]
 struct Phases {
     /// Serving and closing together.
@@ -34,40 +35,41 @@
 }
 
 impl Phases {
-    /// Those of a gateway whose longest deadline is this.
+    /// Returns the phases for a gateway whose longest deadline is `longest_ms`.
     fn for_deadline_ms(longest_ms: f64) -> Phases {
         Phases { total: Duration::from_secs_f64(longest_ms.min(MAX_OPEN_REQUESTS_MS) / 1000.0) + MARGIN }
     }
 
-    /// Connections are accepted and served as before.
+    /// Returns how long connections are accepted and served as before.
     fn serving(self) -> Duration {
         self.total.saturating_sub(CLOSING).max(MIN_ACCEPTING.min(self.total))
     }
 
-    /// From SIGTERM on: a request that comes has to be answered within this.
+    /// Returns the time after SIGTERM by which every request must be answered.
     fn answering(self) -> Duration {
-        self.total - NO_ANSWERS
+        self.total - ANSWER_MARGIN
     }
 }
 
-/// What a shutdown works with.
+/// The components that take part in a shutdown.
 pub(super) struct Shutdown {
     pub clock: Clock,
     pub status: ProcessStatus,
     pub clients: Arc<Clients>,
-    /// Has unreported charges left for the processes that go on; answered when they are.
-    pub leaving: mpsc::Sender<oneshot::Sender<()>>,
-    /// Kept so that the maintenance state is served for as long as the process lives.
+    /// Asks the maintenance controller to hand over unreported charges to the gateway's other processes. The
+    /// sender that is passed is answered when that is done.
+    pub handover: mpsc::Sender<oneshot::Sender<()>>,
+    /// Keeps the maintenance controller running for as long as the process lives.
     pub _commands: mpsc::Sender<PendingCommand>,
 }
 
 impl Shutdown {
-    /// Goes through all phases.
+    /// Runs all phases.
     pub async fn run(self, mut accepting: JoinHandle<()>) {
         let phases = Phases::for_deadline_ms(self.longest_deadline_ms());
         let end = Instant::now() + phases.total;
         self.bound_new_requests(phases).await;
-        // Another process accepts on the same socket: what this one took now would only have to end.
+        // Another process accepts on the same socket, so connections accepted here would only have to close.
         if self.status.other_processes() > 0 {
             accepting.abort();
         }
@@ -80,7 +82,7 @@
         }
         self.clients.connections.close();
         self.finish_connections(end).await;
-        self.leave_unreported().await;
+        self.hand_over_unreported().await;
     }
 
     fn longest_deadline_ms(&self) -> f64 {
@@ -94,30 +96,30 @@
             .fold(0.0, f64::max)
     }
 
-    /// Requests that come from now on are told no more time than is left.
+    /// Limits the deadlines of new requests to the time that is left.
     async fn bound_new_requests(&self, phases: Phases) {
         let answer_by_ms = self.clock.now_ms() + phases.answering().as_secs_f64() * 1000.0;
         let _ = self.clients.inbox.send(Input::ShuttingDown { answer_by_ms }).await;
     }
 
-    /// Waits for the connections to end, and fails what is open on those that did not.
+    /// Waits until `end` for the connections to close, then fails the requests that are still open.
     async fn finish_connections(&self, end: Instant) {
-        let all_ended = tokio::select! {
+        let all_closed = tokio::select! {
             () = self.clients.connections.wait() => true,
             () = sleep_until(end) => false,
         };
-        if !all_ended {
-            // The kill that follows would leave these requests without any answer.
+        if !all_closed {
+            // Without this, these requests would get no answer at all when the process exits or is killed.
             let _ = self.clients.inbox.send(Input::FailAll).await;
-            let _ = timeout(LAST_WRITES, self.clients.connections.wait()).await;
+            let _ = timeout(LAST_WRITES_TIMEOUT, self.clients.connections.wait()).await;
         }
     }
 
-    /// Leaves unreported charges to the processes that go on.
-    async fn leave_unreported(&self) {
-        let (done, left) = oneshot::channel();
-        if self.leaving.send(done).await.is_ok() {
-            let _ = timeout(LAST_WRITES, left).await;
+    /// Hands over unreported charges to the gateway's other processes.
+    async fn hand_over_unreported(&self) {
+        let (done, finished) = oneshot::channel();
+        if self.handover.send(done).await.is_ok() {
+            let _ = timeout(LAST_WRITES_TIMEOUT, finished).await;
         }
     }
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The backends' side: pools of connections, and exchanges on them, one request at a time on each.
+//! The backend side: pools of connections, each of which carries one request at a time.
 
 mod connection;
 mod exchange;
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a connection.
+//! The exchange of a request and its answer on a connection.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,36 +12,37 @@
 use super::connection::Connection;
 use super::reply::Reply;
 use crate::resp::{self, Header};
-use crate::streaming::{ValueWriter, MAX_PIECE_BYTES, STREAM_IDLE_TIMEOUT};
+use crate::streaming::{ValueWriter, MAX_CHUNK_BYTES, STREAM_IDLE_TIMEOUT};
 
-/// How long an answer that has begun may pause. Backends write in pieces, and may take seconds for all of
-/// them.
+/// Maximum time between two reads of an answer that has begun. Backends write answers in several parts, and
+/// may take seconds for all of them.
 const REPLY_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long what stands behind a streamed value may take.
+/// Minimum time allowed for the rest of an answer after its header or streamed value.
 const REMAINDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Until when the steps of an exchange may last.
+/// The deadlines of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadlines {
-    /// The last byte of the request is written by then, or none counts.
+    /// When the whole request must have been written. Otherwise the connection counts as failed.
     pub write: Instant,
-    /// The answer has begun by then.
+    /// When the answer must have begun.
     pub answer: Instant,
 }
 
 impl Connection {
-    /// Writes a call or a probe, and reads its answer. The connection comes back if it can be used again.
+    /// Writes a request or a probe and reads its answer. Also returns the connection if it can be reused.
     ///
-    /// `begins` is called when the answer begins, with the length of a value that is too long to be buffered
-    /// whole, which it has to take. `decode` reads the whole answer; `None` if it is none.
+    /// `on_start` is called when the answer begins. If its value is too long to be buffered, `on_start` gets
+    /// the length of the value, and returns where to forward it. `decode` decodes the complete answer, and
+    /// returns `None` if it is not a valid one.
     pub async fn exchange<B: Future<Output = Option<ValueWriter>>>(
         mut self,
         request: Bytes,
         deadlines: Deadlines,
-        begins: impl FnOnce(Option<usize>) -> B,
+        on_start: impl FnOnce(Option<usize>) -> B,
         decode: impl FnOnce(BytesFrame) -> Option<Reply>,
     ) -> (Reply, Option<Connection>) {
-        let answer = self.write_and_read(request, deadlines, begins).await;
+        let answer = self.write_and_read(request, deadlines, on_start).await;
         self.begin_cool_down();
         match answer.map(decode) {
             Ok(Some(reply)) => (reply, Some(self)),
@@ -54,7 +55,7 @@
         &mut self,
         request: Bytes,
         deadlines: Deadlines,
-        begins: impl FnOnce(Option<usize>) -> B,
+        on_start: impl FnOnce(Option<usize>) -> B,
     ) -> Result<BytesFrame, Outcome> {
         match timeout_at(deadlines.write, self.stream.write_all(&request)).await {
             Ok(Ok(())) => {}
@@ -63,47 +64,49 @@
         drop(request);
         let header =
             timeout_at(deadlines.answer, self.read_header()).await.unwrap_or(Err(Outcome::Timeout))?;
-        let before = match header {
-            Header::Streamed { parts, length, header: header_bytes } => {
-                let writer = begins(Some(length)).await.ok_or(Outcome::Cancelled)?;
-                self.buffer.advance(header_bytes);
+        let prefix = match header {
+            Header::Streamed { elements, length, header_length } => {
+                let writer = on_start(Some(length)).await.ok_or(Outcome::Cancelled)?;
+                self.buffer.advance(header_length);
                 self.forward_value(writer).await?;
-                resp::remainder_prefix(parts).ok_or(Outcome::Error)?
+                resp::remainder_prefix(elements).ok_or(Outcome::Error)?
             }
             _ => {
-                begins(None).await;
-                resp::WHOLE
+                on_start(None).await;
+                resp::NO_PREFIX
             }
         };
-        let until = deadlines.answer.max(Instant::now() + REMAINDER_TIMEOUT);
-        timeout_at(until, self.read_frame(before)).await.unwrap_or(Err(Outcome::Timeout))
+        let deadline = deadlines.answer.max(Instant::now() + REMAINDER_TIMEOUT);
+        timeout_at(deadline, self.read_frame(prefix)).await.unwrap_or(Err(Outcome::Timeout))
     }
 
-    /// Reads until it shows how the answer begins.
+    /// Reads until the header of the answer is complete.
     async fn read_header(&mut self) -> Result<Header, Outcome> {
         self.fill_buffer().await?;
         loop {
             match resp::read_header(&self.buffer) {
-                // A spoilt one that never ends must not hold the request until its time is up.
-                Header::Incomplete => self.fill_buffer_soon().await?,
+                // Times out early, so that a corrupt header that never ends does not hold the request until
+                // its deadline.
+                Header::Incomplete => self.fill_buffer_with_timeout().await?,
                 header => return Ok(header),
             }
         }
     }
 
-    /// Passes a value on as it comes.
-    async fn forward_value(&mut self, mut to: ValueWriter) -> Result<(), Outcome> {
+    /// Forwards a streamed value as it is received.
+    async fn forward_value(&mut self, mut writer: ValueWriter) -> Result<(), Outcome> {
         loop {
-            while to.left() > 0 && !self.buffer.is_empty() {
-                if !to.forward(&mut self.buffer).await {
+            while writer.remaining() > 0 && !self.buffer.is_empty() {
+                if !writer.forward(&mut self.buffer).await {
                     return Err(Outcome::Cancelled);
                 }
             }
-            if to.left() == 0 {
+            if writer.remaining() == 0 {
                 return Ok(());
             }
-            // A new buffer: this one would grow by what nobody takes yet.
-            self.buffer = BytesMut::with_capacity(MAX_PIECE_BYTES);
+            // A new buffer of fixed capacity, as the old one would grow by data that the client does not take
+            // yet.
+            self.buffer = BytesMut::with_capacity(MAX_CHUNK_BYTES);
             match timeout(STREAM_IDLE_TIMEOUT, self.stream.read_buf(&mut self.buffer)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 _ => return Err(Outcome::Reset),
@@ -111,33 +114,33 @@
         }
     }
 
-    /// Reads the whole answer. Of one whose value was streamed, `before` stands in for what came first.
-    async fn read_frame(&mut self, before: &[u8]) -> Result<BytesFrame, Outcome> {
-        if !before.is_empty() {
-            let mut buffer = BytesMut::from(before);
+    /// Reads a complete answer. If its value was streamed, `prefix` replaces the part that was consumed.
+    async fn read_frame(&mut self, prefix: &[u8]) -> Result<BytesFrame, Outcome> {
+        if !prefix.is_empty() {
+            let mut buffer = BytesMut::from(prefix);
             buffer.extend_from_slice(&self.buffer);
             self.buffer = buffer;
         }
         loop {
             match resp::next_frame(&mut self.buffer) {
                 Ok(Some(frame)) => {
-                    // The rest of the room stays with the frame.
+                    // Copied, as the frame keeps the memory of the old buffer.
                     self.buffer = BytesMut::from(&self.buffer[..]);
                     return Ok(frame);
                 }
-                Ok(None) => self.fill_buffer_soon().await?,
+                Ok(None) => self.fill_buffer_with_timeout().await?,
                 Err(_) => return Err(Outcome::Error),
             }
         }
     }
 
-    /// Reads more of an answer that has begun.
-    async fn fill_buffer_soon(&mut self) -> Result<(), Outcome> {
+    /// Reads more of an answer that has begun, within [`REPLY_PAUSE_TIMEOUT`].
+    async fn fill_buffer_with_timeout(&mut self) -> Result<(), Outcome> {
         timeout(REPLY_PAUSE_TIMEOUT, self.fill_buffer()).await.unwrap_or(Err(Outcome::Error))
     }
 
     async fn fill_buffer(&mut self) -> Result<(), Outcome> {
-        resp::make_room(&mut self.buffer);
+        resp::reserve_for_read(&mut self.buffer);
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) | Err(_) => Err(Outcome::Reset),
             Ok(_) => Ok(()),
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backends on which nothing is in flight, and how many there may be.
+//! Pools of idle connections to backends, and limits on the number of connections.
 
 #[cfg(test)]
 mod tests;
@@ -14,132 +14,137 @@
 
 use super::connection::{Connection, PendingConnection};
 
-/// Part of the idle time that a backend allows after which a connection is not used again: the backend's
-/// clock began earlier than the gateway's.
+/// Fraction of the idle time allowed by backends for which a connection is reused. A backend begins to count
+/// the idle time before the gateway does.
 const IDLE_SAFETY_FRACTION: f64 = 0.8;
-/// The longest idle time, s, whatever a backend allows.
+/// Upper bound of the idle time, s, whatever backends allow.
 const MAX_IDLE_S: f64 = 3600.0;
-/// The most connections to one backend. More requests than that would only wait there.
+/// Maximum number of connections to one backend. More concurrent requests would only queue there.
 const MAX_CONNECTIONS_PER_BACKEND: usize = 160;
-/// The most at first, where connections follow a ramp.
+/// Initial limit of connections to a backend, if connections follow a ramp.
 const INITIAL_CONNECTIONS: usize = 1;
 
-/// How a connection for a request can be had.
+/// The result of asking the pool for a connection.
 #[derive(Debug)]
 pub enum Checkout {
-    /// One is there.
+    /// An idle connection.
     Idle(Connection),
-    /// One has just answered, and is there when it has cooled down.
+    /// A connection that has just answered, and can be used when it has cooled down.
     CoolingDown(Connection),
-    /// One may be opened.
+    /// A new connection may be opened.
     Open(PendingConnection),
-    /// There is no permit for one.
+    /// No connection is idle, and there is no permit for a new one.
     Exhausted,
-    /// The backend is not known, drains or is gone.
+    /// The backend is unknown, draining or removed.
     NotReady,
 }
 
-/// The connections to one backend.
+/// The idle connections to one backend.
 #[derive(Debug)]
 struct BackendPool {
-    /// It takes work, and does not drain.
+    /// Whether the backend accepts requests, and is not draining.
     ready: bool,
     started_ms: f64,
     address: SocketAddr,
     generation: u64,
-    /// Those that became idle last stand last.
+    /// Idle connections, in the order in which they became idle.
     idle: VecDeque<Connection>,
-    growth: Growth,
+    limit: ConnectionLimit,
 }
 
-/// How many connections to a backend there may be by now.
+/// The current limit of connections to a backend.
 #[derive(Clone, Debug)]
-struct Growth {
+struct ConnectionLimit {
     permits: Arc<Semaphore>,
-    /// All permits by now.
+    /// Current number of permits, free and taken.
     total: usize,
-    /// From when on each answer allows one more.
+    /// From this time on, each answer adds a permit.
     grows_from: Instant,
 }
 
-/// How many connections to a backend there are at first, and for how long.
+/// The initial limit of connections to a backend.
 #[derive(Clone, Copy, Debug)]
 struct InitialLimit {
     connections: usize,
-    lasts: Duration,
+    /// How long the limit does not grow.
+    duration: Duration,
 }
 
-impl Growth {
-    fn new(limit: InitialLimit) -> Growth {
-        Growth {
-            permits: Arc::new(Semaphore::new(limit.connections)),
-            total: limit.connections,
-            grows_from: Instant::now() + limit.lasts,
+impl ConnectionLimit {
+    fn new(initial: InitialLimit) -> ConnectionLimit {
+        ConnectionLimit {
+            permits: Arc::new(Semaphore::new(initial.connections)),
+            total: initial.connections,
+            grows_from: Instant::now() + initial.duration,
         }
     }
 }
 
-/// The connections to all backends, by the number that the policy knows them by.
+/// The idle connections to all backends, by the policy's number of the backend.
 #[derive(Debug)]
 pub struct ConnectionPool {
     backends: HashMap<u32, BackendPool>,
-    /// The backends at each address; there is one, but for a moment.
+    /// The backends at each address: one, except while an update is being applied.
     by_address: HashMap<SocketAddr, Vec<u32>>,
-    /// Counts what makes connections stale.
-    generations: u64,
+    /// The last generation that was assigned. A backend gets a new one when its connections become stale.
+    last_generation: u64,
     /// The backend of each idle connection, in the order in which they became idle.
     idle_order: BTreeMap<u64, u32>,
     last_idle_number: u64,
     permits: Arc<Semaphore>,
     idle_max: Duration,
     initial_limit: InitialLimit,
-    /// A connection that is not up by then has failed.
+    /// Maximum time for opening a connection.
     pub connect_timeout: Duration,
 }
 
-/// How long a connection may be idle and be used again.
+/// Returns how long a connection may be idle and still be reused.
 fn idle_max(idle_close_ms: f64) -> Duration {
     Duration::from_secs_f64((idle_close_ms * IDLE_SAFETY_FRACTION / 1000.0).clamp(0.0, MAX_IDLE_S))
 }
 
 impl ConnectionPool {
-    /// Keeps at most so many connections in all.
+    /// Creates a pool that allows at most `connections` connections, to backends that close idle connections
+    /// after `idle_close_ms`.
     pub fn new(connections: usize, idle_close_ms: f64, connect_timeout: Duration) -> Self {
         ConnectionPool {
             backends: HashMap::new(),
             by_address: HashMap::new(),
-            generations: 0,
+            last_generation: 0,
             idle_order: BTreeMap::new(),
             last_idle_number: 0,
             permits: Arc::new(Semaphore::new(connections)),
             idle_max: idle_max(idle_close_ms),
-            initial_limit: InitialLimit { connections: MAX_CONNECTIONS_PER_BACKEND, lasts: Duration::ZERO },
+            initial_limit: InitialLimit {
+                connections: MAX_CONNECTIONS_PER_BACKEND,
+                duration: Duration::ZERO,
+            },
             connect_timeout,
         }
     }
 
-    /// From now on there is one connection to a backend for so long, and then each answer allows one more.
+    /// Limits new backends to one connection for `duration`. After that, each answer allows one more.
     ///
-    /// Without, a backend that has just started gets as many connections from each gateway as a burst there
-    /// has requests. The price: that burst goes to other backends, or is rejected.
-    pub fn grow_after(&mut self, time: Duration) {
-        self.initial_limit = InitialLimit { connections: INITIAL_CONNECTIONS, lasts: time };
+    /// Without this limit, a backend that has just started gets as many connections from each gateway as
+    /// there are requests in a burst. In exchange, the burst goes to other backends or is rejected.
+    pub fn limit_initial_connections(&mut self, duration: Duration) {
+        self.initial_limit = InitialLimit { connections: INITIAL_CONNECTIONS, duration };
     }
 
-    /// The first connection to a backend has answered: the time of one connection begins now.
+    /// Records that the first connection to a backend has answered: the initial limit lasts from now on.
     pub fn first_connection_answered(&mut self, backend: u32, now: Instant) {
         if let Some(pool) = self.backends.get_mut(&backend) {
-            pool.growth.grows_from = now + self.initial_limit.lasts;
+            pool.limit.grows_from = now + self.initial_limit.duration;
         }
     }
 
-    /// A backend has answered.
+    /// Records that a backend has answered an attempt, which may add a permit for a connection.
     pub fn attempt_answered(&mut self, backend: u32, now: Instant) {
         let Some(pool) = self.backends.get_mut(&backend) else { return };
-        let growth = &mut pool.growth;
-        if growth.total < MAX_CONNECTIONS_PER_BACKEND && growth.grows_from <= now {
-            growth.total += 1;
-            growth.permits.add_permits(1);
+        let limit = &mut pool.limit;
+        if limit.total < MAX_CONNECTIONS_PER_BACKEND && limit.grows_from <= now {
+            limit.total += 1;
+            limit.permits.add_permits(1);
         }
     }
 
@@ -148,14 +153,15 @@
         Arc::clone(&self.permits)
     }
 
-    /// Goes by other limits from now on; connections that stand have them at their next use.
+    /// Changes the idle time and the connect timeout. Connections that are already open are checked against
+    /// the new idle time when they are next used.
     pub fn set_limits(&mut self, idle_close_ms: f64, connect_timeout: Duration) {
         self.idle_max = idle_max(idle_close_ms);
         self.connect_timeout = connect_timeout;
     }
 
-    /// Applies a line of the list. Returns the backends that are not at its address any more, as one that
-    /// started later is; the one of the line may be among them.
+    /// Applies an entry of the endpoint list. Of several backends at one address, only the one that started
+    /// last is kept. Returns the backends that were replaced, which may include the one of the entry.
     pub fn update(&mut self, entry: &BackendEndpoint, address: SocketAddr) -> Vec<u32> {
         if entry.state == EndpointState::Removed {
             self.remove(entry.id);
@@ -177,24 +183,24 @@
         replaced
     }
 
-    /// Has a backend as a line says. Where anything is other than before, its connections are stale: they may
-    /// lead to a process that is no more, and requests would be reset on them.
+    /// Adds or updates a backend. If anything has changed, its connections become stale: they may lead to a
+    /// process that has ended, and requests on them would be reset.
     fn set(&mut self, entry: &BackendEndpoint, address: SocketAddr) {
         let (started_ms, ready) = (entry.started_ms, entry.state == EndpointState::Ready);
         let old = self.backends.get(&entry.id);
         if old.is_some_and(|p| p.address == address && p.started_ms == started_ms && p.ready == ready) {
             return;
         }
-        self.generations += 1;
-        // One that started anew has answered nothing.
-        let keeps_growth = |pool: &&BackendPool| {
+        self.last_generation += 1;
+        // A backend that has restarted begins with the initial limit again.
+        let keeps_limit = |pool: &&BackendPool| {
             pool.started_ms == started_ms || self.initial_limit.connections == MAX_CONNECTIONS_PER_BACKEND
         };
-        let growth = old.filter(keeps_growth).map(|pool| pool.growth.clone());
-        let growth = growth.unwrap_or_else(|| Growth::new(self.initial_limit));
-        let (generation, idle) = (self.generations, VecDeque::new());
+        let limit = old.filter(keeps_limit).map(|pool| pool.limit.clone());
+        let limit = limit.unwrap_or_else(|| ConnectionLimit::new(self.initial_limit));
+        let (generation, idle) = (self.last_generation, VecDeque::new());
         self.remove(entry.id);
-        let pool = BackendPool { ready, started_ms, address, generation, idle, growth };
+        let pool = BackendPool { ready, started_ms, address, generation, idle, limit };
         self.backends.insert(entry.id, pool);
         self.by_address.entry(address).or_default().push(entry.id);
     }
@@ -212,87 +218,91 @@
         }
     }
 
-    /// Connections on which nothing is in flight.
+    /// Returns the number of idle connections.
     pub fn idle_connections(&self) -> usize {
         self.idle_order.len()
     }
 
-    /// Whether a backend is on the list.
+    /// Whether the pool has an entry for a backend.
     pub fn contains(&self, backend: u32) -> bool {
         self.backends.contains_key(&backend)
     }
 
-    /// Applies a whole list: backends that it does not name are gone.
-    pub fn retain(&mut self, named: impl Fn(u32) -> bool) {
-        let gone: Vec<u32> = self.backends.keys().copied().filter(|id| !named(*id)).collect();
-        for id in gone {
+    /// Removes the backends for which `keep` returns false, because a snapshot of the endpoint list lacks
+    /// them.
+    pub fn retain(&mut self, keep: impl Fn(u32) -> bool) {
+        let removed: Vec<u32> = self.backends.keys().copied().filter(|id| !keep(*id)).collect();
+        for id in removed {
             self.remove(id);
         }
     }
 
-    /// A connection for a request to a backend now.
+    /// Takes a connection for a request to a backend.
     pub fn check_out(&mut self, backend: u32, now: Instant) -> Checkout {
         let Some(pool) = self.backends.get_mut(&backend).filter(|pool| pool.ready) else {
             return Checkout::NotReady;
         };
-        // Those that cool down stand last, as they became idle last; of them the first is ready soonest.
+        // Takes the last connection that has cooled down. Those still cooling down became idle last; if there
+        // are no others, the first of them is ready soonest.
         while !pool.idle.is_empty() {
-            let cool = pool.idle.iter().rposition(|connection| connection.is_cool(now));
-            let Some(connection) = pool.idle.remove(cool.unwrap_or(0)) else { break };
+            let cooled_down = pool.idle.iter().rposition(|connection| connection.has_cooled_down(now));
+            let Some(connection) = pool.idle.remove(cooled_down.unwrap_or(0)) else { break };
             self.idle_order.remove(&connection.idle_number);
             if connection.is_usable(now, self.idle_max) {
-                let is_cool = cool.is_some();
-                return if is_cool { Checkout::Idle(connection) } else { Checkout::CoolingDown(connection) };
+                return match cooled_down {
+                    Some(_) => Checkout::Idle(connection),
+                    None => Checkout::CoolingDown(connection),
+                };
             }
         }
         self.open(backend)
     }
 
-    /// A new connection, if there are permits for it.
+    /// Takes the permits for a new connection, if they are available.
     fn open(&mut self, backend: u32) -> Checkout {
         if self.permits.available_permits() == 0 {
             self.close_longest_idle();
         }
         let pool = &self.backends[&backend];
-        let permit = |of: &Arc<Semaphore>| Arc::clone(of).try_acquire_owned().ok();
-        match (permit(&self.permits), permit(&pool.growth.permits)) {
-            (Some(of_all), Some(of_backend)) => Checkout::Open(PendingConnection {
+        let acquire = |permits: &Arc<Semaphore>| Arc::clone(permits).try_acquire_owned().ok();
+        match (acquire(&self.permits), acquire(&pool.limit.permits)) {
+            (Some(of_pool), Some(of_backend)) => Checkout::Open(PendingConnection {
                 address: pool.address,
                 generation: pool.generation,
-                permits: [of_all, of_backend],
+                permits: [of_pool, of_backend],
             }),
             _ => Checkout::Exhausted,
         }
     }
 
-    /// Makes room for one connection where idle ones elsewhere hold all the permits. To close them all would
-    /// have the requests that follow open them anew, and walk all pools.
+    /// Frees a permit by closing the connection that has been idle longest. Closing all idle connections
+    /// instead would walk all pools, and later requests would have to open the connections again.
     fn close_longest_idle(&mut self) {
         let Some((number, backend)) = self.idle_order.pop_first() else { return };
         if let Some(pool) = self.backends.get_mut(&backend) {
-            // Of its pool it has been idle for longest as well.
+            // It is also the longest idle connection of its backend.
             let first = pool.idle.pop_front();
             debug_assert!(first.is_some_and(|connection| connection.idle_number == number));
         }
     }
 
-    /// The pool of a connection to which a request may still be written.
+    /// Returns the pool of a backend, if the backend is ready and the connection is not stale.
     fn pool_of(&mut self, backend: u32, connection: &Connection) -> Option<&mut BackendPool> {
         let pool = self.backends.get_mut(&backend);
         pool.filter(|pool| pool.ready && pool.generation == connection.generation)
     }
 
-    /// Whether a request may still be written to this connection of the backend.
+    /// Whether the backend is ready and this connection to it is not stale.
     pub fn is_current(&mut self, backend: u32, connection: &Connection) -> bool {
         self.pool_of(backend, connection).is_some()
     }
 
-    /// Whether a request may be written to this connection of the backend now that it has cooled down.
+    /// Whether a request may be written to this connection, which was checked out to cool down.
     pub fn is_usable(&mut self, backend: u32, connection: &Connection) -> bool {
         self.is_current(backend, connection) && connection.is_usable(Instant::now(), self.idle_max)
     }
 
-    /// Takes back a connection for further requests, or closes it.
+    /// Returns a connection to the pool, or closes it if it can't be reused.
     pub fn check_in(&mut self, backend: u32, mut connection: Connection) {
         let (now, idle_max, number) = (Instant::now(), self.idle_max, self.last_idle_number + 1);
         let pool = self.pool_of(backend, &connection);
@@ -303,7 +313,7 @@
         self.last_idle_number = number;
     }
 
-    /// Closes what has been idle for too long or was closed by the backend.
+    /// Closes connections that have been idle for too long or were closed by the backend.
     pub fn close_idle(&mut self, now: Instant) {
         let (idle_max, idle_order) = (self.idle_max, &mut self.idle_order);
         for pool in self.backends.values_mut() {
