--- a/crates/gateway/src/client/idle_policy.rs
+++ b/crates/gateway/src/client/idle_policy.rs
@@ -64,8 +64,8 @@
     /// Returns the idle timeout while `taken` of `total` permits are taken.
     ///
     /// Clients that use each connection once but keep it open may have a connection limit of their own, and
-    /// would reach it long before permits run out here. In exchange, clients that reuse a connection only
-    /// rarely have to open a new one.
+    /// would reach it long before permits run out here. In exchange, clients that return only after a long
+    /// pause have to reconnect.
     #[must_use]
     pub fn idle_limit(self, taken: usize, total: usize) -> Duration {
         let free = total.saturating_sub(taken) as f64 / total.max(1) as f64;
--- a/crates/gateway/src/client/listener.rs
+++ b/crates/gateway/src/client/listener.rs
@@ -86,7 +86,8 @@
 
     /// Starts a task for a connection if there is a permit for it, and rejects it otherwise.
     async fn on_accepted(&mut self, stream: TcpStream) {
-        // After the end of accepting, the rest of the backlog must not wait for permits.
+        // Once accepting has ended, the rest of the backlog is rejected at once if no permit is free: waiting
+        // connections would not be served either.
         let may_wait = !self.clients.not_accepting.is_cancelled();
         let Some((permit, activity)) = self.admission.admit(may_wait).await else {
             return self.reject(stream).await;
--- a/crates/gateway/src/resp/header.rs
+++ b/crates/gateway/src/resp/header.rs
@@ -72,7 +72,8 @@
 pub const NO_PREFIX: &[u8] = b"";
 
 /// Returns the prefix that makes the rest of an answer decodable after its first element was streamed: the
-/// header of an array with as many elements, and an empty value in place of the streamed one.
+/// header of an array with as many elements, and an empty value in place of the streamed one. `None` unless
+/// there are one to four elements.
 pub fn remainder_prefix(elements: usize) -> Option<&'static [u8]> {
     Some(match elements {
         1 => b"*1\r\n$0\r\n",
--- a/crates/gateway/src/server/readiness.rs
+++ b/crates/gateway/src/server/readiness.rs
@@ -74,7 +74,7 @@
         let Some(FirstBackend { mut reached, timeout }) = self.first_backend else {
             return WaitResult::Finished;
         };
-        // Both waits count from the start of the process.
+        // Measured from the start of the process, so that the time spent waiting for the list counts.
         let deadline = (self.started + timeout.max(self.list_timeout)).min(self.started + READY_TIMEOUT);
         tokio::select! {
             _ = timeout_at(deadline, reached.wait_for(|reached| *reached)) => WaitResult::Finished,
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -1,4 +1,5 @@
-//! Reload on SIGHUP: the gateway reads the configuration file again, and applies it completely or not at all.
+//! Reload on SIGHUP: the gateway reads the configuration file again. A file with an error changes nothing;
+//! sections of a valid file that can't change in service are logged as needing a restart.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Makes `config` the configuration in force, and logs the sections that take effect only after a
-    /// restart.
+    /// Makes `config` the configuration in force, and logs the sections that differ from the previous one and
+    /// take effect only after a restart.
     fn accept(&mut self, config: Config) {
         let restart = self.config.service_settings.sections_needing_restart(&config.service_settings);
         tracing::info!("SIGHUP: the new configuration is in force");
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -19,10 +19,10 @@
 /// Minimum time for which connections are served as before after SIGTERM, since new ones still arrive.
 const MIN_ACCEPTING: Duration = Duration::from_millis(500);
 /// Length of the closing phase, in which connections close after an answer, and after the first
-/// [`IDLE_CLOSE_DELAY`] of it also when idle. Closing starts this late because the other gateways that
-/// clients could use may be down as well.
+/// [`IDLE_CLOSE_DELAY`] also when they are idle. Connections are served normally until then, as the other
+/// gateways that clients could use may be down as well.
 const CLOSING: Duration = Duration::from_millis(700).saturating_add(IDLE_CLOSE_DELAY);
-/// Last part of the closing phase, in which requests are no longer waited for.
+/// Last part of the closing phase, in which no answers are waited for any more.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
 /// Maximum time for writing the last answers, and for handing over unreported charges.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(200);
@@ -45,7 +45,7 @@
         self.total.saturating_sub(CLOSING).max(MIN_ACCEPTING.min(self.total))
     }
 
-    /// Returns the time after SIGTERM by which every request must be answered.
+    /// Returns the time after SIGTERM within which requests that arrive from then on must be answered.
     fn answering(self) -> Duration {
         self.total - ANSWER_MARGIN
     }
