--- a/crates/gateway/src/backend_table/tests.rs
+++ b/crates/gateway/src/backend_table/tests.rs
@@ -72,7 +72,7 @@
 fn a_ban_outlasts_a_restart_and_a_reenabled_backend_warms_up() {
     let (mut table, desired, mut maintenance) =
         (BackendTable::new(), DesiredState::default(), MaintenanceState::default());
-    let call = |line: &str| maintenance::Command::read(line.as_bytes()).expect("a call");
+    let call = |line: &str| maintenance::Command::parse(line.as_bytes()).expect("a call");
     table.update(endpoint("a", Status::Serving), only(&desired), &[]);
     maintenance.execute(&call("DISABLE a"), true, 5.0).expect("it is listed");
     assert_eq!(
--- a/crates/gateway/src/maintenance/listener.rs
+++ b/crates/gateway/src/maintenance/listener.rs
@@ -88,7 +88,7 @@
     caller: SocketAddr,
     controller: &mpsc::Sender<PendingCommand>,
 ) -> CommandResult {
-    let command = Command::read(text).map_err(CommandFailure::Malformed)?;
+    let command = Command::parse(text).map_err(CommandFailure::Malformed)?;
     let changes = command != Command::Ready;
     let shown = command.to_string();
     let (reply, result) = oneshot::channel();
--- a/crates/gatewayctl/src/gateway_command.rs
+++ b/crates/gatewayctl/src/gateway_command.rs
@@ -70,7 +70,7 @@
     let (command, targets) = command.into_parts();
     let line = command.to_string();
     // An id must not be read as two words, or end the line.
-    if Command::read(line.as_bytes()).as_ref() != Ok(&command) {
+    if Command::parse(line.as_bytes()).as_ref() != Ok(&command) {
         return Err(UsageError::InvalidBackendId.into());
     }
     let reports = send_to_all(&line, targets).await;
--- a/crates/maintenance/src/checksummed.rs
+++ b/crates/maintenance/src/checksummed.rs
@@ -1,48 +1,50 @@
-//! The form of a state that goes from one process of a gateway to the next: magic, version, checksum and
-//! postcard. A reader gets the whole state or an error, never a part.
+//! Encoding of state that processes of a gateway exchange: magic bytes, version, checksum, and the state in
+//! postcard format. A reader gets the complete state or an error, never a part.
 
 use std::fmt;
 
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The first bytes of every file.
+/// First bytes of every encoded state.
 const MAGIC: [u8; 4] = *b"slkm";
-/// The version of the form. Others are rejected: fields are read by their order.
+/// Version of the encoding. Other versions are rejected because fields are decoded by position.
 const VERSION: u16 = 1;
 const HEADER_BYTES: usize = MAGIC.len() + size_of::<u16>() + blake3::OUT_LEN;
 
 /// Why bytes cannot be decoded, or a state cannot be encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The bytes are something else.
-    Foreign,
-    /// They are of this version of the form, which is not the one that is read.
-    Version(u16),
-    /// The checksum is wrong: they were cut short or changed.
-    Garbled,
-    /// They hold a state of another shape; or a state cannot be encoded.
-    Shape,
+    /// The bytes are not an encoded state.
+    BadMagic,
+    /// The encoding has this version, which is not supported.
+    UnsupportedVersion(u16),
+    /// The bytes are truncated or the checksum does not match.
+    Corrupted,
+    /// The bytes do not decode to the expected type, or a state cannot be encoded.
+    InvalidState,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Foreign => f.write_str("not a state of a gateway"),
-            DecodeError::Version(version) => write!(f, "a state of version {version}; {VERSION} is read"),
-            DecodeError::Garbled => f.write_str("cut short or garbled"),
-            DecodeError::Shape => f.write_str("another state"),
+            DecodeError::BadMagic => f.write_str("not a state of a gateway"),
+            DecodeError::UnsupportedVersion(version) => {
+                write!(f, "a state of version {version}; {VERSION} is read")
+            }
+            DecodeError::Corrupted => f.write_str("cut short or garbled"),
+            DecodeError::InvalidState => f.write_str("another state"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// Encodes a state. `kind` enters the checksum, so that a state of one kind is not read as another.
+/// Encodes a state. The checksum covers `kind`, so that a state of one kind can't be decoded as another.
 ///
 /// # Errors
-/// [`DecodeError::Shape`] if the state cannot be encoded.
+/// Returns [`DecodeError::InvalidState`] if the state cannot be encoded.
 pub fn encode<T: Serialize>(kind: &str, state: &T) -> Result<Vec<u8>, DecodeError> {
-    let body = postcard::to_allocvec(state).map_err(|_| DecodeError::Shape)?;
+    let body = postcard::to_allocvec(state).map_err(|_| DecodeError::InvalidState)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&VERSION.to_le_bytes());
@@ -51,25 +53,25 @@
     Ok(bytes)
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes a state encoded by [`encode`].
 ///
 /// # Errors
-/// [`DecodeError`] for bytes of something else, of another version or kind, or changed since.
+/// Returns an error if the bytes are not an encoded state, have another version or kind, or were changed.
 pub fn decode<T: DeserializeOwned>(kind: &str, bytes: &[u8]) -> Result<T, DecodeError> {
-    let (magic, rest) = bytes.split_first_chunk::<{ MAGIC.len() }>().ok_or(DecodeError::Foreign)?;
+    let (magic, rest) = bytes.split_first_chunk::<{ MAGIC.len() }>().ok_or(DecodeError::BadMagic)?;
     if *magic != MAGIC {
-        return Err(DecodeError::Foreign);
+        return Err(DecodeError::BadMagic);
     }
-    let (version, rest) = rest.split_first_chunk::<{ size_of::<u16>() }>().ok_or(DecodeError::Garbled)?;
+    let (version, rest) = rest.split_first_chunk::<{ size_of::<u16>() }>().ok_or(DecodeError::Corrupted)?;
     let version = u16::from_le_bytes(*version);
     if version != VERSION {
-        return Err(DecodeError::Version(version));
+        return Err(DecodeError::UnsupportedVersion(version));
     }
-    let (stored, body) = rest.split_first_chunk::<{ blake3::OUT_LEN }>().ok_or(DecodeError::Garbled)?;
+    let (stored, body) = rest.split_first_chunk::<{ blake3::OUT_LEN }>().ok_or(DecodeError::Corrupted)?;
     if checksum(kind, body) != *stored {
-        return Err(DecodeError::Garbled);
+        return Err(DecodeError::Corrupted);
     }
-    postcard::from_bytes(body).map_err(|_| DecodeError::Shape)
+    postcard::from_bytes(body).map_err(|_| DecodeError::InvalidState)
 }
 
 fn checksum(kind: &str, body: &[u8]) -> blake3::Hash {
--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -1,18 +1,18 @@
-//! A command: one line of text.
+//! Commands, each one line of text.
 
 use std::fmt;
 
-/// The longest line, bytes, without its end.
+/// Maximum length of a line without its line end, bytes.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
-/// The longest id of a backend, bytes: that of a domain name (RFC 1035, section 2.3.4).
+/// Maximum length of a backend id, bytes: that of a domain name (RFC 1035, section 2.3.4).
 pub const MAX_BACKEND_ID_BYTES: usize = 253;
 
-/// A command of an operator.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Tell whether this process is ready to serve.
+    /// Ask whether this process is ready to serve.
     Ready,
-    /// Ban the backend with this id: send it nothing more.
+    /// Ban the backend with this id: send no more requests to it.
     Disable(String),
     /// End the ban of the backend with this id.
     Enable(String),
@@ -25,31 +25,31 @@
 /// Why a line is not a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// It is not UTF-8 or has control characters.
-    NoText,
-    /// It has no word.
+    /// The line is not valid UTF-8 or contains control characters.
+    NotText,
+    /// The line is empty or blank.
     Empty,
-    /// Its first word is no known command.
+    /// The first word is not a known command.
     Unknown,
-    /// The id of a backend is missing.
-    NoId,
-    /// It has more words than the command takes.
-    Surplus,
+    /// The backend id is missing.
+    MissingId,
+    /// The line has more words than the command takes.
+    ExtraWords,
     /// The id has this many bytes, more than [`MAX_BACKEND_ID_BYTES`].
-    LongId(usize),
+    IdTooLong(usize),
 }
 
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CommandError::NoText => f.write_str("a line of text is wanted"),
+            CommandError::NotText => f.write_str("a line of text is wanted"),
             CommandError::Empty => f.write_str("empty line"),
             CommandError::Unknown => {
                 f.write_str("unknown call; READY, DISABLE, ENABLE, DRAIN, UNDRAIN are known")
             }
-            CommandError::NoId => f.write_str("the id of a backend is missing"),
-            CommandError::Surplus => f.write_str("more words than the call takes"),
-            CommandError::LongId(bytes) => {
+            CommandError::MissingId => f.write_str("the id of a backend is missing"),
+            CommandError::ExtraWords => f.write_str("more words than the call takes"),
+            CommandError::IdTooLong(bytes) => {
                 write!(f, "an id of {bytes} bytes; {MAX_BACKEND_ID_BYTES} at most")
             }
         }
@@ -59,16 +59,16 @@
 impl std::error::Error for CommandError {}
 
 impl Command {
-    /// Reads a line without its end. Words are separated by spaces or tabs; the case of the first one does
-    /// not matter.
+    /// Parses a line without its line end. Words are separated by spaces or tabs; the command word is
+    /// case-insensitive.
     ///
     /// # Errors
-    /// A [`CommandError`] with the first thing that is wrong.
-    pub fn read(line: &[u8]) -> Result<Command, CommandError> {
-        let text = std::str::from_utf8(line).map_err(|_| CommandError::NoText)?;
+    /// Returns the first problem found.
+    pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
+        let text = std::str::from_utf8(line).map_err(|_| CommandError::NotText)?;
         // An id is quoted in responses and logs, where control characters could write to a terminal.
         if text.chars().any(|c| c.is_control() && !matches!(c, '\t' | '\r')) {
-            return Err(CommandError::NoText);
+            return Err(CommandError::NotText);
         }
         let mut words = text.split_ascii_whitespace();
         let verb = words.next().ok_or(CommandError::Empty)?.to_ascii_uppercase();
@@ -81,16 +81,16 @@
             _ => return Err(CommandError::Unknown),
         };
         if words.next().is_some() {
-            return Err(CommandError::Surplus);
+            return Err(CommandError::ExtraWords);
         }
         Ok(command)
     }
 }
 
 fn backend_id(word: Option<&str>) -> Result<String, CommandError> {
-    let id = word.ok_or(CommandError::NoId)?;
+    let id = word.ok_or(CommandError::MissingId)?;
     if id.len() > MAX_BACKEND_ID_BYTES {
-        return Err(CommandError::LongId(id.len()));
+        return Err(CommandError::IdTooLong(id.len()));
     }
     Ok(id.to_string())
 }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,8 +1,8 @@
-//! Operators' commands to one gateway, and what they leave in force. No I/O, no clock.
+//! Operators' commands to one gateway, and the maintenance state that they set. No I/O and no clock.
 //!
-//! - [`Command`]: a command line as the gateway's second address takes it
-//! - [`MaintenanceState`]: bans of backends, their ends, and the drain of the gateway
-//! - [`checksummed`]: the form in which a state goes from one process of a gateway to the next
+//! - [`Command`]: a command line as accepted at the gateway's management address
+//! - [`MaintenanceState`]: bans of backends, ends of earlier bans, and the drain of the gateway
+//! - [`checksummed`]: the encoding in which processes of a gateway exchange state
 
 pub mod checksummed;
 mod command;
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -1,4 +1,4 @@
-//! What operators' commands leave in force.
+//! The maintenance state set by operators' commands.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,36 +7,36 @@
 
 use crate::command::Command;
 
-/// The most backends that are banned at once: a client that bans ever new names must not fill the memory.
+/// Maximum number of banned backends. Prevents a client that bans ever new names from exhausting the memory.
 pub const MAX_BANS: usize = 4_096;
-/// The most ended bans that are remembered. A further one displaces the oldest.
+/// Maximum number of ended bans that are remembered. Another one displaces the oldest.
 pub const MAX_REENABLED: usize = 4_096;
 
-/// Bans of backends, when earlier ones ended, and whether the gateway is drained.
+/// Bans of backends, the ends of earlier bans, and whether the gateway is drained.
 ///
-/// The order of the fields is the stored form.
+/// The stored form depends on the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceState {
-    /// Grows with each change.
+    /// Incremented with each change.
     revision: u64,
-    /// By backend, since when it is banned, Unix time in ms.
+    /// By backend, start of its ban, Unix time in ms.
     bans: BTreeMap<String, f64>,
-    /// By backend, when its last ban ended, Unix time in ms.
+    /// By backend, end of its last ban, Unix time in ms.
     reenabled: BTreeMap<String, f64>,
-    /// Since when the gateway is drained, Unix time in ms.
+    /// When the gateway was drained, Unix time in ms; `None` if it is not drained.
     drained_ms: Option<f64>,
 }
 
-/// What a command did.
+/// The effect of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// It changed the state.
     Changed,
-    /// Nothing: what it asks for was in force already.
+    /// No change: the requested state was already in force.
     AlreadyInForce,
 }
 
-/// Why a command is rejected. The state is unchanged.
+/// Why a command was rejected. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandRejected {
     /// No backend has this id.
@@ -57,14 +57,14 @@
 impl std::error::Error for CommandRejected {}
 
 impl MaintenanceState {
-    /// Executes a command at `now_ms`, Unix time; `is_listed` says whether the backend that it names is on
-    /// the endpoint list.
+    /// Executes a command at `now_ms`, Unix time; `is_listed` tells whether the backend that it names is
+    /// on the endpoint list.
     ///
-    /// Bans are not counted: one ENABLE ends two DISABLEs. A ban may be repeated or ended after its backend
-    /// has left the list.
+    /// Bans do not nest: one ENABLE ends a ban after any number of DISABLEs. A ban can be repeated or
+    /// ended after its backend has left the list.
     ///
     /// # Errors
-    /// [`CommandRejected`]; the state is unchanged.
+    /// Returns why the command was rejected; the state is unchanged.
     pub fn execute(
         &mut self,
         command: &Command,
@@ -126,43 +126,43 @@
         }
     }
 
-    /// Forgets bans that ended before `since_ms`, Unix time: those backends have warmed up.
+    /// Forgets bans that ended before `since_ms`, Unix time, because those backends have warmed up.
     pub fn forget_reenabled(&mut self, since_ms: f64) {
         self.reenabled.retain(|_, at_ms| *at_ms >= since_ms);
     }
 
-    /// Whether this state may replace one of that revision.
+    /// Returns whether this state is newer than one of the given revision.
     #[must_use]
     pub fn newer_than(&self, revision: u64) -> bool {
         self.revision > revision
     }
 
-    /// Grows with each change.
+    /// Returns the revision, which is incremented with each change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Since when a backend is banned, Unix time in ms.
+    /// Returns the start of a backend's ban, Unix time in ms; `None` if it is not banned.
     #[must_use]
     pub fn banned_ms(&self, id: &str) -> Option<f64> {
         self.bans.get(id).copied()
     }
 
-    /// When the last ban of a backend ended, Unix time in ms; 0 if it was not banned. The backend warms up
-    /// from then on, as it was restarted in between.
+    /// Returns when the last ban of a backend ended, Unix time in ms; 0 if no end is known. The backend
+    /// is assumed to have been restarted during the ban, so it warms up from then on.
     #[must_use]
     pub fn reenabled_ms(&self, id: &str) -> f64 {
         self.reenabled.get(id).copied().unwrap_or(0.0)
     }
 
-    /// Since when the gateway is drained, Unix time in ms.
+    /// Returns when the gateway was drained, Unix time in ms; `None` if it is not drained.
     #[must_use]
     pub fn drained_ms(&self) -> Option<f64> {
         self.drained_ms
     }
 
-    /// How many backends are banned.
+    /// Returns the number of banned backends.
     #[must_use]
     pub fn bans(&self) -> usize {
         self.bans.len()
--- a/crates/maintenance/tests/recorded.rs
+++ b/crates/maintenance/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! The forms that outlive a process or are read by scripts: the checksummed state, byte for byte, and each
-//! line of a command with the exact text of its answer.
+//! Formats that outlive a process or are parsed by scripts: the encoded state, byte for byte, and the
+//! exact texts of commands and their errors.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -11,12 +11,12 @@
 }
 
 fn recorded(name: &str) -> String {
-    std::fs::read_to_string(data(name)).expect("recorded")
+    std::fs::read_to_string(data(name)).expect("a recorded file")
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut all, byte| {
-        write!(all, "{byte:02x}").expect("a string takes all");
+        write!(all, "{byte:02x}").expect("writing to a string succeeds");
         all
     })
 }
@@ -26,8 +26,8 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hex")).collect()
 }
 
-/// Books by name: empty, and with something in each of its parts.
-fn books() -> Vec<(&'static str, MaintenanceState)> {
+/// Named states: the default one, and ones with every field set.
+fn states() -> Vec<(&'static str, MaintenanceState)> {
     let mut full = MaintenanceState::default();
     for (line, at_ms) in [
         ("DISABLE s-5be2a07c", 1_800_000_000_000.0),
@@ -36,33 +36,33 @@
         ("ENABLE s-2", 1_800_000_000_002.0),
         ("DRAIN", 1_800_000_000_003.25),
     ] {
-        let call = Command::read(line.as_bytes()).expect("a call");
-        assert_eq!(full.execute(&call, true, at_ms), Ok(CommandOutcome::Changed));
+        let command = Command::parse(line.as_bytes()).expect("a command");
+        assert_eq!(full.execute(&command, true, at_ms), Ok(CommandOutcome::Changed));
     }
     let mut undrained = full.clone();
     assert_eq!(undrained.execute(&Command::Undrain, true, 1_800_000_000_004.0), Ok(CommandOutcome::Changed));
     vec![("empty", MaintenanceState::default()), ("full", full), ("undrained", undrained)]
 }
 
-fn write_books() -> String {
+fn encode_states() -> String {
     let mut text = String::new();
-    for (name, state) in books() {
-        let bytes = checksummed::encode("book", &state).expect("it can be written");
-        writeln!(text, "{name} {}", hex(&bytes)).expect("a string takes all");
+    for (name, state) in states() {
+        let bytes = checksummed::encode("book", &state).expect("the state can be encoded");
+        writeln!(text, "{name} {}", hex(&bytes)).expect("writing to a string succeeds");
     }
     text
 }
 
 #[test]
 fn encodes_the_recorded_bytes() {
-    assert_eq!(write_books(), recorded("sealed.hex"));
+    assert_eq!(encode_states(), recorded("sealed.hex"));
 }
 
 #[test]
 fn decodes_recorded_bytes_and_encodes_them_again() {
     let recorded = recorded("sealed.hex");
-    assert_eq!(recorded.lines().count(), books().len());
-    for (line, (name, state)) in recorded.lines().zip(books()) {
+    assert_eq!(recorded.lines().count(), states().len());
+    for (line, (name, state)) in recorded.lines().zip(states()) {
         let bytes = unhex(line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')).expect("a name"));
         assert_eq!(bytes[..6], *b"slkm\x01\x00", "magic, then the version, little-endian");
         let read: MaintenanceState = checksummed::decode("book", &bytes).expect(name);
@@ -70,7 +70,7 @@
         assert_eq!(checksummed::encode("book", &read), Ok(bytes));
     }
     let full = unhex(recorded.lines().nth(1).and_then(|line| line.strip_prefix("full ")).expect("full"));
-    let read: MaintenanceState = checksummed::decode("book", &full).expect("sound");
+    let read: MaintenanceState = checksummed::decode("book", &full).expect("a valid state");
     assert_eq!((read.revision(), read.bans()), (5, 2));
     assert_eq!(read.banned_ms("s-5be2a07c"), Some(1_800_000_000_000.0));
     assert_eq!(read.banned_ms("äther"), Some(0.0));
@@ -80,10 +80,11 @@
 
 #[test]
 fn decode_errors_have_recorded_texts() {
-    let sealed = checksummed::encode("book", &MaintenanceState::default()).expect("it can be written");
-    let other = checksummed::encode("book", &1u8).expect("it can be written");
+    let encoded =
+        checksummed::encode("book", &MaintenanceState::default()).expect("the state can be encoded");
+    let other_type = checksummed::encode("book", &1u8).expect("the state can be encoded");
     let with = |at: usize, byte: u8| {
-        let mut bytes = sealed.clone();
+        let mut bytes = encoded.clone();
         bytes[at] = byte;
         bytes
     };
@@ -93,18 +94,18 @@
         (with(0, b'x'), "not a state of a gateway"),
         (with(4, 2), "a state of version 2; 1 is read"),
         (with(5, 1), "a state of version 257; 1 is read"),
-        (sealed[..5].to_vec(), "cut short or garbled"),
-        (sealed[..20].to_vec(), "cut short or garbled"),
-        (with(6, !sealed[6]), "cut short or garbled"),
-        (other, "another state"),
+        (encoded[..5].to_vec(), "cut short or garbled"),
+        (encoded[..20].to_vec(), "cut short or garbled"),
+        (with(6, !encoded[6]), "cut short or garbled"),
+        (other_type, "another state"),
     ] {
-        let why = checksummed::decode::<MaintenanceState>("book", &bytes).expect_err(text);
-        assert_eq!(why.to_string(), text);
+        let error = checksummed::decode::<MaintenanceState>("book", &bytes).expect_err(text);
+        assert_eq!(error.to_string(), text);
     }
 }
 
 #[test]
-fn lines_give_the_recorded_commands_or_errors() {
+fn command_lines_parse_to_the_recorded_commands_or_errors() {
     let (long, longer) = ("x".repeat(253), "x".repeat(254));
     let (long, longer) = (format!("DISABLE {long}"), format!("ENABLE {longer}"));
     let unknown = "unknown call; READY, DISABLE, ENABLE, DRAIN, UNDRAIN are known";
@@ -143,9 +144,14 @@
         (b"\x1b[2J", Err(text)),
         ("READY\u{85}".as_bytes(), Err(text)),
     ];
-    for (line, wanted) in cases {
-        let read = Command::read(line).map(|call| call.to_string()).map_err(|bad| bad.to_string());
-        assert_eq!(read.as_deref().map_err(String::as_str), *wanted, "{:?}", String::from_utf8_lossy(line));
+    for (line, expected) in cases {
+        let parsed = Command::parse(line).map(|command| command.to_string()).map_err(|e| e.to_string());
+        assert_eq!(
+            parsed.as_deref().map_err(String::as_str),
+            *expected,
+            "{:?}",
+            String::from_utf8_lossy(line)
+        );
     }
 }
 
