--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -1,4 +1,4 @@
-//! All backends on the endpoint list, and what operators make of them. No I/O, no clock.
+//! All backends on the endpoint list, with operators' overrides. No I/O and no clock.
 
 #[cfg(test)]
 mod tests;
@@ -12,8 +12,8 @@
 
 use crate::endpoint_list::{Endpoint, Status};
 
-/// What operators want: the agent's orders, and commands at the second address. Each holds by itself: a
-/// backend takes work only where neither keeps it out.
+/// Overrides by operators: the agent's orders and commands at the management address. They are independent: a
+/// backend receives requests only if neither excludes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Overrides<'a> {
     pub desired: &'a DesiredState,
@@ -23,59 +23,60 @@
 /// A backend on the list.
 #[derive(Debug)]
 pub struct BackendRow {
-    /// The number that the policy knows it by.
+    /// The id that the policy uses for it.
     pub number: u32,
-    /// The last that discovery told.
+    /// The latest entry from discovery.
     pub endpoint: Endpoint,
-    /// What orders make of it.
+    /// Effect of the orders that cover it.
     pub effect: EffectiveState,
-    /// Since when a command bans it, Unix time in ms.
+    /// Start of its ban by a command, Unix time in ms; `None` if it is not banned.
     pub banned_ms: Option<f64>,
-    /// When a command gave it back, Unix time in ms; 0 for never.
-    returned_ms: f64,
+    /// When its last ban ended, Unix time in ms; 0 for never.
+    reenabled_ms: f64,
 }
 
 impl BackendRow {
-    /// Whether discovery says that it serves.
+    /// Returns whether discovery reports it as serving.
     pub fn is_serving(&self) -> bool {
         matches!(self.endpoint.status, Status::Serving)
     }
 
-    /// Looks anew at what operators want of it; returns whether that is something else.
-    fn apply(&mut self, overrides: Overrides<'_>) -> bool {
+    /// Recomputes the overrides of this backend; returns whether they have changed.
+    fn update_overrides(&mut self, overrides: Overrides<'_>) -> bool {
         let e = &self.endpoint;
-        let effect = overrides.desired.effective_state(&e.name, e.group, &e.kind);
+        let effect = overrides.desired.effective_state(&e.name, e.group, &e.instance_type);
         let (banned, returned) =
             (overrides.maintenance.banned_ms(&e.name), overrides.maintenance.reenabled_ms(&e.name));
-        // A return that is forgotten is one of a backend that is warm.
-        let other = effect != self.effect || banned != self.banned_ms || returned > self.returned_ms;
+        // The end of a ban is forgotten only after the backend has warmed up, so an earlier time is no
+        // change.
+        let changed = effect != self.effect || banned != self.banned_ms || returned > self.reenabled_ms;
         (self.effect, self.banned_ms) = (effect, banned);
-        self.returned_ms = self.returned_ms.max(returned);
-        other
+        self.reenabled_ms = self.reenabled_ms.max(returned);
+        changed
     }
 }
 
 /// All backends on the list, by name.
 #[derive(Debug, Default)]
 pub struct BackendTable {
-    /// Each by itself, as a table that grows keeps room for as many again.
+    /// Boxed because a growing hash table reserves space for as many entries again.
     rows: HashMap<String, Box<BackendRow>>,
-    /// The last number given; none is used again.
-    last: u32,
-    /// Grows with each change of a row.
+    /// The last number assigned. Numbers are never reused.
+    last_number: u32,
+    /// Increases with each change of a row.
     changes: u64,
-    /// The greatest weight that is ordered, 1 at least.
-    greatest: f64,
+    /// The greatest weight set by orders, at least 1.
+    max_weight: f64,
 }
 
 impl BackendTable {
-    /// An empty list.
+    /// Creates an empty table.
     pub fn new() -> BackendTable {
-        BackendTable { greatest: 1.0, ..BackendTable::default() }
+        BackendTable { max_weight: 1.0, ..BackendTable::default() }
     }
 
-    /// Applies a line of discovery's, and returns the one that the policy is to have; `None` for a backend
-    /// that is gone and was not known.
+    /// Applies an entry from discovery and returns the endpoint for the policy; `None` for the removal of an
+    /// unknown backend.
     pub fn update(
         &mut self,
         endpoint: Endpoint,
@@ -87,43 +88,48 @@
         match self.rows.get_mut(&name) {
             Some(row) => {
                 row.endpoint = endpoint;
-                row.apply(overrides);
+                row.update_overrides(overrides);
             }
             None if matches!(endpoint.status, Status::Deleted) => return None,
             None => {
-                self.last += 1;
-                let (effect, number) = (EffectiveState { drained_by: None, weight: 1.0 }, self.last);
-                let mut row = BackendRow { number, endpoint, effect, banned_ms: None, returned_ms: 0.0 };
-                row.apply(overrides);
+                self.last_number += 1;
+                let (effect, number) = (EffectiveState { drained_by: None, weight: 1.0 }, self.last_number);
+                let mut row = BackendRow { number, endpoint, effect, banned_ms: None, reenabled_ms: 0.0 };
+                row.update_overrides(overrides);
                 self.rows.insert(name.clone(), Box::new(row));
             }
         }
-        self.rows.get(&name).map(|row| self.entry(row, zones))
+        self.rows.get(&name).map(|row| self.policy_endpoint(row, zones))
     }
 
-    /// What the policy has of a backend, with its address.
-    pub fn entry_of(&self, name: &str, zones: &[String]) -> Option<(BackendEndpoint, SocketAddr)> {
-        self.rows.get(name).map(|row| (self.entry(row, zones), row.endpoint.address))
+    /// Returns the policy's endpoint of a backend, with its address.
+    pub fn policy_endpoint_named(
+        &self,
+        name: &str,
+        zones: &[String],
+    ) -> Option<(BackendEndpoint, SocketAddr)> {
+        self.rows.get(name).map(|row| (self.policy_endpoint(row, zones), row.endpoint.address))
     }
 
-    /// Forgets those that are not to be kept. A number is never used again.
+    /// Removes the rows whose number does not satisfy `keep`. Their numbers are never reused.
     pub fn retain(&mut self, keep: impl Fn(u32) -> bool) {
         let before = self.rows.len();
         self.rows.retain(|_, row| keep(row.number));
         self.changes += u64::from(self.rows.len() != before);
     }
 
-    /// Forgets one that is gone.
+    /// Removes a backend.
     pub fn remove(&mut self, name: &str) {
         self.rows.remove(name);
     }
 
-    /// Whether a backend is on the list, in whatever state.
+    /// Returns whether a backend is on the list, in any state.
     pub fn contains(&self, name: &str) -> bool {
         self.rows.contains_key(name)
     }
 
-    /// Works out anew what operators make of the list. Returns the lines that the policy is to have.
+    /// Recomputes the overrides of all backends. Returns the changed endpoints for the policy; all of
+    /// them if the greatest weight has changed, which changes every share.
     pub fn apply_overrides(
         &mut self,
         overrides: Overrides<'_>,
@@ -131,89 +137,92 @@
     ) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut changed = Vec::new();
         for (name, row) in &mut self.rows {
-            if row.apply(overrides) {
+            if row.update_overrides(overrides) {
                 changed.push(name.clone());
             }
         }
         self.changes += u64::from(!changed.is_empty());
-        if self.update_greatest_weight() {
-            return self.all(zones);
+        if self.update_max_weight() {
+            return self.all_endpoints(zones);
         }
-        // In the order of their numbers, so that the same orders lead to the same decisions.
+        // Sorted by number so that the same orders lead to the same decisions.
         let mut rows: Vec<&BackendRow> =
             changed.iter().filter_map(|name| self.rows.get(name).map(AsRef::as_ref)).collect();
         rows.sort_unstable_by_key(|row| row.number);
-        rows.into_iter().map(|row| (self.entry(row, zones), row.endpoint.address)).collect()
+        rows.into_iter().map(|row| (self.policy_endpoint(row, zones), row.endpoint.address)).collect()
     }
 
-    /// All lines, if the list has changed so that all shares have; else none.
-    pub fn update_shares(&mut self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
-        if self.update_greatest_weight() {
-            self.all(zones)
+    /// Returns all endpoints if a list update has changed the greatest weight, and with it every share;
+    /// otherwise none.
+    pub fn update_weight_shares(&mut self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
+        if self.update_max_weight() {
+            self.all_endpoints(zones)
         } else {
             Vec::new()
         }
     }
 
-    fn all(&self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
+    fn all_endpoints(&self, zones: &[String]) -> Vec<(BackendEndpoint, SocketAddr)> {
         let mut all: Vec<_> =
-            self.rows.values().map(|row| (self.entry(row, zones), row.endpoint.address)).collect();
+            self.rows.values().map(|row| (self.policy_endpoint(row, zones), row.endpoint.address)).collect();
         all.sort_unstable_by_key(|(entry, _)| entry.id);
         all
     }
 
-    /// Looks for the greatest weight; returns whether it is another.
-    fn update_greatest_weight(&mut self) -> bool {
-        let greatest = self.rows.values().map(|row| row.effect.weight).fold(1.0, f64::max);
-        let other = greatest != self.greatest;
-        self.greatest = greatest;
-        other
+    /// Recomputes the greatest weight; returns whether it has changed.
+    fn update_max_weight(&mut self) -> bool {
+        let max_weight = self.rows.values().map(|row| row.effect.weight).fold(1.0, f64::max);
+        let changed = max_weight != self.max_weight;
+        self.max_weight = max_weight;
+        changed
     }
 
-    /// The line of a backend for the policy. Discovery's DRAINING and DELETED win over every order.
-    fn entry(&self, row: &BackendRow, zones: &[String]) -> BackendEndpoint {
+    /// Returns the policy's endpoint of a backend. Discovery's DRAINING and DELETED take precedence over
+    /// all orders.
+    fn policy_endpoint(&self, row: &BackendRow, zones: &[String]) -> BackendEndpoint {
         let endpoint = &row.endpoint;
         let zone = zones.iter().position(|z| *z == endpoint.zone);
         let state = match EndpointState::from(endpoint.status) {
             EndpointState::Ready if row.effect.drained_by.is_some() || row.banned_ms.is_some() => {
                 EndpointState::Draining
             }
-            told => told,
+            state => state,
         };
         BackendEndpoint {
             id: row.number,
             state,
             cell: endpoint.group,
             zone: zone.map_or(u32::MAX, |z| z as u32),
-            // Numbers are this gateway's own; names are everybody's.
-            key: hash(&endpoint.name),
-            kind: hash(&endpoint.kind) as u32,
+            // Hashed from the name, which is the same for all gateways; numbers are local to this one.
+            key: fnv1a(&endpoint.name),
+            kind: fnv1a(&endpoint.instance_type) as u32,
             started_ms: endpoint.since_ms,
-            reenabled_ms: row.returned_ms,
+            reenabled_ms: row.reenabled_ms,
             weight: endpoint.weight,
-            weight_share: (row.effect.weight / self.greatest).min(1.0),
+            weight_share: (row.effect.weight / self.max_weight).min(1.0),
         }
     }
 
-    /// All rows.
+    /// Iterates over all rows.
     pub fn rows(&self) -> impl Iterator<Item = &BackendRow> {
         self.rows.values().map(AsRef::as_ref)
     }
 
-    /// Those that a subject covers.
-    pub fn covered<'a>(&'a self, subject: &'a Subject) -> impl Iterator<Item = &'a BackendRow> {
-        let covers = |e: &Endpoint| subject.covers(&e.name, e.group, &e.kind);
+    /// Iterates over the rows that a subject covers.
+    pub fn matching<'a>(&'a self, subject: &'a Subject) -> impl Iterator<Item = &'a BackendRow> {
+        let covers = |e: &Endpoint| subject.covers(&e.name, e.group, &e.instance_type);
         self.rows().filter(move |row| covers(&row.endpoint))
     }
 
-    /// Grows with each change of a row.
+    /// Returns a number that increases with each change of a row.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 }
 
-/// FNV-1a (Fowler, Noll and Vo, 1991): the same in every build, as gateways of several may share a fleet.
-fn hash(name: &str) -> u64 {
+/// FNV-1a hash (Fowler, Noll and Vo, 1991). Must be the same in every build, because gateways of
+/// different builds may share a fleet.
+fn fnv1a(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     name.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -116,7 +116,7 @@
             all.extend(last);
         }
         // A gateway starts without these lines; whoever checks wants to know.
-        let listed = known.and_then(|text| EndpointList::read(text.get().as_bytes()).ok());
+        let listed = known.and_then(|text| EndpointList::parse(text.get().as_bytes()).ok());
         all.extend(listed.into_iter().flat_map(|list| list.rejected).map(|endpoint| SettingsError {
             field: format!("configuration.known.endpoints[{}]", endpoint.index),
             problem: "a backend is wanted, each name once; the gateway leaves this line out",
@@ -168,7 +168,7 @@
 
 fn read_known(top: &SettingsReader<'_>, known: Option<&RawValue>) -> Result<EndpointList, SettingsError> {
     let known = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
-        let list = EndpointList::read(text.get().as_bytes());
+        let list = EndpointList::parse(text.get().as_bytes());
         list.map_err(|_| top.invalid("known", "a list of backends is wanted"))
     });
     top.recover(known, EndpointList::empty())
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,4 +1,4 @@
-//! Calls to the shared counter, one behind another on a few connections.
+//! Client of the shared counter: pipelines calls on a few connections.
 
 #[cfg(test)]
 mod tests;
@@ -17,47 +17,51 @@
 use activity::ConnectionActivity;
 use connection::CounterConnection;
 
-/// Connections; the counter holds 32 of a gateway. A slow call holds up those behind it on its own only.
+/// Number of connections; the counter accepts 32 from one gateway. A slow call delays only the calls
+/// behind it on its own connection.
 const CONNECTIONS: usize = 4;
-/// Calls that may wait on one connection; the counter is long lost when there are more.
+/// Maximum number of calls queued for one connection, and of calls in flight on it. Reaching it means
+/// that the counter stopped responding long ago.
 const MAX_CALLS_PER_CONNECTION: usize = 64;
-/// A call.
+
+/// A counter call: adds an amount to the total of a key.
 #[derive(Debug)]
 pub struct Call {
-    /// Given back with the outcome.
+    /// Returned with the outcome. Numbers increase from call to call.
     pub number: u64,
-    pub name: u64,
+    pub key: u64,
     pub amount: f64,
-    pub life_ms: f64,
-    /// When it was made.
-    pub at: Instant,
+    pub ttl_ms: f64,
+    /// When the call was made.
+    pub made_at: Instant,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Counted {
+pub struct CounterReply {
     pub number: u64,
     pub outcome: Outcome,
-    /// The name's value after it, where the outcome is [`Outcome::Ok`]; not finite if it can't be read.
+    /// Total of the key after the call if the outcome is [`Outcome::Ok`]; not finite if the reply was
+    /// malformed.
     pub total: f64,
 }
 
-/// The counter as the event loop sees it.
+/// The event loop's handle to the counter.
 #[derive(Debug)]
 pub struct Counter {
-    /// How long a call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
     connections: Vec<mpsc::Sender<Call>>,
     activity: ConnectionActivity,
 }
 
 impl Counter {
-    /// Sets up the connections; each is opened with its first call. Outcomes go to the inbox, in the order
-    /// of the calls of a name. Whoever calls keeps the time: an outcome may come late, or never while the
-    /// counter is silent.
+    /// Starts the connection tasks; each connection is opened with its first call. Outcomes go to the
+    /// inbox, for one key in the order of its calls. Callers enforce the timeout themselves: an outcome
+    /// may arrive late, or never while the counter does not respond.
     pub fn start<T>(address: SocketAddr, timeout: Duration, inbox: &mpsc::Sender<T>) -> Self
     where
-        T: From<Counted> + Send + 'static,
+        T: From<CounterReply> + Send + 'static,
     {
         let activity = ConnectionActivity::new();
         let open = |index| {
@@ -70,19 +74,20 @@
         Counter { timeout, connections: (0..CONNECTIONS).map(open).collect(), activity }
     }
 
-    /// Makes a call; `false` if there is no room for it. Calls of one name share a connection, so that
-    /// their answers come in order.
+    /// Queues a call; returns `false` if the queue is full. Calls with the same key share a connection,
+    /// so that their replies arrive in order.
     pub fn call(&self, call: Call) -> bool {
-        self.connections[connection_of(call.name)].try_send(call).is_ok()
+        self.connections[connection_of(call.key)].try_send(call).is_ok()
     }
 
-    /// How a call ended that was made then and has no answer in time. One connection that fell silent is no
-    /// sign of a counter that is crowded, for which hardly a call would be made; and what was never written
-    /// was not counted.
-    pub fn overdue(&self, number: u64, name: u64, made: Instant) -> Outcome {
-        let index = connection_of(name);
+    /// Returns the outcome of a call that was made at `made_at` and timed out.
+    ///
+    /// If only this connection is silent, the outcome is not a timeout: that would indicate an overloaded
+    /// counter, for which the policy makes hardly any calls. A call that was never written was not counted.
+    pub fn timeout_outcome(&self, number: u64, key: u64, made_at: Instant) -> Outcome {
+        let index = connection_of(key);
         let written = self.activity.has_written(index, number);
-        match (written, self.activity.silence(index, made).is_alone(self.timeout)) {
+        match (written, self.activity.silence(index, made_at).is_connection_fault(self.timeout)) {
             (true, true) => Outcome::Reset,
             (true, false) => Outcome::Timeout,
             (false, true) => Outcome::NotSent,
@@ -91,7 +96,7 @@
     }
 }
 
-/// The index of the connection that a name is always on.
-fn connection_of(name: u64) -> usize {
-    (name % CONNECTIONS as u64) as usize
+/// Returns the index of the connection that serves a key.
+fn connection_of(key: u64) -> usize {
+    (key % CONNECTIONS as u64) as usize
 }
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter: calls are written one behind another, and answered in their order.
+//! One connection to the counter. Calls are pipelined and answered in order.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,50 +12,50 @@
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
 use super::activity::ConnectionActivity;
-use super::{Call, Counted, MAX_CALLS_PER_CONNECTION};
+use super::{Call, CounterReply, MAX_CALLS_PER_CONNECTION};
 
-/// Backoff after a connection on which the counter never responded: the first, and the longest.
+/// Shortest and longest backoff after a connection on which the counter never responded.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest line of an answer, bytes.
+/// Maximum length of a reply line, bytes.
 const MAX_LINE_BYTES: usize = 128;
-/// The counter keeps no name longer, ms.
+/// Longest time that the counter keeps a key, ms.
 const MAX_KEY_TTL_MS: f64 = 60_000.0;
-/// Room for answers that come together, bytes.
+/// Initial size of the read buffer, bytes; holds several replies.
 const BUFFER_BYTES: usize = 512;
 
-/// A connection, opened again and again as calls come.
+/// A connection task, which reconnects as calls arrive.
 pub(super) struct CounterConnection<T> {
     index: usize,
     address: SocketAddr,
-    /// How long a call may take.
+    /// Timeout of a call.
     call_timeout: Duration,
     queue: mpsc::Receiver<Call>,
     inbox: mpsc::Sender<T>,
-    /// Calls that were written and not answered.
-    in_flight: VecDeque<Written>,
+    /// Calls that were written and not yet answered.
+    in_flight: VecDeque<InFlightCall>,
     activity: ConnectionActivity,
 }
 
-/// A call that was written.
-struct Written {
+/// A call that was written and not yet answered.
+struct InFlightCall {
     number: u64,
-    at: Instant,
+    written_at: Instant,
 }
 
-/// How a stream ended.
-struct Ended {
-    /// Whether the counter responded on it, so that a fresh one may follow at once.
+/// How a TCP stream ended.
+struct StreamEnd {
+    /// Whether the counter responded on it, so that a new stream may be opened without backoff.
     responded: bool,
-    /// The call that could not be written whole, which was not added.
+    /// The call that could not be written completely, and therefore was not counted.
     unwritten: Option<Call>,
 }
 
-/// The stream is of no more use.
-struct Unusable;
+/// Error: the stream can't be used any more.
+struct StreamUnusable;
 
-impl<T: From<Counted>> CounterConnection<T> {
-    /// A connection that is opened with its first call.
+impl<T: From<CounterReply>> CounterConnection<T> {
+    /// Creates a connection that is opened with its first call.
     pub fn new(
         index: usize,
         address: SocketAddr,
@@ -68,17 +68,17 @@
         CounterConnection { index, address, call_timeout, queue, inbox, in_flight, activity }
     }
 
-    /// Makes calls until nobody can make any more.
+    /// Makes the queued calls until all senders are gone.
     pub async fn run(mut self) {
         let mut backoff = MIN_BACKOFF;
         let mut next = self.queue.recv().await;
         while let Some(first) = next {
             let connected = timeout(self.call_timeout, TcpStream::connect(self.address)).await;
-            let Ended { responded, unwritten } = match connected {
+            let StreamEnd { responded, unwritten } = match connected {
                 Ok(Ok(stream)) => self.serve(stream, first).await,
-                _ => Ended { responded: false, unwritten: Some(first) },
+                _ => StreamEnd { responded: false, unwritten: Some(first) },
             };
-            // What was written may have been added.
+            // The counter may have counted the calls that were written.
             while let Some(call) = self.in_flight.pop_front() {
                 self.report(call.number, Outcome::Reset, 0.0).await;
             }
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Writes no call for a while, so that a counter that is down gets no storm of connections.
+    /// Fails all calls for the duration of the backoff, to avoid a connection storm to a counter that is
+    /// down.
     async fn back_off(&mut self, backoff: Duration) {
         let until = Instant::now() + backoff;
         while let Ok(Some(call)) = timeout_at(until, self.queue.recv()).await {
@@ -107,43 +108,43 @@
         }
     }
 
-    /// Makes calls on a stream until it ends.
-    async fn serve(&mut self, mut stream: TcpStream, first: Call) -> Ended {
+    /// Makes calls on one stream until it ends.
+    async fn serve(&mut self, mut stream: TcpStream, first: Call) -> StreamEnd {
         let mut buffer = BytesMut::with_capacity(BUFFER_BYTES);
         let mut responded = false;
-        // When a line that has begun is taken for spoilt.
+        // When an incomplete reply line is treated as unreadable.
         let mut line_deadline = None;
         if stream.set_nodelay(true).is_err() {
-            return Ended { responded: false, unwritten: Some(first) };
+            return StreamEnd { responded: false, unwritten: Some(first) };
         }
         if let Err(call) = self.write(&mut stream, first).await {
-            return Ended { responded: false, unwritten: Some(call) };
+            return StreamEnd { responded: false, unwritten: Some(call) };
         }
         loop {
             tokio::select! {
                 read = stream.read_buf(&mut buffer) => match read {
-                    // Closed while idle is no fault.
+                    // An idle connection may be closed by the counter without an error.
                     Ok(0) => {
                         responded |= self.in_flight.is_empty();
-                        return Ended { responded, unwritten: None };
+                        return StreamEnd { responded, unwritten: None };
                     }
-                    Err(_) => return Ended { responded, unwritten: None },
+                    Err(_) => return StreamEnd { responded, unwritten: None },
                     Ok(_) => {
                         responded = true;
-                        self.activity.received(self.index);
+                        self.activity.record_received(self.index);
                         if self.read_answers(&mut buffer).await.is_err() {
-                            return Ended { responded, unwritten: None };
+                            return StreamEnd { responded, unwritten: None };
                         }
                         line_deadline = (!buffer.is_empty()).then(|| Instant::now() + self.call_timeout);
                     }
                 },
                 () = sleep_until(line_deadline.unwrap_or_else(Instant::now)), if line_deadline.is_some() => {
-                    let Unusable = self.spoilt_answer().await;
-                    return Ended { responded: true, unwritten: None };
+                    let StreamUnusable = self.settle_unreadable_answer().await;
+                    return StreamEnd { responded: true, unwritten: None };
                 }
                 call = self.queue.recv() => {
-                    let Some(call) = call else { return Ended { responded: true, unwritten: None } };
-                    if let Some(ended) = self.make(call, &mut stream, responded).await {
+                    let Some(call) = call else { return StreamEnd { responded: true, unwritten: None } };
+                    if let Some(ended) = self.make_call(call, &mut stream, responded).await {
                         return ended;
                     }
                 }
@@ -151,77 +152,80 @@
         }
     }
 
-    /// Makes a call; returns the end of the stream if it ends with that.
-    async fn make(&mut self, call: Call, stream: &mut TcpStream, responded: bool) -> Option<Ended> {
-        // Everything would wait behind a silent connection. Where others respond, the counter is there, and
-        // a fresh connection may follow at once.
+    /// Makes a call. Returns how the stream ended, if it can't be used any more.
+    async fn make_call(&mut self, call: Call, stream: &mut TcpStream, responded: bool) -> Option<StreamEnd> {
+        // All later calls would wait behind the unanswered one on a silent connection. If the counter
+        // responds on others, a new connection may be opened without backoff.
         let first = self.in_flight.front();
-        let silence = first.map(|written| self.activity.silence(self.index, written.at));
-        if let Some(silence) = silence.filter(|silence| silence.is_lost(self.call_timeout)) {
-            let responded = responded || silence.is_alone(self.call_timeout);
-            return Some(Ended { responded, unwritten: Some(call) });
+        let silence = first.map(|call| self.activity.silence(self.index, call.written_at));
+        if let Some(silence) = silence.filter(|silence| silence.needs_replacement(self.call_timeout)) {
+            let responded = responded || silence.is_connection_fault(self.call_timeout);
+            return Some(StreamEnd { responded, unwritten: Some(call) });
         }
-        // With so many that no call is taken any more, nobody would look at the connection again.
+        // This call is rejected here instead of being left in the queue: if the queue filled up, no
+        // further call would arrive and the check above would never run again.
         if self.in_flight.len() >= MAX_CALLS_PER_CONNECTION {
             self.report(call.number, Outcome::Rejected, 0.0).await;
             return None;
         }
         let unwritten = self.write(stream, call).await.err()?;
-        Some(Ended { responded, unwritten: Some(unwritten) })
+        Some(StreamEnd { responded, unwritten: Some(unwritten) })
     }
 
-    /// Writes a call; returns it if it could not be written whole, or came too late for that, and was
-    /// not added.
+    /// Writes a call. Returns the call as an error if it could not be written completely in time, in
+    /// which case it was not counted.
     async fn write(&mut self, stream: &mut TcpStream, call: Call) -> Result<(), Call> {
-        let Call { number, name, amount, life_ms, at } = call;
-        // By now the event loop has given it up, and counts it as not reported.
-        if at.elapsed() >= self.call_timeout {
+        let Call { number, key, amount, ttl_ms, made_at } = call;
+        // The event loop has already timed this call out, and keeps its amount as unreported.
+        if made_at.elapsed() >= self.call_timeout {
             self.report(number, Outcome::ConnectFailed, 0.0).await;
             return Ok(());
         }
-        let life = life_ms.ceil().clamp(1.0, MAX_KEY_TTL_MS);
-        let text = format!("bump {name:016x} {amount} {life}\r\n");
-        match timeout_at(at + self.call_timeout, stream.write_all(text.as_bytes())).await {
+        let ttl_ms = ttl_ms.ceil().clamp(1.0, MAX_KEY_TTL_MS);
+        let text = format!("bump {key:016x} {amount} {ttl_ms}\r\n");
+        match timeout_at(made_at + self.call_timeout, stream.write_all(text.as_bytes())).await {
             Ok(Ok(())) => {
-                self.in_flight.push_back(Written { number, at: Instant::now() });
-                self.activity.wrote(self.index, number);
+                self.in_flight.push_back(InFlightCall { number, written_at: Instant::now() });
+                self.activity.record_written(self.index, number);
                 Ok(())
             }
             _ => Err(call),
         }
     }
 
-    /// Takes whole lines off the buffer.
-    async fn read_answers(&mut self, buffer: &mut BytesMut) -> Result<(), Unusable> {
+    /// Processes the complete lines in the buffer.
+    async fn read_answers(&mut self, buffer: &mut BytesMut) -> Result<(), StreamUnusable> {
         while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
             let line = buffer.split_to(end + 1);
             let answer = std::str::from_utf8(&line).ok().and_then(|line| Answer::read(line.trim_end()));
-            let Some(Answer { outcome, total }) = answer else { return Err(self.spoilt_answer().await) };
-            let call = self.in_flight.pop_front().ok_or(Unusable)?;
+            let Some(Answer { outcome, total }) = answer else {
+                return Err(self.settle_unreadable_answer().await);
+            };
+            let call = self.in_flight.pop_front().ok_or(StreamUnusable)?;
             self.report(call.number, outcome, total).await;
         }
         if buffer.len() > MAX_LINE_BYTES {
-            return Err(self.spoilt_answer().await);
+            return Err(self.settle_unreadable_answer().await);
         }
         Ok(())
     }
 
-    /// Settles the call whose answer can't be read: it was added, to a total that is not known. What comes
-    /// after it on the stream can't be told apart.
-    async fn spoilt_answer(&mut self) -> Unusable {
+    /// Completes the call whose reply is malformed: it was counted, but the total is unknown. Later
+    /// replies on the stream can't be matched to their calls.
+    async fn settle_unreadable_answer(&mut self) -> StreamUnusable {
         if let Some(call) = self.in_flight.pop_front() {
             self.report(call.number, Outcome::Ok, f64::NAN).await;
         }
-        Unusable
+        StreamUnusable
     }
 
     async fn report(&self, number: u64, outcome: Outcome, total: f64) {
-        // Fails only when the gateway ends.
-        let _ = self.inbox.send(Counted { number, outcome, total }.into()).await;
+        // Fails only if the event loop has ended.
+        let _ = self.inbox.send(CounterReply { number, outcome, total }.into()).await;
     }
 }
 
-/// A line of the counter.
+/// A reply line of the counter.
 struct Answer {
     outcome: Outcome,
     total: f64,
--- a/crates/gateway/src/counter/silence.rs
+++ b/crates/gateway/src/counter/silence.rs
@@ -1,48 +1,50 @@
-//! Tells a connection that fell silent by itself from a counter that is slow or gone. No I/O, no clock: times
-//! are spans up to now.
+//! Distinguishes a single silent connection from a counter that is slow or gone. No I/O and no clock:
+//! times are durations up to now.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// A connection is not heard for so many timeouts with a call in flight on it: replaced, whatever the others
-/// say.
-pub const REPLACED_AFTER: u32 = 3;
-/// Part of a timeout by which another connection has to be heard after the call was made: the last answer of
-/// a counter that then falls silent is no sign that it lives.
-const RECEIVED_AFTER_DIVISOR: u32 = 4;
+/// Number of timeouts without data, with a call in flight, after which a connection is replaced whatever the
+/// state of the others.
+pub const REPLACE_AFTER_TIMEOUTS: u32 = 3;
+/// Divisor of the timeout: data on another connection counts only if it arrived at least this part of a
+/// timeout after the call was made. The last reply of a counter that then stops responding does not prove
+/// it alive.
+const MIN_RECEIVED_AFTER_DIVISOR: u32 = 4;
 
-/// What is known of a connection on which a call is out.
+/// How long a connection with a call in flight has been silent, and how long the others have.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    /// How long the call has been out.
+    /// Time since the call was made or written.
     pub in_flight: Duration,
-    /// How long ago anything came on the connection; `None` if never.
+    /// Time since data last arrived on the connection; `None` if never.
     pub received: Option<Duration>,
-    /// How long ago anything came on any other connection to the same counter.
+    /// Time since data last arrived on any other connection to the same counter; `None` if never.
     pub others_received: Option<Duration>,
 }
 
 impl Silence {
-    /// How long nothing has come though something is due. An answer to an earlier call,
-    /// which came when this one was in flight already, is no sign of life for good.
-    fn lasts(&self) -> Duration {
+    /// Returns how long nothing has arrived although a reply is due. A reply to an earlier call restarts the
+    /// silence even if it arrived while this call was in flight.
+    fn duration(&self) -> Duration {
         self.received.map_or(self.in_flight, |ago| ago.min(self.in_flight))
     }
 
-    /// The counter answers, and this connection alone is silent: a call that it fails says nothing of how
-    /// busy the counter is. A slow counter answers late, but on all connections.
+    /// Returns whether the counter responds on other connections while this one is silent. A call that
+    /// times out then says nothing about the counter's load: a slow counter replies late, but on all
+    /// connections.
     #[must_use]
-    pub fn is_alone(&self, timeout: Duration) -> bool {
-        let silent = self.lasts();
+    pub fn is_connection_fault(&self, timeout: Duration) -> bool {
+        let silent = self.duration();
         silent >= timeout
-            && self.others_received.is_some_and(|ago| ago + timeout / RECEIVED_AFTER_DIVISOR <= silent)
+            && self.others_received.is_some_and(|ago| ago + timeout / MIN_RECEIVED_AFTER_DIVISOR <= silent)
     }
 
-    /// It is to be replaced before another call is written to it.
+    /// Returns whether the connection must be replaced before another call is written to it.
     #[must_use]
-    pub fn is_lost(&self, timeout: Duration) -> bool {
-        self.is_alone(timeout) || self.lasts() >= timeout * REPLACED_AFTER
+    pub fn needs_replacement(&self, timeout: Duration) -> bool {
+        self.is_connection_fault(timeout) || self.duration() >= timeout * REPLACE_AFTER_TIMEOUTS
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,9 +1,10 @@
-//! Follows the list of backends: from the version that is known, else the whole list; then watches.
+//! Client of the discovery service: fetches the endpoint list, or the changes since the known version,
+//! then keeps it up to date.
 
 mod connection;
+mod coordinated_start;
 mod list_state;
 mod slots;
-mod start_order;
 mod watch;
 
 use std::net::SocketAddr;
@@ -15,9 +16,9 @@
 
 use crate::clock::Clock;
 use crate::endpoint_list::{Endpoint, EndpointList};
-pub use start_order::StartOrder;
+pub use coordinated_start::CoordinatedStart;
 
-/// So many lines that are left out are named at most, of one answer.
+/// Maximum number of rejected endpoints logged for one response.
 const MAX_NAMED_ENDPOINTS: usize = 10;
 
 /// An update of the endpoint list.
@@ -25,53 +26,54 @@
 pub struct EndpointUpdate {
     pub scope: UpdateScope,
     pub endpoints: Vec<Endpoint>,
-    /// Backends whose lines could not be read: what is known of them stays.
-    pub unread: Vec<String>,
+    /// Names of backends whose entries were invalid; they keep their previous state.
+    pub unreadable: Vec<String>,
 }
 
 impl EndpointUpdate {
-    /// The text of an answer that is this whole list, with its version.
-    fn text(&self, index: u64) -> Option<(u64, String)> {
-        (self.scope == UpdateScope::Full).then(|| (index, EndpointList::text(index, &self.endpoints)))
+    /// Returns the version and the encoded list if this update is a full snapshot.
+    fn encode_snapshot(&self, version: u64) -> Option<(u64, String)> {
+        (self.scope == UpdateScope::Full)
+            .then(|| (version, EndpointList::encode_snapshot(version, &self.endpoints)))
     }
 }
 
-/// What is known of the list by now.
+/// How the endpoint list is followed, and the version known so far.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowOptions {
-    /// The cached version; none where the next call is to ask for the whole list.
-    pub index: Option<u64>,
-    /// Gateways that share discovery, this one among them.
+    /// The known version; `None` if the next call must fetch the whole list.
+    pub known_version: Option<u64>,
+    /// Number of gateways that share the discovery service, including this one.
     pub gateways: u32,
-    /// For so long a gateway may go on sending to a backend after it was told to stop.
+    /// How long a gateway may keep sending to a backend after it was told to stop.
     pub stop_within: Duration,
-    /// This gateway's own, for its backoff.
+    /// Seed of the backoff's random jitter, different for each gateway.
     pub seed: u64,
-    /// Its slots, where the fleet's operators share out the calls; none: it watches.
+    /// Slot schedule if the fleet's calls are spread over slots. `None`: the list is watched with long polls.
     pub slots: Option<(SlotSchedule, Clock)>,
 }
 
-/// Follows the list for good and sends updates to the event loop. `order`: whom it asks for a slot when it
-/// starts, where it has slots.
+/// Follows the list and sends updates to the event loop, until the task is aborted or, with slots, the inbox
+/// closes. With slots, `start` tells which agent to ask for the slot of the first call.
 pub async fn follow<T: From<EndpointUpdate>>(
-    agent: SocketAddr,
+    address: SocketAddr,
     options: FollowOptions,
-    order: Option<StartOrder>,
+    start: Option<CoordinatedStart>,
     inbox: mpsc::Sender<T>,
 ) {
     if let Some((schedule, clock)) = options.slots {
-        return slots::follow(agent, options.index, schedule, clock, order, inbox).await;
+        return slots::follow(address, options.known_version, schedule, clock, start, inbox).await;
     }
-    watch::follow(agent, options, inbox).await;
+    watch::follow(address, options, inbox).await;
 }
 
-/// Names the lines of a list that are left out; of many the first.
-pub fn log_rejected(whose: &str, list: &EndpointList) {
-    for wrong in list.rejected.iter().take(MAX_NAMED_ENDPOINTS) {
-        tracing::warn!("{whose}: {wrong}; this line is left out");
+/// Logs the rejected endpoints of a list, at most [`MAX_NAMED_ENDPOINTS`] of them by name.
+pub fn log_rejected(source: &str, list: &EndpointList) {
+    for rejected in list.rejected.iter().take(MAX_NAMED_ENDPOINTS) {
+        tracing::warn!("{source}: {rejected}; this endpoint is ignored");
     }
     let more = list.rejected.len().saturating_sub(MAX_NAMED_ENDPOINTS);
     if more > 0 {
-        tracing::warn!("{whose}: {more} more lines are left out");
+        tracing::warn!("{source}: {more} more invalid endpoints are ignored");
     }
 }
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,4 +1,5 @@
-//! A connection to discovery, one call on it, and how a silent discovery is found again.
+//! Connections to the discovery service, calls on them, and reconnecting to a service that stopped
+//! responding.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,53 +17,58 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// The longest answer, bytes.
+/// Maximum size of a response body, bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Calls into a silent discovery that are in flight at once, at most.
+/// Maximum number of concurrent calls to a discovery service that does not respond.
 const MAX_CALLS_IN_FLIGHT: u32 = 4;
 
-/// A connection to discovery.
+/// An HTTP connection to the discovery service.
 pub struct ListConnection {
-    agent: SocketAddr,
+    address: SocketAddr,
     sender: http1::SendRequest<Empty<Bytes>>,
-    /// Ends the connection with this: a watch of a discovery that is no longer asked would stay open until
-    /// it answers.
+    /// Closes the connection when this value is dropped. Otherwise an abandoned long poll would stay open
+    /// until discovery responds.
     _connection: AbortOnDropHandle<hyper::Result<()>>,
 }
 
-/// What came of a call.
+/// The result of a call.
 pub enum ListResponse {
-    /// The list, or what changed of it.
+    /// The whole list or a delta.
     List(EndpointList),
-    /// Discovery turned the call away, with the time for which it wants no other, if it tells one.
+    /// Discovery rejected the call, with the `Retry-After` time if one was given.
     Rejected(Option<Duration>),
-    /// The answer can't be read, for this reason.
+    /// The response can't be parsed, for this reason.
     Unreadable(String),
     /// The connection broke.
     Lost,
 }
 
 impl ListConnection {
-    /// None where nobody is there, or nothing comes up within a time.
-    pub async fn open(agent: SocketAddr, within: Duration) -> Option<ListConnection> {
-        let stream = timeout(within, TcpStream::connect(agent)).await.ok()?.ok()?;
+    /// Opens a connection; `None` if it fails or takes longer than `within`.
+    pub async fn open(address: SocketAddr, within: Duration) -> Option<ListConnection> {
+        let stream = timeout(within, TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        Some(ListConnection { agent, sender, _connection: AbortOnDropHandle::new(tokio::spawn(connection)) })
+        Some(ListConnection {
+            address,
+            sender,
+            _connection: AbortOnDropHandle::new(tokio::spawn(connection)),
+        })
     }
 
-    /// Whether its other side has ended it.
+    /// Returns whether the connection has been closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// One call: for the whole list, or for what changed since a version, with the wait for it.
+    /// Makes one call: for the whole list, or a long poll for the changes since a version, with its wait
+    /// time.
     pub async fn get(&mut self, changed: Option<(u64, Duration)>) -> ListResponse {
         let path = match changed {
             None => "/discovery/hosts".to_string(),
             Some((i, wait)) => format!("/discovery/hosts?after={i}&wait_ms={}", wait.as_millis()),
         };
-        let request = Request::get(path).header(HOST, self.agent.to_string()).body(Empty::new());
+        let request = Request::get(path).header(HOST, self.address.to_string()).body(Empty::new());
         let Ok(request) = request else { return ListResponse::Lost };
         let Ok(response) = self.sender.send_request(request).await else { return ListResponse::Lost };
         if !response.status().is_success() {
@@ -73,40 +79,40 @@
         let Ok(body) = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await else {
             return ListResponse::Lost;
         };
-        match EndpointList::read(&body.to_bytes()) {
+        match EndpointList::parse(&body.to_bytes()) {
             Ok(list) => ListResponse::List(list),
             Err(e) => ListResponse::Unreadable(e.to_string()),
         }
     }
 }
 
-/// Asks a discovery that fell silent for the whole list until it says anything, each time on a connection of
-/// its own: the next call follows after `apart`, a fourth of `within` at least, while those before it stay
-/// open for `within`. None where no connection comes up.
+/// Fetches the whole list from a discovery service that stopped responding, until a call completes. Each
+/// call uses its own connection and stays open for `within`; calls start every `apart`, but at most
+/// [`MAX_CALLS_IN_FLIGHT`] run at once. Returns `None` if a connection can't be opened.
 ///
-/// A call that went into the silence is not answered when discovery is back, and what is told meanwhile
-/// counts as told: so later calls overlap with it. The price: a discovery that is slower than `apart` is
-/// asked for four lists in place of one.
+/// Calls overlap because a call that was sent during the outage is not answered when the service is back,
+/// while updates sent in the meantime count as delivered. The cost is that a service slower than `apart`
+/// is asked for up to four lists instead of one.
 pub async fn reconnect(
-    agent: SocketAddr,
+    address: SocketAddr,
     apart: Duration,
     within: Duration,
 ) -> Option<(ListConnection, ListResponse)> {
     let mut calls = JoinSet::new();
     let mut next = interval(apart.max(within / MAX_CALLS_IN_FLIGHT));
-    // A gateway that was stopped must not make all the calls of that time when it goes on.
+    // A suspended process must not make up for all missed calls when it resumes.
     next.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             Some(done) = calls.join_next(), if !calls.is_empty() => {
-                // Else it was given up.
+                // Otherwise the call timed out.
                 if let Ok(Ok(answered)) = done {
                     return answered;
                 }
             }
             _ = next.tick() => {
                 calls.spawn(timeout(within, async move {
-                    let mut connection = ListConnection::open(agent, within).await?;
+                    let mut connection = ListConnection::open(address, within).await?;
                     let response = connection.get(None).await;
                     Some((connection, response))
                 }));
--- a/crates/gateway/src/discovery/start_order.rs
+++ b/crates/gateway/src/discovery/coordinated_start.rs
@@ -1,5 +1,5 @@
-//! A start ordered by the agent: a slot for the first call to the list service, and the list that it hands
-//! out.
+//! A start coordinated by the agent, which assigns the slot for the first call to discovery and may
+//! provide the list itself.
 
 use std::fmt;
 use std::time::Duration;
@@ -18,79 +18,80 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// How long the agent may take for an answer: a start must not wait for an agent that is gone. The gateway's
-/// slots go on meanwhile.
+/// Timeout for a response of the agent: a start must not wait for an agent that is gone. The gateway's
+/// own slots continue meanwhile.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest that a slot or the next request may lie ahead, ms.
+/// Longest accepted delay until a slot or the next request, ms.
 const MAX_CALL_DELAY_MS: f64 = 10_000.0;
 
-/// Who orders the start, and of whom.
+/// The agent that coordinates the start, and how this gateway identifies itself to it.
 #[derive(Clone)]
-pub struct StartOrder {
+pub struct CoordinatedStart {
     pub agent: Address,
-    pub dialer: Connector,
+    pub connector: Connector,
     pub name: Name,
-    /// The gateway's process.
+    /// Incarnation of this process.
     pub incarnation: u64,
     pub gateways: u32,
 }
 
-/// What the agent gives.
+/// A message from the agent.
 pub enum AgentMessage {
-    /// A list that nobody confirms by this.
+    /// A list, which is not confirmed by discovery.
     List(EndpointList),
-    /// The first call may be made now; it is to fetch the whole list or not.
+    /// The first call may be made now. `fetch`: it must fetch the whole list.
     Slot { fetch: bool },
 }
 
-/// What came of the first call, after so long, and the list where it was to be fetched.
+/// The result of the first call, how long it took, and the version and text of the list if it was to be
+/// fetched.
 pub struct FirstCallResult {
     pub result: PollOutcome,
     pub took: Duration,
     pub fetched: Option<(u64, String)>,
 }
 
-/// The exchange with the agent; it ends with the value.
+/// The exchange with the agent. Dropping it ends the exchange.
 pub struct SlotRequest {
-    /// What the agent gives; ended when there is no more.
+    /// Messages of the agent; closed when there are no more.
     pub messages: mpsc::Receiver<AgentMessage>,
     report: Option<oneshot::Sender<FirstCallResult>>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl SlotRequest {
-    /// Begins to ask; `held` is the version of the cached list.
-    pub fn start(order: StartOrder, held: Option<u64>) -> SlotRequest {
+    /// Starts asking for a slot; `held` is the version of the cached list.
+    pub fn start(start: CoordinatedStart, held: Option<u64>) -> SlotRequest {
         let (sender, messages) = mpsc::channel(1);
         let (report, reported) = oneshot::channel();
-        let task = AbortOnDropHandle::new(tokio::spawn(run(order, held, sender, reported)));
+        let task = AbortOnDropHandle::new(tokio::spawn(run(start, held, sender, reported)));
         SlotRequest { messages, report: Some(report), _task: task }
     }
 
-    /// Whether the first call was not reported yet.
+    /// Returns whether the first call has not been reported yet.
     pub fn wants_report(&self) -> bool {
         self.report.is_some()
     }
 
-    /// Reports the first call.
+    /// Reports the result of the first call to the agent.
     pub fn report(&mut self, report: FirstCallResult) {
-        // Fails only where nothing could be asked of the agent.
+        // Fails only if the exchange has ended because the agent gave no slot.
         let _ = self.report.take().map(|sender| sender.send(report));
     }
 }
 
 async fn run(
-    order: StartOrder,
+    start: CoordinatedStart,
     held: Option<u64>,
     messages: mpsc::Sender<AgentMessage>,
     mut reported: oneshot::Receiver<FirstCallResult>,
 ) {
     let report = tokio::select! {
         report = &mut reported => report,
-        slot = request_slot(&order, held, messages) => match slot {
+        slot = request_slot(&start, held, messages) => match slot {
             Ok(()) => reported.await,
             Err(e) => {
-                tracing::info!("start: no turn from the agent at {}: {e}; slots alone", order.agent);
+                tracing::info!("start: no slot from the agent at {}: {e}; using own slots", start.agent);
                 return;
             }
         },
@@ -104,30 +105,30 @@
     };
     let list = fetched.filter(|(_, text)| text.len() <= MAX_START_LIST_BYTES);
     let call = FirstCall { outcome, took_ms: took.as_secs_f64() * 1_000.0, list };
-    let StartOrder { name, incarnation, .. } = order.clone();
-    // Without it the agent goes by what others tell it.
-    let _ = request(&order, ToolRequest::Started { name, incarnation, call }).await;
+    let CoordinatedStart { name, incarnation, .. } = start.clone();
+    // If this report is lost, the agent relies on the reports of other gateways.
+    let _ = request(&start, ToolRequest::Started { name, incarnation, call }).await;
 }
 
-/// Asks until there is a slot, or nothing to wait for.
+/// Asks the agent until it assigns a slot or ends the exchange.
 async fn request_slot(
-    order: &StartOrder,
+    start: &CoordinatedStart,
     mut held: Option<u64>,
     messages: mpsc::Sender<AgentMessage>,
 ) -> Result<(), AgentError> {
     loop {
-        let StartOrder { name, incarnation, gateways, .. } = order.clone();
+        let CoordinatedStart { name, incarnation, gateways, .. } = start.clone();
         let response =
-            request(order, ToolRequest::Start { name, incarnation, gateways, held_version: held }).await?;
+            request(start, ToolRequest::Start { name, incarnation, gateways, held_version: held }).await?;
         let ToolResponse::Starting(StartInstructions { call_in_ms, fetch, ask_in_ms, list }) = response
         else {
             return Err(AgentError::Unexpected);
         };
         let list =
-            list.and_then(|text| EndpointList::read(text.as_bytes()).ok()).filter(|list| list.snapshot);
-        if let Some(list) = list.filter(|list| held.is_none_or(|held| list.index > held)) {
-            held = Some(list.index);
-            // Fails only when the gateway ends, as below.
+            list.and_then(|text| EndpointList::parse(text.as_bytes()).ok()).filter(|list| list.snapshot);
+        if let Some(list) = list.filter(|list| held.is_none_or(|held| list.version > held)) {
+            held = Some(list.version);
+            // Fails only if the gateway is ending, as does the send below.
             let _ = messages.send(AgentMessage::List(list)).await;
         }
         let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, MAX_CALL_DELAY_MS) / 1_000.0);
@@ -143,9 +144,9 @@
     }
 }
 
-async fn request(order: &StartOrder, body: ToolRequest) -> Result<ToolResponse, AgentError> {
+async fn request(start: &CoordinatedStart, body: ToolRequest) -> Result<ToolResponse, AgentError> {
     let responded = async {
-        let lines = order.dialer.connect(&order.agent, RESPONSE_TIMEOUT, MAX_LINE_BYTES).await;
+        let lines = start.connector.connect(&start.agent, RESPONSE_TIMEOUT, MAX_LINE_BYTES).await;
         let mut lines = lines.map_err(AgentError::Connect)?;
         lines.send(&Envelope { request_id: 1, body }).await.map_err(AgentError::Line)?;
         match lines.next::<Envelope<ToolResponse>>().await.map_err(AgentError::Line)? {
@@ -157,7 +158,7 @@
     timeout(RESPONSE_TIMEOUT, responded).await.unwrap_or(Err(AgentError::TimedOut))
 }
 
-/// Why the agent gives no slot.
+/// Why the agent gave no slot.
 #[derive(Debug)]
 enum AgentError {
     Connect(ConnectError),
@@ -174,9 +175,9 @@
             AgentError::Connect(e) => e.fmt(f),
             AgentError::Line(e) => e.fmt(f),
             AgentError::Rejected(fault) => f.write_str(&fault.message),
-            AgentError::Unexpected => f.write_str("it answered something else"),
-            AgentError::Closed => f.write_str("it ended the connection"),
-            AgentError::TimedOut => f.write_str("no answer in time"),
+            AgentError::Unexpected => f.write_str("unexpected response"),
+            AgentError::Closed => f.write_str("connection closed by the agent"),
+            AgentError::TimedOut => f.write_str("timed out"),
         }
     }
 }
--- a/crates/gateway/src/discovery/list_state.rs
+++ b/crates/gateway/src/discovery/list_state.rs
@@ -1,4 +1,4 @@
-//! What a gateway holds of the endpoint list, and what answers of discovery make of it. No I/O, no clock.
+//! Version of the cached endpoint list, and how responses of discovery update it. No I/O and no clock.
 
 #[cfg(test)]
 mod tests;
@@ -8,17 +8,17 @@
 use super::{log_rejected, EndpointUpdate};
 use crate::endpoint_list::EndpointList;
 
-/// What a gateway holds of the list.
+/// The state of the cached list.
 pub(super) struct ListState {
-    /// The version; none where the whole list is to be asked for.
-    pub index: Option<u64>,
-    /// Whether the last answer could not be read, which is logged once.
-    unreadable: bool,
+    /// The cached version; `None` if the whole list must be fetched.
+    pub version: Option<u64>,
+    /// Whether the last response was unreadable, which is logged only once.
+    unreadable_logged: bool,
 }
 
-/// What an answer makes of the cached list.
+/// How a response relates to the cached list.
 pub(super) enum Accepted {
-    /// Nothing: its version is older. Discovery began anew, and its changes must not be read as those of the
+    /// A delta of an older version: discovery was restarted, and its changes must not be applied to the
     /// cached list.
     Older,
     /// The cached version.
@@ -28,29 +28,30 @@
 }
 
 impl ListState {
-    /// Holds a version, if any is known.
-    pub fn new(index: Option<u64>) -> ListState {
-        ListState { index, unreadable: false }
+    /// Creates the state with the known version, if any.
+    pub fn new(version: Option<u64>) -> ListState {
+        ListState { version, unreadable_logged: false }
     }
 
-    /// Has the whole list asked for: discovery at the address may be another one, with versions of its own.
+    /// Discards the version so that the whole list is fetched: the address may now belong to another
+    /// discovery service with its own versions.
     pub fn forget(&mut self) {
-        self.index = None;
+        self.version = None;
     }
 
-    /// Takes an answer of discovery's.
+    /// Processes a list received from discovery.
     pub fn accept(&mut self, list: EndpointList) -> Accepted {
-        self.unreadable = false;
+        self.unreadable_logged = false;
         log_rejected("discovery", &list);
-        if !list.snapshot && self.index.is_some_and(|held| list.index < held) {
+        if !list.snapshot && self.version.is_some_and(|held| list.version < held) {
             self.forget();
             return Accepted::Older;
         }
-        let is_same = self.index == Some(list.index);
-        self.index = Some(list.index);
+        let is_same = self.version == Some(list.version);
+        self.version = Some(list.version);
         let scope = if list.snapshot { UpdateScope::Full } else { UpdateScope::Delta };
-        let unread = list.unread_names();
-        let update = EndpointUpdate { scope, endpoints: list.endpoints, unread };
+        let unreadable = list.unreadable_names();
+        let update = EndpointUpdate { scope, endpoints: list.endpoints, unreadable };
         if is_same {
             Accepted::Same(update)
         } else {
@@ -58,19 +59,20 @@
         }
     }
 
-    /// Takes a list that the agent hands out, if it is newer than the cached one.
+    /// Adopts a list that the agent provides, if it is newer than the cached one.
     pub fn adopt(&mut self, list: EndpointList) -> Option<EndpointUpdate> {
-        if self.index.is_some_and(|held| held >= list.index) {
+        if self.version.is_some_and(|held| held >= list.version) {
             return None;
         }
-        self.index = Some(list.index);
-        Some(EndpointUpdate { scope: UpdateScope::Cached, endpoints: list.endpoints, unread: Vec::new() })
+        self.version = Some(list.version);
+        Some(EndpointUpdate { scope: UpdateScope::Cached, endpoints: list.endpoints, unreadable: Vec::new() })
     }
 
-    /// Logs an answer that can't be read, once, as it is asked for again until it can be.
+    /// Logs an unreadable response. Only the first of several in a row is logged, because the call is
+    /// repeated until it succeeds.
     pub fn log_unreadable(&mut self, why: &str) {
-        if !std::mem::replace(&mut self.unreadable, true) {
-            tracing::warn!("discovery: {why}; the list held stays in force");
+        if !std::mem::replace(&mut self.unreadable_logged, true) {
+            tracing::warn!("discovery: {why}; the cached list stays in force");
         }
     }
 }
--- a/crates/gateway/src/discovery/slots.rs
+++ b/crates/gateway/src/discovery/slots.rs
@@ -1,4 +1,4 @@
-//! Follows the list in this gateway's own slots, where all gateways share one list service.
+//! Follows the list in this gateway's own slots, which spread the calls of a fleet over time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,35 +8,34 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 use super::connection::{ListConnection, ListResponse};
+use super::coordinated_start::{AgentMessage, CoordinatedStart, FirstCallResult, SlotRequest};
 use super::list_state::{Accepted, ListState};
-use super::start_order::{AgentMessage, FirstCallResult, SlotRequest, StartOrder};
 use super::EndpointUpdate;
 use crate::clock::Clock;
 
-/// How long a connection may take to come up: a service that is gone without a word must not be waited for
-/// as long as one that is slow.
+/// Timeout for opening a connection. An unreachable service must not be waited for as long as a slow one.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Polls the list service.
+/// Polls the discovery service.
 struct Poller {
-    agent: SocketAddr,
+    address: SocketAddr,
     state: ListState,
-    /// Kept from call to call as long as it stands.
+    /// Reused for the next call while it is open.
     connection: Option<ListConnection>,
 }
 
-/// Follows the list for good and sends updates to the event loop.
+/// Follows the list until the inbox closes, and sends updates to the event loop.
 pub async fn follow<T: From<EndpointUpdate>>(
-    agent: SocketAddr,
-    index: Option<u64>,
+    address: SocketAddr,
+    known_version: Option<u64>,
     schedule: SlotSchedule,
     clock: Clock,
-    order: Option<StartOrder>,
+    start: Option<CoordinatedStart>,
     inbox: mpsc::Sender<T>,
 ) {
     let mut calls = PollSchedule::new(schedule);
-    let mut poller = Poller { agent, state: ListState::new(index), connection: None };
-    let mut slot_request = order.map(|order| SlotRequest::start(order, index));
+    let mut poller = Poller { address, state: ListState::new(known_version), connection: None };
+    let mut slot_request = start.map(|start| SlotRequest::start(start, known_version));
     loop {
         let (mut call, mut fetch) = (calls.next(clock.now_ms()), false);
         loop {
@@ -65,8 +64,10 @@
         calls.poll_ended(clock.now_ms(), outcome);
         if let Some(slot_request) = slot_request.as_mut().filter(|slot_request| slot_request.wants_report()) {
             let took = Duration::from_secs_f64((clock.now_ms() - call.at_ms).max(0.0) / 1_000.0);
-            let fetched =
-                update.as_ref().filter(|_| fetch).and_then(|update| update.text(poller.state.index?));
+            let fetched = update
+                .as_ref()
+                .filter(|_| fetch)
+                .and_then(|update| update.encode_snapshot(poller.state.version?));
             slot_request.report(FirstCallResult { result: outcome, took, fetched });
         }
         let Some(update) = update else { continue };
@@ -76,13 +77,13 @@
     }
 }
 
-/// What the agent gives next, if it is asked.
+/// Returns the next message of the agent; `None` if it was not asked or there are no more.
 async fn next_message(slot_request: &mut Option<SlotRequest>) -> Option<AgentMessage> {
     slot_request.as_mut()?.messages.recv().await
 }
 
 impl Poller {
-    /// One call, until it is given up; for the whole list if that is wanted.
+    /// Makes one call that ends at `until` at the latest, for the whole list if `whole` is set.
     async fn call(
         &mut self,
         call: Poll,
@@ -90,7 +91,7 @@
         whole: bool,
     ) -> (PollOutcome, Option<EndpointUpdate>) {
         let Some(mut connection) = self.connect().await else { return (PollOutcome::Failed, None) };
-        let since = self.state.index.filter(|_| !whole).map(|index| (index, call.wait));
+        let since = self.state.version.filter(|_| !whole).map(|version| (version, call.wait));
         match timeout_at(until, connection.get(since)).await {
             Ok(ListResponse::List(list)) => {
                 self.connection = Some(connection);
@@ -117,7 +118,7 @@
     async fn connect(&mut self) -> Option<ListConnection> {
         match self.connection.take().filter(|connection| !connection.is_closed()) {
             Some(connection) => Some(connection),
-            None => ListConnection::open(self.agent, CONNECT_TIMEOUT).await,
+            None => ListConnection::open(self.address, CONNECT_TIMEOUT).await,
         }
     }
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! Follows the list by watches: each call waits for the next change, and failures are followed by a backoff.
+//! Follows the list by watches (long polls): each call waits for the next change. Failures are retried with
+//! backoff.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,89 +12,95 @@
 use super::list_state::{Accepted, ListState};
 use super::{EndpointUpdate, FollowOptions};
 
-/// How long a watch may wait. Short, as a silent agent shows only after it.
+/// How long a watch may wait. Kept short because a service that stopped responding is noticed only after it.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How long any answer may take beyond that.
+/// Time allowed for a response, beyond the wait of a watch.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Backoff after a call that failed: the first, and the longest, of a gateway with few beside it.
+/// Shortest and longest backoff after a failed call, for a small fleet.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Time that discovery is taken to need for a call. Otherwise all gateways of a large fleet would call at
-/// once when they start, and all that are turned away again together. The price: the more there are, the
-/// later each calls.
+/// Time that discovery is assumed to need for one call. Delays grow with the number of gateways by this
+/// much each. Otherwise all gateways of a large fleet would call at the same time when they start, and
+/// all rejected ones would retry together. The cost is that gateways of larger fleets call later.
 const CALL_SHARE: Duration = Duration::from_millis(20);
-/// Part of the time that a gateway may go on after it was told to stop in which its first call is made: the
-/// answer needs the rest.
+/// Fraction of `stop_within` in which the first call is made; the rest is left for the response.
 const START_FRACTION: f64 = 0.5;
-/// The longest backoff. What discovery has to tell counts as told 6 s later, whether or not it was asked; a
-/// call that hangs, and the answer, need the other half.
+/// Upper limit of the backoff in fleets of any size. An update counts as delivered 6 s after discovery
+/// has it, whether or not a gateway asked; the other half of that time is for a call that hangs and the
+/// response.
 const BACKOFF_LIMIT: Duration = Duration::from_millis(3_000);
-/// Least time between watches that tell nothing; a watch goes on if the next comes within 200 ms.
+/// Shortest time between watches that return no change. Discovery treats a watch as continuing if the
+/// next one arrives within 200 ms.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the list for good and sends updates to the event loop.
+/// Follows the list and sends updates to the event loop; never returns.
 pub(super) async fn follow<T: From<EndpointUpdate>>(
-    agent: SocketAddr,
+    address: SocketAddr,
     options: FollowOptions,
     inbox: mpsc::Sender<T>,
 ) {
-    let FollowOptions { index, gateways, stop_within, seed, .. } = options;
+    let FollowOptions { known_version, gateways, stop_within, seed, .. } = options;
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, CALL_SHARE, BACKOFF_LIMIT, gateways, seed);
-    let soon = stop_within.mul_f64(START_FRACTION);
-    sleep(backoff.initial_delay(CALL_SHARE, soon, gateways)).await;
-    let mut watcher = Watcher { agent, state: ListState::new(index), inbox };
+    let max_initial_delay = stop_within.mul_f64(START_FRACTION);
+    sleep(backoff.initial_delay(CALL_SHARE, max_initial_delay, gateways)).await;
+    let mut watcher = Watcher { address, state: ListState::new(known_version), inbox };
     let mut silent = false;
     loop {
-        let end = watcher.session(silent.then_some(soon)).await;
+        let end = watcher.session(silent.then_some(max_initial_delay)).await;
         if end.answered {
             backoff.reset();
         }
-        // A discovery that fell silent and is back must not find a gateway that waits for seconds without a
-        // call by which it could be told: what is told meanwhile counts as told to it. A call that was given
-        // up has been its backoff, so the next follows within the time that the start has for its first, and
-        // others so long after each. The price: a fleet calls a silent discovery that much more often.
+        // A discovery service that responds again must not find a gateway in a backoff of seconds:
+        // updates sent in the meantime count as delivered to it. The call that timed out already served
+        // as the backoff, so the next call is made within the delay allowed for the first call after a
+        // start, and further ones at that interval. The cost is that a fleet calls an unresponsive
+        // service more often.
         silent = end.reason == EndReason::Silent;
-        sleep(if silent { backoff.initial_delay(CALL_SHARE, soon, gateways) } else { backoff.next_delay() })
-            .await;
+        sleep(if silent {
+            backoff.initial_delay(CALL_SHARE, max_initial_delay, gateways)
+        } else {
+            backoff.next_delay()
+        })
+        .await;
     }
 }
 
 /// How a connection to discovery ended.
 struct SessionEnd {
     reason: EndReason,
-    /// Whether a call on it was answered before.
+    /// Whether any call on it was answered.
     answered: bool,
 }
 
 /// Why a connection to discovery ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EndReason {
-    /// It never came up.
+    /// It could not be opened.
     NeverOpened,
-    /// It broke, or brought what can't be read.
+    /// It broke, or a response could not be parsed.
     Lost,
-    /// A call on it was not answered in time.
+    /// A call on it timed out.
     Silent,
-    /// Discovery answered that it won't.
+    /// Discovery rejected a call.
     Rejected,
 }
 
 struct Watcher<T> {
-    agent: SocketAddr,
+    address: SocketAddr,
     state: ListState,
     inbox: mpsc::Sender<T>,
 }
 
 impl<T: From<EndpointUpdate>> Watcher<T> {
-    /// Opens a connection and calls on it until one call fails. A discovery that fell silent is called anew
-    /// each `reconnect_interval` until it answers.
+    /// Opens a connection and makes calls on it until one fails. With a `reconnect_interval`, the service had
+    /// stopped responding and is called at that interval until it responds.
     async fn session(&mut self, reconnect_interval: Option<Duration>) -> SessionEnd {
         let opened = match reconnect_interval {
-            Some(interval) => reconnect(self.agent, interval, ANSWER_TIMEOUT)
+            Some(interval) => reconnect(self.address, interval, ANSWER_TIMEOUT)
                 .await
                 .map(|(connection, response)| (connection, Some(response))),
             None => {
-                ListConnection::open(self.agent, ANSWER_TIMEOUT).await.map(|connection| (connection, None))
+                ListConnection::open(self.address, ANSWER_TIMEOUT).await.map(|connection| (connection, None))
             }
         };
         let Some((connection, first)) = opened else {
@@ -103,14 +110,14 @@
         let reason = self.watch(connection, first, &mut answered).await;
         match reason {
             EndReason::Lost | EndReason::Silent => self.state.forget(),
-            // A discovery that is too busy for this call is not asked for the whole list in its place.
+            // A service too busy for this call must not be asked for the whole list instead.
             EndReason::NeverOpened | EndReason::Rejected => {}
         }
         SessionEnd { reason, answered }
     }
 
-    /// Calls on one connection until one call fails; `first` is what a call for the whole list on it has come
-    /// to already. Notes whether a call was answered.
+    /// Makes calls on one connection until one fails. `first` is the response to a call for the whole
+    /// list that was already made on it. Sets `answered` when a call is answered.
     async fn watch(
         &mut self,
         mut connection: ListConnection,
@@ -138,7 +145,7 @@
             *answered = true;
             let (update, is_same) = match self.state.accept(list) {
                 Accepted::Older => {
-                    // Versions may go back again and again: they are not asked about each time at once.
+                    // Versions may go back repeatedly; the pause keeps the retries from becoming a busy loop.
                     sleep(MIN_WATCH_INTERVAL).await;
                     continue;
                 }
@@ -148,17 +155,17 @@
             if self.inbox.send(update.into()).await.is_err() {
                 return EndReason::Lost;
             }
-            // An agent that answers watches at once is not asked again and again without a pause.
+            // The pause prevents a busy loop with a service that answers watches immediately.
             if is_same && called.elapsed() < MIN_WATCH_INTERVAL {
                 sleep(MIN_WATCH_INTERVAL).await;
             }
         }
     }
 
-    /// Makes one call: for what changed since the cached version, or for the whole list. `None` if there is
-    /// no answer in time.
+    /// Makes one call, for the changes since the cached version or for the whole list. Returns `None` if
+    /// it times out.
     async fn call(&self, connection: &mut ListConnection) -> Option<ListResponse> {
-        let since = self.state.index.map(|index| (index, WATCH_TIMEOUT));
+        let since = self.state.version.map(|version| (version, WATCH_TIMEOUT));
         let wait = if since.is_some() { WATCH_TIMEOUT } else { Duration::ZERO };
         timeout(wait + ANSWER_TIMEOUT, connection.get(since)).await.ok()
     }
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The list of backends as discovery tells it, read line by line. No I/O, no clock.
+//! The endpoint list as received from discovery, parsed entry by entry. No I/O and no clock.
 //!
-//! One line that can't be read must not keep updates of all the others out for as long as it stands: it is
-//! left out and named, and a backend that it names stays as it was.
+//! One invalid entry must not block updates of all other backends for as long as it is on the list. It is
+//! rejected and reported, and the backend that it names keeps its previous state.
 
 #[cfg(test)]
 mod tests;
@@ -14,28 +14,28 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// The list of backends or a part of it.
+/// The endpoint list, or a delta of it.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// Its version.
-    pub index: u64,
-    /// Whether it is whole.
+    /// Version of the list.
+    pub version: u64,
+    /// Whether this is the whole list, not a delta.
     pub snapshot: bool,
-    /// Each name once.
+    /// Valid entries; each name occurs once.
     pub endpoints: Vec<Endpoint>,
-    /// Lines that are left out, in their order.
+    /// Rejected entries, in the order of the list.
     pub rejected: Vec<RejectedEndpoint>,
 }
 
-/// A backend's record on the list.
+/// A backend's entry on the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Endpoint {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
-    /// What kind of machine it is; orders may name it.
+    /// Instance type, which orders may refer to.
     #[serde(default, rename = "type")]
-    pub kind: String,
+    pub instance_type: String,
     pub group: u32,
     pub status: Status,
     #[serde(default)]
@@ -44,7 +44,7 @@
     pub since_ms: f64,
 }
 
-/// What discovery says of a backend.
+/// State of a backend as reported by discovery.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Status {
@@ -63,26 +63,26 @@
     }
 }
 
-/// A line that is left out.
+/// An entry that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedEndpoint {
-    /// Its index on the list, from 0.
+    /// Index on the list, from 0.
     pub index: usize,
-    /// The backend, if that much can be read.
+    /// Name of the backend, if it could be parsed.
     pub name: Option<String>,
-    /// Why.
+    /// Reason for the rejection.
     pub problem: EndpointProblem,
 }
 
-/// Why a line is left out.
+/// Why an entry was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointProblem {
-    /// It is no record of a backend.
+    /// It is not a valid entry; with the parser's message.
     Unreadable(String),
     /// Its name is empty.
     Unnamed,
-    /// The line at this index has the same name, and holds.
-    Repeated(usize),
+    /// A later entry, at this index, has the same name and is used instead.
+    DuplicateName(usize),
 }
 
 impl fmt::Display for EndpointProblem {
@@ -90,7 +90,9 @@
         match self {
             EndpointProblem::Unreadable(why) => f.write_str(why),
             EndpointProblem::Unnamed => f.write_str("its name is empty"),
-            EndpointProblem::Repeated(by) => write!(f, "named again by endpoints[{by}], which holds"),
+            EndpointProblem::DuplicateName(kept) => {
+                write!(f, "named again by endpoints[{kept}], used instead")
+            }
         }
     }
 }
@@ -105,10 +107,10 @@
     }
 }
 
-/// An answer before its lines are read. As a tree of values a list of thousands would take ten times what it
-/// does itself.
+/// A response whose entries are not parsed yet. Parsed into generic JSON values, a list of thousands of
+/// entries would take ten times the memory of its text.
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct RawList<'a> {
     index: u64,
     snapshot: bool,
     #[serde(borrow)]
@@ -116,68 +118,68 @@
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct NameOnly {
     name: String,
 }
 
 impl EndpointList {
-    /// An empty one of version 0.
+    /// Returns an empty list with version 0.
     #[must_use]
     pub fn empty() -> EndpointList {
-        EndpointList { index: 0, snapshot: true, endpoints: Vec::new(), rejected: Vec::new() }
+        EndpointList { version: 0, snapshot: true, endpoints: Vec::new(), rejected: Vec::new() }
     }
 
-    /// Reads an answer. Of lines with one name the last holds; the others are left out.
+    /// Parses a response. Of several entries with the same name the last is used and the others are rejected.
     ///
     /// # Errors
-    /// What is wrong with the answer as a whole, where nothing of it can be used.
-    pub fn read(text: &[u8]) -> Result<EndpointList, serde_json::Error> {
-        let Raw { index, snapshot, endpoints: lines } = serde_json::from_slice(text)?;
-        let (mut read, mut rejected) = (Vec::with_capacity(lines.len()), Vec::new());
-        for (index, line) in lines.into_iter().enumerate() {
-            match read_endpoint(line.get()) {
-                Ok(endpoint) => read.push((index, endpoint)),
+    /// Returns an error if the response as a whole is invalid.
+    pub fn parse(text: &[u8]) -> Result<EndpointList, serde_json::Error> {
+        let RawList { index: version, snapshot, endpoints: entries } = serde_json::from_slice(text)?;
+        let (mut parsed, mut rejected) = (Vec::with_capacity(entries.len()), Vec::new());
+        for (index, entry) in entries.into_iter().enumerate() {
+            match parse_endpoint(entry.get()) {
+                Ok(endpoint) => parsed.push((index, endpoint)),
                 Err(problem) => {
-                    let name = serde_json::from_str(line.get()).ok().map(|Named { name }| name);
+                    let name = serde_json::from_str(entry.get()).ok().map(|NameOnly { name }| name);
                     rejected.push(RejectedEndpoint { index, name, problem });
                 }
             }
         }
-        let last: HashMap<String, usize> = read.iter().map(|(at, e)| (e.name.clone(), *at)).collect();
+        let last: HashMap<String, usize> = parsed.iter().map(|(at, e)| (e.name.clone(), *at)).collect();
         let mut endpoints = Vec::with_capacity(last.len());
-        for (index, endpoint) in read {
-            let holds = last[&endpoint.name];
-            if holds == index {
+        for (index, endpoint) in parsed {
+            let kept = last[&endpoint.name];
+            if kept == index {
                 endpoints.push(endpoint);
             } else {
-                let problem = EndpointProblem::Repeated(holds);
+                let problem = EndpointProblem::DuplicateName(kept);
                 rejected.push(RejectedEndpoint { index, name: Some(endpoint.name), problem });
             }
         }
         rejected.sort_by_key(|endpoint| endpoint.index);
-        Ok(EndpointList { index, snapshot, endpoints, rejected })
+        Ok(EndpointList { version, snapshot, endpoints, rejected })
     }
 
-    /// The text of an answer with a whole list.
+    /// Encodes a response with the whole list.
     #[must_use]
-    pub fn text(index: u64, endpoints: &[Endpoint]) -> String {
-        serde_json::json!({"index": index, "snapshot": true, "endpoints": endpoints}).to_string()
+    pub fn encode_snapshot(version: u64, endpoints: &[Endpoint]) -> String {
+        serde_json::json!({"index": version, "snapshot": true, "endpoints": endpoints}).to_string()
     }
 
-    /// Names of lines that are left out and that no other line has: what is known of them stays.
+    /// Returns the names of rejected entries without a valid entry. These backends keep their previous state.
     #[must_use]
-    pub fn unread_names(&self) -> Vec<String> {
-        let read: HashSet<&str> = self.endpoints.iter().map(|e| e.name.as_str()).collect();
+    pub fn unreadable_names(&self) -> Vec<String> {
+        let valid: HashSet<&str> = self.endpoints.iter().map(|e| e.name.as_str()).collect();
         let names = self.rejected.iter().filter_map(|endpoint| endpoint.name.clone());
-        names.filter(|name| !read.contains(name.as_str())).collect()
+        names.filter(|name| !valid.contains(name.as_str())).collect()
     }
 }
 
-fn read_endpoint(line: &str) -> Result<Endpoint, EndpointProblem> {
-    let endpoint: Endpoint = serde_json::from_str(line).map_err(|e| {
-        // Where in the one line is of no use to whoever reads a log.
-        let text = e.to_string();
-        EndpointProblem::Unreadable(text.split(" at line ").next().unwrap_or_default().to_string())
+fn parse_endpoint(text: &str) -> Result<Endpoint, EndpointProblem> {
+    let endpoint: Endpoint = serde_json::from_str(text).map_err(|e| {
+        // The position within the entry is of no use in a log.
+        let message = e.to_string();
+        EndpointProblem::Unreadable(message.split(" at line ").next().unwrap_or_default().to_string())
     })?;
     if endpoint.name.is_empty() {
         return Err(EndpointProblem::Unnamed);
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -1,9 +1,10 @@
-//! Owns the policy: turns what happens on sockets into its events, and carries out its actions.
+//! The event loop: owns the policy, turns socket activity into policy events and performs the resulting
+//! actions.
 
 mod attempts;
+mod control_plane;
 mod counter_calls;
 mod endpoints;
-mod oversight;
 mod probing;
 mod ramp;
 mod requests;
@@ -25,7 +26,7 @@
 
 use crate::backend_table::BackendTable;
 use crate::clock::Clock;
-use crate::counter::{Counted, Counter};
+use crate::counter::{Counter, CounterReply};
 use crate::discovery::EndpointUpdate;
 use crate::input::{AttemptKey, Due, Input, Purpose};
 use crate::maintenance::{ControlRequest, Partition};
@@ -36,17 +37,17 @@
 use requests::{Duplicate, Requests};
 use timers::Timers;
 
-pub use oversight::Oversight;
+pub use control_plane::ControlPlane;
 pub use ramp::StartRamp;
 
-/// What a client's waiting time loses on the way here and back, ms.
-const TRAVEL_MARGIN_MS: f64 = 5.0;
-/// How often idle connections are looked over.
+/// Part of a client's waiting time that is set aside for network transit in both directions, ms.
+const TRANSIT_MARGIN_MS: f64 = 5.0;
+/// Interval between sweeps that close idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Inputs handled at once.
+/// Maximum number of inputs handled per iteration.
 const MAX_BATCH: usize = 64;
 
-/// What the event loop works with beside the policy.
+/// Everything the event loop needs besides the policy.
 pub struct Resources {
     pub pool: ConnectionPool,
     pub counter: Option<Counter>,
@@ -55,31 +56,31 @@
     pub memory: Arc<Semaphore>,
     /// The memory budget of streamed values, bytes.
     pub streaming_memory: Arc<Semaphore>,
-    pub oversight: Oversight,
-    /// What requests are read by.
+    pub control_plane: ControlPlane,
+    /// The settings that client tasks parse requests with.
     pub service_settings: watch::Sender<Arc<ServiceSettings>>,
-    /// What other processes of this gateway have a part of.
+    /// Resources that are shared with other processes of this gateway.
     pub partitions: Vec<Partition>,
-    /// First connections to backends in slots; none: as requests need them.
+    /// Slots for first connections to backends. `None`: connections are opened when requests need them.
     pub ramp: Option<StartRamp>,
-    /// Bounds calls to the counter after the start; none: all may be made.
+    /// Limits calls to the counter after the start. `None`: unlimited.
     pub counter_budget: Option<CallBudget>,
 }
 
-/// The event loop and all it owns.
+/// The event loop and its state.
 pub struct EventLoop {
     policy: Policy,
     clock: Clock,
     names: SettingNames,
     load_fields: Arc<[String]>,
     service_settings: watch::Sender<Arc<ServiceSettings>>,
-    /// Since when the class at an index is dropped, Unix time in ms.
+    /// By class index, when a reload removed the class, Unix time in ms.
     dropped_classes: HashMap<usize, f64>,
     partitions: Vec<Partition>,
     pool: ConnectionPool,
     table: BackendTable,
     ramp: Option<StartRamp>,
-    oversight: Oversight,
+    control_plane: ControlPlane,
     requests: Requests,
     attempts: Attempts,
     counter_calls: CounterCalls,
@@ -87,16 +88,16 @@
     inbox: mpsc::Sender<Input>,
     memory: Arc<Semaphore>,
     streaming_memory: Arc<Semaphore>,
-    /// Whatever comes has to be answered by then, Unix time in ms: the gateway shuts down.
+    /// Upper bound for the deadline of new requests, Unix time in ms; set when the gateway shuts down.
     answer_by_ms: f64,
-    /// What follows from actions at once.
+    /// Inputs produced while performing actions, handled right after the current one.
     follow_ups: VecDeque<Input>,
-    /// Kept for its capacity.
+    /// Reused buffer for the policy's actions.
     actions: Vec<Action>,
 }
 
 impl EventLoop {
-    /// An event loop over a policy, with nothing in flight.
+    /// Creates an event loop over a policy, with nothing in flight.
     pub fn new(policy: Policy, clock: Clock, resources: Resources) -> Self {
         let names = resources.service_settings.borrow().names.clone();
         EventLoop {
@@ -110,7 +111,7 @@
             pool: resources.pool,
             table: BackendTable::new(),
             ramp: resources.ramp,
-            oversight: resources.oversight,
+            control_plane: resources.control_plane,
             requests: Requests::default(),
             attempts: Attempts::default(),
             counter_calls: CounterCalls::new(resources.counter, resources.counter_budget),
@@ -135,28 +136,28 @@
         loop {
             tokio::select! {
                 biased;
-                // First, so that no operator's command waits behind a flood of requests. There are few, one
-                // after another.
-                Some(request) = control.recv() => self.control(request),
+                // Polled first so that operators' commands do not wait behind a flood of requests. Control
+                // requests are few and sent one after another.
+                Some(request) = control.recv() => self.handle_control_request(request),
                 n = inputs.recv_many(&mut batch, MAX_BATCH) => {
                     if n == 0 {
                         return;
                     }
-                    batch.drain(..).for_each(|input| self.take(input));
+                    batch.drain(..).for_each(|input| self.handle_input(input));
                 }
                 Some(timer) = self.timers.expired() => {
                     self.forget_timer(&timer);
-                    self.take(Input::TimerExpired(timer.into_inner()));
+                    self.handle_input(Input::TimerExpired(timer.into_inner()));
                 }
                 now = idle_check.tick() => {
                     self.pool.close_idle(now);
-                    self.partitions.iter_mut().for_each(Partition::settle);
+                    self.partitions.iter_mut().for_each(Partition::reserve);
                 }
             }
         }
     }
 
-    /// Forgets the key of a timer that has expired.
+    /// Drops the key of an expired timer from its request.
     fn forget_timer(&mut self, timer: &Expired<Due>) {
         let Due::Policy(token) = timer.get_ref() else { return };
         if let Some(request) = Policy::request_of_timer(*token) {
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Handles what happened, and all that follows from it at once.
-    pub fn take(&mut self, input: Input) {
+    /// Handles an input and every follow-up input that it causes.
+    pub fn handle_input(&mut self, input: Input) {
         self.dispatch(input);
         while let Some(input) = self.follow_ups.pop_front() {
             self.dispatch(input);
@@ -174,7 +175,7 @@
 
     fn dispatch(&mut self, input: Input) {
         match input {
-            Input::Request { id, call, reply } => self.request(id, call, reply),
+            Input::Request { id, call, reply } => self.handle_request(id, call, reply),
             Input::ClientDisconnected { id } => self.client_disconnected(id),
             Input::Connected { key, backend, connection } => self.connected(key, backend, connection),
             Input::CooledDown { key, backend, connection } => self.cooled_down(key, backend, connection),
@@ -196,17 +197,17 @@
                 }
                 self.probed(backend, reply, purpose);
             }
-            Input::Counted(counted) => self.counted(counted),
-            Input::CounterMoved(counter) => self.move_counter(counter),
-            Input::EndpointUpdate(EndpointUpdate { scope, endpoints, unread }) => {
-                self.update_endpoints(scope, endpoints, &unread);
+            Input::Counted(reply) => self.counter_replied(reply),
+            Input::CounterMoved(counter) => self.replace_counter(counter),
+            Input::EndpointUpdate(EndpointUpdate { scope, endpoints, unreadable }) => {
+                self.update_endpoints(scope, endpoints, &unreadable);
             }
-            Input::TimerExpired(Due::Policy(token)) => self.handle(Event::TimerExpired { token }),
+            Input::TimerExpired(Due::Policy(token)) => self.handle_event(Event::TimerExpired { token }),
             Input::TimerExpired(Due::Call(number)) => self.counter_call_timed_out(number),
-            Input::TimerExpired(Due::Ramp) => self.ramp_due(),
+            Input::TimerExpired(Due::Ramp) => self.ramp_timer_expired(),
             Input::AdminRequest { request, reply } => {
                 let response = self.admin_request(request);
-                // Fails only when whoever asked is gone.
+                // Fails only if the requester is gone.
                 let _ = reply.send(response);
             }
             Input::ShuttingDown { answer_by_ms } => self.answer_by_ms = answer_by_ms,
@@ -214,37 +215,37 @@
         }
     }
 
-    /// Hands an event to the policy and carries out what it wants.
-    fn handle(&mut self, event: Event<'_>) {
+    /// Passes an event to the policy and performs the actions it returns.
+    fn handle_event(&mut self, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.policy.handle(self.clock.now_ms(), event, &mut actions);
-        actions.drain(..).for_each(|action| self.carry_out(action));
+        actions.drain(..).for_each(|action| self.perform(action));
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::SendAttempt { id, backend, write_deadline_ms } => {
-                self.send(id, backend, write_deadline_ms);
+                self.start_attempt(id, backend, write_deadline_ms);
             }
             Action::CancelAttempt { id, attempt } => self.cancel(AttemptKey { request: id, number: attempt }),
             Action::Reject { id, retry_after_ms } => {
-                // Rounded down it would be too early.
+                // Rounded up: rounding down would allow the retry too early.
                 let after = retry_after_ms.map(|ms| ms.ceil().max(1.0) as u64);
                 self.answer(id, Answer::Rejected(after));
             }
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Probe { backend } => self.probe(backend, Purpose::Health),
             Action::IncrementCounter { key, amount, ttl_ms } => {
-                self.count(&NewCall { key, amount, ttl_ms });
+                self.call_counter(&NewCall { key, amount, ttl_ms });
             }
             Action::ScheduleTimer { token, at_ms } => self.set_policy_timer(token, at_ms),
-            // Gateways have no way to talk to each other here, and discovery is always watched.
+            // This gateway has no channel to its peers, and it watches discovery all the time.
             Action::BroadcastToPeers { .. } | Action::PollEndpoints => {}
         }
     }
 
-    /// Sets a timer of the policy, unless it is for a request that is over.
+    /// Sets a timer for the policy, unless it belongs to a finished request.
     fn set_policy_timer(&mut self, token: u64, at_ms: f64) {
         let request = Policy::request_of_timer(token);
         if request.is_some_and(|id| !self.requests.contains(id)) {
@@ -256,9 +257,9 @@
         }
     }
 
-    fn request(&mut self, id: u64, call: Arc<Call>, reply: oneshot::Sender<Answer>) {
+    fn handle_request(&mut self, id: u64, call: Arc<Call>, reply: oneshot::Sender<Answer>) {
         let now_ms = self.clock.now_ms();
-        let expires_ms = (now_ms + (call.wait_ms - TRAVEL_MARGIN_MS).max(0.0)).min(self.answer_by_ms);
+        let expires_ms = (now_ms + (call.wait_ms - TRANSIT_MARGIN_MS).max(0.0)).min(self.answer_by_ms);
         let request = Request {
             id,
             customer: call.customer,
@@ -270,20 +271,20 @@
             retry: call.retry,
         };
         match self.requests.admit(id, call, expires_ms, reply) {
-            Ok(()) => self.handle(Event::Request(request)),
-            // Fails only when the client is gone.
+            Ok(()) => self.handle_event(Event::Request(request)),
+            // Fails only if the client is gone.
             Err(Duplicate { reply }) => drop(reply.send(Answer::Invalid("id is open already"))),
         }
     }
 
     fn client_disconnected(&mut self, id: u64) {
         if self.requests.take_reply(id).is_some() {
-            self.handle(Event::ClientDisconnected { id });
+            self.handle_event(Event::ClientDisconnected { id });
             self.release(id);
         }
     }
 
-    /// Sends a request its final answer, if it has none.
+    /// Sends the final answer of a request, unless one was already sent.
     fn answer(&mut self, id: u64, answer: Answer) {
         if let Some(reply) = self.requests.take_reply(id) {
             // Fails only if the client has disconnected, which is an input of its own.
@@ -292,45 +293,45 @@
         }
     }
 
-    /// Forgets a request that is over, with its timers, which would only wake.
+    /// Removes a finished request and cancels its timers, which would only cause needless wake-ups.
     fn release(&mut self, id: u64) {
         for timer in self.requests.remove_finished(id).into_iter().flatten() {
             self.timers.cancel(&timer);
         }
     }
 
-    /// Fails all that is open, and from now on all that comes.
+    /// Fails all open requests. New ones get a deadline in the past from now on.
     fn fail_all(&mut self) {
         self.answer_by_ms = f64::MIN;
         for id in self.requests.ids() {
             self.answer(id, Answer::Failed);
-            self.handle(Event::ClientDisconnected { id });
+            self.handle_event(Event::ClientDisconnected { id });
         }
     }
 
-    fn count(&mut self, call: &NewCall) {
+    fn call_counter(&mut self, call: &NewCall) {
         let now_ms = self.clock.now_ms();
-        let refused = self.counter_calls.start(call, now_ms, &mut self.timers);
-        self.follow_ups.extend(refused.map(Input::Counted));
+        let rejected = self.counter_calls.start(call, now_ms, &mut self.timers);
+        self.follow_ups.extend(rejected.map(Input::Counted));
     }
 
-    fn counted(&mut self, Counted { number, outcome, total }: Counted) {
-        if let Some(key) = self.counter_calls.settle(number, &mut self.timers) {
-            self.handle(Event::CounterReplied { key, outcome, total });
+    fn counter_replied(&mut self, CounterReply { number, outcome, total }: CounterReply) {
+        if let Some(key) = self.counter_calls.complete(number, &mut self.timers) {
+            self.handle_event(Event::CounterReplied { key, outcome, total });
         }
     }
 
     fn counter_call_timed_out(&mut self, number: u64) {
         if let Some((key, outcome)) = self.counter_calls.time_out(number) {
-            self.handle(Event::CounterReplied { key, outcome, total: 0.0 });
+            self.handle_event(Event::CounterReplied { key, outcome, total: 0.0 });
         }
     }
 
-    /// Goes over to another counter. Calls that are in flight at the old one are settled at once, so that
-    /// none of its answers comes after one of the new.
-    fn move_counter(&mut self, counter: Counter) {
-        let in_flight = self.counter_calls.replace(counter);
-        let reset = |number| Input::Counted(Counted { number, outcome: Outcome::Reset, total: 0.0 });
+    /// Switches to another counter. Calls in flight at the old one end immediately as reset, so that no reply
+    /// of the old counter is processed after one of the new counter.
+    fn replace_counter(&mut self, counter: Counter) {
+        let in_flight = self.counter_calls.replace_counter(counter);
+        let reset = |number| Input::Counted(CounterReply { number, outcome: Outcome::Reset, total: 0.0 });
         self.follow_ups.extend(in_flight.into_iter().map(reset));
     }
 }
--- a/crates/gateway/src/event_loop/attempts.rs
+++ b/crates/gateway/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts whose outcome the policy does not have yet.
+//! Attempts whose outcome has not been reported to the policy.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 use crate::input::AttemptKey;
 use crate::resp::Call;
 
-/// An attempt whose outcome the policy does not have yet.
+/// An attempt whose outcome has not been reported to the policy.
 pub(super) struct Attempt {
     pub call: Arc<Call>,
     pub backend: u32,
-    /// When the policy decided on it, Unix time in ms.
-    pub sent_ms: f64,
-    /// The deadline of its request, Unix time in ms.
+    /// When the policy decided to send it, Unix time in ms.
+    pub decided_ms: f64,
+    /// Deadline of its request, Unix time in ms.
     pub expires_ms: f64,
-    /// Its last byte has to be written by then, Unix time in ms.
+    /// Time by which its last byte must be written, Unix time in ms.
     pub write_deadline_ms: f64,
-    /// When its answer began to come, Unix time in ms.
+    /// When the first byte of its answer arrived, Unix time in ms.
     pub response_started_ms: Option<f64>,
     pub phase: Phase,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 pub(super) enum Phase {
-    /// Nothing is written; it never ran.
+    /// Waiting for a connection. Nothing was written, so the backend cannot have run the request.
     Connecting,
-    /// Writing has begun. Ending the task closes the connection.
+    /// Writing has begun. Aborting the task closes the connection.
     Writing(AbortHandle),
 }
 
@@ -38,42 +38,42 @@
 }
 
 impl Attempts {
-    /// Adds an attempt that begins.
+    /// Adds a new attempt.
     pub fn insert(&mut self, key: AttemptKey, attempt: Attempt) {
         self.in_flight.insert(key, attempt);
     }
 
-    /// An attempt in flight.
+    /// Returns an attempt in flight.
     pub fn get(&self, key: AttemptKey) -> Option<&Attempt> {
         self.in_flight.get(&key)
     }
 
-    /// An attempt in flight, to be changed.
+    /// Returns an attempt in flight for modification.
     pub fn get_mut(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
         self.in_flight.get_mut(&key)
     }
 
-    /// Takes out an attempt that has ended.
+    /// Removes an attempt that has ended and returns it.
     pub fn remove(&mut self, key: AttemptKey) -> Option<Attempt> {
         self.in_flight.remove(&key)
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub fn contains(&self, key: AttemptKey) -> bool {
         self.in_flight.contains_key(&key)
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub fn len(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Attempts in flight at any of some backends.
-    pub fn at_any_of(&self, backends: &[u32]) -> usize {
+    /// Number of attempts in flight to the given backends.
+    pub fn count_at(&self, backends: &[u32]) -> usize {
         self.in_flight.values().filter(|attempt| backends.contains(&attempt.backend)).count()
     }
 
-    /// Attempts in flight by backend.
+    /// Number of attempts in flight by backend.
     pub fn by_backend(&self) -> HashMap<u32, u64> {
         let mut counts = HashMap::new();
         for attempt in self.in_flight.values() {
--- a/crates/gateway/src/event_loop/oversight.rs
+++ b/crates/gateway/src/event_loop/control_plane.rs
@@ -1,4 +1,4 @@
-//! What operators and the agent see of the event loop: their orders are applied here, and its state is told.
+//! The control plane's view of the event loop: applies orders of operators and the agent, and reports state.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,39 +20,39 @@
 use crate::backend_table::{BackendRow, Overrides};
 use crate::maintenance::ControlRequest;
 
-/// How long a request may be on its way from its reading to the policy, ms.
-const MAX_READING_MS: f64 = 1_000.0;
+/// Longest time from parsing a request to handing it to the policy, ms.
+const MAX_READ_DELAY_MS: f64 = 1_000.0;
 
-/// What operators want of this gateway, and what only the rest of the program knows of it.
+/// The state that operators want for this gateway, and the process state that is reported to them.
 #[derive(Debug)]
-pub struct Oversight {
+pub struct ControlPlane {
     pub desired: DesiredState,
-    /// What commands at the second address left in force.
+    /// State set by commands at the management address.
     pub maintenance: MaintenanceState,
     name: String,
-    /// New with each start, below 2^53.
+    /// Unique for each start of the process, below 2^53.
     incarnation: u64,
     last_order: Option<OrderId>,
-    /// One task for each connection of a client.
+    /// Tracks one task per client connection.
     clients: TaskTracker,
-    /// Tells the listener whether the gateway itself is drained.
+    /// Notifies the listener whether the gateway itself is drained.
     drained: watch::Sender<bool>,
 }
 
-impl Oversight {
-    /// Of a gateway that nobody has given an order yet.
+impl ControlPlane {
+    /// Creates the state of a gateway that has not received any orders.
     pub fn new(name: String, incarnation: u64, clients: TaskTracker, drained: watch::Sender<bool>) -> Self {
         let (desired, maintenance, last_order) = (DesiredState::default(), MaintenanceState::default(), None);
-        Oversight { desired, maintenance, name, incarnation, last_order, clients, drained }
+        ControlPlane { desired, maintenance, name, incarnation, last_order, clients, drained }
     }
 }
 
 impl EventLoop {
-    /// Answers a request of the admin listener.
+    /// Answers a request from the admin listener.
     pub(super) fn admin_request(&mut self, request: GatewayRequest) -> GatewayResponse {
         match request {
-            GatewayRequest::State { backends } => GatewayResponse::State(self.state(backends)),
-            GatewayRequest::Inflight { subject } => GatewayResponse::Inflight(self.in_flight(&subject)),
+            GatewayRequest::State { backends } => GatewayResponse::State(self.gateway_state(backends)),
+            GatewayRequest::Inflight { subject } => GatewayResponse::Inflight(self.in_flight_at(&subject)),
             GatewayRequest::Apply { orders } if orders.len() > MAX_ORDERS_PER_REQUEST => {
                 let message = format!("{} orders at once; {MAX_ORDERS_PER_REQUEST} at most", orders.len());
                 GatewayResponse::Error(ErrorResponse::new(ErrorCode::BadRequest, message))
@@ -60,27 +60,27 @@
             GatewayRequest::Apply { orders } => {
                 let mut results = Vec::with_capacity(orders.len());
                 for order in &orders {
-                    let outcome = self.oversight.desired.apply(order);
-                    self.oversight.last_order = Some(order.id.clone());
-                    let matched = self.matched(&order.subject);
+                    let outcome = self.control_plane.desired.apply(order);
+                    self.control_plane.last_order = Some(order.id.clone());
+                    let matched = self.matched_count(&order.subject);
                     results.push(OrderResult { id: order.id.clone(), outcome, matched });
                 }
-                self.applied(results)
+                self.applied_response(results)
             }
             GatewayRequest::Adopt { snapshot } => {
-                self.oversight.desired.adopt(&snapshot);
-                self.applied(Vec::new())
+                self.control_plane.desired.adopt(&snapshot);
+                self.applied_response(Vec::new())
             }
         }
     }
 
-    /// Carries out a request of the maintenance controller or of a reload, before it is answered.
-    pub(super) fn control(&mut self, request: ControlRequest) {
-        // A reply fails only when whoever requested is gone.
+    /// Executes a request of the maintenance controller or of a reload, then replies.
+    pub(super) fn handle_control_request(&mut self, request: ControlRequest) {
+        // Sending a reply fails only if the requester is gone.
         match request {
             ControlRequest::IsListed { id, reply } => drop(reply.send(self.table.contains(&id))),
-            ControlRequest::ShareWith { other_processes, reply } => {
-                self.share_with(other_processes);
+            ControlRequest::SetOtherProcesses { other_processes, reply } => {
+                self.set_other_processes(other_processes);
                 let _ = reply.send(());
             }
             ControlRequest::TakeUnreported { reply } => {
@@ -93,38 +93,38 @@
             ControlRequest::ChangeSettings { service_settings, reply } => {
                 drop(reply.send(self.change_settings(&service_settings)));
             }
-            ControlRequest::Adopt { state, reply } => {
-                self.adopt(state);
+            ControlRequest::AdoptState { state, reply } => {
+                self.adopt_maintenance_state(state);
                 let _ = reply.send(());
             }
         }
     }
 
-    /// Leaves other processes of this gateway their shares.
-    pub fn share_with(&mut self, other_processes: usize) {
+    /// Sets the number of other processes of this gateway, which get equal shares of its resources.
+    pub fn set_other_processes(&mut self, other_processes: usize) {
         let processes = u32::try_from(other_processes).unwrap_or(u32::MAX).saturating_add(1);
         self.policy.set_process_count(self.clock.now_ms(), processes);
-        self.partitions.iter_mut().for_each(|partition| partition.share(processes as usize));
+        self.partitions.iter_mut().for_each(|partition| partition.set_process_count(processes as usize));
     }
 
-    /// Goes by new settings, as far as they may change in service.
+    /// Applies those of the new settings that may change without a restart.
     fn change_settings(&mut self, new: &ServiceSettings) -> Result<(), SettingsError> {
         let now_ms = self.clock.now_ms();
         let before = Arc::clone(&self.service_settings.borrow());
         let longest_ms = before.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-        // A request that was read, and did not come here yet, may have a class that was dropped: its index is
-        // not free before that.
-        let is_free = |index: usize| {
+        // A request that was parsed but is not yet in the event loop may still refer to a removed class, so
+        // the class's index is reusable only after the longest time that such a request can take.
+        let is_reusable = |index: usize| {
             let since_ms = self.dropped_classes.get(&index).copied().unwrap_or(now_ms);
-            now_ms - since_ms > longest_ms + MAX_READING_MS && !self.policy.has_request_of_class(index)
+            now_ms - since_ms > longest_ms + MAX_READ_DELAY_MS && !self.policy.has_request_of_class(index)
         };
-        let after = before.reloaded(new, is_free)?;
+        let after = before.reloaded(new, is_reusable)?;
         let name_at = |index: usize| after.names.classes.get(index)?.as_ref();
-        let index_before = |index| {
+        let previous_index = |index| {
             let mut names = before.names.classes.iter();
             names.position(|name| name.is_some() && name.as_ref() == name_at(index))
         };
-        self.policy.update_settings(after.settings.clone(), index_before);
+        self.policy.update_settings(after.settings.clone(), previous_index);
         let classes = &after.settings.classes;
         self.dropped_classes.retain(|index, _| classes[*index].retired);
         for (index, _) in classes.iter().enumerate().filter(|(_, class)| class.retired) {
@@ -136,84 +136,86 @@
         Ok(())
     }
 
-    /// Puts a maintenance state in force if it is newer than the one that is.
-    pub fn adopt(&mut self, maintenance: MaintenanceState) {
-        if maintenance.newer_than(self.oversight.maintenance.revision()) {
-            self.oversight.maintenance = maintenance;
+    /// Adopts a maintenance state if it is newer than the current one.
+    pub fn adopt_maintenance_state(&mut self, maintenance: MaintenanceState) {
+        if maintenance.newer_than(self.control_plane.maintenance.revision()) {
+            self.control_plane.maintenance = maintenance;
             self.apply_overrides();
         }
     }
 
-    /// Carries out what operators want by now: of backends, and of the gateway itself.
+    /// Applies the current orders and maintenance state to the backends and to the gateway itself.
     fn apply_overrides(&mut self) {
         let overrides =
-            Overrides { desired: &self.oversight.desired, maintenance: &self.oversight.maintenance };
+            Overrides { desired: &self.control_plane.desired, maintenance: &self.control_plane.maintenance };
         let lines = self.table.apply_overrides(overrides, &self.names.zones);
         if !lines.is_empty() {
-            self.apply_lines(gateway_policy::interface::UpdateScope::Delta, lines);
+            self.apply_endpoints(gateway_policy::interface::UpdateScope::Delta, lines);
         }
-        let oversight = &self.oversight;
-        let drained = oversight.desired.gateway_drained(&oversight.name).is_some()
-            || oversight.maintenance.drained_ms().is_some();
-        self.oversight.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
+        let control_plane = &self.control_plane;
+        let drained = control_plane.desired.gateway_drained(&control_plane.name).is_some()
+            || control_plane.maintenance.drained_ms().is_some();
+        self.control_plane.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
     }
 
-    /// Carries out what the orders have changed, before anybody is told that they were applied.
-    fn applied(&mut self, results: Vec<OrderResult>) -> GatewayResponse {
+    /// Applies the changed orders before the response reports them as applied.
+    fn applied_response(&mut self, results: Vec<OrderResult>) -> GatewayResponse {
         self.apply_overrides();
         GatewayResponse::Applied(Applied {
-            incarnation: self.oversight.incarnation,
-            applied_revision: self.oversight.desired.revision(),
+            incarnation: self.control_plane.incarnation,
+            applied_revision: self.control_plane.desired.revision(),
             results,
         })
     }
 
-    fn matched(&self, subject: &Subject) -> u32 {
+    fn matched_count(&self, subject: &Subject) -> u32 {
         match subject {
-            Subject::Gateway(name) => u32::from(name.as_str() == self.oversight.name),
-            _ => self.table.covered(subject).count() as u32,
+            Subject::Gateway(name) => u32::from(name.as_str() == self.control_plane.name),
+            _ => self.table.matching(subject).count() as u32,
         }
     }
 
-    /// Attempts in flight at a subject, from when they were decided on; requests that await an answer, where
-    /// it is this gateway.
-    fn in_flight(&self, subject: &Subject) -> u64 {
+    /// Returns the number of attempts in flight to the backends that a subject covers, counted from the
+    /// policy's decision; for this gateway, the number of requests that await an answer.
+    fn in_flight_at(&self, subject: &Subject) -> u64 {
         match subject {
-            Subject::Gateway(name) if name.as_str() == self.oversight.name => self.requests.open() as u64,
+            Subject::Gateway(name) if name.as_str() == self.control_plane.name => {
+                self.requests.awaiting_answer() as u64
+            }
             Subject::Gateway(_) => 0,
             _ => {
-                let numbers: Vec<u32> = self.table.covered(subject).map(|row| row.number).collect();
-                self.attempts.at_any_of(&numbers) as u64
+                let numbers: Vec<u32> = self.table.matching(subject).map(|row| row.number).collect();
+                self.attempts.count_at(&numbers) as u64
             }
         }
     }
 
-    fn state(&self, with_backends: bool) -> GatewayState {
+    fn gateway_state(&self, include_backends: bool) -> GatewayState {
         let views: HashMap<u32, BackendView> =
             self.policy.backends(self.clock.now_ms()).map(|view| (view.id, view)).collect();
-        let oversight = &self.oversight;
+        let control_plane = &self.control_plane;
         GatewayState {
-            name: oversight.name.clone(),
+            name: control_plane.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_string(),
-            incarnation: oversight.incarnation,
-            applied_revision: oversight.desired.revision(),
-            last_order: oversight.last_order.clone(),
-            drained_by: oversight.desired.gateway_drained(&oversight.name).cloned(),
-            drained_ms: oversight.maintenance.drained_ms(),
+            incarnation: control_plane.incarnation,
+            applied_revision: control_plane.desired.revision(),
+            last_order: control_plane.last_order.clone(),
+            drained_by: control_plane.desired.gateway_drained(&control_plane.name).cloned(),
+            drained_ms: control_plane.maintenance.drained_ms(),
             list_version: self.table.changes(),
             statistics: self.statistics(&views),
-            backends: with_backends.then(|| self.backend_states(&views)),
+            backends: include_backends.then(|| self.backend_states(&views)),
         }
     }
 
     fn statistics(&self, views: &HashMap<u32, BackendView>) -> GatewayStatistics {
         let (evicted_customers, evicted_units) = self.policy.evictions();
         let mut statistics = GatewayStatistics {
-            awaiting_connection: self.ramp.as_ref().map_or(0, |ramp| ramp.waiting() as u32),
-            requests: self.requests.open() as u64,
+            awaiting_connection: self.ramp.as_ref().map_or(0, |ramp| ramp.waiting_count() as u32),
+            requests: self.requests.awaiting_answer() as u64,
             in_flight: self.attempts.len() as u64,
             idle_connections: self.pool.idle_connections() as u32,
-            client_connections: self.oversight.clients.len() as u32,
+            client_connections: self.control_plane.clients.len() as u32,
             customers: self.policy.customer_count() as u64,
             evicted_customers,
             evicted_units: evicted_units.ceil() as u64,
@@ -231,7 +233,7 @@
         statistics
     }
 
-    /// Each backend on the list, by name.
+    /// Returns the state of each backend on the list, sorted by name.
     fn backend_states(&self, views: &HashMap<u32, BackendView>) -> Vec<BackendState> {
         let in_flight = self.attempts.by_backend();
         let state = |row: &BackendRow| {
@@ -241,7 +243,7 @@
                 name: endpoint.name.clone(),
                 address: endpoint.address.to_string(),
                 group: endpoint.group,
-                kind: endpoint.kind.clone(),
+                kind: endpoint.instance_type.clone(),
                 zone: endpoint.zone.clone(),
                 serving: row.is_serving(),
                 drained_by: row.effect.drained_by.clone(),
@@ -258,14 +260,14 @@
     }
 }
 
-/// What the policy makes of a backend.
+/// The policy's view of a backend.
 struct Health {
     ejected: bool,
     capacity_fraction: f64,
 }
 
 impl Health {
-    /// One that the policy does not have yet counts as healthy.
+    /// Returns the policy's view of a backend; one that the policy does not know yet counts as healthy.
     fn of(row: &BackendRow, views: &HashMap<u32, BackendView>) -> Health {
         views.get(&row.number).map_or(Health { ejected: false, capacity_fraction: 1.0 }, |view| Health {
             ejected: view.ejected,
--- a/crates/gateway/src/event_loop/endpoints.rs
+++ b/crates/gateway/src/event_loop/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: what discovery and operators make of it together goes to the pool and to the policy.
+//! Endpoint list updates: combines discovery's state with operators' overrides and passes the result to the
+//! connection pool and the policy.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,13 +11,13 @@
 use crate::endpoint_list::{Endpoint, Status};
 
 impl EventLoop {
-    /// Applies an update of discovery. Of the backends that are `unread` no line could be read: they stay as
-    /// they are.
+    /// Applies an update from discovery. Backends named in `unreadable` had an invalid entry and keep their
+    /// previous state.
     pub(super) fn update_endpoints(
         &mut self,
         scope: UpdateScope,
         endpoints: Vec<Endpoint>,
-        unread: &[String],
+        unreadable: &[String],
     ) {
         if scope != UpdateScope::Cached {
             let now_ms = self.clock.now_ms();
@@ -24,31 +25,40 @@
                 ramp.confirm(now_ms);
             }
         }
-        let mut lines = Vec::with_capacity(endpoints.len());
+        let mut updates = Vec::with_capacity(endpoints.len());
         for endpoint in endpoints {
             let removed = matches!(endpoint.status, Status::Deleted).then(|| endpoint.name.clone());
             let address = endpoint.address;
-            let overrides =
-                Overrides { desired: &self.oversight.desired, maintenance: &self.oversight.maintenance };
+            let overrides = Overrides {
+                desired: &self.control_plane.desired,
+                maintenance: &self.control_plane.maintenance,
+            };
             let Some(entry) = self.table.update(endpoint, overrides, &self.names.zones) else { continue };
             if let Some(name) = removed {
                 self.table.remove(&name);
             }
-            lines.push((entry, address));
+            updates.push((entry, address));
         }
-        lines.extend(unread.iter().filter_map(|name| self.table.entry_of(name, &self.names.zones)));
-        self.apply_lines(scope, lines);
-        let reshared = self.table.update_shares(&self.names.zones);
-        if !reshared.is_empty() {
-            self.apply_lines(UpdateScope::Delta, reshared);
+        updates.extend(
+            unreadable.iter().filter_map(|name| self.table.policy_endpoint_named(name, &self.names.zones)),
+        );
+        self.apply_endpoints(scope, updates);
+        let reweighted = self.table.update_weight_shares(&self.names.zones);
+        if !reweighted.is_empty() {
+            self.apply_endpoints(UpdateScope::Delta, reweighted);
         }
     }
 
-    /// Applies lines of the list, as discovery and operators make them together.
-    pub(super) fn apply_lines(&mut self, scope: UpdateScope, lines: Vec<(BackendEndpoint, SocketAddr)>) {
-        let mut entries = Vec::with_capacity(lines.len());
-        for (entry, address) in lines {
-            // A request for a backend that is no more must not go to the one that has its address now.
+    /// Applies endpoints in their effective state: discovery's state combined with operators' overrides.
+    pub(super) fn apply_endpoints(
+        &mut self,
+        scope: UpdateScope,
+        updates: Vec<(BackendEndpoint, SocketAddr)>,
+    ) {
+        let mut entries = Vec::with_capacity(updates.len());
+        for (entry, address) in updates {
+            // When another backend takes over an address, the previous owner is removed: its requests
+            // must not reach the new one.
             let replaced = self.pool.update(&entry, address);
             entries.push(entry);
             for id in replaced {
@@ -64,11 +74,11 @@
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
             self.pool.retain(|id| named.contains(&id));
         }
-        // Names of backends that came and went are not kept. A number is never used again.
+        // Backends that are gone are dropped from the table. Their numbers are never reused.
         let pool = &self.pool;
         self.table.retain(|id| pool.contains(id));
         self.hold_back(scope, &mut entries);
-        self.handle(Event::EndpointsUpdated { scope, endpoints: &entries });
-        self.settle_ramp();
+        self.handle_event(Event::EndpointsUpdated { scope, endpoints: &entries });
+        self.advance_ramp();
     }
 }
--- a/crates/gateway/src/event_loop/probing.rs
+++ b/crates/gateway/src/event_loop/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: signs of life that backends are asked for, for the policy and for first connections.
+//! Probes of backends: health checks for the policy, and first connections of the connection ramp.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 
 use super::EventLoop;
 
-/// A probe of backends that do not report their load.
+/// Probe for backends that do not report their load.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
-/// A probe of backends that report their load.
+/// Probe for backends that report their load.
 const INFO_LOAD: &[u8] = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
 
 impl EventLoop {
-    /// Asks a backend for a sign of life, or, where it may not be asked, for no more than a connection.
+    /// Probes a backend; where the settings do not allow probes, only opens a connection to it.
     pub(super) fn probe(&mut self, backend: u32, purpose: Purpose) {
         match self.pool.check_out(backend, Instant::now()) {
             Checkout::Idle(connection) => self.write_probe(backend, connection, purpose),
@@ -35,20 +35,20 @@
                     let _ = inbox.send(Input::ProbeConnected { backend, connection, purpose }).await;
                 });
             }
-            Checkout::Exhausted | Checkout::NotReady => self.probe_unsent(backend, purpose),
+            Checkout::Exhausted | Checkout::NotReady => self.fail_probe(backend, purpose),
         }
     }
 
-    /// Goes on with a probe when its connection is up, or not in time.
+    /// Continues a probe when its connection is up, or fails it if the connection did not come up in time.
     pub(super) fn probe_connected(&mut self, backend: u32, connection: Option<Connection>, purpose: Purpose) {
         match connection {
-            // Not to a backend that drains by now, as the connection came up late.
+            // The backend may have begun to drain while the connection was opened; it is not probed then.
             Some(c) if self.pool.is_current(backend, &c) => self.write_probe(backend, c, purpose),
-            _ => self.probe_unsent(backend, purpose),
+            _ => self.fail_probe(backend, purpose),
         }
     }
 
-    fn probe_unsent(&mut self, backend: u32, purpose: Purpose) {
+    fn fail_probe(&mut self, backend: u32, purpose: Purpose) {
         let reply = Reply::failed(Outcome::ConnectFailed);
         self.follow_ups.push_back(Input::Probed { backend, reply, connection: None, purpose });
     }
@@ -79,9 +79,11 @@
                     Reply::Served(_, report) => (Outcome::Ok, report),
                     Reply::Failed(outcome, report) => (outcome, report),
                 };
-                self.handle(Event::ProbeEnded { backend, outcome, load: &report.load });
+                self.handle_event(Event::ProbeEnded { backend, outcome, load: &report.load });
+            }
+            Purpose::FirstConnection { started_ms } => {
+                self.first_connection_ended(backend, started_ms, &reply)
             }
-            Purpose::FirstConnection { started_ms } => self.ramp_tried(backend, started_ms, &reply),
         }
     }
 }
--- a/crates/gateway/src/event_loop/ramp.rs
+++ b/crates/gateway/src/event_loop/ramp.rs
@@ -1,5 +1,5 @@
-//! First connections to backends in slots: the policy gets a backend when its slot has come and it has
-//! answered.
+//! First connections to backends in slots. The policy may use a backend once its slot has come and it has
+//! answered on its first connection.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,90 +14,93 @@
 use super::timers::TimerKey;
 use super::EventLoop;
 
-/// Which backends are open, and the lines of those that wait for their slot.
+/// The schedule of first connections, and the endpoints of backends that wait for their slot.
 pub struct StartRamp {
-    openings: ConnectionRamp,
-    /// The last line of each that waits, as the policy gets it when it is open.
+    schedule: ConnectionRamp,
+    /// By number, the latest endpoint of each waiting backend, which the policy gets when the backend is
+    /// open.
     held_back: HashMap<u32, BackendEndpoint>,
-    /// The timer of the next slot, and its moment, Unix time in ms.
+    /// Timer for the next slot, with its time, Unix time in ms.
     timer: Option<(TimerKey, f64)>,
-    /// The stage that was logged last.
+    /// The stage that was last logged.
     stage: RampStage,
-    /// Whether there is a backend to send to, or it is sure that the list names none.
-    reached: watch::Sender<bool>,
+    /// True once a backend is open, or the confirmed endpoint list is empty.
+    ready: watch::Sender<bool>,
 }
 
 impl StartRamp {
-    /// With whether there is a backend to send to.
-    pub fn new(openings: ConnectionRamp) -> (StartRamp, watch::Receiver<bool>) {
-        let (reached, receiver) = watch::channel(false);
+    /// Creates the ramp. The receiver becomes true once a backend is open or the confirmed endpoint list is
+    /// empty.
+    pub fn new(schedule: ConnectionRamp) -> (StartRamp, watch::Receiver<bool>) {
+        let (ready, receiver) = watch::channel(false);
         (
-            StartRamp { openings, held_back: HashMap::new(), timer: None, stage: RampStage::Empty, reached },
+            StartRamp { schedule, held_back: HashMap::new(), timer: None, stage: RampStage::Empty, ready },
             receiver,
         )
     }
 
-    /// The cached list is the one that there is.
+    /// Records that discovery has confirmed the endpoint list, which was cached until then.
     pub fn confirm(&mut self, now_ms: f64) {
-        self.openings.confirm(now_ms);
+        self.schedule.confirm(now_ms);
     }
 
-    /// Backends on the list that the policy may not have yet.
-    pub fn waiting(&self) -> usize {
-        self.openings.waiting_count()
+    /// Number of listed backends that the policy may not use yet.
+    pub fn waiting_count(&self) -> usize {
+        self.schedule.waiting_count()
     }
 }
 
 impl EventLoop {
-    /// Has the policy see backends that wait for their slot as draining.
+    /// Marks backends that wait for their slot as draining in an update for the policy, and keeps their real
+    /// endpoints.
     pub(super) fn hold_back(&mut self, scope: UpdateScope, entries: &mut [BackendEndpoint]) {
-        let Some(StartRamp { openings, held_back, .. }) = &mut self.ramp else { return };
+        let Some(StartRamp { schedule, held_back, .. }) = &mut self.ramp else { return };
         if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
             let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
-            openings.retain(|id| named.contains(&id));
+            schedule.retain(|id| named.contains(&id));
             held_back.retain(|id, _| named.contains(id));
         }
         for entry in entries {
             if entry.state != EndpointState::Ready {
-                openings.remove(entry.id);
+                schedule.remove(entry.id);
                 held_back.remove(&entry.id);
-            } else if !openings.add(entry.id, entry.key, entry.slow_start_from_ms()) {
+            } else if !schedule.add(entry.id, entry.key, entry.slow_start_from_ms()) {
                 held_back.insert(entry.id, entry.clone());
                 entry.state = EndpointState::Draining;
             }
         }
     }
 
-    /// Assigns slots, has the policy use backends that need none, notifies whoever waits for the first that
-    /// is open, and sets the timer of the next slot.
-    pub(super) fn settle_ramp(&mut self) {
-        let (now, out) = (self.clock.now_ms(), self.attempts.len());
+    /// Assigns slots, releases backends that need none to the policy, reports readiness when the first
+    /// backend is open, and sets the timer for the next slot.
+    pub(super) fn advance_ramp(&mut self) {
+        let (now, in_flight) = (self.clock.now_ms(), self.attempts.len());
         let Some(ramp) = &mut self.ramp else { return };
-        ramp.openings.choose(now, out);
-        let released = ramp.openings.release(now);
+        ramp.schedule.choose(now, in_flight);
+        let released = ramp.schedule.release(now);
         let entries: Vec<BackendEndpoint> =
             released.iter().filter_map(|id| ramp.held_back.remove(id)).collect();
         if !entries.is_empty() {
-            self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
+            self.handle_event(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
         }
         let Some(ramp) = &mut self.ramp else { return };
-        let (stage, open) = (ramp.openings.stage(), ramp.openings.open());
+        let (stage, open) = (ramp.schedule.stage(), ramp.schedule.open());
         if std::mem::replace(&mut ramp.stage, stage) != stage {
-            tracing::info!("start: {stage}; {open} backends open, {} wait", ramp.openings.waiting_count());
+            tracing::info!("start: {stage}; {open} backends open, {} wait", ramp.schedule.waiting_count());
         }
-        let none_listed = stage == RampStage::Empty && ramp.openings.confirmed();
+        let none_listed = stage == RampStage::Empty && ramp.schedule.confirmed();
         if open > 0 || none_listed {
-            ramp.reached.send_if_modified(|was| !std::mem::replace(was, true));
+            ramp.ready.send_if_modified(|was| !std::mem::replace(was, true));
         }
-        self.arm_ramp();
+        self.set_ramp_timer();
     }
 
-    /// Sets the timer of the next slot.
-    pub(super) fn arm_ramp(&mut self) {
+    /// Sets the timer for the next slot.
+    pub(super) fn set_ramp_timer(&mut self) {
         let Some(ramp) = &mut self.ramp else { return };
         let now = self.clock.now_ms();
-        ramp.openings.choose(now, self.attempts.len());
-        let next = ramp.openings.next(now);
+        ramp.schedule.choose(now, self.attempts.len());
+        let next = ramp.schedule.next(now);
         if next == ramp.timer.as_ref().map(|(_, at_ms)| *at_ms) {
             return;
         }
@@ -107,48 +110,48 @@
         ramp.timer = next.map(|at_ms| (self.timers.set_at_ms(Due::Ramp, at_ms), at_ms));
     }
 
-    /// Opens what is due.
-    pub(super) fn ramp_due(&mut self) {
-        // The key of a timer that has expired may be given to another one.
+    /// Opens first connections to the backends whose slot has come.
+    pub(super) fn ramp_timer_expired(&mut self) {
+        // The key of an expired timer may be reused for another one, so it must not be cancelled later.
         if let Some(ramp) = &mut self.ramp {
             ramp.timer = None;
         }
         loop {
             let now = self.clock.now_ms();
             let Some(ramp) = &mut self.ramp else { return };
-            let Some(backend) = ramp.openings.due(now) else { break };
+            let Some(backend) = ramp.schedule.due(now) else { break };
             let Some(started_ms) = ramp.held_back.get(&backend).map(BackendEndpoint::slow_start_from_ms)
             else {
                 continue;
             };
             self.probe(backend, Purpose::FirstConnection { started_ms });
         }
-        self.settle_ramp();
+        self.advance_ramp();
     }
 
-    /// Handles the outcome of a first connection. The policy has a backend from its first answer on.
-    pub(super) fn ramp_tried(&mut self, backend: u32, started_ms: f64, reply: &Reply) {
-        // One that is full answers.
+    /// Handles the outcome of a first connection. The policy may use a backend from its first answer on.
+    pub(super) fn first_connection_ended(&mut self, backend: u32, started_ms: f64, reply: &Reply) {
+        // A backend that rejects for overload has answered, too.
         let answered = matches!(reply, Reply::Served(..) | Reply::Failed(Outcome::Rejected, _));
         let now = self.clock.now_ms();
         let Some(ramp) = &mut self.ramp else { return };
-        if ramp.openings.first_connection_ended(now, backend, started_ms, answered) {
+        if ramp.schedule.first_connection_ended(now, backend, started_ms, answered) {
             self.pool.first_answered(backend, Instant::now());
             if let Some(entry) = ramp.held_back.remove(&backend) {
-                self.handle(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
+                self.handle_event(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &[entry] });
             }
         }
-        self.settle_ramp();
+        self.advance_ramp();
     }
 
-    /// Notes how an attempt at a backend ended.
-    pub(super) fn note_for_ramp(&mut self, backend: u32, reply: &Reply) {
+    /// Records the outcome of an attempt for the pool's growth and the ramp.
+    pub(super) fn record_attempt_for_ramp(&mut self, backend: u32, reply: &Reply) {
         let Some(ramp) = &mut self.ramp else { return };
         match reply {
             Reply::Served(..) => self.pool.answered(backend, Instant::now()),
             Reply::Failed(Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout, _) => {
-                ramp.openings.record_failure();
-                self.arm_ramp();
+                ramp.schedule.record_failure();
+                self.set_ramp_timer();
             }
             Reply::Failed(..) => {}
         }
--- a/crates/gateway/src/event_loop/requests.rs
+++ b/crates/gateway/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients that await a final answer, or have attempts in flight.
+//! Client requests that await a final answer or have attempts in flight.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,45 +9,45 @@
 use crate::input::AttemptKey;
 use crate::resp::{Answer, Call};
 
-/// Timers of the policy that a request usually has.
-const USUAL_TIMERS: usize = 3;
+/// Typical number of policy timers per request.
+const TYPICAL_TIMERS: usize = 3;
 
-/// A request that awaits a final answer, or has attempts in flight.
+/// A request that awaits a final answer or has attempts in flight.
 struct InFlight {
     call: Arc<Call>,
     expires_ms: f64,
     attempts_made: u32,
     attempts_in_flight: u32,
-    /// Where the final answer goes. Giving it takes this, so there is exactly one.
+    /// Channel for the final answer. Taken when the answer is sent, so that there is exactly one.
     reply: Option<oneshot::Sender<Answer>>,
-    /// Timers of the policy for it that have not expired.
+    /// Pending policy timers of the request.
     timers: Vec<TimerKey>,
 }
 
-/// An attempt that is about to begin.
+/// Data for an attempt that is about to begin.
 pub(super) struct NewAttempt {
     pub key: AttemptKey,
     pub call: Arc<Call>,
     pub expires_ms: f64,
 }
 
-/// Another request under the same client's id is in flight.
+/// A request was refused because another one with the same client request id is in flight.
 pub(super) struct Duplicate {
-    /// Where the answer to the later one goes.
+    /// Channel for the answer to the refused request.
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// All requests in flight, by their numbers.
+/// All requests in flight, by number.
 #[derive(Default)]
 pub(super) struct Requests {
     in_flight: HashMap<u64, InFlight>,
-    /// The clients' ids of the requests that await an answer.
+    /// Client request ids of the requests that await an answer.
     client_ids: HashSet<u64>,
 }
 
 impl Requests {
-    /// Admits a request. A second one under an open one's id is turned away: backends may take it for a copy
-    /// of that.
+    /// Adds a request. Refuses one whose id belongs to an open request: backends might deduplicate it as
+    /// a copy of that request.
     pub fn admit(
         &mut self,
         id: u64,
@@ -64,33 +64,33 @@
             attempts_made: 0,
             attempts_in_flight: 0,
             reply: Some(reply),
-            timers: Vec::with_capacity(USUAL_TIMERS),
+            timers: Vec::with_capacity(TYPICAL_TIMERS),
         };
         self.in_flight.insert(id, request);
         Ok(())
     }
 
-    /// Requests that await an answer.
-    pub fn open(&self) -> usize {
+    /// Number of requests that await an answer.
+    pub fn awaiting_answer(&self) -> usize {
         self.client_ids.len()
     }
 
-    /// The numbers of all requests.
+    /// Numbers of all requests.
     pub fn ids(&self) -> Vec<u64> {
         self.in_flight.keys().copied().collect()
     }
 
-    /// Whether a request awaits an answer, or has attempts in flight.
+    /// Returns whether a request awaits an answer or has attempts in flight.
     pub fn contains(&self, id: u64) -> bool {
         self.in_flight.contains_key(&id)
     }
 
-    /// Whether a request still awaits its answer.
+    /// Returns whether a request still awaits its answer.
     pub fn awaits_answer(&self, id: u64) -> bool {
         self.in_flight.get(&id).is_some_and(|request| request.reply.is_some())
     }
 
-    /// Takes the way to the client of a request that awaits an answer.
+    /// Takes the answer channel of a request; `None` if it was already answered.
     pub fn take_reply(&mut self, id: u64) -> Option<oneshot::Sender<Answer>> {
         let request = self.in_flight.get_mut(&id)?;
         let reply = request.reply.take()?;
@@ -98,7 +98,7 @@
         Some(reply)
     }
 
-    /// Counts an attempt that begins.
+    /// Registers a new attempt of a request and returns its data.
     pub fn begin_attempt(&mut self, id: u64) -> Option<NewAttempt> {
         let request = self.in_flight.get_mut(&id)?;
         let key = AttemptKey { request: id, number: request.attempts_made };
@@ -107,30 +107,30 @@
         Some(NewAttempt { key, call: Arc::clone(&request.call), expires_ms: request.expires_ms })
     }
 
-    /// Counts an attempt that has ended.
+    /// Records that an attempt of a request has ended.
     pub fn end_attempt(&mut self, id: u64) {
         if let Some(request) = self.in_flight.get_mut(&id) {
             request.attempts_in_flight -= 1;
         }
     }
 
-    /// Notes a timer that was set for a request.
+    /// Records a timer that was set for a request.
     pub fn add_timer(&mut self, id: u64, key: TimerKey) {
         if let Some(request) = self.in_flight.get_mut(&id) {
             request.timers.push(key);
         }
     }
 
-    /// Forgets a timer that has expired. Its key may be given to another timer: cancelled later, it would
-    /// silence that, and a call would never time out, or an attempt never be overdue.
+    /// Removes the key of an expired timer. The queue may reuse the key for another timer; cancelling it
+    /// later would then cancel that timer, and a counter call or an attempt would never time out.
     pub fn forget_timer(&mut self, id: u64, key: TimerKey) {
         if let Some(request) = self.in_flight.get_mut(&id) {
             request.timers.retain(|timer| *timer != key);
         }
     }
 
-    /// Forgets a request that has its answer and no attempt in flight. Returns its timers, which are to be
-    /// cancelled.
+    /// Removes a request that was answered and has no attempt in flight. Returns its pending timers,
+    /// which the caller must cancel.
     pub fn remove_finished(&mut self, id: u64) -> Option<Vec<TimerKey>> {
         let request = self.in_flight.get(&id)?;
         if request.reply.is_some() || request.attempts_in_flight > 0 {
--- a/crates/gateway/src/event_loop/sending.rs
+++ b/crates/gateway/src/event_loop/sending.rs
@@ -1,4 +1,4 @@
-//! Attempts: each gets a connection, is written, and ends with one outcome.
+//! Execution of attempts: each acquires a connection, is written and ends with exactly one outcome.
 
 use std::sync::Arc;
 
@@ -16,25 +16,25 @@
 use crate::upstream::{self, BackendReport, Checkout, Connection, Deadlines, Reply};
 
 impl EventLoop {
-    /// Begins an attempt that the policy wants.
-    pub(super) fn send(&mut self, id: u64, backend: u32, begin_by_ms: Option<f64>) {
+    /// Starts an attempt requested by the policy.
+    pub(super) fn start_attempt(&mut self, id: u64, backend: u32, write_deadline_ms: Option<f64>) {
         let Some(NewAttempt { key, call, expires_ms }) = self.requests.begin_attempt(id) else { return };
         let attempt = Attempt {
             call,
             backend,
-            sent_ms: self.clock.now_ms(),
+            decided_ms: self.clock.now_ms(),
             expires_ms,
-            write_deadline_ms: begin_by_ms.map_or(expires_ms, |by| by.min(expires_ms)),
+            write_deadline_ms: write_deadline_ms.map_or(expires_ms, |by| by.min(expires_ms)),
             response_started_ms: None,
             phase: Phase::Connecting,
         };
         self.attempts.insert(key, attempt);
-        self.check_out(key, backend);
-        self.arm_ramp();
+        self.acquire_connection(key, backend);
+        self.set_ramp_timer();
     }
 
-    /// Writes an attempt, or has it wait for a connection.
-    fn check_out(&mut self, key: AttemptKey, backend: u32) {
+    /// Acquires a connection for an attempt: writes it at once, or when the connection is available.
+    fn acquire_connection(&mut self, key: AttemptKey, backend: u32) {
         let inbox = self.inbox.clone();
         match self.pool.check_out(backend, Instant::now()) {
             Checkout::Idle(connection) => self.write(key, connection),
@@ -51,48 +51,49 @@
                     let _ = inbox.send(Input::Connected { key, backend, connection }).await;
                 });
             }
-            // Neither the gateway's own want of connections, nor a list that changed, is the backend's fault.
-            Checkout::Exhausted | Checkout::NotReady => self.end_unsent(key, backend, Outcome::NotSent),
+            // Neither the gateway's connection limit nor a changed endpoint list counts against the backend.
+            Checkout::Exhausted | Checkout::NotReady => self.end_locally(key, backend, Outcome::NotSent),
         }
     }
 
-    /// Goes on with an attempt whose connection has cooled down.
+    /// Continues an attempt whose connection has cooled down.
     pub(super) fn cooled_down(&mut self, key: AttemptKey, backend: u32, connection: Connection) {
-        // A second answer, or the end of the connection, may have come meanwhile.
+        // During the cool-down the backend may have sent a second answer or closed the connection.
         if self.pool.is_usable(backend, &connection) || !self.attempts.contains(key) {
             self.connected(key, backend, Some(connection));
         } else {
-            self.check_out(key, backend);
+            self.acquire_connection(key, backend);
         }
     }
 
-    /// Goes on with an attempt when its connection is up, or not in time.
+    /// Continues an attempt when its connection is up, or ends it if the connection did not come up in time.
     pub(super) fn connected(&mut self, key: AttemptKey, backend: u32, connection: Option<Connection>) {
         let Some(connection) = connection else {
-            return self.end_unsent(key, backend, Outcome::ConnectFailed);
+            return self.end_locally(key, backend, Outcome::ConnectFailed);
         };
         if !self.pool.is_current(backend, &connection) {
-            // The backend drains by now, or another one has its address.
-            self.end_unsent(key, backend, Outcome::NotSent);
+            // The backend is draining now, or another one has taken over its address.
+            self.end_locally(key, backend, Outcome::NotSent);
         } else if self.may_be_written(key) {
             self.write(key, connection);
         } else {
-            // The connection may still serve others.
+            // The connection can still be used for other requests.
             self.pool.check_in(backend, connection);
-            self.end_unsent(key, backend, Outcome::NotSent);
+            self.end_locally(key, backend, Outcome::NotSent);
         }
     }
 
-    /// Whether an attempt that waited for its connection may still be written. Not if its client has
-    /// disconnected or has its answer, also where attempts may not be cancelled; and no retry after the
-    /// deduplication window, when the backends have forgotten that it ran.
+    /// Returns whether an attempt that waited for its connection may still be written. It may not if the
+    /// client has disconnected or was answered, even where attempts must not be cancelled, nor after its
+    /// write deadline: a retry after the deduplication window could run twice, because the backends no
+    /// longer know the first attempt.
     fn may_be_written(&self, key: AttemptKey) -> bool {
         let now_ms = self.clock.now_ms();
         let in_time = self.attempts.get(key).is_some_and(|attempt| now_ms < attempt.write_deadline_ms);
         in_time && self.requests.awaits_answer(key.request)
     }
 
-    /// Writes an attempt's request and has its answer sent to the inbox.
+    /// Writes the request of an attempt; the outcome is sent to the inbox.
     fn write(&mut self, key: AttemptKey, connection: Connection) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         let wait_ms = (attempt.expires_ms - self.clock.now_ms()).floor().max(1.0) as u64;
@@ -105,15 +106,15 @@
         let memory = Arc::clone(&self.streaming_memory);
         let task = tokio::spawn(async move {
             let decode = |frame| upstream::decode_call(frame, &fields);
-            let begins = |length| start_response(key, backend, length, memory, inbox.clone());
-            let (reply, connection) = connection.exchange(request, deadlines, begins, decode).await;
+            let on_response = |length| start_response(key, backend, length, memory, inbox.clone());
+            let (reply, connection) = connection.exchange(request, deadlines, on_response, decode).await;
             let _ = inbox.send(Input::AttemptEnded { key, backend, reply, connection }).await;
         });
         attempt.phase = Phase::Writing(task.abort_handle());
     }
 
-    /// Notes that an attempt's answer comes, and passes on a value that is too long to be buffered whole.
-    /// Where nobody awaits it any more, whoever reads it finds that out.
+    /// Records the start of an attempt's answer, and passes a streamed value on to the client. If the
+    /// request no longer awaits an answer, the value is dropped, which its writer detects.
     pub(super) fn response_started(
         &mut self,
         key: AttemptKey,
@@ -126,9 +127,9 @@
         let Some(value) = streamed else { return };
         let AttemptKey { request: id, number } = key;
         if let Some(reply) = self.requests.take_reply(id) {
-            // Fails only if the client has disconnected, which is an input of its own.
+            // Fails only if the client has disconnected, which arrives as a separate input.
             let _ = reply.send(Answer::Streamed(value));
-            self.handle(Event::StreamStarted { id, attempt: number, backend });
+            self.handle_event(Event::StreamStarted { id, attempt: number, backend });
         }
     }
 
@@ -142,32 +143,34 @@
                 Outcome::Cancelled
             }
         };
-        self.end_unsent(key, attempt.backend, outcome);
+        self.end_locally(key, attempt.backend, outcome);
     }
 
-    /// Ends an attempt by something that the gateway knows itself.
-    fn end_unsent(&mut self, key: AttemptKey, backend: u32, outcome: Outcome) {
+    /// Ends an attempt with an outcome that the gateway determined itself, without an answer of the backend.
+    fn end_locally(&mut self, key: AttemptKey, backend: u32, outcome: Outcome) {
         let reply = Reply::failed(outcome);
         self.follow_ups.push_back(Input::AttemptEnded { key, backend, reply, connection: None });
     }
 
-    /// Handles the first outcome of an attempt; later ones, as of an answer that crossed a cancel, are passed
-    /// over.
+    /// Handles the first outcome of an attempt. Later ones are ignored, such as an answer that arrives
+    /// after the attempt was cancelled.
     pub(super) fn attempt_ended(&mut self, key: AttemptKey, reply: Reply) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         let AttemptKey { request: id, number } = key;
-        self.note_for_ramp(attempt.backend, &reply);
+        self.record_attempt_for_ramp(attempt.backend, &reply);
         self.requests.end_attempt(id);
         let (outcome, BackendReport { metered, charged, load }) = match reply {
             Reply::Served(value, report) => {
-                self.answer_with(id, &value);
+                self.answer_with_value(id, &value);
                 (Outcome::Ok, report)
             }
             Reply::Failed(outcome, report) => (outcome, report),
         };
-        // A backend that writes its answer for seconds has no queue: the start of the answer counts.
-        let latency_ms = attempt.response_started_ms.unwrap_or_else(|| self.clock.now_ms()) - attempt.sent_ms;
-        self.handle(Event::AttemptEnded {
+        // Latency ends with the first byte of the answer: a backend that streams a long value for seconds is
+        // not queueing.
+        let latency_ms =
+            attempt.response_started_ms.unwrap_or_else(|| self.clock.now_ms()) - attempt.decided_ms;
+        self.handle_event(Event::AttemptEnded {
             id,
             attempt: number,
             backend: attempt.backend,
@@ -181,20 +184,20 @@
         self.release(id);
     }
 
-    /// Answers a request with a value. Answers that nobody reads must not fill the memory: where there is no
-    /// room for it, the request has failed.
-    fn answer_with(&mut self, id: u64, value: &Bytes) {
+    /// Answers a request with a value. The request fails if the memory budget has no room for the value,
+    /// so that answers that clients do not read cannot exhaust the memory.
+    fn answer_with_value(&mut self, id: u64, value: &Bytes) {
         let answer = match Arc::clone(&self.memory).try_acquire_many_owned(value.len() as u32) {
-            // The value alone, not the buffer that it came in.
-            Ok(room) => Answer::Served(Bytes::copy_from_slice(value), room),
+            // Copied so that the larger receive buffer is not kept alive.
+            Ok(permit) => Answer::Served(Bytes::copy_from_slice(value), permit),
             Err(_) => Answer::Failed,
         };
         self.answer(id, answer);
     }
 }
 
-/// Tells the event loop that an answer begins, with the value of that length if it is streamed. Returns where
-/// the value is to be written.
+/// Notifies the event loop that an answer has begun. `length` is that of a streamed value, for which the
+/// writer is returned.
 async fn start_response(
     key: AttemptKey,
     backend: u32,
--- a/crates/gateway/src/event_loop/timers.rs
+++ b/crates/gateway/src/event_loop/timers.rs
@@ -9,38 +9,38 @@
 use crate::clock::Clock;
 use crate::input::Due;
 
-/// Names a timer until it expires or is cancelled. Afterwards the same key may name another one.
+/// Identifies a timer until it expires or is cancelled. Afterwards the key may be reused for another timer.
 pub(super) type TimerKey = delay_queue::Key;
 
-/// Timers that have not expired yet.
+/// Pending timers.
 pub(super) struct Timers {
     queue: DelayQueue<Due>,
     clock: Clock,
 }
 
 impl Timers {
-    /// None yet.
+    /// Creates an empty set of timers.
     pub fn new(clock: Clock) -> Timers {
         Timers { queue: DelayQueue::new(), clock }
     }
 
-    /// Sets a timer for a moment in Unix time, ms.
+    /// Sets a timer that expires at `at_ms`, Unix time.
     pub fn set_at_ms(&mut self, due: Due, at_ms: f64) -> TimerKey {
         let at = self.clock.instant(at_ms);
         self.set_at(due, at)
     }
 
-    /// Sets a timer for a moment.
+    /// Sets a timer that expires at `at`.
     pub fn set_at(&mut self, due: Due, at: Instant) -> TimerKey {
         self.queue.insert_at(due, at)
     }
 
-    /// Cancels a timer that has not expired.
+    /// Cancels a pending timer.
     pub fn cancel(&mut self, key: &TimerKey) {
         self.queue.try_remove(key);
     }
 
-    /// Waits for the next timer that expires; `None` at once where none is set.
+    /// Waits until the next timer expires. Returns `None` immediately if none is set.
     pub async fn expired(&mut self) -> Option<Expired<Due>> {
         poll_fn(|cx| self.queue.poll_expired(cx)).await
     }
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -5,7 +5,7 @@
 use fleet::wire::{GatewayRequest, GatewayResponse};
 use tokio::sync::oneshot;
 
-use crate::counter::{Counted, Counter};
+use crate::counter::{Counter, CounterReply};
 use crate::discovery::EndpointUpdate;
 use crate::resp::{Answer, Call};
 use crate::streaming::StreamedValue;
@@ -40,7 +40,7 @@
     /// A probe has ended; its connection comes with it if it can be used again.
     Probed { backend: u32, reply: Reply, connection: Option<Connection>, purpose: Purpose },
     /// A call to the counter has ended.
-    Counted(Counted),
+    Counted(CounterReply),
     /// The counter is at another address now.
     CounterMoved(Counter),
     /// Discovery has an update of the endpoint list.
@@ -74,9 +74,9 @@
     Ramp,
 }
 
-impl From<Counted> for Input {
-    fn from(counted: Counted) -> Self {
-        Input::Counted(counted)
+impl From<CounterReply> for Input {
+    fn from(reply: CounterReply) -> Self {
+        Input::Counted(reply)
     }
 }
 
--- a/crates/gateway/src/maintenance.rs
+++ b/crates/gateway/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! Commands of operators at the second address, and what they leave in force in all processes of this
-//! gateway.
+//! Operators' commands at the management address, and the maintenance state that they set for all
+//! processes of this gateway.
 //!
 //! ```text
 //! listener ── PendingCommand ──▶ controller ── ControlRequest ──▶ event loop
--- a/crates/gateway/src/maintenance/command.rs
+++ b/crates/gateway/src/maintenance/command.rs
@@ -1,4 +1,4 @@
-//! A command on its way to the controller, and its result.
+//! A command queued for the controller, and its result.
 
 use std::fmt;
 use std::io;
@@ -8,41 +8,41 @@
 
 use super::state_directory::StateError;
 
-/// A command, and where its result goes.
+/// A command with the channel for its result.
 pub struct PendingCommand {
-    /// What is to be done.
+    /// The command.
     pub command: Command,
-    /// Takes the result.
+    /// Receives the result.
     pub reply: oneshot::Sender<CommandResult>,
 }
 
-/// What was done, in words for the caller, or why nothing was.
+/// A description of what was done, for the caller, or why the command failed.
 pub type CommandResult = Result<String, CommandFailure>;
 
-/// Why a command was not carried out. Its text is what the caller reads.
+/// Why a command failed. The text is sent to the caller.
 #[derive(Debug)]
 pub enum CommandFailure {
-    /// The line is longer than any command.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     LineTooLong,
-    /// The caller ended its sending in the middle of the line.
-    LineCut,
-    /// The line is no command.
+    /// The caller closed its side before the end of the line.
+    LineTruncated,
+    /// The line is not a valid command.
     Malformed(CommandError),
     /// The process does not accept clients yet.
     Starting,
     /// The process is shutting down.
     ShuttingDown,
-    /// The gateway is drained, so it is not ready.
+    /// The gateway is drained, and therefore not ready.
     Drained,
     /// The maintenance state does not allow it.
     Rejected(CommandRejected),
-    /// Another process did not let go of the maintenance state in time.
+    /// Another process held the lock on the maintenance state for too long.
     Locked,
     /// The maintenance state can't be locked.
     LockFailed(io::Error),
     /// The maintenance state can't be written.
-    NotWritten(StateError),
-    /// There was no result in time.
+    WriteFailed(StateError),
+    /// The result was not available in time.
     TimedOut,
 }
 
@@ -50,18 +50,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CommandFailure::LineTooLong => write!(f, "a line of more than {MAX_LINE_BYTES} bytes"),
-            CommandFailure::LineCut => f.write_str("the line has no end"),
+            CommandFailure::LineTruncated => f.write_str("the line has no end"),
             CommandFailure::Malformed(e) => e.fmt(f),
             CommandFailure::Starting => f.write_str("starting"),
             CommandFailure::ShuttingDown => f.write_str("ending"),
             CommandFailure::Drained => f.write_str("drained; UNDRAIN takes clients again"),
             CommandFailure::Rejected(e) => e.fmt(f),
             CommandFailure::Locked => {
-                f.write_str("another process of this gateway holds the book; nothing is changed")
+                f.write_str("another process of this gateway has locked the state; nothing was changed")
             }
-            CommandFailure::LockFailed(e) => write!(f, "the book can't be locked: {e}"),
-            CommandFailure::NotWritten(e) => write!(f, "not written down, nothing is changed: {e}"),
-            CommandFailure::TimedOut => f.write_str("no answer in time; whether it is in force is not known"),
+            CommandFailure::LockFailed(e) => write!(f, "the state can't be locked: {e}"),
+            CommandFailure::WriteFailed(e) => {
+                write!(f, "the state can't be written, nothing was changed: {e}")
+            }
+            CommandFailure::TimedOut => f.write_str("timed out; the command may or may not be in force"),
         }
     }
 }
@@ -72,7 +74,7 @@
             CommandFailure::Malformed(e) => Some(e),
             CommandFailure::Rejected(e) => Some(e),
             CommandFailure::LockFailed(e) => Some(e),
-            CommandFailure::NotWritten(e) => Some(e),
+            CommandFailure::WriteFailed(e) => Some(e),
             _ => None,
         }
     }
--- a/crates/gateway/src/maintenance/control.rs
+++ b/crates/gateway/src/maintenance/control.rs
@@ -1,4 +1,4 @@
-//! What the maintenance controller, and a reload, request of the event loop, on a channel that it looks at
+//! Requests of the maintenance controller and of a reload to the event loop, on a channel that it polls
 //! first.
 
 use gateway_policy::interface::{SettingsError, UnreportedCharge};
@@ -6,21 +6,22 @@
 use maintenance::MaintenanceState;
 use tokio::sync::oneshot;
 
-/// A request to the event loop. Each is answered when it is carried out.
+/// A request to the event loop, answered when it has been executed.
 pub enum ControlRequest {
-    /// Whether a backend is on the endpoint list.
+    /// Asks whether a backend is on the endpoint list.
     IsListed { id: String, reply: oneshot::Sender<bool> },
-    /// Leaves so many other processes of this gateway their shares.
-    ShareWith { other_processes: usize, reply: oneshot::Sender<()> },
-    /// Takes the unreported charges, for another process to report.
+    /// Sets the number of other processes that share this gateway's resources.
+    SetOtherProcesses { other_processes: usize, reply: oneshot::Sender<()> },
+    /// Takes the unreported charges so that another process can report them.
     TakeUnreported { reply: oneshot::Sender<Vec<UnreportedCharge>> },
-    /// Reports the charges that another process did not, each with the next call for its customer.
+    /// Adds charges that another process did not report; each is reported with the next counter call for its
+    /// customer.
     AddUnreported { unreported: Vec<UnreportedCharge>, reply: oneshot::Sender<()> },
-    /// Changes the settings that may change in service, or gives the reason why not.
+    /// Changes the settings that may change without a restart, or replies with the error.
     ChangeSettings {
         service_settings: Box<ServiceSettings>,
         reply: oneshot::Sender<Result<(), SettingsError>>,
     },
-    /// Puts a maintenance state in force if it is newer than the one that is.
-    Adopt { state: MaintenanceState, reply: oneshot::Sender<()> },
+    /// Adopts a maintenance state if it is newer than the current one.
+    AdoptState { state: MaintenanceState, reply: oneshot::Sender<()> },
 }
--- a/crates/gateway/src/maintenance/controller.rs
+++ b/crates/gateway/src/maintenance/controller.rs
@@ -1,5 +1,5 @@
-//! Carries out commands one after another, writes the maintenance state before a command is answered, and
-//! applies what other processes of this gateway wrote.
+//! Executes commands one after another, stores the maintenance state before a command is answered, and
+//! applies what other processes of this gateway have stored.
 
 use std::fs::File;
 use std::time::Duration;
@@ -15,44 +15,44 @@
 use super::state_directory::StateDirectory;
 use crate::clock::Clock;
 
-/// File names of the states in the state directory.
+/// Kinds of the states in the state directory, which are also their file names.
 const STATE_FILE: &str = "book";
 const UNREPORTED_FILE: &str = "untold";
-/// How often other processes of this gateway are looked for, and their state read.
+/// Interval of checking for other processes of this gateway and reading the stored state.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a change takes at most to be in force in another process that runs: two polls and some.
+/// Longest time until a change is in force in another running process: two polls and some reserve.
 pub const MAX_PROPAGATION: Duration = Duration::from_millis(250);
-/// How often, and how far apart, the lock on the state is tried before a command is rejected.
+/// Number of attempts to lock the state, and the delay between them, before a command is rejected.
 const LOCK_ATTEMPTS: u32 = 40;
 const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// An unreported charge as it is stored: customer, plan, fan-out and units.
+/// Stored form of an unreported charge: customer, plan, fan-out and units.
 type StoredCharge = (u64, u64, f64, f64);
 
-fn stored(charge: UnreportedCharge) -> StoredCharge {
+fn to_stored(charge: UnreportedCharge) -> StoredCharge {
     (charge.customer, charge.plan as u64, charge.fan_out, charge.units)
 }
 
-fn restored((customer, plan, fan_out, units): StoredCharge) -> UnreportedCharge {
-    // A plan that no settings have is passed over by the policy.
+fn from_stored((customer, plan, fan_out, units): StoredCharge) -> UnreportedCharge {
+    // The policy ignores plans that do not exist in its settings.
     UnreportedCharge { customer, plan: usize::try_from(plan).unwrap_or(usize::MAX), fan_out, units }
 }
 
-/// Carries out commands, and keeps the maintenance state in step with the other processes of this gateway.
+/// Executes commands and keeps the maintenance state synchronised with the other processes of this gateway.
 pub struct Controller {
     directory: Option<StateDirectory>,
     state: MaintenanceState,
     clock: Clock,
-    /// For so long after a return a backend may be cold, ms.
+    /// Time for which a backend warms up after the end of a ban, ms.
     warm_up_ms: f64,
     status: ProcessStatus,
     event_loop: mpsc::Sender<ControlRequest>,
-    /// Why the stored state could not be read the last time; logged once.
+    /// The last error of reading the stored state, kept to log it only once.
     read_problem: String,
 }
 
 impl Controller {
-    /// A controller that goes on with the state of the directory, if there is one that can be read.
+    /// Creates a controller that starts from the stored state, if there is a readable one.
     pub fn new(
         directory: Option<StateDirectory>,
         clock: Clock,
@@ -67,7 +67,7 @@
         controller
     }
 
-    /// Other processes of this gateway that live now.
+    /// Returns the current number of other running processes of this gateway.
     pub fn other_processes(&self) -> usize {
         let others = self.directory.as_ref().and_then(|directory| directory.other_processes().ok());
         let count = others.map_or(0, |others| others.len());
@@ -75,29 +75,29 @@
         count
     }
 
-    /// What is in force now.
+    /// Returns the current maintenance state.
     pub fn state(&self) -> MaintenanceState {
         self.state.clone()
     }
 
-    /// Carries out commands until nobody can send any more. `leave_requests` come when this process is about
-    /// to end, and are answered when it may.
+    /// Executes commands until all senders are gone. A request on `handover_requests` is sent before this
+    /// process ends, and is answered when the unreported charges have been handed over.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<PendingCommand>,
-        mut leave_requests: mpsc::Receiver<oneshot::Sender<()>>,
+        mut handover_requests: mpsc::Receiver<oneshot::Sender<()>>,
     ) {
         let mut poll = interval(POLL_INTERVAL);
         poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 command = commands.recv() => match command {
-                    Some(command) => self.handle(command).await,
+                    Some(command) => self.execute(command).await,
                     None => return,
                 },
-                Some(done) = leave_requests.recv() => {
-                    self.leave_unreported().await;
-                    // Fails only when nobody waits for it any more.
+                Some(done) = handover_requests.recv() => {
+                    self.hand_over_unreported().await;
+                    // Fails only if the requester is gone.
                     let _ = done.send(());
                 }
                 _ = poll.tick(), if self.directory.is_some() => self.poll().await,
@@ -105,54 +105,55 @@
         }
     }
 
-    /// Applies what other processes did since the last look.
+    /// Applies what other processes have stored since the last poll.
     async fn poll(&mut self) {
         if self.read_state() {
             self.adopt().await;
         }
-        self.look_for_processes().await;
-        self.take_over_unreported().await;
+        self.update_process_count().await;
+        self.claim_unreported().await;
     }
 
-    /// Looks for other processes of this gateway, and has them left their shares. If it can't look, what was
-    /// seen last holds, so that it does not take everything for itself.
-    async fn look_for_processes(&self) {
+    /// Counts the other processes of this gateway and adjusts the shares of the resources. If the
+    /// directory can't be read, the last count stays, so that this process does not take the others'
+    /// shares.
+    async fn update_process_count(&self) {
         let Some(Ok(others)) = self.directory.as_ref().map(StateDirectory::other_processes) else { return };
         if !self.status.set_other_processes(others.len()) {
             return;
         }
-        tracing::info!("{} other processes of this gateway live", others.len());
+        tracing::info!("{} other processes of this gateway are running", others.len());
         let other_processes = others.len();
-        self.request(|reply| ControlRequest::ShareWith { other_processes, reply }).await;
+        self.request(|reply| ControlRequest::SetOtherProcesses { other_processes, reply }).await;
     }
 
-    /// Takes over the charges that processes that ended had not reported.
-    async fn take_over_unreported(&self) {
+    /// Takes over unreported charges from processes that have ended.
+    async fn claim_unreported(&self) {
         let Some(directory) = &self.directory else { return };
         for charges in directory.claim::<Vec<StoredCharge>>(UNREPORTED_FILE) {
-            let unreported: Vec<UnreportedCharge> = charges.into_iter().map(restored).collect();
-            tracing::info!("{} customers' charges taken over from a process that ended", unreported.len());
+            let unreported: Vec<UnreportedCharge> = charges.into_iter().map(from_stored).collect();
+            tracing::info!("{} customers' unreported charges taken over", unreported.len());
             self.request(|reply| ControlRequest::AddUnreported { unreported, reply }).await;
         }
     }
 
-    /// Writes down the unreported charges for the processes that go on.
-    async fn leave_unreported(&self) {
+    /// Stores the unreported charges for the processes that keep running.
+    async fn hand_over_unreported(&self) {
         let Some(directory) = self.directory.as_ref().filter(|_| self.status.other_processes() > 0) else {
             return;
         };
         let unreported = self.request(|reply| ControlRequest::TakeUnreported { reply }).await;
-        let charges: Vec<StoredCharge> = unreported.unwrap_or_default().into_iter().map(stored).collect();
+        let charges: Vec<StoredCharge> = unreported.unwrap_or_default().into_iter().map(to_stored).collect();
         if charges.is_empty() {
             return;
         }
-        if let Err(e) = directory.leave(UNREPORTED_FILE, &charges) {
-            tracing::warn!("{} customers' charges are told to nobody: {e}", charges.len());
+        if let Err(e) = directory.hand_over(UNREPORTED_FILE, &charges) {
+            tracing::warn!("{} customers' unreported charges are lost: {e}", charges.len());
         }
     }
 
-    /// Adopts the stored state if it is newer; returns whether it was. One that can't be read changes
-    /// nothing, so that no ban is forgotten for it.
+    /// Adopts the stored state if it is newer; returns whether it was. An unreadable state changes
+    /// nothing, so that no ban is lost because of it.
     fn read_state(&mut self) -> bool {
         let Some(directory) = &self.directory else { return false };
         match directory.read::<MaintenanceState>(STATE_FILE) {
@@ -165,7 +166,7 @@
             Err(e) => {
                 let problem = e.to_string();
                 if self.read_problem != problem {
-                    tracing::warn!("the book can't be read: {problem}; what is known stays in force");
+                    tracing::warn!("stored state unreadable: {problem}; the current one stays in force");
                     self.read_problem = problem;
                 }
                 false
@@ -173,17 +174,17 @@
         }
     }
 
-    /// Requests something of the event loop, and waits until it is done; `None` when that ends.
+    /// Sends a request to the event loop and waits for the reply; `None` if the event loop has ended.
     async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> ControlRequest) -> Option<T> {
         let (reply, done) = oneshot::channel();
         self.event_loop.send(request(reply)).await.ok()?;
         done.await.ok()
     }
 
-    /// Has the state put in force, and waits until it is.
+    /// Makes the event loop adopt the state, and waits for it; returns `false` if the event loop has ended.
     async fn adopt(&self) -> bool {
         let state = self.state.clone();
-        self.request(|reply| ControlRequest::Adopt { state, reply }).await.is_some()
+        self.request(|reply| ControlRequest::AdoptState { state, reply }).await.is_some()
     }
 
     async fn is_listed(&self, id: &str) -> bool {
@@ -191,30 +192,31 @@
         self.request(|reply| ControlRequest::IsListed { id, reply }).await.unwrap_or(false)
     }
 
-    async fn handle(&mut self, PendingCommand { command, reply }: PendingCommand) {
+    async fn execute(&mut self, PendingCommand { command, reply }: PendingCommand) {
         let result = match &command {
             Command::Ready => self.ready().await,
             command => self.change(command).await,
         };
         let changed = command != Command::Ready && result.is_ok();
-        if self.others_may_live() && changed {
-            // A success is told only when the other processes act by it as well.
+        if self.has_other_processes() && changed {
+            // Success is reported only when the other running processes have applied the change as well.
             tokio::spawn(async move {
                 sleep(MAX_PROPAGATION).await;
                 let _ = reply.send(result);
             });
             return;
         }
-        // Fails only when the caller is gone.
+        // Fails only if the caller is gone.
         let _ = reply.send(result);
     }
 
-    fn others_may_live(&self) -> bool {
+    fn has_other_processes(&self) -> bool {
         let others = self.directory.as_ref().map_or(Ok(Vec::new()), StateDirectory::other_processes);
         others.is_ok_and(|others| !others.is_empty())
     }
 
-    /// Whether this process serves: it accepts, its event loop answers, and nobody has drained it.
+    /// Executes READY: the process is ready if it accepts clients, its event loop responds and it is not
+    /// drained.
     async fn ready(&self) -> CommandResult {
         match self.status.stage() {
             Stage::Serving => {}
@@ -230,7 +232,8 @@
         }
     }
 
-    /// Changes the state: written first, then put in force, then answered.
+    /// Executes a command that changes the state: stores the state first, then puts it in force, then
+    /// returns the response.
     async fn change(&mut self, command: &Command) -> CommandResult {
         let listed = match command {
             Command::Disable(id) | Command::Enable(id) => self.is_listed(id).await,
@@ -244,7 +247,7 @@
         state.forget_reenabled(now_ms - self.warm_up_ms);
         if done == CommandOutcome::Changed {
             if let Some(directory) = &self.directory {
-                directory.write(STATE_FILE, &state).map_err(CommandFailure::NotWritten)?;
+                directory.write(STATE_FILE, &state).map_err(CommandFailure::WriteFailed)?;
             }
             self.state = state;
         }
@@ -255,8 +258,8 @@
         Ok(success_text(command, &done))
     }
 
-    /// Locks the state. A process that is stopped while it holds the lock must not hold up this one for good:
-    /// the command is rejected instead.
+    /// Locks the stored state. A process that is suspended while it holds the lock must not block this
+    /// one forever, so the command is rejected after [`LOCK_ATTEMPTS`].
     async fn lock(&self) -> Result<Option<File>, CommandFailure> {
         let Some(directory) = &self.directory else { return Ok(None) };
         for _ in 0..LOCK_ATTEMPTS {
@@ -270,7 +273,7 @@
     }
 }
 
-/// What the caller of a command reads when it was carried out.
+/// Returns the response text for a command that succeeded.
 fn success_text(command: &Command, done: &CommandOutcome) -> String {
     match (command, done) {
         (Command::Disable(id), CommandOutcome::Changed) => format!("nothing more goes to {id}"),
--- a/crates/gateway/src/maintenance/listener.rs
+++ b/crates/gateway/src/maintenance/listener.rs
@@ -1,4 +1,4 @@
-//! The second address: one command to a connection, one line back.
+//! Listener of the management address: one command per connection, answered with one line.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,48 +15,49 @@
 
 use super::command::{CommandFailure, CommandResult, PendingCommand};
 
-/// Connections at once. Their descriptors are kept for them.
+/// Maximum number of concurrent connections. File descriptors are reserved for them.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a caller may take for its line where nobody else wants the connection's permit.
+/// How long a caller may take to send its line, unless its permit is needed for another connection.
 const LINE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a result may take; a little less than callers wait.
+/// Timeout for the result of a command; slightly less than callers wait.
 const RESULT_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long a response may take to be written, and a caller to close after it.
+/// Time allowed for writing the response and for the caller to close the connection afterwards.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a connection could not be accepted.
+/// Pause after accepting a connection failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Bytes of a line that are read at once.
+/// Number of bytes read at once.
 const LINE_CHUNK: usize = 512;
-/// What is read of a caller that goes on writing after its line: so many times so many bytes.
+/// Number and size of the reads that discard what a caller sends after its line.
 const DISCARD_READS: usize = 64;
 const DISCARD_CHUNK: usize = 1024;
 
 /// Accepts connections until the task ends.
 pub async fn serve(listener: TcpListener, controller: mpsc::Sender<PendingCommand>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    // Those that have not sent their line yet, from the first.
-    let mut silent: VecDeque<CancellationToken> = VecDeque::new();
+    // Connections that have not sent their line yet, oldest first.
+    let mut awaiting_line: VecDeque<CancellationToken> = VecDeque::new();
     loop {
         let Ok((stream, caller)) = listener.accept().await else {
             sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        silent.retain(|line| !line.is_cancelled());
-        // Callers that say nothing must not keep out one that has something to say: the one that has been
-        // silent for longest makes room. Those that wait for a result have it within a second.
+        awaiting_line.retain(|line| !line.is_cancelled());
+        // Idle callers must not block others: the one that has been idle for longest is disconnected. Callers
+        // that wait for a result get it within a second.
         if permits.available_permits() == 0 {
-            if let Some(longest) = silent.pop_front() {
+            if let Some(longest) = awaiting_line.pop_front() {
                 longest.cancel();
             }
         }
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let line = CancellationToken::new();
-        silent.push_back(line.clone());
+        awaiting_line.push_back(line.clone());
         tokio::spawn(serve_connection(stream, caller, line, controller.clone(), permit));
     }
 }
 
-/// Serves one command. `line` is cancelled when the line is there, or when it is not waited for any longer.
+/// Serves one command. `line` is cancelled when the line has arrived, or when the caller is to be
+/// disconnected.
 async fn serve_connection(
     mut stream: TcpStream,
     caller: SocketAddr,
@@ -64,7 +65,7 @@
     controller: mpsc::Sender<PendingCommand>,
     permit: OwnedSemaphorePermit,
 ) {
-    // A line that is there already counts, also of a caller that is to make room.
+    // Biased so that a line that has already arrived is executed even if the caller is to be disconnected.
     let read = tokio::select! {
         biased;
         read = timeout(LINE_TIMEOUT, read_line(&mut stream)) => read.ok(),
@@ -73,16 +74,17 @@
     line.cancel();
     let result = match read {
         Some(Ok(text)) => execute(&text, caller, &controller).await,
-        Some(Err(Unread::TooLong)) => Err(CommandFailure::LineTooLong),
-        Some(Err(Unread::Cut)) => Err(CommandFailure::LineCut),
-        // Who said nothing gets nothing: the end of its connection could take long, and keep the permit.
-        Some(Err(Unread::Nothing)) | None => return,
+        Some(Err(LineError::TooLong)) => Err(CommandFailure::LineTooLong),
+        Some(Err(LineError::Truncated)) => Err(CommandFailure::LineTruncated),
+        // A caller that sent nothing gets no response: closing its connection in order could take long
+        // and would keep the permit.
+        Some(Err(LineError::Empty)) | None => return,
     };
     let _ = timeout(WRITE_TIMEOUT, respond(&mut stream, &result)).await;
     drop(permit);
 }
 
-/// Has a command carried out, and logs what came of it if it changes anything.
+/// Executes a command, and logs the result of commands that change the state.
 async fn execute(
     text: &[u8],
     caller: SocketAddr,
@@ -92,22 +94,22 @@
     let changes = command != Command::Ready;
     let shown = command.to_string();
     let (reply, result) = oneshot::channel();
-    let carried_out = async {
+    let executed = async {
         let pending = PendingCommand { command, reply };
         controller.send(pending).await.map_err(|_| CommandFailure::ShuttingDown)?;
         result.await.unwrap_or(Err(CommandFailure::ShuttingDown))
     };
-    let result = timeout(RESULT_TIMEOUT, carried_out).await.unwrap_or(Err(CommandFailure::TimedOut));
+    let result = timeout(RESULT_TIMEOUT, executed).await.unwrap_or(Err(CommandFailure::TimedOut));
     if changes {
         match &result {
-            Ok(done) => tracing::info!(%caller, call = %shown, "done: {done}"),
-            Err(e) => tracing::warn!(%caller, call = %shown, "turned down: {e}"),
+            Ok(done) => tracing::info!(%caller, call = %shown, "command executed: {done}"),
+            Err(e) => tracing::warn!(%caller, call = %shown, "command failed: {e}"),
         }
     }
     result
 }
 
-/// Writes the response and ends the connection.
+/// Writes the response and closes the connection.
 async fn respond(stream: &mut TcpStream, result: &CommandResult) -> io::Result<()> {
     let line = match result {
         Ok(done) => format!("SUCCESS {done}\r\n"),
@@ -115,7 +117,7 @@
     };
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await?;
-    // Bytes that nobody reads would reset the connection, and the caller would lose the response.
+    // Closing a socket with unread data resets the connection, and the caller could lose the response.
     let mut discarded = [0; DISCARD_CHUNK];
     for _ in 0..DISCARD_READS {
         if stream.read(&mut discarded).await? == 0 {
@@ -125,25 +127,25 @@
     Ok(())
 }
 
-/// Why there is no line.
-enum Unread {
+/// Why no line was read.
+enum LineError {
     TooLong,
-    Cut,
-    Nothing,
+    Truncated,
+    Empty,
 }
 
-async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, Unread> {
+async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, LineError> {
     let (mut line, mut chunk) = (Vec::new(), [0; LINE_CHUNK]);
     loop {
         let n = stream.read(&mut chunk).await.unwrap_or(0);
         if n == 0 {
-            return Err(if line.is_empty() { Unread::Nothing } else { Unread::Cut });
+            return Err(if line.is_empty() { LineError::Empty } else { LineError::Truncated });
         }
         let read = &chunk[..n];
         let end = read.iter().position(|b| *b == b'\n');
         line.extend_from_slice(&read[..end.unwrap_or(n)]);
         if line.len() > MAX_LINE_BYTES {
-            return Err(Unread::TooLong);
+            return Err(LineError::TooLong);
         }
         if end.is_some() {
             return Ok(line);
--- a/crates/gateway/src/maintenance/partition.rs
+++ b/crates/gateway/src/maintenance/partition.rs
@@ -1,4 +1,4 @@
-//! This process's part of a resource that all processes of its gateway use together.
+//! This process's share of a resource that all processes of a gateway use together.
 
 #[cfg(test)]
 mod tests;
@@ -7,34 +7,35 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Permits for connections, or bytes, of which a part may have to be left to other processes.
+/// A limited resource (permits for connections or for bytes of memory), of which a part may be reserved
+/// for other processes.
 #[derive(Debug)]
 pub struct Partition {
     resource: Arc<Semaphore>,
-    /// All permits of the resource.
+    /// Number of permits of the whole resource.
     total: usize,
     processes: usize,
-    /// Permits that are left to the others.
+    /// Permits withheld from this process for the others.
     reserved: Vec<OwnedSemaphorePermit>,
 }
 
 impl Partition {
-    /// All of a resource with so many permits.
+    /// Creates a partition with all `total` permits of a resource.
     pub fn new(resource: Arc<Semaphore>, total: usize) -> Partition {
         Partition { resource, total, processes: 1, reserved: Vec::new() }
     }
 
-    /// So many processes share it from now on.
-    pub fn share(&mut self, processes: usize) {
+    /// Sets the number of processes that share the resource, including this one.
+    pub fn set_process_count(&mut self, processes: usize) {
         if processes < self.processes {
             self.reserved.clear();
         }
         self.processes = processes.max(1);
-        self.settle();
+        self.reserve();
     }
 
-    /// Reserves as much of the others' part as is free by now; the rest follows when it is.
-    pub fn settle(&mut self) {
+    /// Reserves as many of the other processes' permits as are free now. Called again for the rest.
+    pub fn reserve(&mut self) {
         let reserved: usize = self.reserved.iter().map(OwnedSemaphorePermit::num_permits).sum();
         let due = (self.total - self.total / self.processes).saturating_sub(reserved);
         let now = due.min(self.resource.available_permits()) as u32;
--- a/crates/gateway/src/maintenance/process.rs
+++ b/crates/gateway/src/maintenance/process.rs
@@ -1,20 +1,21 @@
-//! How far this process is, and how many others of its gateway live.
+//! Life cycle stage of this process, and the number of other running processes of its gateway.
 
 use std::sync::atomic::{AtomicU8, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// How far a process is.
+/// Life cycle stage of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It does not accept clients yet.
+    /// Not accepting clients yet.
     Starting,
-    /// It accepts clients.
+    /// Accepting clients.
     Serving,
-    /// It was asked to shut down.
+    /// Asked to shut down.
     ShuttingDown,
 }
 
-/// What the controller and the shutdown know of this process and the others of its gateway. Clones share it.
+/// Status of this process and count of the others of its gateway, shared by the controller and the shutdown.
+/// Clones share the state.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessStatus {
     stage: Arc<AtomicU8>,
@@ -25,17 +26,17 @@
     const SERVING: u8 = 1;
     const SHUTTING_DOWN: u8 = 2;
 
-    /// The process accepts clients from now on.
+    /// Records that the process now accepts clients.
     pub fn set_serving(&self) {
         self.stage.store(ProcessStatus::SERVING, Ordering::Relaxed);
     }
 
-    /// The process was asked to shut down.
+    /// Records that the process was asked to shut down.
     pub fn set_shutting_down(&self) {
         self.stage.store(ProcessStatus::SHUTTING_DOWN, Ordering::Relaxed);
     }
 
-    /// How far the process is.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         match self.stage.load(Ordering::Relaxed) {
             ProcessStatus::SERVING => Stage::Serving,
@@ -44,12 +45,12 @@
         }
     }
 
-    /// Other processes of this gateway that live, as far as is known.
+    /// Returns the last known number of other running processes of this gateway.
     pub fn other_processes(&self) -> usize {
         self.other_processes.load(Ordering::Relaxed)
     }
 
-    /// Notes how many live; returns whether that is another number than before.
+    /// Sets the number of other running processes; returns whether it has changed.
     pub fn set_other_processes(&self, count: usize) -> bool {
         self.other_processes.swap(count, Ordering::Relaxed) != count
     }
