--- a/crates/gateway/src/maintenance/state_directory.rs
+++ b/crates/gateway/src/maintenance/state_directory.rs
@@ -1,8 +1,8 @@
-//! The directory that the processes of one gateway share, under `$TMPDIR`: which of them live, and the states
-//! that they hand to each other.
+//! The state directory under `$TMPDIR`, through which the processes of one gateway detect each other and
+//! exchange state.
 //!
-//! Each process holds a lock on a file of its own for as long as it lives, so that the end of one shows
-//! however it came. A process that is stopped still lives.
+//! Each process holds a lock on its own file while it runs. The operating system releases the lock when the
+//! process ends for any reason, so the others detect it. A suspended process still counts as running.
 
 #[cfg(test)]
 mod tests;
@@ -17,40 +17,40 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// What the file of a process that lives is called, before its incarnation.
-const LIFE_PREFIX: &str = "life-";
-/// The file whose lock a process holds while it changes the maintenance state.
+/// Prefix of the name of each running process's lock file; its incarnation follows.
+const LIVENESS_PREFIX: &str = "life-";
+/// File that a process locks while it changes the maintenance state.
 const LOCK_FILE: &str = "book.lock";
-/// The largest state that is read, bytes.
+/// Maximum size of a stored state, bytes.
 const MAX_STATE_BYTES: u64 = 16 << 20;
 
-/// The directory, as one process sees it.
+/// The state directory, opened by one process.
 #[derive(Debug)]
 pub struct StateDirectory {
     path: PathBuf,
     incarnation: u64,
-    /// Held for its lock.
-    _life: File,
+    /// Keeps this process's file locked.
+    _liveness_lock: File,
 }
 
 /// Why a state can't be read or written.
 #[derive(Debug)]
 pub enum StateError {
-    /// The file system does not do it.
+    /// An I/O error.
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error.
         source: io::Error,
     },
-    /// The file holds something else.
+    /// The file does not hold a valid state.
     Invalid {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
         source: DecodeError,
     },
-    /// The state has no stored form.
+    /// The state can't be encoded.
     Unencodable {
         /// The kind of state.
         kind: String,
@@ -79,26 +79,27 @@
 }
 
 impl StateDirectory {
-    /// Opens the directory of the gateway that listens at `listen`, and makes it if there is none.
+    /// Opens the directory of the gateway that listens at `listen`, and creates it if necessary.
     ///
     /// # Errors
-    /// What the file system says.
+    /// Returns an error if the directory or this process's lock file can't be created.
     pub fn open(parent: &Path, listen: SocketAddr, incarnation: u64) -> io::Result<StateDirectory> {
         let path = parent.join(format!("slatelock-{}", listen.to_string().replace([':', '[', ']'], "_")));
         fs::create_dir_all(&path)?;
-        // The file gets its name with its lock: without, it would be taken for that of a process that ended.
+        // Locked before it gets its final name: an unlocked file with that name would be taken for one of a
+        // process that has ended.
         let unlocked = path.join(format!("new-{incarnation}"));
         let life = File::create(&unlocked)?;
         life.lock()?;
-        fs::rename(unlocked, path.join(format!("{LIFE_PREFIX}{incarnation}")))?;
-        Ok(StateDirectory { path, incarnation, _life: life })
+        fs::rename(unlocked, path.join(format!("{LIVENESS_PREFIX}{incarnation}")))?;
+        Ok(StateDirectory { path, incarnation, _liveness_lock: life })
     }
 
-    /// The incarnations of the other processes of this gateway that live; files of those that ended are
-    /// removed.
+    /// Returns the incarnations of the other running processes of this gateway, and removes the files of
+    /// those that have ended.
     ///
     /// # Errors
-    /// What the file system says.
+    /// Returns an error if the directory can't be read.
     pub fn other_processes(&self) -> io::Result<Vec<u64>> {
         let mut others = Vec::new();
         for file in fs::read_dir(&self.path)?.flatten() {
@@ -108,7 +109,7 @@
             match File::open(file.path()).map(|life| life.try_lock_shared()) {
                 Ok(Err(TryLockError::WouldBlock)) => others.push(incarnation),
                 Ok(Ok(())) => drop(fs::remove_file(file.path())),
-                // Another has removed it just now.
+                // Removed by another process in the meantime, or it can't be locked.
                 Ok(Err(TryLockError::Error(_))) | Err(_) => {}
             }
         }
@@ -116,10 +117,10 @@
         Ok(others)
     }
 
-    /// Reads a state of a kind; `None` where there is none.
+    /// Reads the state of a kind; `None` if there is none.
     ///
     /// # Errors
-    /// What the file system says, or what is wrong with the state.
+    /// Returns an error if the file can't be read or does not hold a valid state.
     pub fn read<T: DeserializeOwned>(&self, kind: &str) -> Result<Option<T>, StateError> {
         let path = self.path.join(kind);
         let bytes = match read_bounded(&path) {
@@ -133,33 +134,33 @@
         }
     }
 
-    /// Writes a state of a kind: whoever reads it finds the old one or this one, never a part.
+    /// Writes the state of a kind atomically: readers find either the previous state or this one.
     ///
     /// # Errors
-    /// What the file system says; the old one stays.
+    /// Returns an error if the state can't be written; the previous one stays.
     pub fn write<T: Serialize>(&self, kind: &str, state: &T) -> Result<(), StateError> {
-        let part = self.path.join(format!("{kind}.{}", self.incarnation));
-        write_whole(kind, state, &part, self.path.join(kind))
+        let temporary = self.path.join(format!("{kind}.{}", self.incarnation));
+        write_atomically(kind, state, &temporary, self.path.join(kind))
     }
 
-    /// Leaves a state of a kind for another process to [`StateDirectory::claim`].
+    /// Stores a state of a kind for another process to [`StateDirectory::claim`].
     ///
     /// # Errors
-    /// What the file system says.
-    pub fn leave<T: Serialize>(&self, kind: &str, state: &T) -> Result<(), StateError> {
-        let part = self.path.join(format!("part.{}", self.incarnation));
-        write_whole(kind, state, &part, self.path.join(format!("{kind}-{}", self.incarnation)))
+    /// Returns an error if the state can't be written.
+    pub fn hand_over<T: Serialize>(&self, kind: &str, state: &T) -> Result<(), StateError> {
+        let temporary = self.path.join(format!("part.{}", self.incarnation));
+        write_atomically(kind, state, &temporary, self.path.join(format!("{kind}-{}", self.incarnation)))
     }
 
-    /// Takes all states of a kind that other processes left, each by one process alone; those that can't be
-    /// read are lost, and logged.
+    /// Takes all states of a kind that other processes handed over. Each is claimed by exactly one process.
+    /// Unreadable ones are logged and lost.
     pub fn claim<T: DeserializeOwned>(&self, kind: &str) -> Vec<T> {
         let mut all = Vec::new();
         for file in fs::read_dir(&self.path).into_iter().flatten().flatten() {
-            if !is_left(&file, kind) {
+            if !is_handed_over(&file, kind) {
                 continue;
             }
-            // Only one of several processes that see the file succeeds.
+            // Of several processes that see the file, the rename succeeds for only one.
             let mine = self.path.join(format!("claimed-{}", self.incarnation));
             if fs::rename(file.path(), &mine).is_err() {
                 continue;
@@ -168,17 +169,17 @@
             let _ = fs::remove_file(&mine);
             match checksummed::decode(kind, &bytes) {
                 Ok(state) => all.push(state),
-                Err(e) => tracing::warn!("{}: {e}; what it held is lost", file.path().display()),
+                Err(e) => tracing::warn!("{}: {e}; its contents are lost", file.path().display()),
             }
         }
         all
     }
 
-    /// The lock on the maintenance state, until what is given is dropped; `None` while another process has
-    /// it.
+    /// Locks the maintenance state until the returned file is dropped; `None` while another process holds
+    /// the lock.
     ///
     /// # Errors
-    /// What the file system says.
+    /// Returns an error if the lock file can't be opened or locked.
     pub fn try_lock(&self) -> io::Result<Option<File>> {
         let path = self.path.join(LOCK_FILE);
         let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
@@ -190,28 +191,34 @@
     }
 }
 
-/// The incarnation of the process whose life a file stands for; `None` for other files.
+/// Returns the incarnation in the name of a process's lock file; `None` for other files.
 fn incarnation_of(file: &DirEntry) -> Option<u64> {
-    file.file_name().to_str()?.strip_prefix(LIFE_PREFIX)?.parse().ok()
+    file.file_name().to_str()?.strip_prefix(LIVENESS_PREFIX)?.parse().ok()
 }
 
-/// Whether a file is a state of a kind that a process left for others.
-fn is_left(file: &DirEntry, kind: &str) -> bool {
+/// Returns whether a file is a state of a kind that a process handed over.
+fn is_handed_over(file: &DirEntry, kind: &str) -> bool {
     file.file_name().to_str().and_then(|name| name.strip_prefix(kind)).is_some_and(|n| n.starts_with('-'))
 }
 
-/// Reads a file that is no larger than a state may be: it could be another program's, larger than the memory.
+/// Reads a file of at most [`MAX_STATE_BYTES`]. The file could have been written by another program and
+/// be too large for the memory.
 fn read_bounded(path: &Path) -> io::Result<Vec<u8>> {
     if fs::metadata(path)?.len() > MAX_STATE_BYTES {
-        return Err(io::Error::other("larger than any state"));
+        return Err(io::Error::other(format!("more than {MAX_STATE_BYTES} bytes")));
     }
     fs::read(path)
 }
 
-/// Writes a state to a file of this process, which is then renamed.
-fn write_whole<T: Serialize>(kind: &str, state: &T, part: &Path, path: PathBuf) -> Result<(), StateError> {
+/// Writes a state to a temporary file of this process and renames it.
+fn write_atomically<T: Serialize>(
+    kind: &str,
+    state: &T,
+    temporary: &Path,
+    path: PathBuf,
+) -> Result<(), StateError> {
     let bytes = checksummed::encode(kind, state)
         .map_err(|source| StateError::Unencodable { kind: kind.to_string(), source })?;
-    let written = fs::write(part, bytes).and_then(|()| fs::rename(part, &path));
+    let written = fs::write(temporary, bytes).and_then(|()| fs::rename(temporary, &path));
     written.map_err(|source| StateError::Io { path, source })
 }
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -28,10 +28,10 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::counter::Counter;
-use crate::discovery::{self, EndpointUpdate, FollowOptions, StartOrder};
+use crate::discovery::{self, CoordinatedStart, EndpointUpdate, FollowOptions};
 use crate::endpoint_list::EndpointList;
 use crate::error::StartError;
-use crate::event_loop::{EventLoop, Oversight, Resources};
+use crate::event_loop::{ControlPlane, EventLoop, Resources};
 use crate::input::Input;
 use crate::maintenance::{self, ControlRequest, Controller, PendingCommand, ProcessStatus, StateDirectory};
 use crate::upstream::ConnectionPool;
@@ -98,7 +98,7 @@
         inbox: inbox.clone(),
         memory: Arc::clone(&budgets.memory),
         streaming_memory: budgets.streaming_memory,
-        oversight: Oversight::new(
+        control_plane: ControlPlane::new(
             builder.config.name.clone(),
             builder.incarnation,
             connections.clone(),
@@ -114,7 +114,7 @@
     let (leaving, leave_requests) = mpsc::channel(1);
     tokio::spawn(controller.run(commands, leave_requests));
     let known = builder.adopt_known_list(&mut event_loop, fleet_start.slots);
-    let start_order = builder.start_order()?;
+    let coordinated_start = builder.coordinated_start()?;
 
     let clients = Arc::new(Clients {
         service_settings,
@@ -128,7 +128,7 @@
     });
     let readiness = Readiness {
         started: builder.started,
-        first_list: first_list_max(known.index, fleet_start.slots),
+        first_list: first_list_max(known.known_version, fleet_start.slots),
         in_slots: fleet_start.slots.is_some(),
         first_backend,
     };
@@ -153,7 +153,7 @@
         config: builder.config,
         counter_timeout,
         known,
-        start_order,
+        coordinated_start,
         inbox,
         control: control_sender,
     };
@@ -240,16 +240,16 @@
         let known = std::mem::replace(&mut self.config.known, EndpointList::empty());
         discovery::log_rejected("known", &known);
         // With the list's version the start asks for what has changed since, not for the whole list.
-        let index = Some(known.index).filter(|_| !known.endpoints.is_empty());
-        event_loop.take(Input::EndpointUpdate(EndpointUpdate {
+        let known_version = Some(known.version).filter(|_| !known.endpoints.is_empty());
+        event_loop.handle_input(Input::EndpointUpdate(EndpointUpdate {
             scope: UpdateScope::Cached,
             endpoints: known.endpoints,
-            unread: Vec::new(),
+            unreadable: Vec::new(),
         }));
         let settings = &self.service_settings.settings;
         let stop_sending_s = (settings.drain_grace_ms / 1000.0).min(MAX_STOP_SENDING_S);
         FollowOptions {
-            index,
+            known_version,
             gateways: settings.gateway_count,
             stop_within: Duration::from_secs_f64(stop_sending_s),
             seed: self.config.seed,
@@ -258,24 +258,24 @@
     }
 
     /// How the agent orders this start, if it is to, and one is named.
-    fn start_order(&self) -> Result<Option<StartOrder>, StartError> {
+    fn coordinated_start(&self) -> Result<Option<CoordinatedStart>, StartError> {
         let ordered = self.start.is_some_and(|start| start.ordered_by_agent);
         let Some(admin) = self.admin.as_ref().filter(|_| ordered) else { return Ok(None) };
         let Some(agent) = admin.agent.clone() else { return Ok(None) };
-        let dialer = Connector::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
+        let connector = Connector::new(admin.tls.as_ref()).map_err(StartError::AdminTls)?;
         let name = self.config.name.parse();
         let name = name.map_err(|source| StartError::Name { purpose: "to ask for a turn", source })?;
         let gateways = self.service_settings.settings.gateway_count;
-        Ok(Some(StartOrder { agent, dialer, name, incarnation: self.incarnation, gateways }))
+        Ok(Some(CoordinatedStart { agent, connector, name, incarnation: self.incarnation, gateways }))
     }
 }
 
 /// Puts the state of the processes before in force, before the first request: bans hold from the start, and
 /// other processes are left their shares. Returns how many of those live.
 fn adopt_maintenance_state(controller: &Controller, event_loop: &mut EventLoop) -> usize {
-    event_loop.adopt(controller.state());
+    event_loop.adopt_maintenance_state(controller.state());
     let other_processes = controller.other_processes();
-    event_loop.share_with(other_processes);
+    event_loop.set_other_processes(other_processes);
     other_processes
 }
 
--- a/crates/gateway/src/server/readiness.rs
+++ b/crates/gateway/src/server/readiness.rs
@@ -53,7 +53,7 @@
         let first_list = async {
             while let Some(input) = inputs.recv().await {
                 let is_list = matches!(input, Input::EndpointUpdate(_));
-                event_loop.take(input);
+                event_loop.handle_input(input);
                 // In slots the list is worth a long wait, which an answer of the counter must not end.
                 if is_list || !self.in_slots {
                     break;
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -10,7 +10,7 @@
 
 use crate::config::{Config, ConfigError, Peers};
 use crate::counter::Counter;
-use crate::discovery::{self, FollowOptions, StartOrder};
+use crate::discovery::{self, CoordinatedStart, FollowOptions};
 use crate::input::Input;
 use crate::maintenance::ControlRequest;
 
@@ -23,7 +23,7 @@
     /// What is known of the list at the start.
     pub known: FollowOptions,
     /// Whom the start is ordered by, once.
-    pub start_order: Option<StartOrder>,
+    pub coordinated_start: Option<CoordinatedStart>,
     pub inbox: mpsc::Sender<Input>,
     pub control: mpsc::Sender<ControlRequest>,
 }
@@ -34,7 +34,7 @@
         let mut peers = self.config.peers;
         let mut watch = self.watch(peers.discovery, self.known);
         // Another discovery has versions of its own.
-        let unknown = FollowOptions { index: None, ..self.known };
+        let unknown = FollowOptions { known_version: None, ..self.known };
         while hangup.recv().await.is_some() {
             let config = match read(&path, &self.config) {
                 Ok(config) => config,
@@ -64,7 +64,7 @@
     /// Follows the list at an address, until the handle is dropped.
     fn watch(&mut self, discovery: SocketAddr, known: FollowOptions) -> AbortOnDropHandle<()> {
         let following =
-            discovery::follow::<Input>(discovery, known, self.start_order.take(), self.inbox.clone());
+            discovery::follow::<Input>(discovery, known, self.coordinated_start.take(), self.inbox.clone());
         AbortOnDropHandle::new(tokio::spawn(following))
     }
 
