--- a/crates/gateway/src/event_loop/control_plane.rs
+++ b/crates/gateway/src/event_loop/control_plane.rs
@@ -148,9 +148,9 @@
     fn apply_overrides(&mut self) {
         let overrides =
             Overrides { desired: &self.control_plane.desired, maintenance: &self.control_plane.maintenance };
-        let lines = self.table.apply_overrides(overrides, &self.names.zones);
-        if !lines.is_empty() {
-            self.apply_endpoints(gateway_policy::interface::UpdateScope::Delta, lines);
+        let changed = self.table.apply_overrides(overrides, &self.names.zones);
+        if !changed.is_empty() {
+            self.apply_endpoints(gateway_policy::interface::UpdateScope::Delta, changed);
         }
         let control_plane = &self.control_plane;
         let drained = control_plane.desired.gateway_drained(&control_plane.name).is_some()
--- a/crates/gateway/src/event_loop/probing.rs
+++ b/crates/gateway/src/event_loop/probing.rs
@@ -82,7 +82,7 @@
                 self.handle_event(Event::ProbeEnded { backend, outcome, load: &report.load });
             }
             Purpose::FirstConnection { started_ms } => {
-                self.first_connection_ended(backend, started_ms, &reply)
+                self.first_connection_ended(backend, started_ms, &reply);
             }
         }
     }
