--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -125,7 +125,7 @@
             errors.extend(last);
         }
         // The gateway starts without these endpoints, but a check of the file reports them.
-        let list = known.and_then(|text| EndpointList::read(text.get().as_bytes()).ok());
+        let list = known.and_then(|text| EndpointList::parse(text.get().as_bytes()).ok());
         errors.extend(list.into_iter().flat_map(|list| list.rejected).map(|endpoint| SettingsError {
             field: format!("configuration.known.endpoints[{}]", endpoint.index),
             problem: "a backend is wanted, each name once; the gateway leaves this line out",
@@ -180,7 +180,7 @@
     known: Option<&RawValue>,
 ) -> Result<EndpointList, SettingsError> {
     let list = known.ok_or_else(|| top.invalid("known", "missing")).and_then(|text| {
-        let list = EndpointList::read(text.get().as_bytes());
+        let list = EndpointList::parse(text.get().as_bytes());
         list.map_err(|_| top.invalid("known", "a list of backends is wanted"))
     });
     top.recover(list, EndpointList::empty())
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -5,7 +5,7 @@
 use fleet::wire::{GatewayRequest, GatewayResponse};
 use tokio::sync::oneshot;
 
-use crate::counter::{Counted, Counter};
+use crate::counter::{Counter, CounterReply};
 use crate::discovery::EndpointUpdate;
 use crate::resp::{Answer, Call};
 use crate::streaming::StreamedValue;
@@ -39,7 +39,7 @@
     /// A probe has ended. `connection` is set if it can be reused.
     Probed { backend: u32, reply: Reply, connection: Option<Connection>, purpose: ProbePurpose },
     /// A counter call has ended.
-    Counted(Counted),
+    Counted(CounterReply),
     /// A reload has changed the address of the shared counter.
     CounterMoved(Counter),
     /// Discovery has sent an update of the endpoint list.
@@ -74,9 +74,9 @@
     ConnectionRamp,
 }
 
-impl From<Counted> for Input {
-    fn from(counted: Counted) -> Self {
-        Input::Counted(counted)
+impl From<CounterReply> for Input {
+    fn from(reply: CounterReply) -> Self {
+        Input::Counted(reply)
     }
 }
 
--- a/crates/gateway/src/server/readiness.rs
+++ b/crates/gateway/src/server/readiness.rs
@@ -54,7 +54,7 @@
         let first_list = async {
             while let Some(input) = inputs.recv().await {
                 let is_list = matches!(input, Input::EndpointUpdate(_));
-                event_loop.take(input);
+                event_loop.handle_input(input);
                 // With slots the wait for the list may be long, and other inputs, such as the result of a
                 // counter call, must not cut it short.
                 if is_list || !self.in_slots {
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -11,7 +11,7 @@
 
 use crate::config::{Config, ConfigError, ServiceAddresses};
 use crate::counter::Counter;
-use crate::discovery::{self, FollowOptions, StartOrder};
+use crate::discovery::{self, CoordinatedStart, FollowOptions};
 use crate::input::Input;
 use crate::maintenance::ControlRequest;
 
@@ -25,7 +25,7 @@
     /// Options for following discovery from the endpoint list of the configuration.
     pub follow_options: FollowOptions,
     /// The agent that orders the start; taken by the first task that follows discovery.
-    pub start_order: Option<StartOrder>,
+    pub coordinated_start: Option<CoordinatedStart>,
     pub inbox: mpsc::Sender<Input>,
     pub control: mpsc::Sender<ControlRequest>,
 }
@@ -36,7 +36,7 @@
         let mut addresses = self.config.addresses;
         let mut watch = self.follow_discovery(addresses.discovery, self.follow_options);
         // Versions of one discovery service mean nothing to another, so a change of address starts over.
-        let from_scratch = FollowOptions { index: None, ..self.follow_options };
+        let from_scratch = FollowOptions { known_version: None, ..self.follow_options };
         while hangup.recv().await.is_some() {
             let config = match read(&path, &self.config) {
                 Ok(config) => config,
@@ -67,7 +67,7 @@
     /// Starts a task that follows the endpoint list at an address, until the handle is dropped.
     fn follow_discovery(&mut self, address: SocketAddr, options: FollowOptions) -> AbortOnDropHandle<()> {
         let following =
-            discovery::follow::<Input>(address, options, self.start_order.take(), self.inbox.clone());
+            discovery::follow::<Input>(address, options, self.coordinated_start.take(), self.inbox.clone());
         AbortOnDropHandle::new(tokio::spawn(following))
     }
 
