--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -55,6 +55,7 @@
 /// A configuration with its endpoint list left unparsed: with thousands of backends, a tree of JSON values
 /// takes ten times the memory of the list itself, and more than everything else at the start.
 #[derive(Deserialize)]
+#[serde(rename = "Text", expecting = "struct Text")]
 struct RawConfig<'a> {
     #[serde(borrow)]
     known: Option<&'a RawValue>,
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -110,6 +110,7 @@
 /// A response whose entries are not parsed yet. Parsed into generic JSON values, a list of thousands of
 /// entries would take ten times the memory of its text.
 #[derive(Deserialize)]
+#[serde(rename = "Raw", expecting = "struct Raw")]
 struct RawList<'a> {
     index: u64,
     snapshot: bool,
@@ -118,6 +119,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(rename = "Named", expecting = "struct Named")]
 struct NameOnly {
     name: String,
 }
--- a/crates/gateway/src/maintenance/command.rs
+++ b/crates/gateway/src/maintenance/command.rs
@@ -57,13 +57,13 @@
             CommandFailure::Drained => f.write_str("drained; UNDRAIN takes clients again"),
             CommandFailure::Rejected(e) => e.fmt(f),
             CommandFailure::Locked => {
-                f.write_str("another process of this gateway has locked the state; nothing was changed")
+                f.write_str("another process of this gateway holds the book; nothing is changed")
             }
-            CommandFailure::LockFailed(e) => write!(f, "the state can't be locked: {e}"),
+            CommandFailure::LockFailed(e) => write!(f, "the book can't be locked: {e}"),
             CommandFailure::WriteFailed(e) => {
-                write!(f, "the state can't be written, nothing was changed: {e}")
+                write!(f, "not written down, nothing is changed: {e}")
             }
-            CommandFailure::TimedOut => f.write_str("timed out; the command may or may not be in force"),
+            CommandFailure::TimedOut => f.write_str("no answer in time; whether it is in force is not known"),
         }
     }
 }
