--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -187,7 +187,7 @@
             zone: zone.map_or(u32::MAX, |z| z as u32),
             // Numbers are this gateway's own; names are everybody's.
             key: hash(&endpoint.name),
-            kind: hash(&endpoint.kind) as u32,
+            instance_type: hash(&endpoint.kind) as u32,
             started_ms: endpoint.since_ms,
             reenabled_ms: row.returned_ms,
             weight: endpoint.weight,
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -26,7 +26,7 @@
     /// Its zone.
     pub zone: u32,
     /// Its instance type.
-    pub kind: u32,
+    pub instance_type: u32,
     /// When it started; 0 for long ago.
     pub started_ms: f64,
     /// When operators gave it back after a ban, in which it was restarted; 0 for never.
@@ -45,7 +45,7 @@
             state: EndpointState::Ready,
             cell: 0,
             zone: 0,
-            kind: 0,
+            instance_type: 0,
             started_ms: 0.0,
             reenabled_ms: 0.0,
             weight: 0.0,
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -59,7 +59,7 @@
 
     /// Counts an attempt as in flight, at its backend and in all.
     fn start_attempt(&mut self, now: f64, id: u64, slot: usize, overdue_after_ms: f64) -> Attempt {
-        self.backends.push(slot, now, self.work_of(id));
+        self.backends.record_work(slot, now, self.work_of(id));
         let backend = self.backends.get_mut(slot);
         let in_flight = InFlight { backend: backend.in_flight, fleet: self.fleet.in_flight() };
         let attempt = Attempt::new(&backend.entry, now, overdue_after_ms, in_flight);
--- a/crates/policy/src/policy/backend.rs
+++ b/crates/policy/src/policy/backend.rs
@@ -115,7 +115,7 @@
 
 impl Indexed for Backend {
     fn attributes(&self) -> Attributes {
-        let BackendEndpoint { id, key, zone, cell, kind, weight_share: share, .. } = self.entry;
+        let BackendEndpoint { id, key, zone, cell, instance_type, weight_share: share, .. } = self.entry;
         let state = match self.entry.state {
             EndpointState::Ready => ListState::Ready,
             EndpointState::Draining => ListState::Draining,
@@ -123,16 +123,6 @@
         };
         // One that started long ago, or says nothing, is warm.
         let warm_from = if self.started_at > 0.0 { self.started_at + self.warm_up_ms } else { 0.0 };
-        Attributes {
-            id,
-            key,
-            zone,
-            cell,
-            instance_type: kind,
-            state,
-            ejected: self.ejected,
-            warm_from,
-            share,
-        }
+        Attributes { id, key, zone, cell, instance_type, state, ejected: self.ejected, warm_from, share }
     }
 }
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -106,7 +106,7 @@
     ) -> Option<Candidate> {
         let ignore_ejection = self.is_mostly_ejected(Scope::Fleet);
         let work_ms = self.latency.work_ms(open.request.class, open.request.units);
-        let warm_push = self.backends.warm_push(now);
+        let warm_push = self.backends.mean_warm_work(now);
         let mut best: Option<Candidate> = None;
         for group in self.groups_to_draw_from(open) {
             let begin = drawn.len();
@@ -199,7 +199,7 @@
         }
         let sharing = self.backends.degree() * self.processes;
         let budget_ms = self.warm_up_budget_ms(warmth, sharing, draw.warm_push + draw.work_ms);
-        let pushed_ms = self.backends.pushed(slot, draw.now);
+        let pushed_ms = self.backends.recent_work(slot, draw.now);
         let under_a_request = budget_ms < draw.work_ms;
         let within = pushed_ms + draw.work_ms <= budget_ms;
         let overlooked = draw.partial || self.backends.get(slot).returned_from_ban();
@@ -268,7 +268,7 @@
         let backend = self.backends.get(slot);
         // An operator's weight: beyond its share of what others get, it comes last.
         let share = backend.entry.weight_share;
-        let sated = share < 1.0 && self.backends.pushed(slot, draw.now) > share * draw.warm_push;
+        let sated = share < 1.0 && self.backends.recent_work(slot, draw.now) > share * draw.warm_push;
         let avoided = backend.ejected || self.rejected_of_late(backend, request, draw.now) || sated;
         let trust = if avoided { AVOIDED_TRUST } else { 1.0 };
         trust * (1.0 - backend.failures.min(MOST_DISTRUST))
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -102,7 +102,7 @@
             routing.subset_size,
             routing.coverage,
         );
-        let sampling = Sampling { whole_up_to: routing.scan_all_up_to, choices: routing.choices };
+        let sampling = Sampling { scan_all_up_to: routing.scan_all_up_to, choices: routing.choices };
         Ok(Policy {
             started_at: now,
             random: Random::new(seed),
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -303,7 +303,7 @@
     /// # Panics
     /// If there is none.
     #[must_use]
-    pub fn pushed(&self, slot: usize, now: f64) -> f64 {
+    pub fn recent_work(&self, slot: usize, now: f64) -> f64 {
         self.slot(slot).pushed.now(now, self.window_ms)
     }
 
@@ -311,7 +311,7 @@
     ///
     /// # Panics
     /// If there is none.
-    pub fn push(&mut self, slot: usize, now: f64, work: f64) {
+    pub fn record_work(&mut self, slot: usize, now: f64, work: f64) {
         let window_ms = self.window_ms;
         let pushed = self.slot_mut(slot);
         pushed.pushed.add(now, window_ms, work);
@@ -322,7 +322,7 @@
 
     /// Work pushed lately to a warm backend of the subset with a share of 1, on the mean; 0 without any.
     #[must_use]
-    pub fn warm_push(&self, now: f64) -> f64 {
+    pub fn mean_warm_work(&self, now: f64) -> f64 {
         self.push.mean(now, self.window_ms)
     }
 
--- a/crates/routing/src/sampling.rs
+++ b/crates/routing/src/sampling.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sampling {
     /// Groups of up to so many are drawn whole.
-    pub whole_up_to: usize,
+    pub scan_all_up_to: usize,
     /// So many are drawn from larger ones.
     pub choices: usize,
 }
@@ -23,7 +23,7 @@
         random: &mut impl FnMut() -> f64,
         into: &mut Vec<usize>,
     ) {
-        if group.len(with_ejected) <= self.whole_up_to {
+        if group.len(with_ejected) <= self.scan_all_up_to {
             take_whole(group, with_ejected, into);
         } else {
             self.draw_some(group, with_ejected, random, into);
--- a/crates/routing/tests/index.rs
+++ b/crates/routing/tests/index.rs
@@ -117,13 +117,13 @@
         prop_assert_eq!(index.counts(Scope::Cell(key)), scan.counts(now, |f| f.cell == key));
         prop_assert_eq!(index.instance_type_counts(key), scan.counts(now, |f| f.instance_type == key));
     }
-    let (sum, naive) = (index.warm_push(now), scan.warm_push(now));
+    let (sum, naive) = (index.mean_warm_work(now), scan.warm_push(now));
     prop_assert!((sum - naive).abs() <= 1e-6 * (1.0 + naive), "push {} against {}", sum, naive);
     for (id, b) in &scan.all {
         let slot = index.find(*id).expect("known");
         prop_assert_eq!(index.get(slot).0, b.0);
         prop_assert_eq!(index.is_in_subset(slot), scan.in_subset(&b.0));
-        prop_assert!((index.pushed(slot, now) - Scan::faded(now, b)).abs() < 1e-6);
+        prop_assert!((index.recent_work(slot, now) - Scan::faded(now, b)).abs() < 1e-6);
     }
     prop_assert_eq!(index.slots().count(), scan.all.len());
     Ok(())
@@ -149,7 +149,7 @@
         seed in any::<u32>(),
     ) {
         let subset = Subset::new(me, gateways, size, 2);
-        let sampling = Sampling { whole_up_to: 12, choices: 5 };
+        let sampling = Sampling { scan_all_up_to: 12, choices: 5 };
         let (mut index, mut now) = (Index::new(subset, sampling, WINDOW), 0.0);
         let mut scan = Scan { subset, all: BTreeMap::new() };
         for step in steps {
@@ -168,7 +168,7 @@
                     index.advance(now);
                 }
                 Step::Push(id, work) => if let Some(slot) = index.find(id) {
-                    index.push(slot, now, work);
+                    index.record_work(slot, now, work);
                     let b = scan.all.get_mut(&id).expect("known");
                     (b.1, b.2) = (Scan::faded(now, b) + work, now);
                 },
@@ -241,7 +241,7 @@
 
 #[test]
 fn draws_are_uniform() {
-    let index = fleet(100, Sampling { whole_up_to: 16, choices: 4 });
+    let index = fleet(100, Sampling { scan_all_up_to: 16, choices: 4 });
     let mut got = vec![0u32; 100];
     for seed in 0..50_000u32 {
         let seed = seed.wrapping_mul(2_654_435_761);
@@ -255,7 +255,7 @@
 
 #[test]
 fn checks_come_due_once_at_their_earliest_time() {
-    let mut index = fleet(3, Sampling { whole_up_to: 16, choices: 4 });
+    let mut index = fleet(3, Sampling { scan_all_up_to: 16, choices: 4 });
     index.check_at(0, 50.0);
     index.check_at(1, 40.0);
     index.check_at(0, 30.0);
