--- a/crates/routing/src/attributes.rs
+++ b/crates/routing/src/attributes.rs
@@ -1,41 +1,41 @@
-//! What a backend is filed by.
+//! Attributes that determine the groups of a backend.
 
-/// What the endpoint list says of a backend.
+/// State of a backend on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It takes work.
+    /// Accepts new work.
     Ready,
-    /// It finishes its work and takes no more.
+    /// Finishes its work and accepts no more.
     Draining,
-    /// It is not on the list any more; the record is kept as long as the caller wants.
+    /// No longer listed; its record stays until the caller removes it.
     Removed,
 }
 
-/// What a backend is filed by.
+/// The attributes by which a backend is indexed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attributes {
-    /// Its number here; never changes.
+    /// Number of the backend at this gateway; never changes.
     pub id: u32,
-    /// What it is known by at all gateways; never changes.
+    /// Key of the backend, the same at all gateways; never changes.
     pub key: u64,
-    /// Its zone.
+    /// Zone.
     pub zone: u32,
-    /// Its cell.
+    /// Cell.
     pub cell: u32,
-    /// Its instance type.
+    /// Instance type.
     pub instance_type: u32,
-    /// What the list says of it.
+    /// State on the endpoint list.
     pub state: ListState,
-    /// It failed or fell silent here.
+    /// Ejected by this gateway, because it failed or stopped answering.
     pub ejected: bool,
-    /// From when it is warm, ms.
+    /// Time at which its warm-up ends, ms.
     pub warm_from: f64,
-    /// Its share of new work against those of share 1: above 0, at most 1.
+    /// Share of new work, relative to backends of share 1: above 0, at most 1.
     pub share: f64,
 }
 
-/// A record that can be filed.
+/// A record that can be indexed.
 pub trait Indexed {
-    /// What it is to be filed by now.
+    /// Returns the current attributes of the backend.
     fn attributes(&self) -> Attributes;
 }
--- a/crates/routing/src/group.rs
+++ b/crates/routing/src/group.rs
@@ -1,19 +1,19 @@
-//! The backends of one group, by state.
+//! Backends of one group, by state.
 
-/// How many backends of a group are in each state.
+/// Numbers of backends of a group in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Take work, as the endpoint list says; the ejected among them.
+    /// Ready on the endpoint list, including the ejected ones.
     pub ready: usize,
-    /// Finish their work and take no more.
+    /// Draining: they finish their work and accept no more.
     pub draining: usize,
-    /// Ready by the list, but failed or silent here.
+    /// Ready on the list, but ejected by this gateway.
     pub ejected: usize,
-    /// Ready by the list, and not warm yet.
+    /// Ready on the list and still warming up.
     pub warming_up: usize,
 }
 
-/// Ready slots, available or ejected, each list without gaps and in no order; the others are only counted.
+/// Ready slots in two unordered lists without gaps, available and ejected. Draining backends are only counted.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     available: Vec<u32>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds a ready slot; returns its position.
+    /// Adds a ready slot and returns its position.
     pub(crate) fn add(&mut self, slot: u32, ejected: bool, warm: bool) -> u32 {
         self.warming_up += usize::from(!warm);
         let list = self.list(ejected);
@@ -52,7 +52,7 @@
         (list.len() - 1) as u32
     }
 
-    /// Removes the ready slot at a position; returns the one that stands there now.
+    /// Removes the ready slot at a position and returns the one that was moved there, if any.
     pub(crate) fn remove(&mut self, position: u32, ejected: bool, warm: bool) -> Option<u32> {
         self.warming_up -= usize::from(!warm);
         let list = self.list(ejected);
@@ -60,12 +60,12 @@
         list.get(position as usize).copied()
     }
 
-    /// Slots that may be drawn, with the ejected or without.
+    /// Number of slots that can be drawn, with or without the ejected ones.
     pub(crate) fn len(&self, with_ejected: bool) -> usize {
         self.available.len() + if with_ejected { self.ejected.len() } else { 0 }
     }
 
-    /// The slot at a position of the available ones and, after them, the ejected.
+    /// Returns the slot at a position; the ejected slots follow the available ones.
     pub(crate) fn at(&self, position: usize) -> u32 {
         let available = self.available.len();
         if position < available {
--- a/crates/routing/src/groups.rs
+++ b/crates/routing/src/groups.rs
@@ -1,33 +1,33 @@
-//! The groups that backends are in: the fleet, the subset, and those of a zone, a cell or an instance type.
+//! Groups of backends: the fleet, the subset, and one for each zone, cell and instance type.
 
 use std::collections::HashMap;
 
 use crate::attributes::Attributes;
 use crate::group::{Counts, Group};
 
-/// Where candidates are drawn from.
+/// Set of backends from which candidates are drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// The backends that this gateway prefers.
+    /// Subset that this gateway prefers.
     Subset,
-    /// All of them.
+    /// All backends.
     Fleet,
-    /// Those of a zone.
+    /// Backends of a zone.
     Zone(u32),
-    /// Those of a cell.
+    /// Backends of a cell.
     Cell(u32),
 }
 
-/// Groups that a slot may be in.
+/// Number of groups that a slot can be in.
 const GROUP_KINDS: usize = 5;
-/// Where the position of a slot in the fleet stands in its [`Positions`], and so on.
+/// Indexes into [`Positions`], one for each kind of group.
 const FLEET: usize = 0;
 const SUBSET: usize = 1;
 const ZONE: usize = 2;
 const CELL: usize = 3;
 const INSTANCE_TYPE: usize = 4;
 
-/// The positions of a slot in its groups.
+/// Positions of a slot in its groups.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Positions([u32; GROUP_KINDS]);
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A slot that has another position in a group, as the one that stood there was removed.
+/// A slot that was moved to the position of a removed one in a group.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Moved {
     pub(crate) slot: u32,
@@ -55,7 +55,7 @@
     }
 }
 
-/// How a slot is filed in its groups.
+/// Data that determines the groups of a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Filing {
     pub(crate) attributes: Attributes,
@@ -63,7 +63,7 @@
     pub(crate) warm: bool,
 }
 
-/// All groups. Those of a zone, a cell or an instance type are there while a backend is in them.
+/// All groups. The group of a zone, cell or instance type exists while it has a backend.
 #[derive(Debug, Default)]
 pub(crate) struct Groups {
     fleet: Group,
@@ -74,7 +74,7 @@
 }
 
 impl Groups {
-    /// A group; none if nobody is in it.
+    /// Returns a group; `None` if it has no backend.
     pub(crate) fn get(&self, scope: Scope) -> Option<&Group> {
         match scope {
             Scope::Fleet => Some(&self.fleet),
@@ -92,8 +92,12 @@
         self.instance_types.get(&instance_type).map(Group::counts).unwrap_or_default()
     }
 
-    /// The groups that a backend is in, and where its position in them stands.
-    fn of(&mut self, attributes: &Attributes, in_subset: bool) -> impl Iterator<Item = (usize, &mut Group)> {
+    /// Returns the groups of a backend, each with its index into [`Positions`].
+    fn groups_of(
+        &mut self,
+        attributes: &Attributes,
+        in_subset: bool,
+    ) -> impl Iterator<Item = (usize, &mut Group)> {
         let groups = [
             Some((FLEET, &mut self.fleet)),
             in_subset.then_some((SUBSET, &mut self.subset)),
@@ -104,17 +108,17 @@
         groups.into_iter().flatten()
     }
 
-    /// Files a ready slot.
+    /// Adds a ready slot to its groups.
     pub(crate) fn add_ready(&mut self, slot: u32, filing: &Filing) -> Positions {
         let Filing { attributes, in_subset, warm } = filing;
         let mut positions = Positions::default();
-        for (kind, group) in self.of(attributes, *in_subset) {
+        for (kind, group) in self.groups_of(attributes, *in_subset) {
             positions.0[kind] = group.add(slot, attributes.ejected, *warm);
         }
         positions
     }
 
-    /// Takes out a ready slot; returns those that moved.
+    /// Removes a ready slot from its groups and returns the slots that were moved.
     pub(crate) fn remove_ready(
         &mut self,
         positions: Positions,
@@ -122,7 +126,7 @@
     ) -> impl Iterator<Item = Moved> + use<> {
         let Filing { attributes, in_subset, warm } = filing;
         let mut moved = [None; GROUP_KINDS];
-        for (kind, group) in self.of(attributes, *in_subset) {
+        for (kind, group) in self.groups_of(attributes, *in_subset) {
             let position = positions.0[kind];
             let other = group.remove(position, attributes.ejected, *warm);
             moved[kind] = other.map(|slot| Moved { slot, kind, position });
@@ -131,38 +135,38 @@
         moved.into_iter().flatten()
     }
 
-    /// Files a draining backend, which is only counted.
+    /// Counts a draining backend in its groups.
     pub(crate) fn add_draining(&mut self, attributes: &Attributes) {
-        for (_, group) in self.of(attributes, false) {
+        for (_, group) in self.groups_of(attributes, false) {
             group.draining += 1;
         }
     }
 
     pub(crate) fn remove_draining(&mut self, attributes: &Attributes) {
-        for (_, group) in self.of(attributes, false) {
+        for (_, group) in self.groups_of(attributes, false) {
             group.draining -= 1;
         }
         self.drop_empty(attributes);
     }
 
-    /// Counts a ready backend as warm from now on.
+    /// Counts a ready backend as warm instead of warming up.
     pub(crate) fn count_as_warm(&mut self, filing: &Filing) {
-        for (_, group) in self.of(&filing.attributes, filing.in_subset) {
+        for (_, group) in self.groups_of(&filing.attributes, filing.in_subset) {
             group.warming_up -= 1;
         }
     }
 
-    /// Adds a ready slot to the subset; returns its position there.
+    /// Adds a ready slot to the subset and returns its position there.
     pub(crate) fn join_subset(&mut self, slot: u32, ejected: bool, warm: bool) -> u32 {
         self.subset.add(slot, ejected, warm)
     }
 
-    /// Removes a ready slot from the subset; returns the one that moved to its position.
+    /// Removes a ready slot from the subset and returns the one that was moved to its position, if any.
     pub(crate) fn leave_subset(&mut self, position: u32, ejected: bool, warm: bool) -> Option<u32> {
         self.subset.remove(position, ejected, warm)
     }
 
-    /// Forgets the groups of a backend that nobody is in any more.
+    /// Removes those groups of a backend that have become empty.
     fn drop_empty(&mut self, attributes: &Attributes) {
         let Attributes { zone, cell, instance_type, .. } = *attributes;
         let by_key =
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,4 +1,4 @@
-//! All backends by state, kept up to date by events.
+//! Index of all backends by state, updated with each event.
 
 use std::collections::HashMap;
 
@@ -6,27 +6,27 @@
 use crate::group::Counts;
 use crate::groups::{Filing, Groups, Positions, Scope};
 use crate::membership::Membership;
-use crate::push::{Contribution, FadingWork, WarmPush};
+use crate::recent_work::{Contribution, DecayingWork, WarmWork};
 use crate::sampling::Sampling;
 use crate::schedule::Schedule;
 use crate::subset::Subset;
 
-/// Shortest time in which a push fades, ms.
+/// Lower bound of the window in which recent work decays, ms.
 const SHORTEST_WINDOW_MS: f64 = 1.0;
-const NO_BACKEND: &str = "a slot is used only while its backend is there";
+const NO_BACKEND: &str = "the slot holds a backend";
 
 #[derive(Debug)]
 struct Slot<T> {
     record: T,
     attributes: Attributes,
-    /// Its positions in its groups while it is ready.
+    /// Positions in its groups while it is ready.
     positions: Positions,
     in_subset: bool,
     warm: bool,
-    /// The degree above which it is in this gateway's subset.
+    /// Degree above which it is in this gateway's subset.
     threshold: f64,
-    /// Work sent there lately.
-    pushed: FadingWork,
+    /// Work sent to it recently.
+    recent_work: DecayingWork,
 }
 
 impl<T> Slot<T> {
@@ -34,8 +34,8 @@
         self.attributes.state == ListState::Ready
     }
 
-    /// Whether work sent there counts for the warm push.
-    fn counts_for_push(&self) -> bool {
+    /// Whether work sent to it counts towards the sum of the warm backends of the subset.
+    fn counts_as_warm_work(&self) -> bool {
         self.in_subset && self.warm
     }
 
@@ -44,25 +44,25 @@
     }
 }
 
-/// All backends that a gateway knows. A backend keeps its slot from [`Index::insert`] to [`Index::remove`].
+/// Index of all backends that a gateway knows. A backend keeps its slot from [`Index::insert`] to [`Index::remove`].
 #[derive(Debug)]
 pub struct Index<T> {
     sampling: Sampling,
-    /// Time in which pushes fade to 1/e, ms.
+    /// Time in which recent work decays to 1/e, ms.
     window_ms: f64,
-    /// Each in a box of its own: a list that outgrows its memory doubles it, which is little for pointers.
+    /// Boxed, because a growing vector reallocates its elements, which is cheap for pointers.
     slots: Vec<Option<Box<Slot<T>>>>,
     free: Vec<u32>,
     slots_by_id: HashMap<u32, u32>,
     groups: Groups,
     membership: Membership,
-    push: WarmPush,
+    warm_work: WarmWork,
     warming_up: Schedule,
     checks: Schedule,
 }
 
 impl<T: Indexed> Index<T> {
-    /// An empty index. Pushes fade over `window_ms`.
+    /// Creates an empty index. Recent work decays to 1/e in `window_ms`.
     #[must_use]
     pub fn new(subset: Subset, sampling: Sampling, window_ms: f64) -> Index<T> {
         Index {
@@ -73,7 +73,7 @@
             slots_by_id: HashMap::new(),
             groups: Groups::default(),
             membership: Membership::new(subset),
-            push: WarmPush::default(),
+            warm_work: WarmWork::default(),
             warming_up: Schedule::default(),
             checks: Schedule::default(),
         }
@@ -87,52 +87,52 @@
         self.slots[slot].as_mut().expect(NO_BACKEND)
     }
 
-    /// The slot of a backend, by its number.
+    /// Returns the slot of a backend, by its number.
     #[must_use]
     pub fn find(&self, id: u32) -> Option<usize> {
         self.slots_by_id.get(&id).map(|slot| *slot as usize)
     }
 
-    /// The record in a slot.
+    /// Returns the record in a slot.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     #[must_use]
     pub fn get(&self, slot: usize) -> &T {
         &self.slot(slot).record
     }
 
-    /// The record in a slot, for what it is not filed by. What it is filed by goes through
+    /// Returns the record in a slot for modification, except of its attributes, which are changed by
     /// [`Index::update`].
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     pub fn get_mut(&mut self, slot: usize) -> &mut T {
         &mut self.slot_mut(slot).record
     }
 
-    /// All slots that hold a backend, in no order.
+    /// Iterates over the slots that hold a backend.
     pub fn slots(&self) -> impl Iterator<Item = usize> + '_ {
         self.slots.iter().enumerate().filter_map(|(slot, held)| held.as_ref().map(|_| slot))
     }
 
-    /// Adds a backend whose number is not known yet; returns its slot.
+    /// Adds a backend whose number is not in the index yet, and returns its slot.
     pub fn insert(&mut self, now: f64, record: T) -> usize {
         let attributes = record.attributes();
-        let new = Box::new(Slot {
+        let added = Box::new(Slot {
             record,
             attributes,
             positions: Positions::default(),
             in_subset: false,
             warm: false,
             threshold: self.membership.threshold(attributes.key),
-            pushed: FadingWork::none(now),
+            recent_work: DecayingWork::none(now),
         });
         let slot = self.free.pop().unwrap_or(self.slots.len() as u32);
         if slot as usize == self.slots.len() {
-            self.slots.push(Some(new));
+            self.slots.push(Some(added));
         } else {
-            self.slots[slot as usize] = Some(new);
+            self.slots[slot as usize] = Some(added);
         }
         self.slots_by_id.insert(attributes.id, slot);
         self.file(now, slot);
@@ -140,10 +140,10 @@
         slot as usize
     }
 
-    /// Removes a backend; its slot may be another's next.
+    /// Removes a backend. Its slot may be reused by another one.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     pub fn remove(&mut self, now: f64, slot: usize) -> T {
         self.unfile(now, slot as u32);
         self.checks.clear(slot as u32);
@@ -154,31 +154,30 @@
         removed.record
     }
 
-    /// Begins a backend's record anew, as of another process under its number: nothing was pushed there
-    /// yet.
+    /// Replaces the record of a backend after a restart under the same number. Its recent work is reset.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     pub fn renew(&mut self, now: f64, slot: usize, record: T) {
         self.unfile(now, slot as u32);
         let renewed = self.slot_mut(slot);
         renewed.attributes = record.attributes();
-        renewed.pushed = FadingWork::none(now);
+        renewed.recent_work = DecayingWork::none(now);
         renewed.record = record;
         self.file(now, slot as u32);
         self.resize_subset(now);
     }
 
-    /// Changes a record, and files it anew where that calls for it.
+    /// Modifies a record, and moves the backend to other groups if its attributes changed.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     pub fn update<R>(&mut self, now: f64, slot: usize, change: impl FnOnce(&mut T) -> R) -> R {
         let updated = self.slot_mut(slot);
         let result = change(&mut updated.record);
         let (old, new) = (updated.attributes, updated.record.attributes());
         if old != new {
-            debug_assert_eq!((old.id, old.key), (new.id, new.key), "names never change");
+            debug_assert_eq!((old.id, old.key), (new.id, new.key), "id and key never change");
             self.unfile(now, slot as u32);
             self.slot_mut(slot).attributes = new;
             self.file(now, slot as u32);
@@ -189,11 +188,11 @@
         result
     }
 
-    /// Adds a backend to the groups, sums and schedules that its attributes call for.
+    /// Adds a backend to the groups, sums and schedules that its attributes determine.
     fn file(&mut self, now: f64, slot: u32) {
         let filed = self.slots[slot as usize].as_mut().expect(NO_BACKEND);
         filed.warm = filed.attributes.warm_from <= now;
-        filed.in_subset = filed.is_ready() && self.membership.has(filed.threshold);
+        filed.in_subset = filed.is_ready() && self.membership.contains(filed.threshold);
         match filed.attributes.state {
             ListState::Removed => {}
             ListState::Draining => self.groups.add_draining(&filed.attributes),
@@ -201,7 +200,7 @@
                 filed.positions = self.groups.add_ready(slot, &filed.filing());
                 self.membership.add_ready(filed.threshold, slot);
                 let (warm, warm_from) = (filed.warm, filed.attributes.warm_from);
-                self.add_to_push(now, slot);
+                self.add_to_warm_work(now, slot);
                 if !warm {
                     self.warming_up.set(slot, warm_from);
                 }
@@ -209,7 +208,7 @@
         }
     }
 
-    /// Removes a backend from wherever [`Index::file`] added it.
+    /// Removes a backend from everything that [`Index::file`] added it to.
     fn unfile(&mut self, now: f64, slot: u32) {
         let filed = self.slot(slot as usize);
         let (filing, threshold, positions) = (filed.filing(), filed.threshold, filed.positions);
@@ -217,7 +216,7 @@
             ListState::Removed => {}
             ListState::Draining => self.groups.remove_draining(&filing.attributes),
             ListState::Ready => {
-                self.remove_from_push(now, slot);
+                self.remove_from_warm_work(now, slot);
                 self.membership.remove_ready(threshold, slot);
                 self.warming_up.clear(slot);
                 for moved in self.groups.remove_ready(positions, &filing) {
@@ -227,26 +226,27 @@
         }
     }
 
-    /// What a backend adds to the sums of the warm ones of the subset, if it is one of them.
+    /// Returns the contribution of a backend to the warm work of the subset, if it is warm and in the subset.
     fn contribution(&self, now: f64, slot: u32) -> Option<Contribution> {
-        let one = self.slot(slot as usize);
-        let pushed = one.pushed.now(now, self.window_ms);
-        one.counts_for_push().then_some(Contribution { pushed, share: one.attributes.share })
+        let backend = self.slot(slot as usize);
+        let work = backend.recent_work.at(now, self.window_ms);
+        let share = backend.attributes.share;
+        backend.counts_as_warm_work().then_some(Contribution { work, share })
     }
 
-    fn add_to_push(&mut self, now: f64, slot: u32) {
-        if let Some(one) = self.contribution(now, slot) {
-            self.push.add_backend(now, self.window_ms, one);
+    fn add_to_warm_work(&mut self, now: f64, slot: u32) {
+        if let Some(contribution) = self.contribution(now, slot) {
+            self.warm_work.add_backend(now, self.window_ms, contribution);
         }
     }
 
-    fn remove_from_push(&mut self, now: f64, slot: u32) {
-        if let Some(one) = self.contribution(now, slot) {
-            self.push.remove_backend(now, self.window_ms, one);
+    fn remove_from_warm_work(&mut self, now: f64, slot: u32) {
+        if let Some(contribution) = self.contribution(now, slot) {
+            self.warm_work.remove_backend(now, self.window_ms, contribution);
         }
     }
 
-    /// Moves backends into the subset or out of it, as the number of ready ones calls for.
+    /// Moves backends into or out of the subset when the number of ready ones has changed.
     fn resize_subset(&mut self, now: f64) {
         let change = self.membership.resize(self.groups.counts(Scope::Fleet).ready);
         for slot in change.slots {
@@ -266,11 +266,11 @@
         joining.in_subset = true;
         let position = self.groups.join_subset(slot, joining.attributes.ejected, joining.warm);
         joining.positions.set_in_subset(position);
-        self.add_to_push(now, slot);
+        self.add_to_warm_work(now, slot);
     }
 
     fn leave_subset(&mut self, now: f64, slot: u32) {
-        self.remove_from_push(now, slot);
+        self.remove_from_warm_work(now, slot);
         let leaving = self.slots[slot as usize].as_mut().expect(NO_BACKEND);
         leaving.in_subset = false;
         let position = leaving.positions.in_subset();
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Notes who is warm by now. Until this is called, sums and counts are those of the time before.
+    /// Marks the backends whose warm-up has ended by `now`. Sums and counts change only when this is called.
     pub fn advance(&mut self, now: f64) {
         while let Some(slot) = self.warming_up.pop(now) {
             let Some(due) = self.slots[slot as usize].as_mut() else { continue };
@@ -294,85 +294,85 @@
             due.warm = true;
             let filing = due.filing();
             self.groups.count_as_warm(&filing);
-            self.add_to_push(now, slot);
+            self.add_to_warm_work(now, slot);
         }
     }
 
-    /// Work pushed to a backend lately.
+    /// Returns the work sent to a backend recently, decayed to `now`.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     #[must_use]
     pub fn recent_work(&self, slot: usize, now: f64) -> f64 {
-        self.slot(slot).pushed.now(now, self.window_ms)
+        self.slot(slot).recent_work.at(now, self.window_ms)
     }
 
-    /// Notes work that is pushed to a backend.
+    /// Records work that is sent to a backend.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     pub fn record_work(&mut self, slot: usize, now: f64, work: f64) {
         let window_ms = self.window_ms;
-        let pushed = self.slot_mut(slot);
-        pushed.pushed.add(now, window_ms, work);
-        if pushed.counts_for_push() && pushed.is_ready() {
-            self.push.push(now, window_ms, work);
+        let backend = self.slot_mut(slot);
+        backend.recent_work.add(now, window_ms, work);
+        if backend.counts_as_warm_work() && backend.is_ready() {
+            self.warm_work.record(now, window_ms, work);
         }
     }
 
-    /// Work pushed lately to a warm backend of the subset with a share of 1, on the mean; 0 without any.
+    /// Mean work sent recently to a warm backend of the subset with a share of 1; 0 if there are none.
     #[must_use]
     pub fn mean_warm_work(&self, now: f64) -> f64 {
-        self.push.mean(now, self.window_ms)
+        self.warm_work.mean(now, self.window_ms)
     }
 
     /// Whether a backend is in this gateway's subset.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the slot holds no backend.
     #[must_use]
     pub fn is_in_subset(&self, slot: usize) -> bool {
         self.slot(slot).in_subset
     }
 
-    /// Gateways that share each backend now.
+    /// Returns the present number of gateways that share a backend.
     #[must_use]
     pub fn degree(&self) -> f64 {
         self.membership.degree()
     }
 
-    /// How many backends of a group are in each state.
+    /// Returns the numbers of backends of a group in each state.
     #[must_use]
     pub fn counts(&self, scope: Scope) -> Counts {
         self.groups.counts(scope)
     }
 
-    /// How many backends of an instance type are in each state.
+    /// Returns the numbers of backends of an instance type in each state.
     #[must_use]
     pub fn instance_type_counts(&self, instance_type: u32) -> Counts {
         self.groups.instance_type_counts(instance_type)
     }
 
-    /// Adds candidates that are not there yet: all of a small group, else some by chance (`random` returns
-    /// numbers in [0, 1)). The ejected are among them only where that is wanted.
+    /// Adds candidates from a group to `candidates`, without duplicates: all of a small group, else a random
+    /// sample. `random` returns numbers in [0, 1). Ejected backends are drawn only if `with_ejected` is set.
     pub fn draw(
         &self,
         scope: Scope,
         with_ejected: bool,
         random: &mut impl FnMut() -> f64,
-        into: &mut Vec<usize>,
+        candidates: &mut Vec<usize>,
     ) {
         if let Some(group) = self.groups.get(scope) {
-            self.sampling.draw(group, with_ejected, random, into);
+            self.sampling.draw(group, with_ejected, random, candidates);
         }
     }
 
-    /// Has a backend come up in [`Index::next_due`] at a time, or sooner if that was asked for before.
+    /// Schedules a check of a backend for [`Index::next_due`], unless one is already due sooner.
     pub fn check_at(&mut self, slot: usize, at: f64) {
         self.checks.set(slot as u32, at);
     }
 
-    /// Removes and returns a backend that is due for a check by now, the earliest first.
+    /// Removes and returns the backend whose check is due first, if it is due by `now`.
     pub fn next_due(&mut self, now: f64) -> Option<usize> {
         self.checks.pop(now).map(|slot| slot as usize)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,17 @@
-//! The backends that a gateway knows, indexed so that selecting one for a request costs the same however
-//! many there are.
+//! An index of the backends that a gateway knows. The cost of selecting one for a request is independent of
+//! their number.
 //!
-//! It does no I/O, reads no clock and decides nothing: the decisions draw candidates from it and read its
-//! sums. Times are milliseconds on the caller's clock, which never runs backwards.
+//! The crate does no I/O, reads no clock and makes no decisions: the caller draws candidates from the index
+//! and reads its sums. Times are milliseconds on the caller's clock, which never runs backwards.
 //!
 //! ```text
 //!   endpoint list ─────▶ Index ─┬─ slots                     the caller's record of each backend
-//!   what is learned ───▶        ├─ groups: fleet, subset, each zone, cell and instance type
-//!                               │     available │ ejected    drawn from by chance, in constant time
+//!   observations ──────▶        ├─ groups: fleet, subset, each zone, cell and instance type
+//!                               │     available │ ejected    sampled at random, in constant time
 //!                               │     draining, warming up   counts
-//!                               ├─ warm push                 decayed sums, in place of scans
-//!                               ├─ schedules                 who is warm by now; who is due for a check
-//!                               └─ membership                which backends are this gateway's subset
+//!                               ├─ warm work                 decaying sums, instead of scans
+//!                               ├─ schedules                 ends of warm-ups; due checks
+//!                               └─ membership                the backends of this gateway's subset
 //! ```
 
 mod attributes;
@@ -19,7 +19,7 @@
 mod groups;
 mod index;
 mod membership;
-mod push;
+mod recent_work;
 mod sampling;
 mod schedule;
 mod subset;
--- a/crates/routing/src/sampling.rs
+++ b/crates/routing/src/sampling.rs
@@ -1,50 +1,50 @@
-//! How candidates are drawn from a group.
+//! Random sampling of candidates from a group.
 
 use crate::group::Group;
 
-/// Draws from a large group for each candidate that is wanted: one that was drawn before is passed over.
+/// Maximum number of draws for each candidate from a large group. Repeated draws of a backend are skipped.
 const DRAWS_PER_CHOICE: usize = 4;
 
-/// How many backends of a group are drawn.
+/// Number of backends that are drawn from a group.
 #[derive(Clone, Copy, Debug)]
 pub struct Sampling {
-    /// Groups of up to so many are drawn whole.
+    /// Groups of up to this size are taken whole.
     pub scan_all_up_to: usize,
-    /// So many are drawn from larger ones.
+    /// Number of backends that are drawn from larger groups.
     pub choices: usize,
 }
 
 impl Sampling {
-    /// Adds candidates from a group that are not there yet.
+    /// Adds candidates from a group to `candidates`, without duplicates.
     pub(crate) fn draw(
         &self,
         group: &Group,
         with_ejected: bool,
         random: &mut impl FnMut() -> f64,
-        into: &mut Vec<usize>,
+        candidates: &mut Vec<usize>,
     ) {
         if group.len(with_ejected) <= self.scan_all_up_to {
-            take_whole(group, with_ejected, into);
+            take_all(group, with_ejected, candidates);
         } else {
-            self.draw_some(group, with_ejected, random, into);
+            self.draw_random(group, with_ejected, random, candidates);
         }
     }
 
-    /// Draws by chance. Where most were drawn before, it ends with fewer than are wanted.
-    fn draw_some(
+    /// Draws at random. May add fewer candidates than wanted if most of the group was drawn before.
+    fn draw_random(
         &self,
         group: &Group,
         with_ejected: bool,
         random: &mut impl FnMut() -> f64,
-        into: &mut Vec<usize>,
+        candidates: &mut Vec<usize>,
     ) {
-        let (all, wanted) = (group.len(with_ejected), into.len() + self.choices);
+        let (all, wanted) = (group.len(with_ejected), candidates.len() + self.choices);
         for _ in 0..DRAWS_PER_CHOICE * self.choices {
             let position = (random() * all as f64) as usize;
             let slot = group.at(position.min(all - 1)) as usize;
-            if !into.contains(&slot) {
-                into.push(slot);
-                if into.len() == wanted {
+            if !candidates.contains(&slot) {
+                candidates.push(slot);
+                if candidates.len() == wanted {
                     return;
                 }
             }
@@ -52,12 +52,12 @@
     }
 }
 
-fn take_whole(group: &Group, with_ejected: bool, into: &mut Vec<usize>) {
-    let begin = into.len();
+fn take_all(group: &Group, with_ejected: bool, candidates: &mut Vec<usize>) {
+    let old_len = candidates.len();
     for position in 0..group.len(with_ejected) {
         let slot = group.at(position) as usize;
-        if !into[..begin].contains(&slot) {
-            into.push(slot);
+        if !candidates[..old_len].contains(&slot) {
+            candidates.push(slot);
         }
     }
 }
--- a/crates/routing/src/schedule.rs
+++ b/crates/routing/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When each slot is due.
+//! A priority queue of due times, one for each slot.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,13 +6,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Entries that the heap may hold for each slot, and some for good measure, before it is compacted.
+/// The heap is compacted when it has more entries than these: a number for each slot, plus a constant.
 const ENTRIES_PER_SLOT: usize = 2;
 const SPARE_ENTRIES: usize = 64;
-/// The time of a slot that is not scheduled.
+/// Due time of a slot that is not scheduled.
 const NEVER: f64 = f64::INFINITY;
 
-/// A time, ms, in the total order of numbers.
+/// A time, ms, with a total order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Time(f64);
 
@@ -30,16 +30,16 @@
     }
 }
 
-/// At most one time for each slot; the earliest that was asked for counts.
+/// Due times of slots: at most one for each slot, the earliest that was set.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     heap: BinaryHeap<Reverse<(Time, u32)>>,
-    /// The time that counts, by slot.
+    /// Due time of each slot.
     due_at: Vec<f64>,
 }
 
 impl Schedule {
-    /// Schedules a slot for a time, unless it is due sooner already.
+    /// Schedules a slot for a time, unless it is already due sooner.
     pub(crate) fn set(&mut self, slot: u32, at: f64) {
         let index = slot as usize;
         if index >= self.due_at.len() {
@@ -52,21 +52,21 @@
         }
     }
 
-    /// Forgets the time of a slot.
+    /// Removes the due time of a slot.
     pub(crate) fn clear(&mut self, slot: u32) {
         if let Some(at) = self.due_at.get_mut(slot as usize) {
             *at = NEVER;
         }
     }
 
-    /// Removes and returns a slot whose time has come, the earliest first.
+    /// Removes and returns the slot with the earliest due time, if it is due by `now`.
     pub(crate) fn pop(&mut self, now: f64) -> Option<u32> {
         while let Some(Reverse((at, slot))) = self.heap.peek().copied() {
             if at.0 > now {
                 return None;
             }
             self.heap.pop();
-            // Others were superseded by an earlier time, or forgotten.
+            // Other entries were superseded by an earlier time or cleared.
             if self.due_at[slot as usize] == at.0 {
                 self.due_at[slot as usize] = NEVER;
                 return Some(slot);
@@ -75,8 +75,8 @@
         None
     }
 
-    /// Drops entries that count no more, before they come due, so that the heap stays as small as the slots
-    /// are many.
+    /// Drops superseded and cleared entries before they come due, so that the size of the heap stays linear
+    /// in the number of slots.
     fn compact(&mut self) {
         if self.heap.len() > ENTRIES_PER_SLOT * self.due_at.len() + SPARE_ENTRIES {
             let scheduled = (0..).zip(&self.due_at).filter(|(_, at)| at.is_finite());
--- a/crates/routing/src/schedule/tests.rs
+++ b/crates/routing/src/schedule/tests.rs
@@ -1,9 +1,9 @@
-//! Which of several times counts, and that the others are not kept.
+//! Superseded and cleared times of a slot: they never come due and do not accumulate.
 
 use super::*;
 
 #[test]
-fn earliest_time_counts_once_and_cleared_slots_never() {
+fn slot_is_due_once_at_its_earliest_time() {
     let mut schedule = Schedule::default();
     schedule.set(3, 20.0);
     schedule.set(1, 10.0);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn superseded_times_are_not_kept() {
+fn superseded_times_do_not_accumulate() {
     let mut schedule = Schedule::default();
     for i in 0..100_000 {
         schedule.set(i % 4, 1_000_000.0 - f64::from(i));
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -1,11 +1,11 @@
-//! Balance and movement of the subsets.
+//! Balance of the subsets, and their changes with the numbers of gateways and backends.
 
 use proptest::prelude::*;
 use routing::Subset;
 
-/// Thresholds of backends at a gateway; they don't change with the backends' number.
-fn thresholds(me: u32, gateways: u32, backends: u32) -> Vec<f64> {
-    let subset = Subset::new(me, gateways, 5, 3);
+/// Thresholds of the backends at a gateway. They do not depend on the number of backends.
+fn thresholds(gateway: u32, gateways: u32, backends: u32) -> Vec<f64> {
+    let subset = Subset::new(gateway, gateways, 5, 3);
     (0..backends).map(|b| subset.threshold(u64::from(b))).collect()
 }
 
@@ -18,14 +18,14 @@
 
     #[test]
     fn gateways_per_backend_are_balanced(gateways in 1u32..=120, backends in 1u32..=2_000) {
-        let all: Vec<Vec<f64>> = (0..gateways).map(|me| thresholds(me, gateways, backends)).collect();
+        let all: Vec<Vec<f64>> = (0..gateways).map(|g| thresholds(g, gateways, backends)).collect();
         let degree = degree(gateways, backends as usize);
         prop_assert!(degree >= f64::from(gateways.min(3)) && degree <= f64::from(gateways));
         for b in 0..backends as usize {
             let has = all.iter().filter(|t| t[b] < degree).count();
             prop_assert!(has == degree.floor() as usize || has == degree.ceil() as usize);
         }
-        // Subsets differ by chance alone: five deviations of a binomial spread.
+        // The sizes of subsets vary randomly, within five standard deviations of a binomial distribution.
         let mean = degree * f64::from(backends) / f64::from(gateways);
         for t in &all {
             let size = t.iter().filter(|t| **t < degree).count() as f64;
@@ -34,25 +34,25 @@
     }
 
     #[test]
-    fn one_backend_more_or_less_moves_only_its_own_gateways(
+    fn added_backend_changes_few_subset_members(
         gateways in 1u32..=500, backends in 1u32..=10_000,
     ) {
-        // Seen from one gateway: what it gains or loses in the mean is its part of the degree.
+        // At one gateway: the mean number of members that it gains or loses is its part of the change of degree.
         let t = thresholds(gateways / 2, gateways, backends);
         let (with, without) = (degree(gateways, backends as usize), degree(gateways, backends as usize - 1));
         let moved = t.iter().filter(|t| (**t < with) != (**t < without)).count() as f64;
         let mean = (with - without).abs() * f64::from(backends) / f64::from(gateways);
-        prop_assert!(moved <= mean + 5.0 * mean.sqrt() + 3.0, "{} moved, {} on the mean", moved, mean);
+        prop_assert!(moved <= mean + 5.0 * mean.sqrt() + 3.0, "{} moved, {} on average", moved, mean);
         prop_assert!(mean <= 5.0 * 1.01 / f64::from(backends.max(2) - 1) + 1e-9, "{}", mean);
     }
 
     #[test]
-    fn one_gateway_more_takes_only_its_share(
+    fn added_gateway_takes_only_its_share(
         gateways in 2u32..=500, backends in 100u32..=3_000,
     ) {
-        let (me, k) = (gateways / 2, 3.0);
-        let (before, after) = (thresholds(me, gateways, backends), thresholds(me, gateways + 1, backends));
-        // At the same degree only what the new one takes goes; nothing comes.
+        let (gateway, k) = (gateways / 2, 3.0);
+        let (before, after) = (thresholds(gateway, gateways, backends), thresholds(gateway, gateways + 1, backends));
+        // At the same degree, backends only move from this gateway to the new one, and none to this one.
         let pairs = || before.iter().zip(&after);
         prop_assert_eq!(pairs().filter(|(b, a)| **b >= k && **a < k).count(), 0);
         let lost = pairs().filter(|(b, a)| **b < k && **a >= k).count() as f64;
@@ -63,14 +63,17 @@
 }
 
 #[test]
-fn single_gateways_and_small_fleets_use_every_backend() {
+fn small_fleets_use_every_backend() {
     assert!(thresholds(0, 1, 4_000).into_iter().all(|t| t < degree(1, 4_000)));
     for (gateways, backends) in [(2, 10), (3, 14), (4, 20), (5, 12)] {
         let most = degree(gateways, backends as usize);
-        assert!(thresholds(1, gateways, backends).into_iter().all(|t| t < most), "{gateways} and {backends}");
+        assert!(
+            thresholds(1, gateways, backends).into_iter().all(|t| t < most),
+            "{gateways} gateways, {backends} backends"
+        );
     }
     assert_eq!(degree(60, 1_000), 3.3);
-    // Many gateways before few backends keep to some of them.
+    // With many gateways and few backends, each gateway uses only some of them.
     let size = degree(100, 60) * 60.0 / 100.0;
     assert!((6.5..7.5).contains(&size), "{size}");
 }
