--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The gateways that one adapter hosts.
+//! The gateways that an adapter hosts.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -8,15 +8,15 @@
 
 use crate::wire::{DecodedEvent, Frame, Malformed, Record, Reply, LISTS};
 
-/// Gateways by instance, and the endpoint lists that events refer to.
+/// Gateways by instance number, and the endpoint lists that events refer to.
 pub struct Host {
     gateways: BTreeMap<u16, Policy>,
     lists: Vec<Vec<BackendEndpoint>>,
-    /// What the event at hand has to be answered with; kept so that its memory is used again.
+    /// Actions of the current event; kept to reuse the allocation.
     actions: Vec<Action>,
 }
 
-/// Why an event was not played.
+/// Why an event could not be handled.
 enum Failure {
     Malformed(Malformed),
     /// The gateway panicked, with this text.
@@ -30,25 +30,25 @@
 }
 
 impl Host {
-    /// No gateways and empty lists.
+    /// Creates a host without gateways and with empty lists.
     pub fn new() -> Host {
         Host { gateways: BTreeMap::new(), lists: vec![Vec::new(); LISTS], actions: Vec::new() }
     }
 
-    /// Plays one batch and returns the reply. The rest of a batch is not played after a panic.
-    pub fn play(&mut self, frame: &Frame) -> Result<Reply, Malformed> {
+    /// Handles a batch and returns the reply. If a gateway panics, the rest of the batch is skipped.
+    pub fn handle_batch(&mut self, frame: &Frame) -> Result<Reply, Malformed> {
         let mut reply = Reply::new(frame.number);
         let mut current: Option<u16> = None;
         for record in frame.records() {
             let (code, mut fields) = record?;
             match Record::decode(code, &mut fields)? {
                 Record::Context(instance) => current = Some(instance),
-                Record::Directory(list, endpoints) => self.lists[list] = endpoints,
+                Record::EndpointList(list, endpoints) => self.lists[list] = endpoints,
                 Record::Create { seed, settings } => {
                     let gateway = create(seed, settings, frame.now)?;
                     self.gateways.insert(instance(current)?, gateway);
                 }
-                Record::PowerOff => {
+                Record::Kill => {
                     self.gateways.remove(&instance(current)?);
                 }
                 Record::Event(event) => {
@@ -57,7 +57,7 @@
                         Ok(()) => {}
                         Err(Failure::Malformed(error)) => return Err(error),
                         Err(Failure::Panic(text)) => {
-                            reply.bug(instance, &text);
+                            reply.panic(instance, &text);
                             return Ok(reply);
                         }
                     }
@@ -67,7 +67,7 @@
         Ok(reply)
     }
 
-    /// Hands an event to its gateway, and writes what that wants done.
+    /// Passes an event to its gateway and writes the resulting actions to the reply.
     fn handle(
         &mut self,
         now: f64,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts gateways on the simulator's wire: batches on standard input, replies on standard output.
+//! Hosts gateways for the simulator: reads batches from standard input and writes replies to standard output.
 
 mod host;
 mod wire;
@@ -10,17 +10,17 @@
 use host::Host;
 use wire::{Frame, Malformed};
 
-/// Bytes that are read from standard input at once.
+/// Size of the buffer of standard input.
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 /// Why the adapter ended early.
 #[derive(Debug)]
 enum RunError {
-    /// What came is no frame.
+    /// The input is not a valid frame.
     Frame(Malformed),
-    /// A record of a batch makes no sense.
+    /// A record of a batch is malformed.
     Batch { number: u32, error: Malformed },
-    /// The reply could not be written.
+    /// The reply cannot be written.
     Reply(io::Error),
 }
 
@@ -38,8 +38,8 @@
 fn run(input: &mut dyn Read, output: &mut dyn Write) -> Result<(), RunError> {
     let mut host = Host::new();
     while let Some(frame) = Frame::read(input).map_err(RunError::Frame)? {
-        let played = host.play(&frame);
-        let reply = played.map_err(|error| RunError::Batch { number: frame.number, error })?;
+        let reply = host.handle_batch(&frame);
+        let reply = reply.map_err(|error| RunError::Batch { number: frame.number, error })?;
         output.write_all(&reply.finish()).and_then(|()| output.flush()).map_err(RunError::Reply)?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/wire/frame.rs
+++ b/crates/simulator-adapter/src/wire/frame.rs
@@ -1,14 +1,14 @@
-//! Batches of records as they come in.
+//! Batches of records from the simulator.
 
 use std::io::{self, Read};
 
 use super::fields::Fields;
 use super::Malformed;
 
-/// Bytes of a frame's header: number, count of records, length of the body, clock.
+/// Size of a frame header: batch number, number of records, length of the body, clock.
 const HEADER_BYTES: usize = 20;
 
-/// A batch of records of one moment.
+/// A batch of records at one time.
 pub struct Frame {
     pub number: u32,
     /// The simulator's clock, ms.
@@ -18,7 +18,7 @@
 }
 
 impl Frame {
-    /// Reads the next batch; `None` at the end of the input.
+    /// Reads the next batch. Returns `None` at the end of the input.
     pub fn read(input: &mut dyn Read) -> Result<Option<Frame>, Malformed> {
         let header = read_up_to(input, HEADER_BYTES)?;
         if header.is_empty() {
@@ -34,20 +34,21 @@
         }
         let body = read_up_to(input, length)?;
         if body.len() < length {
-            let got = body.len();
-            return Err(Malformed::new(format!("batch {number}: ends after {got} of {length} bytes")));
+            let read = body.len();
+            return Err(Malformed::new(format!("batch {number}: ends after {read} of {length} bytes")));
         }
         Ok(Some(Frame { number, now, count, body }))
     }
 
-    /// Its records, each with its code and its fields. The last item is an error if bytes are left.
+    /// Iterates over the records, each with its code and fields. The last item is an error if bytes are left
+    /// after the last record.
     pub fn records(&self) -> impl Iterator<Item = Result<(u8, Fields<'_>), Malformed>> {
         let mut rest = Fields::new(&self.body);
         (0..=self.count).filter_map(move |number| {
             if number < self.count {
                 return Some(next_record(&mut rest));
             }
-            let left = rest.left();
+            let left = rest.remaining();
             (left > 0).then(|| Err(Malformed::new(format!("{left} bytes after the last record"))))
         })
     }
@@ -59,7 +60,7 @@
     Ok((code, Fields::new(rest.bytes(length, "record")?)))
 }
 
-/// Reads so many bytes, or fewer where the input ends.
+/// Reads `count` bytes, or fewer if the input ends.
 fn read_up_to(input: &mut dyn Read, count: usize) -> Result<Vec<u8>, Malformed> {
     let mut bytes = Vec::new();
     let read: io::Result<usize> = input.take(count as u64).read_to_end(&mut bytes);
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,11 +1,11 @@
-//! The simulator's wire, to and from the interface's types.
+//! The simulator's wire protocol, converted to and from the types of the interface.
 //!
-//! A frame is a batch of records of one moment. Each record has a code, a length and fields; a record may be
-//! longer than the fields that are read, as later versions add some. All numbers are big-endian.
+//! A frame is a batch of records at one time. Each record has a code, a length and fields. A record can be
+//! longer than the fields that are read, because later versions add fields. All numbers are big-endian.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `fields` | reads numbers and bytes in turn |
+//! | `fields` | reads numbers and bytes in sequence |
 //! | `frame` | reads a batch and its records |
 //! | `record` | decodes a record |
 //! | `reply` | encodes the actions that answer a batch |
@@ -24,15 +24,15 @@
 pub use record::{DecodedEvent, Record};
 pub use reply::Reply;
 
-/// Endpoint lists that the simulator may keep at an adapter.
+/// Number of endpoint lists that the simulator can store at an adapter.
 pub const LISTS: usize = 16;
 
-/// Input that can't be read, with what is wrong.
+/// Error of malformed input, with a description.
 #[derive(Debug)]
 pub struct Malformed(String);
 
 impl Malformed {
-    /// Says what is wrong.
+    /// Creates an error with a description of the problem.
     pub fn new(problem: impl Into<String>) -> Self {
         Malformed(problem.into())
     }
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -1,60 +1,73 @@
-//! Records of a batch, decoded.
+//! Decodes the records of a batch.
 
 use gateway_policy::interface::{BackendEndpoint, EndpointState, Event, Outcome, Request, UpdateScope};
 
 use super::fields::Fields;
 use super::{Malformed, LISTS};
 
-/// Codes of the records that the simulator writes, by its names.
+/// Codes of the records that the simulator writes. Errors use the simulator's names of the records.
 mod code {
-    pub const PROBED: u8 = 0;
-    pub const BACKENDS_CHANGED: u8 = 1;
-    pub const RESULT: u8 = 2;
+    /// `Probed`.
+    pub const PROBE_ENDED: u8 = 0;
+    /// `BackendsChanged`.
+    pub const ENDPOINTS_UPDATED: u8 = 1;
+    /// `Result`.
+    pub const ATTEMPT_ENDED: u8 = 2;
+    /// `Create`.
     pub const CREATE: u8 = 3;
-    pub const RECKONED: u8 = 4;
-    pub const POWER_OFF: u8 = 5;
+    /// `Reckoned`.
+    pub const COUNTER_REPLIED: u8 = 4;
+    /// `PowerOff`.
+    pub const KILL: u8 = 5;
+    /// `Context`.
     pub const CONTEXT: u8 = 6;
-    pub const DIRECTORY: u8 = 7;
-    pub const FLOWING: u8 = 8;
-    pub const NEIGHBOUR_SAYS: u8 = 9;
-    pub const NEW_REQUEST: u8 = 10;
-    pub const DROPPED: u8 = 11;
-    pub const RING: u8 = 12;
+    /// `Directory`.
+    pub const ENDPOINT_LIST: u8 = 7;
+    /// `Flowing`.
+    pub const STREAM_STARTED: u8 = 8;
+    /// `NeighbourSays`.
+    pub const PEER_MESSAGE: u8 = 9;
+    /// `NewRequest`.
+    pub const REQUEST: u8 = 10;
+    /// `Dropped`.
+    pub const CLIENT_DISCONNECTED: u8 = 11;
+    /// `Ring`.
+    pub const TIMER_EXPIRED: u8 = 12;
 }
 
-/// Bytes of an endpoint in a list.
+/// Size of an endpoint in a list.
 const ENDPOINT_BYTES: usize = 21;
-/// The bit of a request's flags that marks a client's retry.
+/// Flag of a request that the client marked as a retry.
 const RETRY_FLAG: u8 = 2;
-/// Metered use comes in hundredths, and one above so that 0 is none.
-const METERED_UNIT: f64 = 100.0;
+/// Metered use is sent in hundredths plus one; 0 means that there is none.
+const METERED_USE_SCALE: f64 = 100.0;
 
-/// A record of a batch.
+/// A decoded record of a batch.
 pub enum Record<'a> {
-    /// The records that follow are for this gateway.
+    /// The following records are for the gateway with this instance number.
     Context(u16),
-    /// An endpoint list, to be referred to by its number.
-    Directory(usize, Vec<BackendEndpoint>),
-    /// The gateway starts.
+    /// Stores an endpoint list under a number that later events refer to.
+    EndpointList(usize, Vec<BackendEndpoint>),
+    /// Starts the gateway.
     Create {
         seed: u64,
         settings: &'a [u8],
     },
-    /// The gateway is killed.
-    PowerOff,
+    /// Kills the gateway.
+    Kill,
     Event(DecodedEvent<'a>),
 }
 
-/// An event that owns what the interface's [`Event`] borrows, or refers to it.
+/// An event that owns the data that the interface's [`Event`] borrows, or refers to an endpoint list by number.
 pub enum DecodedEvent<'a> {
-    Backends { scope: UpdateScope, list: usize },
-    Ended(EndedAttempt),
-    Probed { backend: u32, outcome: Outcome, load: Vec<f32> },
-    Peer { from: u32, body: &'a [u8] },
-    Plain(Event<'static>),
+    EndpointsUpdated { scope: UpdateScope, list: usize },
+    AttemptEnded(EndedAttempt),
+    ProbeEnded { backend: u32, outcome: Outcome, load: Vec<f32> },
+    PeerMessage { from: u32, body: &'a [u8] },
+    Owned(Event<'static>),
 }
 
-/// How an attempt ended, and what its answer says.
+/// Result of an attempt, with the data of its answer.
 pub struct EndedAttempt {
     id: u64,
     attempt: u32,
@@ -68,22 +81,22 @@
 }
 
 impl DecodedEvent<'_> {
-    /// The event, with its endpoint list.
+    /// Converts to the interface's event, with its endpoint list from `lists`.
     pub fn resolve<'a>(&'a self, lists: &'a [Vec<BackendEndpoint>]) -> Result<Event<'a>, Malformed> {
         Ok(match self {
-            DecodedEvent::Backends { scope: UpdateScope::Failed, .. } => {
+            DecodedEvent::EndpointsUpdated { scope: UpdateScope::Failed, .. } => {
                 Event::EndpointsUpdated { scope: UpdateScope::Failed, endpoints: &[] }
             }
-            DecodedEvent::Backends { scope, list } => {
+            DecodedEvent::EndpointsUpdated { scope, list } => {
                 let endpoints = lists.get(*list).ok_or_else(|| Malformed::new(format!("no list {list}")))?;
                 Event::EndpointsUpdated { scope: *scope, endpoints }
             }
-            DecodedEvent::Ended(ended) => ended.event(),
-            DecodedEvent::Probed { backend, outcome, load } => {
+            DecodedEvent::AttemptEnded(ended) => ended.event(),
+            DecodedEvent::ProbeEnded { backend, outcome, load } => {
                 Event::ProbeEnded { backend: *backend, outcome: *outcome, load }
             }
-            DecodedEvent::Peer { from, body } => Event::PeerMessage { from: *from, body },
-            DecodedEvent::Plain(event) => event.clone(),
+            DecodedEvent::PeerMessage { from, body } => Event::PeerMessage { from: *from, body },
+            DecodedEvent::Owned(event) => event.clone(),
         })
     }
 }
@@ -109,15 +122,15 @@
     pub fn decode(code: u8, fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
         Ok(match code {
             code::CONTEXT => Record::Context(fields.u16("Context")?),
-            code::DIRECTORY => directory(fields)?,
+            code::ENDPOINT_LIST => endpoint_list(fields)?,
             code::CREATE => create(fields)?,
-            code::POWER_OFF => Record::PowerOff,
+            code::KILL => Record::Kill,
             _ => Record::Event(event(code, fields)?),
         })
     }
 }
 
-fn directory<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
+fn endpoint_list<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
     let list = usize::from(fields.u8("Directory")?);
     if list >= LISTS {
         return Err(Malformed::new(format!("Directory: no list {list}")));
@@ -125,7 +138,7 @@
     let count = fields.u32("Directory")? as usize;
     let bytes = fields.bytes(count.saturating_mul(ENDPOINT_BYTES), "Directory")?;
     let endpoints = bytes.chunks_exact(ENDPOINT_BYTES).map(|bytes| endpoint(&mut Fields::new(bytes)));
-    Ok(Record::Directory(list, endpoints.collect::<Result<_, _>>()?))
+    Ok(Record::EndpointList(list, endpoints.collect::<Result<_, _>>()?))
 }
 
 fn create<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
@@ -136,20 +149,22 @@
 
 fn event<'a>(code: u8, fields: &mut Fields<'a>) -> Result<DecodedEvent<'a>, Malformed> {
     Ok(match code {
-        code::BACKENDS_CHANGED => backends_changed(fields)?,
-        code::NEW_REQUEST => DecodedEvent::Plain(Event::Request(request(fields)?)),
-        code::RESULT => DecodedEvent::Ended(ended(fields)?),
-        code::NEIGHBOUR_SAYS => peer(fields)?,
-        code::RECKONED => counted(fields)?,
-        code::DROPPED => DecodedEvent::Plain(Event::ClientDisconnected { id: fields.u64("Dropped")? }),
-        code::PROBED => probed(fields)?,
-        code::FLOWING => stream_started(fields)?,
-        code::RING => DecodedEvent::Plain(Event::TimerExpired { token: fields.u64("Ring")? }),
+        code::ENDPOINTS_UPDATED => endpoints_updated(fields)?,
+        code::REQUEST => DecodedEvent::Owned(Event::Request(request(fields)?)),
+        code::ATTEMPT_ENDED => DecodedEvent::AttemptEnded(attempt_ended(fields)?),
+        code::PEER_MESSAGE => peer_message(fields)?,
+        code::COUNTER_REPLIED => counter_replied(fields)?,
+        code::CLIENT_DISCONNECTED => {
+            DecodedEvent::Owned(Event::ClientDisconnected { id: fields.u64("Dropped")? })
+        }
+        code::PROBE_ENDED => probe_ended(fields)?,
+        code::STREAM_STARTED => stream_started(fields)?,
+        code::TIMER_EXPIRED => DecodedEvent::Owned(Event::TimerExpired { token: fields.u64("Ring")? }),
         other => return Err(Malformed::new(format!("unknown event code {other}"))),
     })
 }
 
-fn backends_changed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+fn endpoints_updated(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
     let scope = match fields.u8("BackendsChanged")? {
         0 => UpdateScope::Delta,
         1 => UpdateScope::Full,
@@ -158,34 +173,34 @@
         other => return Err(Malformed::new(format!("BackendsChanged: unknown scope {other}"))),
     };
     let _version = fields.u32("BackendsChanged")?;
-    Ok(DecodedEvent::Backends { scope, list: usize::from(fields.u8("BackendsChanged")?) })
+    Ok(DecodedEvent::EndpointsUpdated { scope, list: usize::from(fields.u8("BackendsChanged")?) })
 }
 
-fn peer<'a>(fields: &mut Fields<'a>) -> Result<DecodedEvent<'a>, Malformed> {
+fn peer_message<'a>(fields: &mut Fields<'a>) -> Result<DecodedEvent<'a>, Malformed> {
     let from = fields.u32("NeighbourSays")?;
     let length = usize::from(fields.u16("NeighbourSays")?);
-    Ok(DecodedEvent::Peer { from, body: fields.bytes(length, "NeighbourSays")? })
+    Ok(DecodedEvent::PeerMessage { from, body: fields.bytes(length, "NeighbourSays")? })
 }
 
-fn counted(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+fn counter_replied(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
     let key = fields.u64("Reckoned")?;
     let outcome = outcome(fields.u8("Reckoned")?)?;
     let total = fields.f32("Reckoned")?;
-    Ok(DecodedEvent::Plain(Event::CounterReplied { key, outcome, total }))
+    Ok(DecodedEvent::Owned(Event::CounterReplied { key, outcome, total }))
 }
 
-fn probed(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
+fn probe_ended(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
     let backend = fields.u32("Probed")?;
     let _latency_ms = fields.f64("Probed")?;
     let outcome = outcome(fields.u8("Probed")?)?;
-    Ok(DecodedEvent::Probed { backend, outcome, load: fields.load_report()? })
+    Ok(DecodedEvent::ProbeEnded { backend, outcome, load: fields.load_report()? })
 }
 
 fn stream_started(fields: &mut Fields<'_>) -> Result<DecodedEvent<'static>, Malformed> {
     let id = fields.u64("Flowing")?;
     let attempt = u32::from(fields.u16("Flowing")?);
     let backend = fields.u32("Flowing")?;
-    Ok(DecodedEvent::Plain(Event::StreamStarted { id, attempt, backend }))
+    Ok(DecodedEvent::Owned(Event::StreamStarted { id, attempt, backend }))
 }
 
 fn endpoint(fields: &mut Fields<'_>) -> Result<BackendEndpoint, Malformed> {
@@ -200,7 +215,7 @@
     let zone = u32::from(fields.u8("Directory")?);
     let started_ms = fields.f64("Directory")?;
     let weight = fields.f32("Directory")?;
-    // Numbers are the same at all gateways here.
+    // The simulator uses the same numbers at all gateways, so the number is also the key.
     let key = u64::from(id);
     Ok(BackendEndpoint { id, key, state, cell, zone, started_ms, weight, ..BackendEndpoint::default() })
 }
@@ -219,7 +234,7 @@
     Ok(Request { id, customer, plan, class, units, fan_out, deadline_ms, retry })
 }
 
-fn ended(fields: &mut Fields<'_>) -> Result<EndedAttempt, Malformed> {
+fn attempt_ended(fields: &mut Fields<'_>) -> Result<EndedAttempt, Malformed> {
     let message = "Result";
     let id = fields.u64(message)?;
     let attempt = u32::from(fields.u16(message)?);
@@ -227,8 +242,8 @@
     let outcome = outcome(fields.u8(message)?)?;
     let latency_ms = fields.f64(message)?;
     let answered = fields.u8(message)? != 0;
-    let metered = fields.u16(message)?;
-    let charged = fields.u16(message)?;
+    let metered_use = fields.u16(message)?;
+    let actual_units = fields.u16(message)?;
     Ok(EndedAttempt {
         id,
         attempt,
@@ -236,8 +251,8 @@
         outcome,
         latency_ms,
         answered,
-        metered_use: (metered > 0).then(|| f64::from(metered - 1) / METERED_UNIT),
-        actual_units: (charged > 0).then(|| f64::from(charged)),
+        metered_use: (metered_use > 0).then(|| f64::from(metered_use - 1) / METERED_USE_SCALE),
+        actual_units: (actual_units > 0).then(|| f64::from(actual_units)),
         load: fields.load_report()?,
     })
 }
--- a/crates/simulator-adapter/tests/conversation.rs
+++ b/crates/simulator-adapter/tests/conversation.rs
@@ -1,7 +1,8 @@
-//! A recorded conversation with the simulator: the same frames have the same replies, byte for byte.
+//! Replays a recorded conversation with the simulator: the same frames must give the same replies, byte for
+//! byte.
 //!
-//! It holds each kind of record and event that the simulator writes, and each reply that the decisions bring
-//! forth; `src/wire/tests.rs` has the two replies that no conversation does.
+//! The recording has every kind of record that the simulator writes and every kind of reply record except
+//! two, which are tested in `src/wire/tests.rs`.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -9,38 +10,38 @@
 
 const CONVERSATION: &str = include_str!("data/conversation.hex");
 
-/// Bytes of a frame's header.
-const FRAME_HEADER: usize = 20;
-/// Bytes of a reply's header.
-const REPLY_HEADER: usize = 8;
+/// Size of a frame header.
+const FRAME_HEADER_BYTES: usize = 20;
+/// Size of a reply header.
+const REPLY_HEADER_BYTES: usize = 8;
 
-fn bytes(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "whole bytes");
+fn decode_hex(hex: &str) -> Vec<u8> {
+    assert!(hex.len().is_multiple_of(2), "an even number of digits");
     let pairs = (0..hex.len()).step_by(2);
     pairs.map(|i| u8::from_str_radix(&hex[i..i + 2], 16).expect("hexadecimal digits")).collect()
 }
 
-/// The frames (`> `) or the replies (`< `), in order.
-fn side(mark: &str) -> Vec<Vec<u8>> {
-    CONVERSATION.lines().filter_map(|line| line.strip_prefix(mark)).map(bytes).collect()
+/// Returns the recorded frames (prefix `> `) or replies (prefix `< `), in order.
+fn messages(prefix: &str) -> Vec<Vec<u8>> {
+    CONVERSATION.lines().filter_map(|line| line.strip_prefix(prefix)).map(decode_hex).collect()
 }
 
-/// The kinds of records that some messages hold.
-fn kinds(messages: &[Vec<u8>], header: usize) -> BTreeSet<u8> {
-    let mut kinds = BTreeSet::new();
+/// Returns the codes of the records in `messages`.
+fn record_codes(messages: &[Vec<u8>], header: usize) -> BTreeSet<u8> {
+    let mut codes = BTreeSet::new();
     for message in messages {
         let mut rest = &message[header..];
-        while let [kind, a, b, c, d, after @ ..] = rest {
-            kinds.insert(*kind);
+        while let [code, a, b, c, d, after @ ..] = rest {
+            codes.insert(*code);
             rest = &after[u32::from_be_bytes([*a, *b, *c, *d]) as usize..];
         }
     }
-    kinds
+    codes
 }
 
 #[test]
-fn recorded_frames_have_the_recorded_replies() {
-    let (frames, replies) = (side("> "), side("< "));
+fn recorded_frames_give_the_recorded_replies() {
+    let (frames, replies) = (messages("> "), messages("< "));
     assert_eq!(frames.len(), replies.len());
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -63,8 +64,8 @@
 }
 
 #[test]
-fn the_conversation_holds_every_kind_of_record() {
-    assert_eq!(kinds(&side("> "), FRAME_HEADER), (0..=12).collect());
-    // All but 5, the report of a panic, and 10, a message to other gateways.
-    assert_eq!(kinds(&side("< "), REPLY_HEADER), [0, 1, 2, 3, 4, 6, 7, 12, 13].into());
+fn conversation_has_every_kind_of_record() {
+    assert_eq!(record_codes(&messages("> "), FRAME_HEADER_BYTES), (0..=12).collect());
+    // All but 5 (report of a panic) and 10 (message to the other gateways).
+    assert_eq!(record_codes(&messages("< "), REPLY_HEADER_BYTES), [0, 1, 2, 3, 4, 6, 7, 12, 13].into());
 }
--- a/crates/simulator-adapter/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -1,4 +1,4 @@
-//! The built adapter over hand-made frames.
+//! Runs the adapter binary with frames that the tests encode.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -43,22 +43,25 @@
     record(3, &[&7u64.to_be_bytes(), &(settings.len() as u32).to_be_bytes(), settings.as_bytes()])
 }
 
-/// A list of one ready backend.
-fn directory(bank: u8, backend: u32) -> Vec<u8> {
+/// An endpoint list with one ready backend.
+fn endpoint_list(list: u8, backend: u32) -> Vec<u8> {
     let entry = [&[1u8][..], &backend.to_be_bytes(), &[0, 0, 0], &[0; 8], &1f32.to_be_bytes(), &[0]].concat();
-    record(7, &[&[bank], &1u32.to_be_bytes(), &entry])
+    record(7, &[&[list], &1u32.to_be_bytes(), &entry])
 }
 
-fn changed(scope: u8, bank: u8) -> Vec<u8> {
-    record(1, &[&[scope], &1u32.to_be_bytes(), &[bank]])
+fn endpoints_updated(scope: u8, list: u8) -> Vec<u8> {
+    record(1, &[&[scope], &1u32.to_be_bytes(), &[list]])
 }
 
-fn ask(id: u64, expires: f64, trailing: &[u8]) -> Vec<u8> {
-    let (two, none) = (2f32.to_be_bytes(), 0f32.to_be_bytes());
+fn request(id: u64, deadline_ms: f64, trailing: &[u8]) -> Vec<u8> {
+    let (two, unused) = (2f32.to_be_bytes(), 0f32.to_be_bytes());
     let id = id.to_be_bytes();
     let (plan, class) = ([0u8; 2], [0u8]);
-    let user = 5u64.to_be_bytes();
-    record(10, &[&id, &two, &none, &[0], &plan, &two, &expires.to_be_bytes(), &class, &user, trailing])
+    let customer = 5u64.to_be_bytes();
+    record(
+        10,
+        &[&id, &two, &unused, &[0], &plan, &two, &deadline_ms.to_be_bytes(), &class, &customer, trailing],
+    )
 }
 
 fn run(input: &[u8]) -> Output {
@@ -68,7 +71,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may close its input early on malformed frames.
+    // The adapter closes its input early on malformed frames, so the write can fail.
     let _ = child.stdin.take().expect("input").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -78,7 +81,7 @@
     [&number.to_be_bytes()[..], &(body.len() as u32).to_be_bytes(), &body].concat()
 }
 
-fn by(instance: u16) -> Vec<u8> {
+fn reply_context(instance: u16) -> Vec<u8> {
     record(4, &[&instance.to_be_bytes()])
 }
 
@@ -91,43 +94,48 @@
 }
 
 #[test]
-fn request_is_sent_byte_for_byte() {
-    let records =
-        [context(3), create(SETTINGS), directory(0, 77), changed(2, 0), ask(9, 5_000.0, b"later fields")];
+fn request_gives_the_exact_reply() {
+    let records = [
+        context(3),
+        create(SETTINGS),
+        endpoint_list(0, 77),
+        endpoints_updated(2, 0),
+        request(9, 5_000.0, b"later fields"),
+    ];
     let output = run(&batch(12, 1_000.0, &records));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let deadline = record(2, &[&(9u64 << 2).to_be_bytes(), &4_996f64.to_be_bytes()]);
     let sent = record(6, &[&9u64.to_be_bytes(), &77u32.to_be_bytes(), &0f64.to_be_bytes()]);
-    let expected = reply(12, &[by(3), deadline, sent]);
+    let expected = reply(12, &[reply_context(3), deadline, sent]);
     assert_eq!(output.stdout[..expected.len() - 4][8..], expected[8..expected.len() - 4]);
 }
 
 #[test]
-fn lists_resolve_in_event_order_and_killed_gateways_start_afresh() {
+fn lists_resolve_in_order_and_killed_gateways_restart() {
     let records = [
         context(0),
         create(SETTINGS),
-        directory(0, 1),
-        changed(2, 0),
-        directory(0, 2),
-        changed(1, 0),
-        ask(1, 5_000.0, &[]),
+        endpoint_list(0, 1),
+        endpoints_updated(2, 0),
+        endpoint_list(0, 2),
+        endpoints_updated(1, 0),
+        request(1, 5_000.0, &[]),
         record(5, &[]),
         create(SETTINGS),
-        changed(2, 0),
-        ask(1, 5_000.0, &[]),
+        endpoints_updated(2, 0),
+        request(1, 5_000.0, &[]),
     ];
     let output = run(&batch(0, 1_000.0, &records));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let sent = [1u64.to_be_bytes().as_slice(), &2u32.to_be_bytes()].concat();
     let count = output.stdout.windows(sent.len()).filter(|w| *w == sent).count();
-    assert_eq!(count, 2, "both lives send to the backend of the later list");
+    assert_eq!(count, 2, "before and after the restart, requests go to the backend of the later list");
 }
 
 #[test]
 fn malformed_input_is_reported_and_ends_the_adapter() {
-    let lacking = SETTINGS.replace("\"group-size\": 2,", "");
-    let odd = SETTINGS.replace("\"me\": 0", "\"me\": 9");
+    let missing_key = SETTINGS.replace("\"group-size\": 2,", "");
+    let invalid_index = SETTINGS.replace("\"me\": 0", "\"me\": 9");
     let cases: [(Vec<u8>, &str); 10] = [
         (vec![0; 7], "batch header"),
         (batch(1, f64::NAN, &[]), "clock"),
@@ -136,15 +144,15 @@
         (batch(1, 0.0, &[context(0), record(10, &[&[0; 8]])]), "NewRequest"),
         (batch(1, 0.0, &[create(SETTINGS)]), "before any Context"),
         (batch(1, 0.0, &[context(0), create("{")]), "not JSON"),
-        (batch(1, 0.0, &[context(0), create(&lacking)]), "group-size: missing"),
-        (batch(1, 0.0, &[context(0), create(&odd)]), "setting gateways"),
-        (batch(1, 0.0, &[context(4), ask(1, 9.0, &[])]), "instance 4"),
+        (batch(1, 0.0, &[context(0), create(&missing_key)]), "group-size: missing"),
+        (batch(1, 0.0, &[context(0), create(&invalid_index)]), "setting gateways"),
+        (batch(1, 0.0, &[context(4), request(1, 9.0, &[])]), "instance 4"),
     ];
     for (input, message) in cases {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{message}");
-        assert!(said.contains(message), "{message}: {said}");
+        assert!(stderr.contains(message), "{message}: {stderr}");
         assert!(output.stdout.is_empty(), "{message}");
     }
 }
