--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,61 +1,61 @@
-//! What a gateway wants done: the output of the decisions.
+//! Actions that a gateway requests: the output of the decisions.
 
-/// What a gateway wants done, in order.
+/// An action for the surrounding program, which carries actions out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Starts an attempt; they count from 0 for each request.
+    /// Starts an attempt. The attempts of a request are numbered from 0.
     SendAttempt {
-        /// The request.
+        /// Request.
         id: u64,
-        /// Where to.
+        /// Target of the attempt.
         backend: u32,
-        /// Write deadline, ms: the last byte is written by then, or nothing is sent at all. None: as long
+        /// Write deadline, ms: the last byte is written by then, or the attempt is not sent. `None`: as long
         /// as the client waits.
         write_deadline_ms: Option<f64>,
     },
     /// Cancels an attempt.
     CancelAttempt {
-        /// The request.
+        /// Request.
         id: u64,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer, rejected: nothing ran, and trying again is harmless.
+    /// Final answer "rejected": the client can safely retry.
     Reject {
-        /// The request.
+        /// Request.
         id: u64,
-        /// When to come again.
+        /// Advice to the client when to retry, ms.
         retry_after_ms: Option<f64>,
     },
-    /// Final answer, failed: nothing is promised.
+    /// Final answer "failed": the request may have been executed.
     Fail {
-        /// The request.
+        /// Request.
         id: u64,
     },
     /// Probes a backend.
     Probe {
-        /// The backend.
+        /// Backend to probe.
         backend: u32,
     },
     /// Counter call: adds to a total of the shared counter.
     IncrementCounter {
-        /// Its key.
+        /// Key of the total.
         key: u64,
-        /// What to add.
+        /// Amount to add; negative to withdraw a charge.
         amount: f64,
-        /// Life of a new key, ms.
+        /// Time to live of a new key, ms.
         ttl_ms: f64,
     },
     /// Sets a timer.
     ScheduleTimer {
-        /// Comes back with its event.
+        /// Returned with [`TimerExpired`](super::Event::TimerExpired).
         token: u64,
-        /// When.
+        /// Time at which it expires.
         at_ms: f64,
     },
     /// Sends a message to all other gateways.
     BroadcastToPeers {
-        /// The message.
+        /// Message.
         body: Vec<u8>,
     },
     /// Polls the endpoint list.
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -1,39 +1,39 @@
-//! Backends, as the endpoint list has them.
+//! Backends on the endpoint list.
 
-/// State of a backend, as the endpoint list has it.
+/// State of a backend on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Accepts new work.
     #[default]
     Ready,
-    /// Finishes its work and takes no more.
+    /// Finishes its work and accepts no more.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Removed,
 }
 
-/// A backend's record on the endpoint list.
+/// Entry of a backend on the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEndpoint {
-    /// Its number at this gateway.
+    /// Number of the backend at this gateway.
     pub id: u32,
-    /// What it is known by at all gateways.
+    /// Key of the backend, the same at all gateways.
     pub key: u64,
-    /// Its state.
+    /// State.
     pub state: EndpointState,
-    /// Its cell.
+    /// Cell.
     pub cell: u32,
-    /// Its zone.
+    /// Zone.
     pub zone: u32,
-    /// Its instance type.
+    /// Instance type.
     pub instance_type: u32,
-    /// When it started; 0 for long ago.
+    /// Time at which it started, ms; 0 for long ago.
     pub started_ms: f64,
-    /// When operators gave it back after a ban, in which it was restarted; 0 for never.
+    /// Time at which operators lifted a ban during which it was restarted, ms; 0 for never.
     pub reenabled_ms: f64,
-    /// Its registered size against the others', where known.
+    /// Registered size relative to the other backends; 0 if unknown.
     pub weight: f64,
-    /// Its share of new work against those of share 1, as operators want it: above 0, at most 1.
+    /// Share of new work, relative to backends of share 1, as set by operators: above 0, at most 1.
     pub weight_share: f64,
 }
 
@@ -55,22 +55,22 @@
 }
 
 impl BackendEndpoint {
-    /// From when it warms up: its start, or its return after a ban, whichever came last.
+    /// Start of its warm-up: its start or its return after a ban, whichever came last.
     #[must_use]
     pub fn slow_start_from_ms(&self) -> f64 {
         self.started_ms.max(self.reenabled_ms)
     }
 }
 
-/// How an update of the endpoint list is to be read.
+/// Scope of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
     /// Changed entries only.
     Delta,
     /// All entries.
     Full,
-    /// All entries, as this gateway last saw them.
+    /// All entries, as this gateway last knew them.
     Cached,
-    /// The list could not be had; the old one stays.
+    /// The list is not available; the previous one stays in use.
     Failed,
 }
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,30 +1,30 @@
-//! What happens: the input of the decisions.
+//! Events: the input of the decisions.
 
 use super::endpoints::{BackendEndpoint, UpdateScope};
 
-/// How an attempt, a probe or a counter call ended.
+/// Result of an attempt, a probe or a counter call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// Answered with an error; it may have run.
+    /// Answered with an error; may have been executed.
     Error,
-    /// Rejected unseen, as full.
+    /// Rejected for lack of capacity; not executed.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer in time; may have been executed.
     Timeout,
-    /// No connection.
+    /// No connection could be established; not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; may have been executed.
     Cancelled,
-    /// Never sent.
+    /// Not sent; not executed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt is known not to have run.
+    /// Whether the attempt is known not to have been executed.
     #[must_use]
     pub fn never_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
@@ -34,113 +34,113 @@
 /// A request of a client.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Never used again.
+    /// Identifier that is never reused.
     pub id: u64,
-    /// Whose it is.
+    /// Customer that sent it.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
-    /// Index of its class.
+    /// Index of the class.
     pub class: usize,
-    /// Units it counts; an estimate where they are settled later.
+    /// Units that it is charged; an estimate if the actual units are reported later.
     pub units: f64,
-    /// Fan-out: gateways through which this customer's requests may come.
+    /// Fan-out: number of gateways that can receive requests of this customer.
     pub fan_out: f64,
-    /// When the client gives up.
+    /// Time at which the client gives up, ms.
     pub deadline_ms: f64,
-    /// Marked as a client's retry.
+    /// Whether the client marked it as a retry.
     pub retry: bool,
 }
 
-/// Unreported charges of a customer: those not yet reported to the shared counter.
+/// Charges of a customer that have not been reported to the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnreportedCharge {
-    /// Whose they are.
+    /// Customer that was charged.
     pub customer: u64,
     /// Index of the customer's plan.
     pub plan: usize,
-    /// Gateways through which the customer's requests may come.
+    /// Fan-out: number of gateways that can receive requests of this customer.
     pub fan_out: f64,
     /// Units, above 0.
     pub units: f64,
 }
 
-/// What happened: all that a gateway acts on.
+/// An input of the decisions.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The endpoint list changed.
     EndpointsUpdated {
-        /// How to read it.
+        /// Which entries it has.
         scope: UpdateScope,
-        /// Its entries.
+        /// Entries.
         endpoints: &'a [BackendEndpoint],
     },
-    /// A request came in.
+    /// A request arrived.
     Request(Request),
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Request.
         id: u64,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// Where it went.
+        /// Backend of the attempt.
         backend: u32,
-        /// How it ended.
+        /// Result.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since it was sent, ms.
         latency_ms: f64,
-        /// The client has its answer, or has left; nothing is owed any more.
+        /// Whether the client has received its answer or has disconnected, so that none is due any more.
         answered: bool,
-        /// The customer's use over all gateways by its usage meter, as a part of its rate (or of its
+        /// Use of the customer over all gateways, from its usage meter, as a fraction of its rate (or of its
         /// concurrency limit).
         metered_use: Option<f64>,
-        /// The actual units, in place of the estimate.
+        /// Actual units, which replace the estimate.
         actual_units: Option<f64>,
-        /// Load report, empty for none.
+        /// Load report; empty if there is none.
         load: &'a [f32],
     },
-    /// The answer of an attempt has begun to flow to the client.
+    /// The answer of an attempt has started to be streamed to the client.
     StreamStarted {
-        /// The request.
+        /// Request.
         id: u64,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Where it went.
+        /// Backend of the attempt.
         backend: u32,
     },
-    /// The client has disconnected; nothing is owed any more.
+    /// The client has disconnected; no answer is due any more.
     ClientDisconnected {
-        /// The request.
+        /// Request.
         id: u64,
     },
     /// A probe ended.
     ProbeEnded {
-        /// The backend.
+        /// Probed backend.
         backend: u32,
-        /// How it ended.
+        /// Result.
         outcome: Outcome,
-        /// Load report, empty for none.
+        /// Load report; empty if there is none.
         load: &'a [f32],
     },
     /// A counter call ended.
     CounterReplied {
-        /// The key.
+        /// Key of the total.
         key: u64,
-        /// How it ended.
+        /// Result.
         outcome: Outcome,
-        /// The value after it, if it ended well; not finite if it was added and the value can't be read.
+        /// Total after the call, if it succeeded; not finite if the amount was added but the total is unreadable.
         total: f64,
     },
-    /// A message of another gateway.
+    /// Another gateway sent a message.
     PeerMessage {
-        /// Its number.
+        /// Number of that gateway.
         from: u32,
-        /// The message.
+        /// Message.
         body: &'a [u8],
     },
-    /// A timer fired.
+    /// A timer expired.
     TimerExpired {
-        /// Its token.
+        /// Token of the timer.
         token: u64,
     },
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,137 +1,137 @@
-//! Settings of a gateway, and whether they can be worked with.
+//! Settings of a gateway, and their validation.
 
 use std::fmt;
 
-/// How often an effect may happen.
+/// Whether a request can be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// Can safely be repeated.
     Idempotent,
-    /// Repeats are dropped by the backends of one group, for a while.
+    /// Carries an idempotency key: the backends of a deduplication scope drop repeats within a window.
     Keyed,
-    /// Must never run twice.
+    /// Must not be executed twice.
     NonIdempotent,
 }
 
-/// Which backends drop each other's repeats of a keyed request.
+/// Backends that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// Backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// Backends of one cell.
     Cell,
 }
 
-/// A class of request.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: an answer within this time earns the full weight.
+    /// Latency objective, ms: an answer within this time has the full priority weight.
     pub latency_objective_ms: f64,
-    /// The longest a client waits for all its attempts.
+    /// Longest time that a client waits for an answer, ms, over all attempts.
     pub deadline_ms: f64,
-    /// Priority weight: what a request in time is worth.
+    /// Priority weight: value of an answer within the latency objective.
     pub priority_weight: f64,
-    /// Late weight: part of the weight that is left after the latency objective.
+    /// Late weight: fraction of the priority weight that a later answer has.
     pub late_weight: f64,
-    /// Whether it may run again.
+    /// Whether a request can be executed again.
     pub idempotency: Idempotency,
-    /// For keyed classes, the deduplication scope: who drops repeats.
+    /// Deduplication scope of a keyed class: the backends that drop repeats.
     pub deduplication_scope: DeduplicationScope,
-    /// For keyed classes, the deduplication window: how long they do.
+    /// Deduplication window of a keyed class, ms: the time for which repeats are dropped.
     pub deduplication_window_ms: f64,
     /// Whether answers are streamed.
     pub streaming: bool,
-    /// New settings dropped it: no request comes with it any more, and open ones keep it.
+    /// Removed by newer settings: new requests cannot use it, and open ones keep it.
     pub retired: bool,
 }
 
 impl Class {
-    /// Whether two are one class, whether or not either was dropped.
+    /// Whether two classes are equal apart from being retired.
     #[must_use]
     pub fn same_rules(&self, other: &Class) -> bool {
         *self == Class { retired: self.retired, ..other.clone() }
     }
 }
 
-/// A plan: quotas that hold for each customer over all gateways together. Zero means no such limit.
+/// A plan: limits of each customer, over all gateways together. Zero means that there is no such limit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Units a second.
+    /// Rate of the quota, units a second.
     pub rate: f64,
-    /// Units the token bucket holds; it starts full.
+    /// Capacity of the token bucket, units. The bucket starts full.
     pub burst: f64,
     /// Concurrency limit: attempts in flight at once.
     pub max_in_flight: u32,
-    /// Units a second of the ceiling.
+    /// Rate of the ceiling, units a second.
     pub ceiling_rate: f64,
-    /// Units the ceiling's token bucket holds.
+    /// Capacity of the ceiling's token bucket, units.
     pub ceiling_burst: f64,
-    /// Over-quota penalty: what a request costs that is admitted beyond the quota, as a part of its weight;
-    /// 0 or more, and above 1 counts as 1.
+    /// Over-quota penalty: cost of a request that is admitted beyond the quota, as a fraction of its weight.
+    /// 0 or more; values above 1 count as 1.
     pub over_quota_penalty: f64,
-    /// Factor of a request's weight.
+    /// Factor applied to the priority weight of a request.
     pub weight_factor: f64,
 }
 
-/// What a load report may hold, in the order of [`Settings::load_fields`].
+/// A value of load reports. [`Settings::load_fields`] has their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests being handled.
+    /// Number of requests being processed.
     Active,
-    /// Requests waiting for a slot.
+    /// Number of requests waiting for a slot.
     Waiting,
-    /// Busy part of the cores.
+    /// Busy fraction of the cores.
     Busy,
-    /// Recent service time.
+    /// Recent service time, ms.
     ServiceMs,
-    /// Anything else.
+    /// Any other value.
     Other,
 }
 
-/// What a gateway may do.
+/// Limits and permitted actions of a gateway.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts of one request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts can be cancelled.
     pub cancel: bool,
-    /// Hedges are allowed: two attempts of a request in flight at once.
+    /// Whether hedges are allowed: two attempts of a request in flight at once.
     pub hedges: bool,
-    /// Backends may be probed.
+    /// Whether backends can be probed.
     pub probes: bool,
-    /// Rejected clients are told when to come again.
+    /// Whether rejected clients are told when to retry.
     pub retry_advice: bool,
-    /// The longest such advice.
+    /// Longest such advice, ms.
     pub max_retry_after_ms: f64,
-    /// A connection not up by then counts as failed.
+    /// Time after which a connection that is not established counts as failed, ms.
     pub connect_timeout_ms: f64,
 }
 
-/// Slow start: how backends warm up, and what overloads them.
+/// Slow start: the warm-up of backends, and the load that overloads them.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Fraction of its capacity that a backend starts at, at least.
+    /// Least fraction of its capacity that a backend has at its start.
     pub initial_capacity: f64,
-    /// It is warm after this, at the latest.
+    /// Longest time until it has its full capacity, ms.
     pub warm_up_ms: f64,
-    /// Work of more than this multiple of its present capacity ...
+    /// Multiple of its present capacity above which work overloads it if it lasts.
     pub overload_multiple: f64,
-    /// ... for this long overloads it.
+    /// Time that such work has to last to overload it, ms.
     pub overload_window_ms: f64,
 }
 
-/// How many backends a gateway looks at for a request.
+/// Numbers of backends that a gateway considers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Routing {
-    /// Up to so many backends are all looked at for each request.
+    /// Up to this number of backends, all are considered for each request.
     pub scan_all_up_to: usize,
-    /// So many are drawn and looked at where there are more.
+    /// Number of candidates that are drawn if there are more.
     pub choices: usize,
-    /// Size of a gateway's subset, beside its part of the backends that `coverage` calls for.
+    /// Size of a gateway's subset, without the backends that are added for `coverage`.
     pub subset_size: u32,
-    /// Gateways in whose subset each backend is, where there are as many.
+    /// Least number of gateways that have each backend in their subset, if there are as many.
     pub coverage: u32,
 }
 
@@ -146,52 +146,52 @@
 pub struct Settings {
     /// Number of this gateway, from 0.
     pub gateway_index: u32,
-    /// Gateways in all.
+    /// Number of gateways.
     pub gateway_count: u32,
     /// Zone of this gateway.
     pub zone: u32,
-    /// Shortest time between two events that are not at the same moment.
+    /// Granularity of the clock, ms: the shortest time between two events at different times.
     pub clock_granularity_ms: f64,
     /// Classes, by index.
     pub classes: Vec<Class>,
     /// Plans, by index.
     pub plans: Vec<Plan>,
-    /// Whether there is a shared counter.
+    /// Whether the gateways have a shared counter.
     pub shared_counter: bool,
-    /// An unanswered call to the counter ends after this.
+    /// Timeout of a counter call, ms.
     pub counter_timeout_ms: f64,
-    /// Period of the usage meter; 0 for none.
+    /// Period of the usage meter, ms; 0 if there is none.
     pub usage_meter_period_ms: f64,
-    /// Messages a second that a gateway accepts from its peers; 0 where they can't talk.
+    /// Messages a second that a gateway accepts from its peers; 0 if they cannot exchange messages.
     pub peer_messages_per_s: f64,
-    /// The most units one request counts.
+    /// Largest number of units of one request.
     pub max_request_units: f64,
-    /// What is allowed.
+    /// Limits and permitted actions.
     pub limits: Limits,
-    /// How backends warm up.
+    /// Slow start of backends.
     pub slow_start: SlowStart,
-    /// How many backends are looked at.
+    /// Numbers of backends that are considered for a request.
     pub routing: Routing,
-    /// Customers whose record is kept, at most.
+    /// Maximum number of customer records in memory.
     pub max_customers: usize,
-    /// Values of load reports, in order.
+    /// Values of a load report, in order.
     pub load_fields: Vec<LoadField>,
-    /// The endpoint list must be polled.
+    /// Whether the endpoint list has to be polled.
     pub polls_endpoints: bool,
-    /// A gateway that must poll does so within this time.
+    /// Longest interval between polls, ms.
     pub poll_within_ms: f64,
-    /// For so long a backend may be sent to after the gateway was told that it is draining or removed.
+    /// Time for which a gateway may send to a backend after the update that it is draining or removed, ms.
     pub drain_grace_ms: f64,
-    /// Cost of an attempt that crosses zones, as a part of a request's weight.
+    /// Cost of an attempt in another zone, as a fraction of the request's weight.
     pub cross_zone_cost: f64,
 }
 
-/// A setting that can't be worked with.
+/// Error of an invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field.
+    /// Path of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub problem: &'static str,
 }
 
@@ -204,10 +204,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Finds the first field that can't be worked with.
+    /// Checks all fields and stops at the first invalid one.
     ///
     /// # Errors
-    /// A [`SettingsError`] that names the field.
+    /// A [`SettingsError`] with the name of the field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         ensure(
             self.gateway_count > 0 && self.gateway_index < self.gateway_count,
@@ -265,8 +265,8 @@
             self.weight_factor,
         ];
         ensure(amounts.into_iter().all(is_amount), field, "needs finite numbers of 0 or more")?;
-        let fills = self.rate <= 0.0 || self.burst > 0.0;
-        ensure(fills, &format!("{field}.burst"), "must be above 0 where there is a rate")
+        let has_capacity = self.rate <= 0.0 || self.burst > 0.0;
+        ensure(has_capacity, &format!("{field}.burst"), "must be above 0 where there is a rate")
     }
 }
 
@@ -288,8 +288,8 @@
 
 impl Routing {
     fn check(&self) -> Result<(), SettingsError> {
-        let sound = self.choices > 0 && self.subset_size > 0 && self.coverage > 0;
-        ensure(sound, "routing", "choices, subset and coverage must be above 0")
+        let valid = self.choices > 0 && self.subset_size > 0 && self.coverage > 0;
+        ensure(valid, "routing", "choices, subset and coverage must be above 0")
     }
 }
 
@@ -301,8 +301,8 @@
     }
 }
 
-fn ensure(sound: bool, field: &str, problem: &'static str) -> Result<(), SettingsError> {
-    if sound {
+fn ensure(condition: bool, field: &str, problem: &'static str) -> Result<(), SettingsError> {
+    if condition {
         Ok(())
     } else {
         Err(SettingsError { field: field.to_string(), problem })
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions of an admission gateway for a service that is sold by plan.
+//! The decisions of an admission gateway for a service that is sold by plan.
 //!
-//! [`Policy`] handles [`interface::Event`]s and answers with [`interface::Action`]s. It does no input or
-//! output, reads no clock and starts no thread: the program around it does. The same events, seed and times
-//! always have the same actions.
+//! [`Policy`] handles [`interface::Event`]s and answers with [`interface::Action`]s. It does no I/O, reads no
+//! clock and starts no threads; the surrounding program does. The same seed, events and times always give
+//! the same actions.
 //!
-//! Where to begin: `src/policy/mod.rs` shows a request's way through the modules, one for each decision;
-//! [`interface`] has the plain types that go in and out; [`settings`] reads the settings, and [`reload`] says
-//! what of them may change in service.
+//! Where to start reading: `src/policy/mod.rs` shows the path of a request through the modules, one for each
+//! decision. [`interface`] has the plain types of the input and output, [`settings`] reads the settings, and
+//! [`reload`] defines which of them can change in service.
 #![doc = include_str!("../../../README.md")]
 
 pub mod interface;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,6 +1,6 @@
-//! Reads [`Settings`] from the JSON that a gateway starts with. All programs read it here.
+//! Reads [`Settings`] from the JSON with which a gateway starts. All programs use this reader.
 //!
-//! The keys are those of the protocol; here they are mapped to the names of the interface.
+//! The keys are those of the protocol. They are mapped to the names of the interface here.
 
 use std::cell::RefCell;
 
@@ -11,56 +11,57 @@
     SlowStart,
 };
 
-/// The over-quota penalty, as a part of a request's weight, where the settings have none.
+/// Over-quota penalty if the settings have none, as a fraction of a request's weight.
 const DEFAULT_OVER_QUOTA_PENALTY: f64 = 0.5;
-/// Customers whose record is kept, at most, unless the program sets it by its memory.
-const DEFAULT_CUSTOMERS: usize = 1 << 20;
+/// Maximum number of customer records, unless the program derives it from its memory budget.
+const DEFAULT_MAX_CUSTOMERS: usize = 1 << 20;
 
-/// Reads the settings from text.
+/// Reads the settings from JSON text.
 ///
 /// # Errors
-/// A [`SettingsError`] that names what is missing or of the wrong kind.
+/// A [`SettingsError`] with the path of a value that is missing or has the wrong type.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
     read_settings(&SettingsReader::new("settings", &from_json("settings", text)?))
 }
 
-/// Reads JSON.
+/// Parses JSON.
 ///
 /// # Errors
-/// A [`SettingsError`] in the name of `field` if `text` is not JSON.
+/// A [`SettingsError`] for `field` if `text` is not JSON.
 pub fn from_json(field: &str, text: &[u8]) -> Result<Value, SettingsError> {
     serde_json::from_slice(text).map_err(|_| error_at(field.to_string(), "not JSON"))
 }
 
-/// How the settings name what the decisions know by number, and what they leave to the program.
+/// Names of the classes, plans, zones and load values that the decisions know by index, and a value that only
+/// the surrounding program uses.
 #[derive(Clone, Debug)]
 pub struct SettingNames {
-    /// Classes, by index; none where the class was dropped and open requests may still hold it.
+    /// Classes, by index; `None` for a retired class that open requests may still refer to.
     pub classes: Vec<Option<String>>,
     /// Plans, by index.
     pub plans: Vec<String>,
     /// Zones, by index.
     pub zones: Vec<String>,
-    /// Values of load reports, in order.
+    /// Values of a load report, in order.
     pub load_fields: Vec<String>,
-    /// A backend closes a connection that has stood idle for this long.
+    /// Time after which a backend closes an idle connection, ms.
     pub idle_close_ms: f64,
 }
 
 /// Reads the names.
 ///
 /// # Errors
-/// A [`SettingsError`] that names what is missing or of the wrong kind.
+/// A [`SettingsError`] with the path of a value that is missing or has the wrong type.
 pub fn read_names(top: &SettingsReader<'_>) -> Result<SettingNames, SettingsError> {
-    let named = |keys: &SettingsReader<'_>| keys.text("name").map(str::to_string);
-    let classes = top.list("profiles", named)?;
-    // Requests name their class, so that two of one name could not be told apart.
-    let twice = classes.iter().enumerate().any(|(i, name)| classes[..i].contains(name));
-    let distinct = if twice { Err(top.invalid("profiles", "two have one name")) } else { Ok(()) };
-    top.recover(distinct, ())?;
+    let name = |keys: &SettingsReader<'_>| keys.text("name").map(str::to_string);
+    let classes = top.list("profiles", name)?;
+    // Requests refer to a class by its name, so names must be unique.
+    let duplicate = classes.iter().enumerate().any(|(i, name)| classes[..i].contains(name));
+    let unique = if duplicate { Err(top.invalid("profiles", "two have one name")) } else { Ok(()) };
+    top.recover(unique, ())?;
     Ok(SettingNames {
         classes: classes.into_iter().map(Some).collect(),
-        plans: top.list("tariffs", named)?,
+        plans: top.list("tariffs", name)?,
         zones: top.list("zones", |keys| keys.own_text().map(str::to_string))?,
         load_fields: top.section("feedback")?.list("fields", |keys| keys.own_text().map(str::to_string))?,
         idle_close_ms: top.section("policy-limits")?.number("idle-close-ms")?,
@@ -70,14 +71,14 @@
 /// Reads the settings.
 ///
 /// # Errors
-/// A [`SettingsError`] that names what is missing or of the wrong kind.
+/// A [`SettingsError`] with the path of a value that is missing or has the wrong type.
 pub fn read_settings(top: &SettingsReader<'_>) -> Result<Settings, SettingsError> {
     let info = top.section("family-info")?;
     let limits = top.section("policy-limits")?;
     let contract = top.section("contract")?;
     let prices = top.section("prices")?;
     let feedback = top.section("feedback")?;
-    let peers = limits.boolean("may-tell")?;
+    let peer_messages = limits.boolean("may-tell")?;
     Ok(Settings {
         gateway_index: top.integer("me")?,
         gateway_count: top.integer("group-size")?,
@@ -88,7 +89,7 @@
         shared_counter: info.boolean("shared-counter")?,
         counter_timeout_ms: info.number("count-wait-ms")?,
         usage_meter_period_ms: info.number("meter-period-ms")?,
-        peer_messages_per_s: if peers { info.number("peer-intake")? } else { 0.0 },
+        peer_messages_per_s: if peer_messages { info.number("peer-intake")? } else { 0.0 },
         max_request_units: info.number("units-top")?,
         limits: Limits {
             max_attempts: limits.integer("max-attempts")?,
@@ -106,7 +107,7 @@
             overload_window_ms: contract.number("overload-for-ms")?,
         },
         routing: Routing::default(),
-        max_customers: DEFAULT_CUSTOMERS,
+        max_customers: DEFAULT_MAX_CUSTOMERS,
         load_fields: feedback.list("fields", load_field)?,
         polls_endpoints: top.text("registry-mode")? == "ask",
         poll_within_ms: contract.number("ask-within-ms")?,
@@ -172,75 +173,76 @@
     SettingsError { field, problem }
 }
 
-/// Stands for a section that is missing.
-static NOTHING: Value = Value::Null;
+/// Stands in for a missing section.
+static MISSING_SECTION: Value = Value::Null;
 
-/// A JSON value and where it stands.
+/// Reads a JSON value and reports errors with its path.
 #[derive(Debug)]
 pub struct SettingsReader<'a> {
-    at: String,
+    path: String,
     value: &'a Value,
-    /// Where errors go while reading goes on, if it is to.
-    sink: Option<&'a RefCell<Vec<SettingsError>>>,
+    /// Collects the errors, if reading continues after them.
+    errors: Option<&'a RefCell<Vec<SettingsError>>>,
 }
 
-// Each names the field in its error, if the value is missing or of another kind.
+// All methods fail for the same reason: the value is missing or has the wrong type. The error has its path.
 #[allow(clippy::missing_errors_doc)]
 impl<'a> SettingsReader<'a> {
-    /// Reads `value`, which errors name `at`; the first error ends it.
+    /// Creates a reader of `value`, whose path is `path`. Reading ends at the first error.
     #[must_use]
-    pub fn new(at: &str, value: &'a Value) -> Self {
-        SettingsReader { at: at.to_string(), value, sink: None }
+    pub fn new(path: &str, value: &'a Value) -> Self {
+        SettingsReader { path: path.to_string(), value, errors: None }
     }
 
-    /// Reads on past errors, so that each is found: they go to `sink`, and something stands in for the value.
+    /// Creates a reader that continues after errors: each error is added to `errors`, and a placeholder takes
+    /// the place of the value.
     #[must_use]
-    pub fn collecting(at: &str, value: &'a Value, sink: &'a RefCell<Vec<SettingsError>>) -> Self {
-        SettingsReader { at: at.to_string(), value, sink: Some(sink) }
+    pub fn collecting(path: &str, value: &'a Value, errors: &'a RefCell<Vec<SettingsError>>) -> Self {
+        SettingsReader { path: path.to_string(), value, errors: Some(errors) }
     }
 
-    /// A result, or what stands in for it where errors are collected.
-    pub fn recover<T>(&self, result: Result<T, SettingsError>, instead: T) -> Result<T, SettingsError> {
-        match (result, self.sink) {
-            (Err(e), Some(sink)) => {
-                // What is in a section that is missing is not missing by itself.
+    /// Returns the result. If errors are collected, an error is added to them and replaced by `placeholder`.
+    pub fn recover<T>(&self, result: Result<T, SettingsError>, placeholder: T) -> Result<T, SettingsError> {
+        match (result, self.errors) {
+            (Err(e), Some(errors)) => {
+                // The keys of a missing section are not reported in addition to the section.
                 if !self.value.is_null() {
-                    sink.borrow_mut().push(e);
+                    errors.borrow_mut().push(e);
                 }
-                Ok(instead)
+                Ok(placeholder)
             }
             (result, _) => result,
         }
     }
 
-    /// Whether no error was found so far.
+    /// Whether no errors were collected so far.
     #[must_use]
     pub fn is_valid(&self) -> bool {
-        self.sink.is_none_or(|sink| sink.borrow().is_empty())
+        self.errors.is_none_or(|errors| errors.borrow().is_empty())
     }
 
-    fn at(&self, key: &str, value: &'a Value) -> SettingsReader<'a> {
-        SettingsReader { at: format!("{}.{key}", self.at), value, sink: self.sink }
+    fn child(&self, key: &str, value: &'a Value) -> SettingsReader<'a> {
+        SettingsReader { path: format!("{}.{key}", self.path), value, errors: self.errors }
     }
 
-    /// An error in the name of a key.
+    /// Creates an error for a key of this value.
     #[must_use]
     pub fn invalid(&self, key: &str, problem: &'static str) -> SettingsError {
-        error_at(format!("{}.{key}", self.at), problem)
+        error_at(format!("{}.{key}", self.path), problem)
     }
 
-    /// A value that must be there.
+    /// Returns a required value.
     pub fn get(&self, key: &str) -> Result<&'a Value, SettingsError> {
         self.value.get(key).ok_or_else(|| self.invalid(key, "missing"))
     }
 
-    /// A value that may be missing.
+    /// Returns an optional value.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<&'a Value> {
         self.value.get(key)
     }
 
-    /// An object.
+    /// Returns a reader of an object.
     pub fn section(&self, key: &str) -> Result<SettingsReader<'a>, SettingsError> {
         let section = self.get(key).and_then(|value| {
             if value.is_object() {
@@ -249,50 +251,50 @@
                 Err(self.invalid(key, "a section is wanted"))
             }
         });
-        Ok(self.at(key, self.recover(section, &NOTHING)?))
+        Ok(self.child(key, self.recover(section, &MISSING_SECTION)?))
     }
 
     fn read<T>(
         &self,
         key: &str,
-        instead: T,
-        wanted: &'static str,
-        read: impl FnOnce(&'a Value) -> Option<T>,
+        placeholder: T,
+        problem: &'static str,
+        convert: impl FnOnce(&'a Value) -> Option<T>,
     ) -> Result<T, SettingsError> {
         self.recover(
-            self.get(key).and_then(|value| read(value).ok_or_else(|| self.invalid(key, wanted))),
-            instead,
+            self.get(key).and_then(|value| convert(value).ok_or_else(|| self.invalid(key, problem))),
+            placeholder,
         )
     }
 
-    /// A number.
+    /// Returns a number.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         self.read(key, 1.0, "a number is wanted", Value::as_f64)
     }
 
-    /// A whole number of 32 bits.
+    /// Returns an unsigned 32-bit integer.
     pub fn integer(&self, key: &str) -> Result<u32, SettingsError> {
-        let whole = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
-        self.read(key, 1, "a whole number is wanted", whole)
+        let integer = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
+        self.read(key, 1, "a whole number is wanted", integer)
     }
 
-    /// True or false.
+    /// Returns a boolean.
     pub fn boolean(&self, key: &str) -> Result<bool, SettingsError> {
         self.read(key, false, "true or false is wanted", Value::as_bool)
     }
 
-    /// A string.
+    /// Returns a string.
     pub fn text(&self, key: &str) -> Result<&'a str, SettingsError> {
         self.read(key, "", "a word is wanted", Value::as_str)
     }
 
-    /// The value itself, as a string.
+    /// Returns the value itself as a string.
     pub fn own_text(&self) -> Result<&'a str, SettingsError> {
-        let word = self.value.as_str().ok_or_else(|| error_at(self.at.clone(), "a word is wanted"));
-        self.recover(word, "")
+        let text = self.value.as_str().ok_or_else(|| error_at(self.path.clone(), "a word is wanted"));
+        self.recover(text, "")
     }
 
-    /// The entries of a list, each read by `read`.
+    /// Returns the entries of a list, each read by `read`.
     pub fn list<T>(
         &self,
         key: &str,
@@ -303,7 +305,7 @@
         let list = self.recover(list.map(Vec::as_slice), &[])?;
         let mut all = Vec::with_capacity(list.len());
         for (i, value) in list.iter().enumerate() {
-            let item = read(&self.at(&format!("{key}[{i}]"), value)).map(Some);
+            let item = read(&self.child(&format!("{key}[{i}]"), value)).map(Some);
             all.extend(self.recover(item, None)?);
         }
         Ok(all)
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,22 +1,22 @@
-//! What a gateway knows, to be looked at. Nothing is decided here, and nothing changed.
+//! Read-only views of a gateway's state, for status reports and for sizing.
 
 use bounded_cache::BoundedCache;
 
 use crate::policy::{CustomerQuota, Policy};
 
-/// A backend as the gateway knows it.
+/// State of a backend as the gateway sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendView {
-    /// Its number.
+    /// Number of the backend at this gateway.
     pub id: u32,
-    /// It gets no work, as it failed or fell silent.
+    /// Whether it is ejected: it gets no work because it failed or stopped answering.
     pub ejected: bool,
-    /// Part of its capacity that it is taken to have, above 0, at most 1.
+    /// Estimated fraction of its full capacity, above 0, at most 1.
     pub capacity_fraction: f64,
 }
 
 impl Policy {
-    /// The backends on the list, in no order, at `now` (ms, the caller's clock).
+    /// Returns the listed backends at `now` (ms, the caller's clock), in no particular order.
     pub fn backends(&self, now: f64) -> impl Iterator<Item = BackendView> + '_ {
         let known = self.backends.slots().map(|slot| self.backends.get(slot));
         let listed = known.filter(|backend| !backend.is_removed());
@@ -27,20 +27,20 @@
         })
     }
 
-    /// How many customers' records fit some bytes.
+    /// Number of customer records that fit in `bytes`.
     #[must_use]
     pub fn customers_fitting(bytes: usize) -> usize {
         BoundedCache::<CustomerQuota>::capacity_for_bytes(bytes)
     }
 
-    /// How many records were dropped to make room, and the units that their customers may pass again.
+    /// Returns the number of evicted customer records, and the units that their customers can use again.
     #[must_use]
     pub fn evictions(&self) -> (u64, f64) {
         let evicted = self.customers.evictions();
         (evicted.records, evicted.cost)
     }
 
-    /// Customers whose record is kept.
+    /// Number of customer records in memory.
     #[must_use]
     pub fn customer_count(&self) -> usize {
         self.customers.len()
