--- a/crates/backoff/tests/pauses.rs
+++ b/crates/backoff/tests/pauses.rs
@@ -61,7 +61,9 @@
 
     /// Delays stay within their bounds and start over after an answer.
     #[test]
-    fn delays_stay_within_bounds_and_reset_after_an_answer(gateways in 1u32..=500, seed: u64, failures in 1usize..20) {
+    fn delays_keep_their_bounds_and_reset_after_answers(
+        gateways in 1u32..=500, seed: u64, failures in 1usize..20,
+    ) {
         let mut backoff = Backoff::new(FIRST, MAX, CALL_TIME, LIMIT, gateways, seed);
         for _ in 0..failures {
             let delay = backoff.next_delay();
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -29,7 +29,7 @@
             settings.routing.subset_size = u32::MAX;
         }
         let mut rig = Rig::new(settings, 0);
-        rig.on(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &backends(listed) });
+        rig.handle(Event::EndpointsUpdated { scope: UpdateScope::Full, endpoints: &backends(listed) });
         World { rig, last: 0, out: VecDeque::new() }
     }
 
@@ -39,11 +39,11 @@
         self.rig.now += 0.1;
         let (customer, expires_ms) = (self.last % 1_000, self.rig.now + 4_000.0);
         let asked = Request { customer, deadline_ms: expires_ms, ..request(self.last, 0, 3, 1.0) };
-        let actions = self.rig.ask(asked);
+        let actions = self.rig.submit(asked);
         self.out.extend(sent_to(&actions).map(|to| (self.last, to)));
         if self.out.len() > OUT {
             let (id, to) = self.out.pop_front().expect("some");
-            self.rig.end(id, 0, to, Outcome::Ok);
+            self.rig.end_attempt(id, 0, to, Outcome::Ok);
         }
     }
 }
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -128,7 +128,7 @@
         key: u64,
         /// Result.
         outcome: Outcome,
-        /// Total after the call, if it succeeded; not finite if the amount was added but the total is unreadable.
+        /// Total after a successful call; not finite if the amount was added and the total is unreadable.
         total: f64,
     },
     /// Another gateway sent a message.
--- a/crates/policy/src/reload.rs
+++ b/crates/policy/src/reload.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Returns the path of the first key that `before` has and `after` lacks, as `settings.profiles[1].aim-ms`.
+/// Returns the path of the first key that `before` has and `after` lacks, e.g. `settings.profiles[1].aim-ms`.
 ///
 /// Each entry of a list needs the keys that all entries of the previous list have in common. `path` is the
 /// path of the two values. Keys in `ignored` can be missing.
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a gateway is given: every value that is read, and the exact text of every error.
+//! Reading of settings: every value, and the exact text of every error.
 
 use std::cell::RefCell;
 
@@ -23,7 +23,7 @@
 
 #[test]
 fn every_value_of_the_sample_is_read() {
-    let (read, names) = read(&sample()).expect("sound settings");
+    let (read, names) = read(&sample()).expect("valid settings");
     assert_eq!(
         (read.gateway_index, read.gateway_count, read.zone, read.clock_granularity_ms),
         (3, 12, 1, 4.5)
@@ -59,7 +59,7 @@
 
 #[test]
 fn every_value_of_a_class_is_read() {
-    let (read, _) = read(&sample()).expect("sound settings");
+    let (read, _) = read(&sample()).expect("valid settings");
     let lookup = Class {
         latency_objective_ms: 120.0,
         deadline_ms: 480.0,
@@ -109,7 +109,7 @@
 
 #[test]
 fn every_value_of_a_plan_is_read() {
-    let (read, _) = read(&sample()).expect("sound settings");
+    let (read, _) = read(&sample()).expect("valid settings");
     let team = Plan {
         rate: 10.0,
         burst: 45.0,
@@ -132,16 +132,16 @@
 }
 
 #[test]
-fn peer_messages_are_zero_where_peers_may_not_talk() {
+fn peer_messages_are_zero_if_peers_may_not_send_any() {
     let mut settings = sample();
     settings["policy-limits"]["may-tell"] = json!(false);
-    assert_eq!(read(&settings).expect("sound settings").0.peer_messages_per_s, 0.0);
+    assert_eq!(read(&settings).expect("valid settings").0.peer_messages_per_s, 0.0);
 }
 
 #[test]
 fn flags_are_read_from_their_own_keys() {
     let flags = |settings: &Value| {
-        let read = read(settings).expect("sound settings").0;
+        let read = read(settings).expect("valid settings").0;
         let limits = &read.limits;
         [
             limits.cancel,
@@ -152,7 +152,7 @@
             read.polls_endpoints,
         ]
     };
-    let places = [
+    let paths = [
         "/policy-limits/cancel",
         "/policy-limits/second-copies",
         "/policy-limits/probing",
@@ -160,37 +160,37 @@
         "/family-info/shared-counter",
         "/registry-mode",
     ];
-    for (number, place) in places.iter().enumerate() {
+    for (number, path) in paths.iter().enumerate() {
         let mut settings = sample();
-        let off = if *place == "/registry-mode" { json!("push") } else { json!(false) };
-        *settings.pointer_mut(place).expect("a place of the sample") = off;
+        let off = if *path == "/registry-mode" { json!("push") } else { json!(false) };
+        *settings.pointer_mut(path).expect("a path of the sample") = off;
         let mut expected = [true; 6];
         expected[number] = false;
-        assert_eq!(flags(&settings), expected, "{place}");
+        assert_eq!(flags(&settings), expected, "{path}");
     }
 }
 
-/// The places of all values below one, as JSON pointers, sorted.
-fn places(value: &Value, at: &str, into: &mut Vec<String>) {
+/// Collects the JSON pointers of all values below `value`, sorted.
+fn paths(value: &Value, path: &str, into: &mut Vec<String>) {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(object) => object.iter().map(|(key, value)| (key.clone(), value)).collect(),
         Value::Array(list) => list.iter().enumerate().map(|(i, value)| (i.to_string(), value)).collect(),
         _ => Vec::new(),
     };
     for (key, child) in children {
-        let place = format!("{at}/{key}");
-        places(child, &place, into);
-        into.push(place);
+        let path = format!("{path}/{key}");
+        paths(child, &path, into);
+        into.push(path);
     }
     into.sort();
 }
 
-fn remove(settings: &mut Value, place: &str) {
-    let (parent, key) = place.rsplit_once('/').expect("a pointer");
-    match settings.pointer_mut(parent).expect("a place of the sample") {
+fn remove(settings: &mut Value, path: &str) {
+    let (parent, key) = path.rsplit_once('/').expect("a pointer");
+    match settings.pointer_mut(parent).expect("a path of the sample") {
         Value::Object(object) => drop(object.remove(key)),
         Value::Array(list) => drop(list.remove(key.parse().expect("an index"))),
-        other => panic!("{place} is below {other}"),
+        other => panic!("{path} is below {other}"),
     }
 }
 
@@ -198,29 +198,29 @@
     read(settings).map_or_else(|error| error.to_string(), |_| "read".to_string())
 }
 
-/// What comes of the sample with each value in turn removed or replaced, one line each.
+/// Removes and replaces each value of the sample in turn. Returns the result of reading, one line each.
 fn outcomes_of_changes() -> Vec<String> {
     let sample = sample();
     let mut all = Vec::new();
-    places(&sample, "", &mut all);
+    paths(&sample, "", &mut all);
     let replacements =
         [json!(null), json!("word"), json!(true), json!([]), json!({}), json!(-1), json!(0), json!(1.5)];
     let mut lines = Vec::new();
-    for place in &all {
+    for path in &all {
         let mut settings = sample.clone();
-        remove(&mut settings, place);
-        lines.push(format!("{place} removed: {}", outcome(&settings)));
+        remove(&mut settings, path);
+        lines.push(format!("{path} removed: {}", outcome(&settings)));
         for replacement in &replacements {
             let mut settings = sample.clone();
-            *settings.pointer_mut(place).expect("a place of the sample") = replacement.clone();
-            lines.push(format!("{place} = {replacement}: {}", outcome(&settings)));
+            *settings.pointer_mut(path).expect("a path of the sample") = replacement.clone();
+            lines.push(format!("{path} = {replacement}: {}", outcome(&settings)));
         }
     }
     lines
 }
 
 #[test]
-fn errors_of_missing_and_mistyped_values_are_as_recorded() {
+fn errors_of_changed_values_match_the_recording() {
     let recorded: Vec<&str> = RECORDED_ERRORS.lines().collect();
     let outcomes = outcomes_of_changes();
     for (outcome, recorded) in outcomes.iter().zip(&recorded) {
@@ -230,21 +230,21 @@
 }
 
 #[test]
-fn errors_that_no_change_of_one_value_brings_are_worded_as_before() {
-    let error = |text: &str| settings::parse(text.as_bytes()).expect_err("unsound").to_string();
+fn errors_of_invalid_json_and_duplicate_names_are_exact() {
+    let error = |text: &str| settings::parse(text.as_bytes()).expect_err("invalid").to_string();
     assert_eq!(error(""), "setting settings: not JSON");
     assert_eq!(error("{"), "setting settings: not JSON");
     assert_eq!(error("[]"), "setting settings.family-info: missing");
     assert_eq!(error("{}"), "setting settings.family-info: missing");
-    let not_json = settings::from_json("known", b"nothing").expect_err("unsound");
+    let not_json = settings::from_json("known", b"nothing").expect_err("invalid");
     assert_eq!(not_json.to_string(), "setting known: not JSON");
-    let mut twice = sample();
-    twice["profiles"][2]["name"] = json!("lookup");
-    assert_eq!(outcome(&twice), "setting settings.profiles: two have one name");
+    let mut duplicate = sample();
+    duplicate["profiles"][2]["name"] = json!("lookup");
+    assert_eq!(outcome(&duplicate), "setting settings.profiles: two have one name");
 }
 
 #[test]
-fn collected_errors_name_every_missing_section_and_key_once() {
+fn collecting_reader_reports_each_error_once() {
     let collected = |settings: &Value| -> Vec<String> {
         let errors = RefCell::new(Vec::new());
         let keys = settings::SettingsReader::collecting("settings", settings, &errors);
@@ -253,8 +253,8 @@
         errors.into_inner().iter().map(ToString::to_string).collect()
     };
     let mut settings = sample();
-    for place in ["/prices", "/policy-limits/cancel", "/profiles/1/aim-ms", "/tariffs/0/quota-rate", "/me"] {
-        remove(&mut settings, place);
+    for path in ["/prices", "/policy-limits/cancel", "/profiles/1/aim-ms", "/tariffs/0/quota-rate", "/me"] {
+        remove(&mut settings, path);
     }
     settings["profiles"][3]["group"] = json!("planet");
     settings["zones"] = json!(["a", 2]);
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and helpers shared by the tests.
+//! Settings and helpers that the tests share.
 #![allow(dead_code)]
 
 use gateway_policy::interface::*;
@@ -6,16 +6,18 @@
 
 pub const T0: f64 = 1_000_000.0;
 
-/// Classes: 0 idempotent, 1 keyed by cell, 2 not idempotent, 3 keyed by all. Plans: 0 rate only, 1 with a
-/// ceiling, 2 with only a concurrency limit, 3 without limits.
+/// Returns settings for two gateways.
+///
+/// Classes: 0 idempotent, 1 keyed with deduplication in a cell, 2 non-idempotent, 3 keyed with deduplication
+/// by all backends. Plans: 0 rate only, 1 with a ceiling, 2 with only a concurrency limit, 3 without limits.
 pub fn settings() -> Settings {
-    let class = |effect, group| Class {
+    let class = |idempotency, deduplication_scope| Class {
         latency_objective_ms: 1_000.0,
         deadline_ms: 4_000.0,
         priority_weight: 1.0,
         late_weight: 0.0,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window_ms: 500.0,
         streaming: false,
         retired: false,
@@ -75,11 +77,11 @@
 }
 
 pub fn request(id: u64, class: usize, plan: usize, units: f64) -> Request {
-    let (customer, expires_ms) = (7, T0 + 600_000.0);
-    Request { id, customer, class, plan, units, fan_out: 2.0, deadline_ms: expires_ms, retry: false }
+    let (customer, deadline_ms) = (7, T0 + 600_000.0);
+    Request { id, customer, class, plan, units, fan_out: 2.0, deadline_ms, retry: false }
 }
 
-/// A gateway with its clock and what it last wanted done.
+/// A gateway with its clock.
 pub struct Rig {
     pub gateway: Policy,
     pub now: f64,
@@ -93,22 +95,22 @@
     pub fn seeded(settings: Settings, n: u32, seed: u64) -> Rig {
         let gateway = Policy::new(settings, seed, T0).expect("settings");
         let mut rig = Rig { gateway, now: T0 };
-        rig.on(Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &backends(n) });
+        rig.handle(Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &backends(n) });
         rig
     }
 
-    pub fn on(&mut self, event: Event<'_>) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.on(Event::Request(request))
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Request(request))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, backend: u32, outcome: Outcome) -> Vec<Action> {
-        self.on(Event::AttemptEnded {
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, backend: u32, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::AttemptEnded {
             id,
             attempt,
             backend,
@@ -129,17 +131,17 @@
     })
 }
 
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn counted(actions: &[Action]) -> Option<(u64, f64)> {
+pub fn counter_call(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::IncrementCounter { key: name, amount, .. } => Some((*name, *amount)),
+        Action::IncrementCounter { key, amount, .. } => Some((*key, *amount)),
         _ => None,
     })
 }
@@ -152,36 +154,36 @@
     actions.iter().filter_map(timer).collect()
 }
 
-/// A shared counter that answers at once.
+/// A shared counter that replies at once.
 #[derive(Default)]
 pub struct Counter {
     totals: std::collections::BTreeMap<u64, f64>,
 }
 
 impl Counter {
-    pub fn add(&mut self, name: u64, amount: f64) -> f64 {
-        let total = self.totals.entry(name).or_default();
+    pub fn add(&mut self, key: u64, amount: f64) -> f64 {
+        let total = self.totals.entry(key).or_default();
         *total += amount;
         *total
     }
 
-    /// Answers all calls, also those that follow from the answers; gives all that is wanted done.
-    pub fn settle(&mut self, rig: &mut Rig, actions: Vec<Action>) -> Vec<Action> {
+    /// Answers all counter calls, including those that result from the answers, and returns all actions.
+    pub fn answer_calls(&mut self, rig: &mut Rig, actions: Vec<Action>) -> Vec<Action> {
         let mut all = Vec::new();
         let mut next = std::collections::VecDeque::from(actions);
         while let Some(action) = next.pop_front() {
-            if let Action::IncrementCounter { key: name, amount, .. } = action {
-                let total = self.add(name, amount);
-                next.extend(rig.on(Event::CounterReplied { key: name, outcome: Outcome::Ok, total }));
+            if let Action::IncrementCounter { key, amount, .. } = action {
+                let total = self.add(key, amount);
+                next.extend(rig.handle(Event::CounterReplied { key, outcome: Outcome::Ok, total }));
             }
             all.push(action);
         }
         all
     }
 
-    /// Asks and settles.
-    pub fn ask(&mut self, rig: &mut Rig, request: Request) -> Vec<Action> {
-        let actions = rig.ask(request);
-        self.settle(rig, actions)
+    /// Submits a request and answers all counter calls.
+    pub fn submit(&mut self, rig: &mut Rig, request: Request) -> Vec<Action> {
+        let actions = rig.submit(request);
+        self.answer_calls(rig, actions)
     }
 }
--- a/crates/routing/src/group.rs
+++ b/crates/routing/src/group.rs
@@ -13,7 +13,7 @@
     pub warming_up: usize,
 }
 
-/// Ready slots in two unordered lists without gaps, available and ejected. Draining backends are only counted.
+/// Ready slots in two unordered lists, available and ejected. Draining backends are only counted.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     available: Vec<u32>,
--- a/crates/routing/src/groups.rs
+++ b/crates/routing/src/groups.rs
@@ -57,7 +57,7 @@
 
 /// Data that determines the groups of a slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Filing {
+pub(crate) struct GroupAttributes {
     pub(crate) attributes: Attributes,
     pub(crate) in_subset: bool,
     pub(crate) warm: bool,
@@ -109,8 +109,8 @@
     }
 
     /// Adds a ready slot to its groups.
-    pub(crate) fn add_ready(&mut self, slot: u32, filing: &Filing) -> Positions {
-        let Filing { attributes, in_subset, warm } = filing;
+    pub(crate) fn add_ready(&mut self, slot: u32, group_attributes: &GroupAttributes) -> Positions {
+        let GroupAttributes { attributes, in_subset, warm } = group_attributes;
         let mut positions = Positions::default();
         for (kind, group) in self.groups_of(attributes, *in_subset) {
             positions.0[kind] = group.add(slot, attributes.ejected, *warm);
@@ -122,9 +122,9 @@
     pub(crate) fn remove_ready(
         &mut self,
         positions: Positions,
-        filing: &Filing,
+        group_attributes: &GroupAttributes,
     ) -> impl Iterator<Item = Moved> + use<> {
-        let Filing { attributes, in_subset, warm } = filing;
+        let GroupAttributes { attributes, in_subset, warm } = group_attributes;
         let mut moved = [None; GROUP_KINDS];
         for (kind, group) in self.groups_of(attributes, *in_subset) {
             let position = positions.0[kind];
@@ -150,8 +150,8 @@
     }
 
     /// Counts a ready backend as warm instead of warming up.
-    pub(crate) fn count_as_warm(&mut self, filing: &Filing) {
-        for (_, group) in self.groups_of(&filing.attributes, filing.in_subset) {
+    pub(crate) fn count_as_warm(&mut self, group_attributes: &GroupAttributes) {
+        for (_, group) in self.groups_of(&group_attributes.attributes, group_attributes.in_subset) {
             group.warming_up -= 1;
         }
     }
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -4,7 +4,7 @@
 
 use crate::attributes::{Attributes, Indexed, ListState};
 use crate::group::Counts;
-use crate::groups::{Filing, Groups, Positions, Scope};
+use crate::groups::{GroupAttributes, Groups, Positions, Scope};
 use crate::membership::Membership;
 use crate::recent_work::{Contribution, DecayingWork, WarmWork};
 use crate::sampling::Sampling;
@@ -12,8 +12,8 @@
 use crate::subset::Subset;
 
 /// Lower bound of the window in which recent work decays, ms.
-const SHORTEST_WINDOW_MS: f64 = 1.0;
-const NO_BACKEND: &str = "the slot holds a backend";
+const MIN_WINDOW_MS: f64 = 1.0;
+const SLOT_IN_USE: &str = "the slot holds a backend";
 
 #[derive(Debug)]
 struct Slot<T> {
@@ -39,12 +39,13 @@
         self.in_subset && self.warm
     }
 
-    fn filing(&self) -> Filing {
-        Filing { attributes: self.attributes, in_subset: self.in_subset, warm: self.warm }
+    fn group_attributes(&self) -> GroupAttributes {
+        GroupAttributes { attributes: self.attributes, in_subset: self.in_subset, warm: self.warm }
     }
 }
 
-/// Index of all backends that a gateway knows. A backend keeps its slot from [`Index::insert`] to [`Index::remove`].
+/// Index of all backends that a gateway knows. A backend keeps its slot from [`Index::insert`] to
+/// [`Index::remove`].
 #[derive(Debug)]
 pub struct Index<T> {
     sampling: Sampling,
@@ -52,7 +53,7 @@
     window_ms: f64,
     /// Boxed, because a growing vector reallocates its elements, which is cheap for pointers.
     slots: Vec<Option<Box<Slot<T>>>>,
-    free: Vec<u32>,
+    free_slots: Vec<u32>,
     slots_by_id: HashMap<u32, u32>,
     groups: Groups,
     membership: Membership,
@@ -67,9 +68,9 @@
     pub fn new(subset: Subset, sampling: Sampling, window_ms: f64) -> Index<T> {
         Index {
             sampling,
-            window_ms: window_ms.max(SHORTEST_WINDOW_MS),
+            window_ms: window_ms.max(MIN_WINDOW_MS),
             slots: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             slots_by_id: HashMap::new(),
             groups: Groups::default(),
             membership: Membership::new(subset),
@@ -80,11 +81,11 @@
     }
 
     fn slot(&self, slot: usize) -> &Slot<T> {
-        self.slots[slot].as_ref().expect(NO_BACKEND)
+        self.slots[slot].as_ref().expect(SLOT_IN_USE)
     }
 
     fn slot_mut(&mut self, slot: usize) -> &mut Slot<T> {
-        self.slots[slot].as_mut().expect(NO_BACKEND)
+        self.slots[slot].as_mut().expect(SLOT_IN_USE)
     }
 
     /// Returns the slot of a backend, by its number.
@@ -113,7 +114,7 @@
 
     /// Iterates over the slots that hold a backend.
     pub fn slots(&self) -> impl Iterator<Item = usize> + '_ {
-        self.slots.iter().enumerate().filter_map(|(slot, held)| held.as_ref().map(|_| slot))
+        self.slots.iter().enumerate().filter_map(|(slot, backend)| backend.as_ref().map(|_| slot))
     }
 
     /// Adds a backend whose number is not in the index yet, and returns its slot.
@@ -128,14 +129,14 @@
             threshold: self.membership.threshold(attributes.key),
             recent_work: DecayingWork::none(now),
         });
-        let slot = self.free.pop().unwrap_or(self.slots.len() as u32);
+        let slot = self.free_slots.pop().unwrap_or(self.slots.len() as u32);
         if slot as usize == self.slots.len() {
             self.slots.push(Some(added));
         } else {
             self.slots[slot as usize] = Some(added);
         }
         self.slots_by_id.insert(attributes.id, slot);
-        self.file(now, slot);
+        self.add_to_index(now, slot);
         self.resize_subset(now);
         slot as usize
     }
@@ -145,11 +146,11 @@
     /// # Panics
     /// If the slot holds no backend.
     pub fn remove(&mut self, now: f64, slot: usize) -> T {
-        self.unfile(now, slot as u32);
+        self.remove_from_index(now, slot as u32);
         self.checks.clear(slot as u32);
-        let removed = self.slots[slot].take().expect(NO_BACKEND);
+        let removed = self.slots[slot].take().expect(SLOT_IN_USE);
         self.slots_by_id.remove(&removed.attributes.id);
-        self.free.push(slot as u32);
+        self.free_slots.push(slot as u32);
         self.resize_subset(now);
         removed.record
     }
@@ -159,12 +160,12 @@
     /// # Panics
     /// If the slot holds no backend.
     pub fn renew(&mut self, now: f64, slot: usize, record: T) {
-        self.unfile(now, slot as u32);
+        self.remove_from_index(now, slot as u32);
         let renewed = self.slot_mut(slot);
         renewed.attributes = record.attributes();
         renewed.recent_work = DecayingWork::none(now);
         renewed.record = record;
-        self.file(now, slot as u32);
+        self.add_to_index(now, slot as u32);
         self.resize_subset(now);
     }
 
@@ -178,9 +179,9 @@
         let (old, new) = (updated.attributes, updated.record.attributes());
         if old != new {
             debug_assert_eq!((old.id, old.key), (new.id, new.key), "id and key never change");
-            self.unfile(now, slot as u32);
+            self.remove_from_index(now, slot as u32);
             self.slot_mut(slot).attributes = new;
-            self.file(now, slot as u32);
+            self.add_to_index(now, slot as u32);
             if old.state != new.state {
                 self.resize_subset(now);
             }
@@ -189,17 +190,17 @@
     }
 
     /// Adds a backend to the groups, sums and schedules that its attributes determine.
-    fn file(&mut self, now: f64, slot: u32) {
-        let filed = self.slots[slot as usize].as_mut().expect(NO_BACKEND);
-        filed.warm = filed.attributes.warm_from <= now;
-        filed.in_subset = filed.is_ready() && self.membership.contains(filed.threshold);
-        match filed.attributes.state {
+    fn add_to_index(&mut self, now: f64, slot: u32) {
+        let backend = self.slots[slot as usize].as_mut().expect(SLOT_IN_USE);
+        backend.warm = backend.attributes.warm_from <= now;
+        backend.in_subset = backend.is_ready() && self.membership.contains(backend.threshold);
+        match backend.attributes.state {
             ListState::Removed => {}
-            ListState::Draining => self.groups.add_draining(&filed.attributes),
+            ListState::Draining => self.groups.add_draining(&backend.attributes),
             ListState::Ready => {
-                filed.positions = self.groups.add_ready(slot, &filed.filing());
-                self.membership.add_ready(filed.threshold, slot);
-                let (warm, warm_from) = (filed.warm, filed.attributes.warm_from);
+                backend.positions = self.groups.add_ready(slot, &backend.group_attributes());
+                self.membership.add_ready(backend.threshold, slot);
+                let (warm, warm_from) = (backend.warm, backend.attributes.warm_from);
                 self.add_to_warm_work(now, slot);
                 if !warm {
                     self.warming_up.set(slot, warm_from);
@@ -208,18 +209,19 @@
         }
     }
 
-    /// Removes a backend from everything that [`Index::file`] added it to.
-    fn unfile(&mut self, now: f64, slot: u32) {
-        let filed = self.slot(slot as usize);
-        let (filing, threshold, positions) = (filed.filing(), filed.threshold, filed.positions);
-        match filing.attributes.state {
+    /// Removes a backend from everything that [`Index::add_to_index`] added it to.
+    fn remove_from_index(&mut self, now: f64, slot: u32) {
+        let backend = self.slot(slot as usize);
+        let (group_attributes, threshold, positions) =
+            (backend.group_attributes(), backend.threshold, backend.positions);
+        match group_attributes.attributes.state {
             ListState::Removed => {}
-            ListState::Draining => self.groups.remove_draining(&filing.attributes),
+            ListState::Draining => self.groups.remove_draining(&group_attributes.attributes),
             ListState::Ready => {
                 self.remove_from_warm_work(now, slot);
                 self.membership.remove_ready(threshold, slot);
                 self.warming_up.clear(slot);
-                for moved in self.groups.remove_ready(positions, &filing) {
+                for moved in self.groups.remove_ready(positions, &group_attributes) {
                     moved.apply(&mut self.slot_mut(moved.slot as usize).positions);
                 }
             }
@@ -262,7 +264,7 @@
     }
 
     fn join_subset(&mut self, now: f64, slot: u32) {
-        let joining = self.slots[slot as usize].as_mut().expect(NO_BACKEND);
+        let joining = self.slots[slot as usize].as_mut().expect(SLOT_IN_USE);
         joining.in_subset = true;
         let position = self.groups.join_subset(slot, joining.attributes.ejected, joining.warm);
         joining.positions.set_in_subset(position);
@@ -271,7 +273,7 @@
 
     fn leave_subset(&mut self, now: f64, slot: u32) {
         self.remove_from_warm_work(now, slot);
-        let leaving = self.slots[slot as usize].as_mut().expect(NO_BACKEND);
+        let leaving = self.slots[slot as usize].as_mut().expect(SLOT_IN_USE);
         leaving.in_subset = false;
         let position = leaving.positions.in_subset();
         let moved = self.groups.leave_subset(position, leaving.attributes.ejected, leaving.warm);
@@ -292,8 +294,8 @@
                 continue;
             }
             due.warm = true;
-            let filing = due.filing();
-            self.groups.count_as_warm(&filing);
+            let group_attributes = due.group_attributes();
+            self.groups.count_as_warm(&group_attributes);
             self.add_to_warm_work(now, slot);
         }
     }
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -37,7 +37,7 @@
     fn added_backend_changes_few_subset_members(
         gateways in 1u32..=500, backends in 1u32..=10_000,
     ) {
-        // At one gateway: the mean number of members that it gains or loses is its part of the change of degree.
+        // The mean number of members that one gateway gains or loses is its part of the change of degree.
         let t = thresholds(gateways / 2, gateways, backends);
         let (with, without) = (degree(gateways, backends as usize), degree(gateways, backends as usize - 1));
         let moved = t.iter().filter(|t| (**t < with) != (**t < without)).count() as f64;
@@ -51,7 +51,8 @@
         gateways in 2u32..=500, backends in 100u32..=3_000,
     ) {
         let (gateway, k) = (gateways / 2, 3.0);
-        let (before, after) = (thresholds(gateway, gateways, backends), thresholds(gateway, gateways + 1, backends));
+        let before = thresholds(gateway, gateways, backends);
+        let after = thresholds(gateway, gateways + 1, backends);
         // At the same degree, backends only move from this gateway to the new one, and none to this one.
         let pairs = || before.iter().zip(&after);
         prop_assert_eq!(pairs().filter(|(b, a)| **b >= k && **a < k).count(), 0);
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -58,7 +58,7 @@
     Event(DecodedEvent<'a>),
 }
 
-/// An event that owns the data that the interface's [`Event`] borrows, or refers to an endpoint list by number.
+/// An event with owned data where the interface's [`Event`] borrows, or with the number of its endpoint list.
 pub enum DecodedEvent<'a> {
     EndpointsUpdated { scope: UpdateScope, list: usize },
     AttemptEnded(EndedAttempt),
