--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -108,10 +108,10 @@
         let mut to = sent_to(&rig.submit(r));
         let mut attempt = 0;
         while let Some(backend) = to {
-            let bad = backend == 1;
-            failing += u32::from(bad);
-            rig.now += if bad { 1.0 } else { 50.0 };
-            to = match bad {
+            let fails = backend == 1;
+            failing += u32::from(fails);
+            rig.now += if fails { 1.0 } else { 50.0 };
+            to = match fails {
                 true => sent_to(&rig.end_attempt(id, attempt, backend, Outcome::Error)),
                 false => sent_to(&answer(&mut rig, id, backend, 50.0)),
             };
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -207,8 +207,8 @@
     counter_call(&rig.submit(Request { customer, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 0, 2.0) }))
 }
 
-/// If the charge of one call were scaled up for the skipped calls of other customers as well, it would empty a
-/// bucket of a few requests.
+/// If the charge of one call were scaled up for the skipped calls of other customers, it would empty a bucket
+/// of a few requests.
 #[test]
 fn skipped_charge_of_a_new_customer_is_reported_in_full_later() {
     let mut settings = with_counter();
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -147,14 +147,14 @@
             continue;
         };
         for attempt in 0.. {
-            let bad = subset.contains(&to);
-            let outcome = if bad { Outcome::ConnectFailed } else { Outcome::Ok };
+            let fails = subset.contains(&to);
+            let outcome = if fails { Outcome::ConnectFailed } else { Outcome::Ok };
             let actions = rig.end_attempt(id, attempt, to, outcome);
-            if !bad {
+            if !fails {
                 outside.insert(to);
             }
             let Some(next) = sent_to(&actions) else {
-                unanswered += u32::from(bad);
+                unanswered += u32::from(fails);
                 break;
             };
             to = next;
@@ -216,10 +216,10 @@
         let Some(mut to) = send(&mut rig, id, 0) else { continue };
         for attempt in 0.. {
             assert!(!cold(to), "{to} is cold, and other gateways warm it up");
-            let bad = subset.contains(&to);
-            outside += u32::from(!bad);
+            let fails = subset.contains(&to);
+            outside += u32::from(!fails);
             let actions =
-                rig.end_attempt(id, attempt, to, if bad { Outcome::ConnectFailed } else { Outcome::Ok });
+                rig.end_attempt(id, attempt, to, if fails { Outcome::ConnectFailed } else { Outcome::Ok });
             let Some(next) = sent_to(&actions) else { break };
             to = next;
         }
@@ -237,8 +237,9 @@
         for attempt in 0.. {
             assert!(tried.insert(to), "request {id} went to {to} again");
             // All attempts of every tenth request fail.
-            let bad = id % 10 == 0;
-            let actions = rig.end_attempt(id, attempt, to, if bad { Outcome::Rejected } else { Outcome::Ok });
+            let fails = id % 10 == 0;
+            let actions =
+                rig.end_attempt(id, attempt, to, if fails { Outcome::Rejected } else { Outcome::Ok });
             let Some(next) = sent_to(&actions) else { break };
             (to, retries) = (next, retries + 1);
         }
@@ -251,10 +252,10 @@
         let mut tried = BTreeSet::new();
         for attempt in 0..3 {
             assert!(tried.insert(to), "request {id} went to {to} again");
-            let bad = to == 0 && id % 10 == 0;
-            let outcome = if bad { Outcome::Error } else { Outcome::Ok };
+            let fails = to == 0 && id % 10 == 0;
+            let outcome = if fails { Outcome::Error } else { Outcome::Ok };
             let (metered_use, actual_units, load, backend) = (None, None, &[][..], to);
-            let (latency_ms, answered) = (if to == 0 { 10.0 } else { 80.0 }, !bad);
+            let (latency_ms, answered) = (if to == 0 { 10.0 } else { 80.0 }, !fails);
             let actions = rig.handle(Event::AttemptEnded {
                 id,
                 attempt,
@@ -282,8 +283,8 @@
         let cell = to / 10;
         for attempt in 0.. {
             assert_eq!(to / 10, cell, "request {id}");
-            let bad = id % 10 == 0 && attempt < 2;
-            let actions = rig.end_attempt(id, attempt, to, if bad { Outcome::Error } else { Outcome::Ok });
+            let fails = id % 10 == 0 && attempt < 2;
+            let actions = rig.end_attempt(id, attempt, to, if fails { Outcome::Error } else { Outcome::Ok });
             let Some(next) = sent_to(&actions) else { break };
             (to, retries) = (next, retries + 1);
         }
