--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -195,7 +195,7 @@
             zone: zone.map_or(u32::MAX, |z| z as u32),
             // Hashed from the name, which is the same for all gateways; numbers are local to this one.
             key: fnv1a(&endpoint.name),
-            kind: fnv1a(&endpoint.instance_type) as u32,
+            instance_type: fnv1a(&endpoint.instance_type) as u32,
             started_ms: endpoint.since_ms,
             reenabled_ms: row.reenabled_ms,
             weight: endpoint.weight,
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -65,7 +65,7 @@
 
     /// Counts an attempt as in flight, both at its backend and for the whole gateway.
     fn start_attempt(&mut self, now: f64, id: u64, slot: usize, overdue_after_ms: f64) -> Attempt {
-        self.backends.push(slot, now, self.expected_work_ms(id));
+        self.backends.record_work(slot, now, self.expected_work_ms(id));
         let backend = self.backends.get_mut(slot);
         let in_flight = InFlightCounts { backend: backend.in_flight, gateway: self.fleet.in_flight() };
         let attempt = Attempt::new(&backend.entry, now, overdue_after_ms, in_flight);
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -61,7 +61,7 @@
     /// Expected latency of the request on an idle backend, ms.
     work_ms: f64,
     /// Work recently sent to each warm backend of the subset, ms.
-    warm_push: f64,
+    mean_warm_work: f64,
     /// Number of backends drawn.
     drawn_count: usize,
     /// Whether only some of the available backends were drawn.
@@ -112,7 +112,7 @@
     ) -> Option<Candidate> {
         let ignore_ejection = self.is_mostly_ejected(Scope::Fleet);
         let work_ms = self.latency.work_ms(open.request.class, open.request.units);
-        let warm_push = self.backends.warm_push(now);
+        let mean_warm_work = self.backends.mean_warm_work(now);
         let mut best: Option<Candidate> = None;
         for group in self.groups_to_draw_from(open) {
             let start = drawn.len();
@@ -120,7 +120,7 @@
             let drawn = &drawn[start..];
             let counts = self.backends.counts(group);
             let partial = drawn.len() < counts.ready - counts.ejected;
-            let draw = DrawContext { now, work_ms, warm_push, drawn_count: drawn.len(), partial };
+            let draw = DrawContext { now, work_ms, mean_warm_work, drawn_count: drawn.len(), partial };
             for slot in drawn {
                 let candidate = self.candidate(open, *slot, &draw, random);
                 best = match (best, candidate) {
@@ -208,10 +208,10 @@
         }
         let sharing_gateways = self.backends.degree() * self.process_count;
         let budget_ms =
-            self.warm_up_budget_ms(capacity_fraction, sharing_gateways, draw.warm_push + draw.work_ms);
-        let pushed_ms = self.backends.pushed(slot, draw.now);
+            self.warm_up_budget_ms(capacity_fraction, sharing_gateways, draw.mean_warm_work + draw.work_ms);
+        let recent_work_ms = self.backends.recent_work(slot, draw.now);
         let below_one_request = budget_ms < draw.work_ms;
-        let within_budget = pushed_ms + draw.work_ms <= budget_ms;
+        let within_budget = recent_work_ms + draw.work_ms <= budget_ms;
         let rarely_chosen = draw.partial || self.backends.get(slot).returned_from_ban();
         let chosen_by_chance = (below_one_request || rarely_chosen && within_budget)
             && random.next_f64() * draw.drawn_count as f64 <= capacity_fraction;
@@ -228,10 +228,10 @@
     /// Returns the work that this gateway may recently have sent to a backend with the given capacity
     /// fraction, ms: that fraction of the work that it sends to a warm backend, or of its share of one core's
     /// work, whichever is larger. Without this limit, all gateways together would overload the backend.
-    fn warm_up_budget_ms(&self, capacity_fraction: f64, gateways: f64, warm_push: f64) -> f64 {
+    fn warm_up_budget_ms(&self, capacity_fraction: f64, gateways: f64, mean_warm_work: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
         let core_budget_ms = slow_start.overload_multiple * slow_start.overload_window_ms / gateways;
-        capacity_fraction * core_budget_ms.max(warm_push)
+        capacity_fraction * core_budget_ms.max(mean_warm_work)
     }
 
     /// Returns the slowness of a backend by its own answers and, as these age, increasingly by the fleet's.
@@ -280,7 +280,8 @@
         let backend = self.backends.get(slot);
         // Beyond the share of work set by an operator's weight, a backend is avoided.
         let share = backend.entry.weight_share;
-        let over_weight_share = share < 1.0 && self.backends.pushed(slot, draw.now) > share * draw.warm_push;
+        let over_weight_share =
+            share < 1.0 && self.backends.recent_work(slot, draw.now) > share * draw.mean_warm_work;
         let avoided =
             backend.ejected || self.recently_rejected(backend, request, draw.now) || over_weight_share;
         let preference = if avoided { AVOIDED_PREFERENCE } else { 1.0 };
