--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -1,28 +1,29 @@
 //! The built gateway and what clients may not do to it, on loopback sockets.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use net::*;
+use gateway_rig::*;
 use serde_json::{json, Value};
 
 #[test]
 fn the_attempt_of_a_client_that_left_is_given_up() {
     // Far more time than the test waits, so that no deadline ends the attempt.
-    let rig = Rig::with(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
+    let rig =
+        Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 600_000)));
-    let (_, arrived) = rig.next();
+    let (_, arrived) = rig.next_request();
     drop(client);
     arrived.closed();
 }
 
 #[test]
 fn malformed_commands_are_told_so_and_end_the_connection() {
-    let mut rig = Rig::with(1, |_| {});
+    let mut rig = Rig::with_config(1, |_| {});
     let long = format!("*5\r\n$9\r\nAPI.WRITE\r\n$65537\r\n{}", "x".repeat(65_537));
     let many = format!("*5\r\n$60000\r\n{0}\r\n$60000\r\n{0}", "x".repeat(60_000));
     let deep = "*1\r\n".repeat(16_000);
@@ -34,12 +35,12 @@
         assert!(client.read().starts_with("-ERR"), "{:?}", &bytes[..16]);
         assert_eq!(client.read(), "(end)");
     }
-    assert!(rig.gateway.runs() && rig.idle());
+    assert!(rig.gateway.is_running() && rig.backends_idle());
 }
 
 #[test]
 fn commands_that_are_none_of_the_service_are_refused_one_by_one() {
-    let rig = Rig::with(1, |_| {});
+    let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let good = call(1, "safe", "free", 1, 8000);
     let with = |place: usize, from: &str, to: &str| {
@@ -81,7 +82,7 @@
     let mut keyless = call(2, "keyed", "free", 1, 8000);
     keyless[3] = keyless[3].replace(",k=5c0f6e1a2b3d4c59", "");
     assert!(client.ask(&words(&keyless)).starts_with("-ERR"));
-    assert!(rig.idle(), "something was sent on");
+    assert!(rig.backends_idle(), "something was sent on");
     rig.serve_one(&mut client, 9);
 }
 
@@ -92,14 +93,14 @@
 
 #[test]
 fn connections_beyond_the_descriptors_are_told_to_come_again() {
-    let rig = Rig::with(1, narrow);
+    let rig = Rig::with_config(1, narrow);
     // The one that asked whether it is ready may still be closing.
     let mut kept = rig.gateway.client();
     while kept.ask_or_end(&["PING"]) != "+PONG" {
         kept = rig.gateway.client();
     }
     kept.send(&words(&call(1, "safe", "free", 1, 8000)));
-    let (_, mut arrived) = rig.next();
+    let (_, mut arrived) = rig.next_request();
     assert_eq!(rig.gateway.client().read(), "-BUSY");
     arrived.serve("fine");
     assert_eq!(kept.read(), "fine");
@@ -107,7 +108,7 @@
 
 #[test]
 fn a_connection_that_is_not_used_makes_room_for_a_new_one() {
-    let rig = Rig::with(1, narrow);
+    let rig = Rig::with_config(1, narrow);
     // One that asks once and stays, then one that says nothing at all.
     let mut idle = rig.gateway.client();
     while idle.ask_or_end(&["PING"]) != "+PONG" {
@@ -129,7 +130,7 @@
 /// before.
 #[test]
 fn quiet_connections_are_closed_while_half_of_the_places_are_free_yet() {
-    let rig = Rig::with(1, |config| config["limits"]["sockets"] = json!(48));
+    let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
     let mut quiet: Vec<Client> = (0..5).map(|_| rig.gateway.client()).collect();
     for client in &mut quiet {
         assert_eq!(client.ask(&["PING"]), "+PONG");
@@ -147,7 +148,7 @@
 /// a client that comes back again and again.
 #[test]
 fn a_place_kept_by_a_client_that_asked_once_goes_to_others_before_that_of_one_in_use() {
-    let rig = Rig::with(1, |config| config["limits"]["sockets"] = json!(48));
+    let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
     let (mut steady, mut once) = (rig.gateway.client(), rig.gateway.client());
     (0..2).for_each(|_| assert_eq!(steady.ask(&["PING"]), "+PONG"));
     assert_eq!(once.ask(&["PING"]), "+PONG");
@@ -165,7 +166,7 @@
 
 #[test]
 fn a_client_that_says_nothing_or_half_a_command_is_turned_away() {
-    let rig = Rig::with(1, |_| {});
+    let rig = Rig::with_config(1, |_| {});
     let (mut silent, mut half) = (rig.gateway.client(), rig.gateway.client());
     half.write(b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n0000");
     assert_eq!(silent.read(), "(end)");
@@ -175,14 +176,14 @@
 
 #[test]
 fn a_second_request_under_an_open_ones_id_is_an_error_and_the_first_is_served() {
-    let rig = Rig::with(1, |_| {});
+    let rig = Rig::with_config(1, |_| {});
     let (mut client, mut other) = (rig.gateway.client(), rig.gateway.client());
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
-    let (_, mut arrived) = rig.next();
+    let (_, mut arrived) = rig.next_request();
     assert!(other.ask(&words(&call(1, "safe", "free", 1, 8000))).starts_with("-ERR"));
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
-    assert!(rig.idle(), "sent on twice");
+    assert!(rig.backends_idle(), "sent on twice");
     // It is free again.
     rig.serve_one(&mut other, 1);
 }
@@ -190,7 +191,7 @@
 #[test]
 fn requests_that_the_memory_has_no_room_for_are_refused_until_it_has() {
     // Room for 256 KiB.
-    let rig = Rig::with(1, |config| config["limits"]["memory_mb"] = json!(1));
+    let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let large = |id| {
         let mut large = call(id, "unsafe", "free", 1, 8000);
         large[4] = "x".repeat(60_000);
@@ -198,25 +199,25 @@
     };
     let (mut client, mut other) = (rig.gateway.client(), rig.gateway.client());
     (1..5).for_each(|id| client.send(&words(&large(id))));
-    let mut arrived: Vec<Arrived> = (1..5).map(|_| rig.next().1).collect();
+    let mut arrived: Vec<Arrived> = (1..5).map(|_| rig.next_request().1).collect();
     assert_eq!(other.ask(&words(&large(5))), "-BUSY");
     for a in &mut arrived {
         a.serve("fine");
     }
     (1..5).for_each(|_| assert_eq!(client.read(), "fine"));
     other.send(&words(&large(6)));
-    rig.next().1.serve("fine");
+    rig.next_request().1.serve("fine");
     assert_eq!(other.read(), "fine");
-    assert!(rig.idle(), "what was refused went on");
+    assert!(rig.backends_idle(), "what was refused went on");
 }
 
 #[test]
 fn an_answer_that_the_memory_has_no_room_for_has_failed() {
     // Room for 256 KiB, of which answers that wait behind an open request take most.
-    let rig = Rig::with(1, |config| config["limits"]["memory_mb"] = json!(1));
+    let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let mut client = rig.gateway.client();
     (1..31).for_each(|id| client.send(&words(&call(id, "unsafe", "free", 1, 8000))));
-    let mut arrived: Vec<Arrived> = (1..31).map(|_| rig.next().1).collect();
+    let mut arrived: Vec<Arrived> = (1..31).map(|_| rig.next_request().1).collect();
     arrived.sort_by_key(|a| a.words[2].clone());
     let value = "x".repeat(60_000);
     arrived.iter_mut().skip(1).for_each(|a| a.serve(&value));
--- a/crates/gateway/tests/counter_connections.rs
+++ b/crates/gateway/tests/counter_connections.rs
@@ -1,13 +1,13 @@
 //! The built gateway and connections to the counter that fall silent one by one.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::collections::HashSet;
 use std::thread::sleep;
 use std::time::Duration;
 
-use net::*;
+use gateway_rig::*;
 use serde_json::json;
 
 /// Requests on one connection of a client, and such connections.
@@ -20,7 +20,7 @@
         for id in first + i * EACH..first + (i + 1) * EACH {
             let mut words = call(id, "safe", "paid", 60, 60_000);
             words[1] = format!("{id:016x}");
-            client.send(&net::words(&words));
+            client.send(&gateway_rig::words(&words));
         }
     }
 }
@@ -28,7 +28,7 @@
 /// Has the backend serve all of a wave, and the clients read it.
 fn served(rig: &Rig, clients: &mut [Client]) {
     let all = EACH * clients.len() as u64;
-    (0..all).for_each(|_| rig.next().1.serve("fine"));
+    (0..all).for_each(|_| rig.next_request().1.serve("fine"));
     for client in clients {
         (0..EACH).for_each(|_| assert_eq!(client.read(), "fine"));
     }
@@ -40,7 +40,7 @@
 fn one_silent_connection_is_replaced_and_no_call_is_left_out_for_it() {
     // Long enough that what is answered is answered in time, however slow the machine.
     let wait = Duration::from_millis(2_000);
-    let rig = Rig::with(1, |config| {
+    let rig = Rig::with_config(1, |config| {
         roomy(config);
         config["settings"]["family-info"]["count-wait-ms"] = json!(wait.as_millis() as f64);
         config["settings"]["profiles"][0]["aim-ms"] = json!(40_000.0);
--- a/crates/gateway/tests/disconnect_and_shutdown_races.rs
+++ b/crates/gateway/tests/disconnect_and_shutdown_races.rs
@@ -1,15 +1,15 @@
 //! What is still owed when something ends, on loopback sockets: each test forces the bad order every time.
 //! `docs/design/endings.md` has the paths, one by one.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use net::*;
+use gateway_rig::*;
 use serde_json::json;
 
 /// A listener whose line is full: connections to it stay half open until somebody accepts.
@@ -21,12 +21,14 @@
 
 impl Stuck {
     fn new() -> Stuck {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let listener = runtime
-            .block_on(async { refusing().0.listen(1).expect("listens").into_std().expect("a listener") });
-        listener.set_nonblocking(false).expect("a blocking listener");
-        let address = listener.local_addr().expect("an address");
-        let fillers = (0..2).map(|_| TcpStream::connect(address).expect("room")).collect();
+        let runtime =
+            tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
+        let listener =
+            runtime.block_on(async { refusing().0.listen(1).expect("listen").into_std().expect("listener") });
+        listener.set_nonblocking(false).expect("set the listener blocking");
+        let address = listener.local_addr().expect("socket address");
+        let fillers =
+            (0..2).map(|_| TcpStream::connect(address).expect("space in the accept queue")).collect();
         Stuck { listener, address, _fillers: fillers }
     }
 
@@ -36,7 +38,7 @@
         let port = format!(":{:04X}", self.address.port());
         let begun = Instant::now();
         // Established, as the gateway's process holds it.
-        while !connected(gateway.id(), &port) {
+        while !connected(gateway.pid(), &port) {
             assert!(begun.elapsed() < PATIENCE, "the gateway's connection never came up");
             sleep(Duration::from_millis(5));
         }
@@ -57,11 +59,12 @@
 /// Whether a process has a connection to a port in a state, as the system numbers them.
 fn has(pid: u32, port: &str, state: &str) -> bool {
     let held: Vec<String> = std::fs::read_dir(format!("/proc/{pid}/fd"))
-        .expect("it runs")
+        .expect("read procfs of the gateway process")
         .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok())
         .map(|to| to.to_string_lossy().into_owned())
         .collect();
-    let text = std::fs::read_to_string(format!("/proc/{pid}/net/tcp")).expect("it runs");
+    let text =
+        std::fs::read_to_string(format!("/proc/{pid}/net/tcp")).expect("read procfs of the gateway process");
     text.lines().skip(1).any(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         columns.get(2).is_some_and(|to| to.ends_with(port))
@@ -76,7 +79,7 @@
 /// A request whose first attempt waits for a connection to `stuck`, the only backend.
 fn waits_for(stuck: &Stuck, cancel: bool) -> (Rig, Client) {
     let only = [endpoint("s-0", stuck.address, 1, "SERVING", 0.0)];
-    let rig = Rig::with(1, |config| {
+    let rig = Rig::with_config(1, |config| {
         config["known"]["endpoints"] = json!(only);
         config["settings"]["policy-limits"]["cancel"] = json!(cancel);
         config["settings"]["policy-limits"]["connect-timeout-ms"] = json!(20_000.0);
@@ -85,7 +88,7 @@
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 600_000)));
     // Behind it in the gateway's inbox, so it was taken in.
-    rig.told(&only);
+    rig.send_snapshot(&only);
     (rig, client)
 }
 
@@ -94,14 +97,14 @@
 #[test]
 fn a_keyed_repeat_whose_connection_comes_up_after_the_window_is_not_written() {
     let stuck = Stuck::new();
-    let rig = Rig::with(1, |config| {
+    let rig = Rig::with_config(1, |config| {
         config["settings"]["profiles"][1]["window-ms"] = json!(600.0);
         config["settings"]["policy-limits"]["connect-timeout-ms"] = json!(20_000.0);
     });
-    rig.told(&[serving(0, &rig.backends[0])]);
+    rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "keyed", "free", 1, 8000)));
-    let (_, mut arrived) = rig.next();
+    let (_, mut arrived) = rig.next_request();
     let begun = Instant::now();
     // Another of its cell, and a failure: the repeat goes there, and waits for a connection.
     let other = endpoint("s-1", stuck.address, 1, "SERVING", 0.0);
@@ -112,7 +115,7 @@
     let late = stuck.opens(&rig.gateway);
     assert!(client.read().starts_with("-ERR"));
     assert!(late.within(QUIET).is_none(), "repeated after the window");
-    assert!(rig.idle());
+    assert!(rig.backends_idle());
 }
 
 /// Guards against a request of a client that has gone, written when its connection comes up, where the
@@ -137,15 +140,16 @@
 fn the_end_of_a_client_shows_behind_commands_that_nobody_reads_yet() {
     // A few more than may wait, and more than is read ahead.
     for commands in [33, 400] {
-        let rig = Rig::with(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
+        let rig =
+            Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
         let mut client = rig.gateway.client();
         let all: Vec<u8> =
             (1..=commands).flat_map(|id| command(&words(&call(id, "safe", "free", 1, 600_000)))).collect();
         client.write(&all);
-        let arrived: Vec<Arrived> = (0..32).map(|_| rig.next().1).collect();
+        let arrived: Vec<Arrived> = (0..32).map(|_| rig.next_request().1).collect();
         drop(client);
         arrived.iter().for_each(Arrived::closed);
-        assert!(rig.idle(), "a command behind them was sent on");
+        assert!(rig.backends_idle(), "a command behind them was sent on");
     }
 }
 
@@ -153,7 +157,7 @@
 #[test]
 fn the_end_of_a_client_shows_while_a_command_waits_for_room() {
     // Room for 256 KiB, and most of it taken.
-    let rig = Rig::with(1, |config| {
+    let rig = Rig::with_config(1, |config| {
         config["limits"]["memory_mb"] = json!(1);
         config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0);
         config["settings"]["profiles"][2]["deadline-ms"] = json!(600_000.0);
@@ -164,13 +168,13 @@
         words_of[4] = "x".repeat(60_000);
         large.send(&words(&words_of));
     }
-    let _held: Vec<Arrived> = (1..5).map(|_| rig.next().1).collect();
+    let _held: Vec<Arrived> = (1..5).map(|_| rig.next_request().1).collect();
     // Some find room, and each of the others waits for a quarter of a second.
     let mut client = rig.gateway.client();
     let all: Vec<u8> =
         (10..42).flat_map(|id| command(&words(&call(id, "safe", "free", 1, 600_000)))).collect();
     client.write(&all);
-    let (_, first) = rig.next();
+    let (_, first) = rig.next_request();
     drop(client);
     let gone = Instant::now();
     first.closed();
@@ -181,17 +185,17 @@
 /// gone.
 #[test]
 fn a_request_whose_client_left_is_not_sent_on_when_its_total_comes() {
-    let rig = Rig::with(1, |config| {
+    let rig = Rig::with_config(1, |config| {
         roomy(config);
         config["settings"]["family-info"]["count-wait-ms"] = json!(20_000.0);
-        for class in config["settings"]["profiles"].as_array_mut().expect("classes") {
+        for class in config["settings"]["profiles"].as_array_mut().expect("JSON array") {
             (class["aim-ms"], class["deadline-ms"]) = (json!(600_000.0), json!(600_000.0));
         }
     });
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "paid", 60, 600_000)));
     let mut owed = rig.counter.next();
-    assert!(rig.idle(), "it did not wait for the total");
+    assert!(rig.backends_idle(), "it did not wait for the total");
     drop(client);
     assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
     sleep(Duration::from_millis(100));
@@ -202,11 +206,12 @@
 /// A client's end of sending alone is its end: the other side of a connection that was closed looks the same.
 #[test]
 fn a_client_that_ends_its_sending_has_gone() {
-    let rig = Rig::with(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
-    let mut stream = TcpStream::connect(rig.gateway.address).expect("the gateway listens");
-    stream.write_all(&command(&words(&call(1, "safe", "free", 1, 600_000)))).expect("it reads");
-    let (_, arrived) = rig.next();
-    stream.shutdown(std::net::Shutdown::Write).expect("it is open");
+    let rig =
+        Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
+    let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
+    stream.write_all(&command(&words(&call(1, "safe", "free", 1, 600_000)))).expect("write to the socket");
+    let (_, arrived) = rig.next_request();
+    stream.shutdown(std::net::Shutdown::Write).expect("socket is open");
     arrived.closed();
 }
 
@@ -214,12 +219,15 @@
 /// behind that.
 #[test]
 fn the_end_of_a_client_shows_while_an_answer_is_written() {
-    let rig = Rig::with(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
-    let mut stream = TcpStream::connect(rig.gateway.address).expect("the gateway listens");
+    let rig =
+        Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
+    let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
     for id in 1..3 {
-        stream.write_all(&command(&words(&call(id, "safe", "free", 1, 600_000)))).expect("it reads");
+        stream
+            .write_all(&command(&words(&call(id, "safe", "free", 1, 600_000))))
+            .expect("write to the socket");
     }
-    let (first, second) = (rig.next().1, rig.next().1);
+    let (first, second) = (rig.next_request().1, rig.next_request().1);
     let (mut first, second) = if first.words[2].ends_with('1') { (first, second) } else { (second, first) };
     // Far more than fits between the two; who writes it is held up, so it is a thread of its own.
     std::thread::spawn(move || {
@@ -230,7 +238,7 @@
     stream.read_exact(&mut begun).expect("the answer begins");
     sleep(QUIET);
     let gone = Instant::now();
-    stream.shutdown(std::net::Shutdown::Write).expect("it is open");
+    stream.shutdown(std::net::Shutdown::Write).expect("socket is open");
     second.closed();
     // A client that takes nothing is given up after 10 s.
     assert!(gone.elapsed() < Duration::from_secs(5), "{:?}", gone.elapsed());
@@ -240,13 +248,13 @@
 /// request.
 #[test]
 fn a_connection_that_has_just_answered_rests_before_the_next_request() {
-    let rig = Rig::with(1, |_| {});
+    let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let mut used_at_once = 0;
     let mut last: Option<(usize, Instant)> = None;
     for id in 0..50 {
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
-        let (_, mut arrived) = rig.next();
+        let (_, mut arrived) = rig.next_request();
         // From before the answer until after the next request: longer than the gateway's own time.
         if last.is_some_and(|(on, at)| on == arrived.connection && at.elapsed() < Duration::from_millis(20)) {
             used_at_once += 1;
@@ -261,17 +269,17 @@
 /// Guards against the same while the next request waits for the rest to end.
 #[test]
 fn a_second_answer_that_comes_while_a_connection_rests_is_not_the_next_requests() {
-    let rig = Rig::with(1, |_| {});
+    let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let mut in_time = 0;
     for id in 0..20 {
         client.send(&words(&call(2 * id, "safe", "free", 1, 8000)));
-        let (_, mut first) = rig.next();
+        let (_, mut first) = rig.next_request();
         first.serve("first");
         assert_eq!(client.read(), "first");
         client.send(&words(&call(2 * id + 1, "safe", "free", 1, 8000)));
         first.serve("first");
-        let (_, mut second) = rig.next();
+        let (_, mut second) = rig.next_request();
         second.serve("second");
         let answer = client.read();
         // Where this machine stood still, it came behind the next request.
@@ -286,7 +294,7 @@
 /// Guards against commands that are read in the last moment, sent on, and lost as the process ends.
 #[test]
 fn what_comes_when_the_drain_ends_is_answered_or_not_sent_on() {
-    let mut rig = Rig::with(1, |_| {});
+    let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     rig.gateway.terminate();
@@ -297,7 +305,7 @@
     while client.read() != "(end)" {
         answers += 1;
     }
-    assert!(rig.gateway.wait().success());
+    assert!(rig.gateway.wait_for_exit().success());
     let sent_on = std::iter::from_fn(|| rig.backends[0].taken()).count();
     assert!(sent_on <= answers, "{sent_on} sent on, {answers} answered");
     assert_eq!(sent_on, 32);
@@ -306,14 +314,14 @@
 /// Guards against a backend that works on a request until long after its gateway has ended.
 #[test]
 fn a_request_of_a_gateway_that_ends_is_told_no_more_time_than_that_has() {
-    let mut rig = Rig::with(1, |_| {});
+    let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     let begun = Instant::now();
     rig.gateway.terminate();
     let told = loop {
         client.send(&words(&call(begun.elapsed().as_micros() as u64 + 1, "safe", "free", 1, 8000)));
-        let (_, mut arrived) = rig.next();
+        let (_, mut arrived) = rig.next_request();
         let told = wait_of(&arrived.words[3]);
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
@@ -323,7 +331,7 @@
         }
     };
     assert!(told <= 3_300, "{told} ms");
-    assert!(rig.gateway.wait().success());
+    assert!(rig.gateway.wait_for_exit().success());
 }
 
 /// Descriptors for one client and one backend.
@@ -333,13 +341,13 @@
 
 /// A gateway whose one place is taken by a request that is open.
 fn taken() -> (Rig, Client, Arrived) {
-    let rig = Rig::with(1, narrow);
+    let rig = Rig::with_config(1, narrow);
     let mut kept = rig.gateway.client();
     while kept.ask_or_end(&["PING"]) != "+PONG" {
         kept = rig.gateway.client();
     }
     kept.send(&words(&call(1, "safe", "free", 1, 8000)));
-    let (_, arrived) = rig.next();
+    let (_, arrived) = rig.next_request();
     (rig, kept, arrived)
 }
 
@@ -359,7 +367,7 @@
         .collect();
     let answers: Vec<String> = line.iter_mut().map(Client::read).collect();
     assert!(answers.iter().all(|a| a == "-BUSY"), "{answers:?}");
-    assert!(rig.gateway.wait().success());
+    assert!(rig.gateway.wait_for_exit().success());
 }
 
 /// Guards against a connection that is turned away with its first request unread, and is reset: the answer
@@ -367,8 +375,8 @@
 #[test]
 fn a_connection_that_is_turned_away_ends_behind_its_answer_and_is_not_reset() {
     let (rig, _kept, _arrived) = taken();
-    let mut stream = TcpStream::connect(rig.gateway.address).expect("the gateway listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     stream.write_all(&command(&words(&call(2, "safe", "free", 1, 8000)))).expect("the machine accepts");
     let mut said = String::new();
     stream.read_to_string(&mut said).expect("an end, no reset");
@@ -379,20 +387,20 @@
 /// it does not name would be gone.
 #[test]
 fn an_answer_of_discovery_with_no_length_that_is_reset_is_none() {
-    let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let agent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let (counter, backends) = (StandIn::counter(), [StandIn::backend(), StandIn::backend()]);
     let known: Vec<_> = (0..).zip(&backends).map(|(i, b)| serving(i, b)).collect();
-    let config = config(agent.local_addr().expect("an address"), counter.address, &known);
+    let config = config(agent.local_addr().expect("socket address"), counter.address, &known);
     let gateway = Gateway::start(&config);
     let body = list(41, true, &known[..1]).to_string();
     for _ in 0..3 {
-        let (mut call, _) = agent.accept().expect("the gateway calls");
+        let (mut call, _) = agent.accept().expect("accept a call from the gateway");
         // Its request is not read, so that the end is a reset.
-        call.peek(&mut [0; 8]).expect("a request");
-        call.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes()).expect("it reads");
+        call.peek(&mut [0; 8]).expect("read the request");
+        call.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes()).expect("write to the socket");
     }
     // Asked once more, so it was not taken.
-    let _next = agent.accept().expect("the gateway calls again");
+    let _next = agent.accept().expect("accept another call from the gateway");
     let mut client = gateway.client();
     let mut met = [0; 2];
     for id in 0..40 {
@@ -411,13 +419,13 @@
     let (stuck, other) = (Stuck::new(), StandIn::backend());
     let ready = |status| endpoint("s-0", stuck.address, 1, status, 0.0);
     let both = [ready("SERVING"), serving(1, &other)];
-    let mut rig = Rig::with(1, |config| {
+    let mut rig = Rig::with_config(1, |config| {
         config["known"]["endpoints"] = json!(both);
         config["settings"]["policy-limits"]["connect-timeout-ms"] = json!(2_500.0);
     });
-    rig.told(&both);
+    rig.send_snapshot(&both);
     rig.backends = vec![other];
-    let pid = rig.gateway.id();
+    let pid = rig.gateway.pid();
     let port = format!(":{:04X}", stuck.address.port());
     // Requests go there and fail until it is ejected; the dial that follows a while without one is a probe's.
     let (begun, mut last, mut id) = (Instant::now(), Instant::now(), 0);
@@ -445,7 +453,7 @@
     }
     rig.agent.tell(&list(42, false, &[ready("DRAINING")]));
     // Behind the two that fill its line comes the gateway's, which ends with nothing written.
-    stuck.listener.set_nonblocking(true).expect("a listener");
+    stuck.listener.set_nonblocking(true).expect("listener");
     let (begun, mut accepted) = (Instant::now(), Vec::new());
     while accepted.len() < 3 {
         assert!(begun.elapsed() < PATIENCE, "the gateway's connection never came up");
@@ -455,8 +463,8 @@
         }
     }
     let late = &mut accepted[2];
-    late.set_nonblocking(false).expect("it is open here");
-    late.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    late.set_nonblocking(false).expect("socket is open");
+    late.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     match late.read(&mut [0; 64]) {
         Ok(n) => assert_eq!(n, 0, "probed while it drains"),
         Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "{e}"),
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -1,20 +1,20 @@
 //! The list from discovery at the size of a large fleet, and what is wrong with it.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use net::*;
+use gateway_rig::*;
 use serde_json::Value;
 
 /// Guards against versions that go back again and again, each asked about at once, by a whole fleet.
 #[test]
 fn versions_that_go_back_in_turn_are_asked_about_with_pauses() {
-    let rig = Rig::with(1, |_| {});
-    rig.told(&[serving(0, &rig.backends[0])]);
+    let rig = Rig::with_config(1, |_| {});
+    rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let begun = Instant::now();
     for turn in 0..5 {
         rig.agent.tell(&list(30 - turn, false, &[]));
@@ -28,8 +28,12 @@
 
 #[test]
 fn lines_that_cannot_be_read_are_named_and_what_is_known_of_them_stays() {
-    let mut rig = Rig::with(3, |_| {});
-    rig.told(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1]), serving(2, &rig.backends[2])]);
+    let mut rig = Rig::with_config(3, |_| {});
+    rig.send_snapshot(&[
+        serving(0, &rig.backends[0]),
+        serving(1, &rig.backends[1]),
+        serving(2, &rig.backends[2]),
+    ]);
     // A whole list: of the first a line that is wrong, of the second none, of the third two.
     let mut wrong = serving(0, &rig.backends[0]);
     wrong["group"] = "first".into();
@@ -37,7 +41,7 @@
     stale["address"] = "127.0.0.1:1".into();
     rig.agent.tell(&list(42, true, &[wrong, stale, third]));
     for part in ["endpoints[0] \"s-0\": invalid type", "endpoints[1] \"s-2\": named again by endpoints[2]"] {
-        let line = rig.gateway.logged();
+        let line = rig.gateway.next_log_line();
         assert!(line.contains("discovery") && line.contains(part), "{line}");
     }
     let mut client = rig.gateway.client();
@@ -51,8 +55,8 @@
 
 #[test]
 fn an_answer_that_is_cut_short_is_named_once_and_the_list_held_stays() {
-    let mut rig = Rig::with(2, |_| {});
-    rig.told(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
+    let mut rig = Rig::with_config(2, |_| {});
+    rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let ten_thousand: Vec<Value> = (0..10_000)
         .map(|n| endpoint(&format!("t-{n}"), rig.backends[0].address, n / 10, "SERVING", 0.0))
         .collect();
@@ -62,7 +66,7 @@
         rig.agent.answer(&whole[..whole.len() / 2]);
         rig.agent.asked(before + 1);
     }
-    let line = rig.gateway.logged();
+    let line = rig.gateway.next_log_line();
     assert!(line.contains("discovery: EOF while parsing") && line.contains("stays in force"), "{line}");
     let mut client = rig.gateway.client();
     for id in 0..10 {
@@ -74,19 +78,19 @@
     wrong["weight"] = "much".into();
     rig.agent.tell(&list(43, false, &[wrong]));
     // The next thing that it says: the two others were no reason to.
-    let line = rig.gateway.logged();
+    let line = rig.gateway.next_log_line();
     assert!(line.contains("\"t-0\": invalid type"), "{line}");
     assert_eq!(rig.serve_one(&mut client, 100).0, 0);
-    assert!(rig.gateway.runs());
+    assert!(rig.gateway.is_running());
 }
 
 /// Guards against a start that fails for one line of its own list.
 #[test]
 fn a_known_list_with_a_line_that_is_wrong_starts_without_that_line() {
-    let mut rig = Rig::with(2, |config| {
+    let mut rig = Rig::with_config(2, |config| {
         config["known"]["endpoints"][0]["address"] = "s-0.room:80".into();
     });
-    let line = rig.gateway.logged();
+    let line = rig.gateway.next_log_line();
     assert!(line.contains("known: endpoints[0] \"s-0\": invalid socket address"), "{line}");
     let mut client = rig.gateway.client();
     for id in 0..5 {
@@ -96,16 +100,16 @@
 
 /// The next call for the whole list, on a connection of its own.
 fn whole_list_asked_for(agent: &TcpListener) -> TcpStream {
-    let (mut stream, _) = agent.accept().expect("the gateway calls");
+    let (mut stream, _) = agent.accept().expect("accept a call from the gateway");
     let mut line = String::new();
-    BufReader::new(&mut stream).read_line(&mut line).expect("a line");
+    BufReader::new(&mut stream).read_line(&mut line).expect("read a line");
     assert!(line.starts_with("GET /discovery/hosts HTTP"), "{line}");
     stream
 }
 
 /// Whether the gateway still waits on a connection.
 fn waits(stream: &mut TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("it is open here");
+    stream.set_nonblocking(true).expect("socket is open");
     let mut rest = [0; 1024];
     loop {
         match stream.read(&mut rest) {
@@ -119,7 +123,7 @@
 /// Answers a call; whether the gateway took the list and watches on that connection.
 fn told(call: &mut TcpStream, backend: &StandIn) -> bool {
     let body = list(7, true, &[serving(0, backend)]).to_string();
-    call.set_nonblocking(false).expect("it is open here");
+    call.set_nonblocking(false).expect("socket is open");
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     let mut watch = String::new();
     call.write_all((head + &body).as_bytes()).is_ok()
@@ -131,9 +135,9 @@
 #[test]
 fn a_discovery_that_fell_silent_is_asked_anew_while_calls_stay_open_and_any_answer_is_taken() {
     for answers in 0..2 {
-        let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let agent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let (counter, backend) = (StandIn::counter(), StandIn::backend());
-        let config = config(agent.local_addr().expect("an address"), counter.address, &[]);
+        let config = config(agent.local_addr().expect("socket address"), counter.address, &[]);
         let gateway = Gateway::start(&config);
         let mut calls = vec![whole_list_asked_for(&agent)];
         // It is back for the first of two that are open, or for the second. Where this machine stands still
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -1,27 +1,27 @@
 //! The second address of the built gateway: calls and their answers, bans, a drain, on loopback sockets.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use net::address::own_address;
-use net::*;
+use gateway_rig::loopback_address::unused_loopback_address;
+use gateway_rig::*;
 use serde_json::json;
 
 fn managed(backends: usize) -> (Rig, SocketAddr) {
-    let at = own_address();
-    (Rig::with(backends, |config| config["management"] = json!(at.to_string())), at)
+    let at = unused_loopback_address();
+    (Rig::with_config(backends, |config| config["management"] = json!(at.to_string())), at)
 }
 
 fn say(at: SocketAddr, line: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    stream.write_all(line).expect("it reads");
+    let mut stream = TcpStream::connect(at).expect("connect to the gateway");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.write_all(line).expect("write to the socket");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream.read_to_string(&mut answer).expect("read the response");
     assert!(answer.ends_with("\r\n") && answer.matches('\n').count() == 1, "one line: {answer:?}");
     answer
 }
@@ -57,11 +57,11 @@
     }
     assert!(say(at, b"DISABLE \xff\xfe\n").contains("a line of text"));
     // Half a call that ends.
-    let mut half = TcpStream::connect(at).expect("it listens");
-    half.write_all(b"DRA").expect("it reads");
-    half.shutdown(std::net::Shutdown::Write).expect("open");
+    let mut half = TcpStream::connect(at).expect("connect to the gateway");
+    half.write_all(b"DRA").expect("write to the socket");
+    half.shutdown(std::net::Shutdown::Write).expect("socket is open");
     let mut answer = String::new();
-    half.read_to_string(&mut answer).expect("an answer");
+    half.read_to_string(&mut answer).expect("read the response");
     assert!(answer.starts_with("FAILURE"), "{answer}");
     assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
 }
@@ -71,8 +71,8 @@
     let (rig, at) = managed(1);
     let silent: Vec<TcpStream> = (0..100)
         .map(|i| {
-            let mut stream = TcpStream::connect(at).expect("it listens");
-            stream.write_all(if i % 2 == 0 { b"" } else { b"REA" }).expect("it reads");
+            let mut stream = TcpStream::connect(at).expect("connect to the gateway");
+            stream.write_all(if i % 2 == 0 { b"" } else { b"REA" }).expect("write to the socket");
             stream
         })
         .collect();
@@ -90,7 +90,7 @@
         let line = |i: usize| endpoint(&format!("s-{i}"), rig.backends[i].address, 1, "SERVING", since);
         [line(0), line(1)]
     };
-    rig.told(&both(0.0));
+    rig.send_snapshot(&both(0.0));
     let mut client = rig.gateway.client();
     yes(at, "DISABLE s-0");
     assert!(yes(at, "DISABLE s-0").contains("already"));
@@ -125,7 +125,7 @@
 #[test]
 fn a_connection_from_before_the_ban_is_not_used_after_it() {
     let (rig, at) = managed(1);
-    rig.told(&[serving(0, &rig.backends[0])]);
+    rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     let (_, before) = rig.serve_one(&mut client, 1);
     yes(at, "DISABLE s-0");
@@ -140,7 +140,7 @@
     let (rig, at) = managed(1);
     let (mut client, mut idle) = (rig.gateway.client(), rig.gateway.client());
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
-    let (_, mut arrived) = rig.next();
+    let (_, mut arrived) = rig.next_request();
     yes(at, "DRAIN");
     assert!(rig.gateway.client().ask(&["PING"]).starts_with("-ERR"));
     assert!(no(at, "READY").contains("drained"));
--- a/crates/gateway/tests/recorded_client_errors.rs
+++ b/crates/gateway/tests/recorded_client_errors.rs
@@ -1,8 +1,8 @@
 //! The bytes that clients get for what is no request of the service, as an earlier program sent them
 //! (`tests/data/bad_commands.txt`).
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 #[path = "support/recorded.rs"]
 mod recorded;
 
@@ -10,19 +10,19 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use net::*;
+use gateway_rig::*;
 
 /// The longest part of a command that is shown in the record.
 const SHOWN_MOST: usize = 120;
 
 /// All that comes for some bytes and a `PING` behind them, to the answer of that or the connection's end.
 fn answered(at: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    stream.write_all(&[bytes, &command(&["PING"])].concat()).expect("it reads");
+    let mut stream = TcpStream::connect(at).expect("connect to the gateway");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.write_all(&[bytes, &command(&["PING"])].concat()).expect("write to the socket");
     let (mut all, mut piece) = (Vec::new(), [0; 1024]);
     loop {
-        match stream.read(&mut piece).expect("an answer") {
+        match stream.read(&mut piece).expect("read the response") {
             0 => return format!("{}(end)", all.escape_ascii()),
             n => all.extend_from_slice(&piece[..n]),
         }
@@ -135,13 +135,13 @@
 
 #[test]
 fn what_is_no_request_is_answered_with_the_recorded_bytes() {
-    let rig = Rig::with(1, |_| {});
+    let rig = Rig::with_config(1, |_| {});
     let mut seen = String::new();
     for bytes in malformed().into_iter().chain(unknown()) {
         let shown = bytes[..bytes.len().min(SHOWN_MOST)].escape_ascii().to_string();
         let answer = answered(rig.gateway.address, &bytes);
-        writeln!(seen, "{shown} ({} bytes)\n  -> {answer}", bytes.len()).expect("room");
+        writeln!(seen, "{shown} ({} bytes)\n  -> {answer}", bytes.len()).expect("write to a string");
     }
-    assert!(rig.idle(), "something was sent on");
+    assert!(rig.backends_idle(), "something was sent on");
     recorded::assert_recorded("bad_commands.txt", &seen);
 }
--- a/crates/gateway/tests/recorded_configuration_errors.rs
+++ b/crates/gateway/tests/recorded_configuration_errors.rs
@@ -1,18 +1,18 @@
 //! The configuration file: a full sample (`tests/data/configuration.json`), and what is said where one of its
 //! keys is missing or wrong (`tests/data/configuration_errors.txt`), as an earlier program said it.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 #[path = "support/recorded.rs"]
 mod recorded;
 
 use std::fmt::Write as _;
 
-use net::*;
+use gateway_rig::*;
 use serde_json::{json, Value};
 
 fn sample() -> Value {
-    serde_json::from_str(&recorded::text("configuration.json")).expect("JSON")
+    serde_json::from_str(&recorded::text("configuration.json")).expect("valid JSON")
 }
 
 /// The places of all values, sections before what is in them; of lists the first element alone.
@@ -30,10 +30,10 @@
 
 fn without(place: &str) -> Value {
     let mut file = sample();
-    let (section, key) = place.rsplit_once('/').expect("a place");
-    match file.pointer_mut(section).expect("a section") {
+    let (section, key) = place.rsplit_once('/').expect("JSON pointer");
+    match file.pointer_mut(section).expect("JSON object") {
         Value::Object(map) => drop(map.remove(key)),
-        Value::Array(list) => drop(list.remove(key.parse().expect("a number"))),
+        Value::Array(list) => drop(list.remove(key.parse().expect("number"))),
         other => panic!("{place}: {other}"),
     }
     file
@@ -41,7 +41,7 @@
 
 fn with(place: &str, value: Value) -> Value {
     let mut file = sample();
-    *file.pointer_mut(place).expect("a place") = value;
+    *file.pointer_mut(place).expect("JSON pointer") = value;
     file
 }
 
@@ -63,15 +63,17 @@
     places(&sample(), "", &mut all);
     let mut seen = String::new();
     for place in all {
-        writeln!(seen, "{place} missing: {}", wrong(&without(&place).to_string())).expect("room");
+        writeln!(seen, "{place} missing: {}", wrong(&without(&place).to_string()))
+            .expect("write to a string");
         let values = [json!("x"), json!(-1), json!(1.5), json!(true), json!(null), json!({}), json!([])];
         for value in values {
             let shown = value.to_string();
-            writeln!(seen, "{place} {shown}: {}", wrong(&with(&place, value).to_string())).expect("room");
+            writeln!(seen, "{place} {shown}: {}", wrong(&with(&place, value).to_string()))
+                .expect("write to a string");
         }
     }
     for text in ["", "{", "[]", "1", "null", "{}", "{\"known\":", "\u{fffd}"] {
-        writeln!(seen, "{text:?}: {}", wrong(text)).expect("room");
+        writeln!(seen, "{text:?}: {}", wrong(text)).expect("write to a string");
     }
     recorded::assert_recorded("configuration_errors.txt", &seen);
 }
@@ -99,12 +101,12 @@
     ];
     let mut seen = String::new();
     for (name, text) in texts {
-        let (process, _file) = process(&text);
-        let output = process.wait_with_output().expect("a child");
+        let (process, _file) = spawn_gateway(&text);
+        let output = process.wait_with_output().expect("child process");
         assert!(output.stdout.is_empty(), "{name}");
-        let said = String::from_utf8(output.stderr).expect("text");
+        let said = String::from_utf8(output.stderr).expect("UTF-8 text");
         let said = recorded::under_recorded_name(&said);
-        write!(seen, "{name} ({:?}): {said}", output.status.code()).expect("room");
+        write!(seen, "{name} ({:?}): {said}", output.status.code()).expect("write to a string");
     }
     recorded::assert_recorded("start_errors.txt", &seen);
 }
--- a/crates/gateway/tests/recorded_state_files.rs
+++ b/crates/gateway/tests/recorded_state_files.rs
@@ -1,8 +1,8 @@
 //! The folder that the processes of one gateway share: names of its files, and their bytes, as an earlier
 //! program wrote them (`tests/data/state`).
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 #[path = "support/recorded.rs"]
 mod recorded;
 
@@ -14,8 +14,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use net::address::own_address;
-use net::*;
+use gateway_rig::loopback_address::unused_loopback_address;
+use gateway_rig::*;
 use serde_json::{json, Value};
 
 /// The folder of a gateway that listens at `127.0.0.1:0`.
@@ -38,23 +38,23 @@
     }
 
     fn start_with(under: &Path, change: impl FnOnce(&mut Value)) -> Managed {
-        let at = own_address();
+        let at = unused_loopback_address();
         let change = |config: &mut Value| {
             config["management"] = json!(at.to_string());
             change(config);
         };
-        let rig = Rig::with_as(3, change, |command: &mut Command| {
+        let rig = Rig::with_command(3, change, |command: &mut Command| {
             command.env("TMPDIR", under);
         });
         Managed { rig, at }
     }
 
     fn say(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.at).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        stream.write_all(format!("{line}\n").as_bytes()).expect("it reads");
+        let mut stream = TcpStream::connect(self.at).expect("connect to the gateway");
+        stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+        stream.write_all(format!("{line}\n").as_bytes()).expect("write to the socket");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
+        stream.read_to_string(&mut answer).expect("read the response");
         answer
     }
 
@@ -71,7 +71,12 @@
         Some((kind, number)) if number.parse::<u64>().is_ok() => format!("{kind}-N"),
         _ => name,
     };
-    let mut all: Vec<String> = fs::read_dir(folder).expect("there").flatten().map(name).map(plain).collect();
+    let mut all: Vec<String> = fs::read_dir(folder)
+        .expect("state directory or file exists")
+        .flatten()
+        .map(name)
+        .map(plain)
+        .collect();
     all.sort();
     all.dedup();
     all
@@ -101,7 +106,7 @@
 
     fn text(&mut self) -> String {
         let length = self.whole();
-        String::from_utf8((0..length).map(|_| self.byte()).collect()).expect("text")
+        String::from_utf8((0..length).map(|_| self.byte()).collect()).expect("UTF-8 text")
     }
 
     fn number(&mut self) -> f64 {
@@ -142,26 +147,27 @@
 
 #[test]
 fn a_book_written_for_the_same_calls_has_the_recorded_fields_and_length() {
-    let under = tempfile::tempdir().expect("a folder");
+    let under = tempfile::tempdir().expect("create a temporary directory");
     let managed = Managed::start(under.path());
     for call in ["DISABLE s-0", "DISABLE s-1", "ENABLE s-1", "DRAIN"] {
         managed.yes(call);
     }
     let folder = under.path().join(FOLDER);
     assert_eq!(names(&folder), ["book", "book.lock", "life-N"]);
-    let drained = fs::read(folder.join("book")).expect("there");
+    let drained = fs::read(folder.join("book")).expect("state directory or file exists");
     assert!(book_fields(&drained).drained);
     managed.yes("UNDRAIN");
-    let written = fs::read(folder.join("book")).expect("there");
+    let written = fs::read(folder.join("book")).expect("state directory or file exists");
     let _ = fs::write(Path::new(env!("CARGO_TARGET_TMPDIR")).join("book"), &written);
-    let recorded = fs::read(recorded::file("state/book")).expect("recorded");
+    let recorded = fs::read(recorded::path("state/book")).expect("recorded file");
     assert_eq!(book_fields(&written), book_fields(&recorded));
     assert_eq!(drained.len(), written.len() + size_of::<f64>());
 }
 
 /// The files in a folder that a process that ended left for others.
 fn left(folder: &Path) -> Vec<PathBuf> {
-    let files = fs::read_dir(folder).expect("there").flatten().map(|entry| entry.path());
+    let files =
+        fs::read_dir(folder).expect("state directory or file exists").flatten().map(|entry| entry.path());
     files
         .filter(|path| path.file_name().is_some_and(|n| n.to_string_lossy().starts_with("untold-")))
         .collect()
@@ -169,41 +175,41 @@
 
 #[test]
 fn charges_that_a_process_leaves_have_the_recorded_bytes() {
-    let under = tempfile::tempdir().expect("a folder");
+    let under = tempfile::tempdir().expect("create a temporary directory");
     let folder = under.path().join(FOLDER);
     // It lives, but takes nothing over.
     let other = Managed::start(under.path());
-    let stopped = other.rig.gateway.id().to_string();
-    assert!(Command::new("kill").args(["-STOP", &stopped]).status().expect("kill").success());
+    let stopped = other.rig.gateway.pid().to_string();
+    assert!(Command::new("kill").args(["-STOP", &stopped]).status().expect("run kill").success());
     // A counter that can't be reached: the charge is told to nobody.
-    let nobody = own_address();
+    let nobody = unused_loopback_address();
     let mut ends = Managed::start_with(under.path(), |config| config["counter"] = json!(nobody.to_string()));
     let mut client = ends.rig.gateway.client();
     let mut asked = call(1, "safe", "paid", 3, 8000);
     asked[1] = CUSTOMER.to_string();
     client.send(&words(&asked));
-    ends.rig.next().1.serve("fine");
+    ends.rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
     ends.rig.gateway.terminate();
-    assert!(ends.rig.gateway.wait().success());
+    assert!(ends.rig.gateway.wait_for_exit().success());
     let left = left(&folder);
     assert_eq!(left.len(), 1, "{:?}", names(&folder));
-    let written = fs::read(&left[0]).expect("there");
+    let written = fs::read(&left[0]).expect("state directory or file exists");
     let _ = fs::write(Path::new(env!("CARGO_TARGET_TMPDIR")).join("untold-1"), &written);
-    assert_eq!(written, fs::read(recorded::file("state/untold-1")).expect("recorded"));
+    assert_eq!(written, fs::read(recorded::path("state/untold-1")).expect("recorded file"));
     assert_eq!(names(&folder), ["life-N", "untold-N"]);
 }
 
 #[test]
 fn a_folder_that_an_earlier_program_left_is_in_force() {
-    let under = tempfile::tempdir().expect("a folder");
+    let under = tempfile::tempdir().expect("create a temporary directory");
     let folder = under.path().join(FOLDER);
-    fs::create_dir_all(&folder).expect("room");
+    fs::create_dir_all(&folder).expect("create the directory");
     for name in ["book", "untold-1"] {
-        fs::copy(recorded::file("state").join(name), folder.join(name)).expect("recorded");
+        fs::copy(recorded::path("state").join(name), folder.join(name)).expect("recorded file");
     }
     // A process that ended, however it did.
-    fs::write(folder.join("life-1"), "").expect("room");
+    fs::write(folder.join("life-1"), "").expect("write the file");
     let managed = Managed::start(under.path());
     let mut client = managed.rig.gateway.client();
     for id in 1..9 {
@@ -225,9 +231,9 @@
     client.send(&words(&asked));
     let mut bump = managed.rig.counter.next();
     assert_eq!(bump.words[0], "bump");
-    let told: f64 = bump.words[2].parse().expect("a number");
+    let told: f64 = bump.words[2].parse().expect("number");
     assert!(told > 3.5 && told <= 4.0, "{:?}", bump.words);
     bump.say("ok 4\r\n");
-    managed.rig.next().1.serve("fine");
+    managed.rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
 }
--- a/crates/gateway/tests/run_command.rs
+++ b/crates/gateway/tests/run_command.rs
@@ -1,13 +1,13 @@
 //! A gateway started as the platform's `run` does: nothing of what is switched on elsewhere is on.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use net::*;
+use gateway_rig::*;
 use serde_json::json;
 
 /// What `run` says behind the program's name.
@@ -24,7 +24,7 @@
 /// Sockets of a process in a table of the system's, by the column that tells their state.
 fn sockets(pid: u32, table: &str, state: Option<&str>) -> usize {
     let link = |entry: std::fs::DirEntry| std::fs::read_link(entry.path()).ok();
-    let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("it runs");
+    let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("read procfs of the gateway process");
     let held: HashSet<PathBuf> = folder.flatten().filter_map(link).collect();
     let text = std::fs::read_to_string(format!("/proc/{pid}/net/{table}")).unwrap_or_default();
     let of = |line: &&str| {
@@ -39,7 +39,7 @@
 /// Guards against a pause of seconds in which a discovery that is back can tell it nothing.
 #[test]
 fn a_call_that_discovery_left_unanswered_is_followed_by_the_next_at_once_in_any_fleet() {
-    let rig = Rig::with(1, |config| config["settings"]["group-size"] = json!(300));
+    let rig = Rig::with_config(1, |config| config["settings"]["group-size"] = json!(300));
     rig.agent.asked(1);
     let first = Instant::now();
     rig.agent.asked(2);
@@ -53,7 +53,7 @@
     // `Rig` starts the program without a word, and without a variable but that of the configuration.
     assert!(words_of_run().is_empty(), "`run` names no operators' file");
     let begun = Instant::now();
-    let rig = Rig::with(2, |config| {
+    let rig = Rig::with_config(2, |config| {
         config["settings"]["group-size"] = json!(300);
         config["settings"]["me"] = json!(299);
     });
@@ -63,13 +63,13 @@
     assert!(first < Duration::from_secs(3), "its slot of 6.6 s was waited for: {first:?}");
     let asked = &rig.agent.calls()[0];
     assert!(asked.contains("after=1&wait_ms=4000"), "{asked}");
-    rig.told(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
+    rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     // Backends: with no turn waited for, and as many connections at once as requests want.
     let mut clients: Vec<Client> = (0..6).map(|_| rig.gateway.client()).collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
     }
-    let mut arrived: Vec<Arrived> = clients.iter().map(|_| rig.next().1).collect();
+    let mut arrived: Vec<Arrived> = clients.iter().map(|_| rig.next_request().1).collect();
     for a in &mut arrived {
         a.serve("fine");
     }
@@ -82,11 +82,11 @@
         let mut bump = rig.counter.next();
         assert_eq!((bump.words[0].as_str(), bump.words[2].as_str()), ("bump", "1"));
         bump.say("ok 1\r\n");
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(clients[0].read(), "fine");
     }
     // One socket that clients come to, and no datagram could be sent.
-    let pid = rig.gateway.id();
+    let pid = rig.gateway.pid();
     assert_eq!(sockets(pid, "tcp", Some("0A")) + sockets(pid, "tcp6", Some("0A")), 1);
     assert_eq!(sockets(pid, "udp", None) + sockets(pid, "udp6", None), 0);
 }
--- a/crates/gateway/tests/settings_reload.rs
+++ b/crates/gateway/tests/settings_reload.rs
@@ -1,11 +1,11 @@
 //! Settings that change while the built gateway serves, on loopback sockets.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::time::Instant;
 
-use net::*;
+use gateway_rig::*;
 use serde_json::{json, Value};
 
 /// A file with one more class, named `new`, that is safe.
@@ -13,15 +13,15 @@
     let mut config = config.clone();
     let mut class = config["settings"]["profiles"][0].clone();
     class["name"] = json!("new");
-    config["settings"]["profiles"].as_array_mut().expect("a list").push(class);
+    config["settings"]["profiles"].as_array_mut().expect("JSON array").push(class);
     config
 }
 
 /// Has the file read, and waits until the log says what became of it.
 fn configure(rig: &mut Rig, text: &str) -> String {
-    rig.gateway.configure(text);
+    rig.gateway.reload(text);
     loop {
-        let line = rig.gateway.logged();
+        let line = rig.gateway.next_log_line();
         if line.contains("SIGHUP") {
             return line;
         }
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_class_is_added_and_dropped_and_open_requests_keep_theirs() {
-    let mut rig = Rig::with(1, |_| {});
+    let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     assert!(ask(&rig, &mut client, 1, "new").starts_with("-ERR unknown class"));
     let (with, without) = (with_class(&rig.config), rig.config.clone());
@@ -61,39 +61,39 @@
     let mut words_of = call(3, "safe", "free", 1, 8000);
     words_of[3] = words_of[3].replace("c=safe", "c=new");
     open.send(&words(&words_of));
-    let (_, mut arrived) = rig.next();
+    let (_, mut arrived) = rig.next_request();
     assert!(configure(&mut rig, &without.to_string()).contains("in force"));
     assert!(ask(&rig, &mut client, 4, "new").starts_with("-ERR unknown class"));
     arrived.say("-ERR failed\r\n");
     // Safe to repeat, as it was when it came: another attempt.
-    let (_, mut again) = rig.next();
+    let (_, mut again) = rig.next_request();
     again.serve("fine");
     assert_eq!(open.read(), "fine");
 }
 
 #[test]
 fn the_number_of_attempts_binds_from_then_on_and_not_before() {
-    let mut rig = Rig::with(2, |_| {});
+    let mut rig = Rig::with_config(2, |_| {});
     let (mut before, mut after) = (rig.gateway.client(), rig.gateway.client());
     before.send(&words(&call(1, "safe", "free", 1, 8000)));
-    let (_, mut first) = rig.next();
+    let (_, mut first) = rig.next_request();
     let mut one = rig.config.clone();
     one["settings"]["policy-limits"]["max-attempts"] = json!(1);
     assert!(configure(&mut rig, &one.to_string()).contains("in force"));
     first.say("-ERR failed\r\n");
-    let (_, mut second) = rig.next();
+    let (_, mut second) = rig.next_request();
     second.serve("fine");
     assert_eq!(before.read(), "fine");
     after.send(&words(&call(2, "safe", "free", 1, 8000)));
-    let (_, mut only) = rig.next();
+    let (_, mut only) = rig.next_request();
     only.say("-ERR failed\r\n");
     assert!(after.read().starts_with('-'), "no second attempt");
-    assert!(rig.idle());
+    assert!(rig.backends_idle());
 }
 
 #[test]
 fn a_class_whose_effect_changes_binds_the_requests_that_come_after() {
-    let mut rig = Rig::with(2, |_| {});
+    let mut rig = Rig::with_config(2, |_| {});
     let mut client = rig.gateway.client();
     let mut other = rig.config.clone();
     other["settings"]["profiles"][2]["effect"] = json!("idempotency_key");
@@ -102,16 +102,16 @@
     let mut words_of = call(1, "unsafe", "free", 1, 8000);
     words_of[3] += ",k=5c0f6e1a2b3d4c59";
     client.send(&words(&words_of));
-    let (_, mut first) = rig.next();
+    let (_, mut first) = rig.next_request();
     first.say("-ERR failed\r\n");
-    let (_, mut second) = rig.next();
+    let (_, mut second) = rig.next_request();
     second.serve("fine");
     assert_eq!(client.read(), "fine");
 }
 
 #[test]
 fn files_that_are_wrong_anywhere_are_turned_down_whole() {
-    let mut rig = Rig::with(1, |_| {});
+    let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let good = with_class(&rig.config);
     let mut wrong: Vec<(String, &str)> = vec![(String::new(), "not JSON"), ("{}".to_string(), "missing")];
@@ -121,7 +121,7 @@
     }
     let mut change = |place: &str, value: Value, why: &'static str| {
         let mut file = good.clone();
-        *file.pointer_mut(place).expect("a key") = value;
+        *file.pointer_mut(place).expect("key exists") = value;
         wrong.push((file.to_string(), why));
     };
     change("/settings/profiles/1/deadline-ms", json!(0), "classes[1]");
@@ -133,7 +133,7 @@
     for (section, key) in [("/settings/profiles/3", "aim-ms"), ("/settings", "prices"), ("/limits", "cores")]
     {
         let mut file = good.clone();
-        file.pointer_mut(section).and_then(Value::as_object_mut).expect("a section").remove(key);
+        file.pointer_mut(section).and_then(Value::as_object_mut).expect("JSON object").remove(key);
         wrong.push((file.to_string(), key));
     }
     let nan = text.replacen("4000.0", "NaN", 1);
--- a/crates/gateway/tests/shared_counter.rs
+++ b/crates/gateway/tests/shared_counter.rs
@@ -1,12 +1,12 @@
 //! The built gateway and the shared counter's troubles, on loopback sockets.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::thread::sleep;
 use std::time::Duration;
 
-use net::*;
+use gateway_rig::*;
 use serde_json::json;
 
 /// Longer than the gateway keeps off a counter whose connection broke once.
@@ -40,12 +40,12 @@
 #[test]
 fn a_silent_counter_does_not_hold_a_request_and_its_late_answer_is_nobody_elses() {
     within_a_window(|| {
-        let rig = Rig::with(1, roomy);
+        let rig = Rig::with_config(1, roomy);
         let mut client = rig.gateway.client();
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         let mut late = rig.counter.next();
         // No answer in time: the store decides alone.
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         let mut bump = until_called(&rig, &mut client);
         if late.words[1] != bump.words[1] {
@@ -54,7 +54,7 @@
         assert_eq!(late.connection, bump.connection);
         late.say("ok 5000\r\n");
         bump.say("ok 180\r\n");
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         Some(())
     });
@@ -63,20 +63,20 @@
 #[test]
 fn a_connection_on_which_the_counter_stays_silent_is_replaced() {
     within_a_window(|| {
-        let rig = Rig::with(1, |config| {
+        let rig = Rig::with_config(1, |config| {
             roomy(config);
             config["settings"]["family-info"]["count-wait-ms"] = json!(30.0);
         });
         let mut client = rig.gateway.client();
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         let silent = rig.counter.next();
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         sleep(STALLED);
         // Calls that come now find the silent one before them.
         for id in 2..6 {
             client.send(&words(&call(id, "safe", "paid", 60, 8000)));
-            rig.next().1.serve("fine");
+            rig.next_request().1.serve("fine");
             assert_eq!(client.read(), "fine");
         }
         while let Some(bump) = rig.counter.taken() {
@@ -93,13 +93,13 @@
 
 #[test]
 fn what_a_busy_counter_turned_away_is_told_again() {
-    let rig = Rig::with(1, roomy);
+    let rig = Rig::with_config(1, roomy);
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "paid", 60, 8000)));
     rig.counter.next().say("busy\r\n");
-    rig.next().1.serve("fine");
+    rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
-    let amount: f64 = until_called(&rig, &mut client).words[2].parse().expect("a number");
+    let amount: f64 = until_called(&rig, &mut client).words[2].parse().expect("number");
     assert!(amount >= 120.0, "{amount}");
 }
 
@@ -107,12 +107,12 @@
 fn what_a_counter_may_have_added_is_not_told_again_and_a_fresh_connection_asks_at_once() {
     // A connection that breaks after the call, answers that can't be read, and one that does not end.
     for odd in ["", "ok NaN\r\n", "ok 1x\r\n", "oo"] {
-        let rig = Rig::with(1, roomy);
+        let rig = Rig::with_config(1, roomy);
         let mut client = rig.gateway.client();
         // One that is answered well, so that the counter was heard before it breaks.
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         rig.counter.next().say("ok 60\r\n");
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         client.send(&words(&call(2, "safe", "paid", 60, 8000)));
         let mut bump = rig.counter.next();
@@ -120,14 +120,14 @@
         if odd.is_empty() {
             bump.close();
         }
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         bump.closed();
         // Each request calls as before: nothing speaks of a busy counter.
         client.send(&words(&call(3, "safe", "paid", 60, 8000)));
         let next = rig.counter.next();
         assert_ne!(next.connection, bump.connection, "{odd:?}");
-        let amount: f64 = next.words[2].parse().expect("a number");
+        let amount: f64 = next.words[2].parse().expect("number");
         assert!(amount < 120.0, "{odd:?}: {amount}");
     }
 }
@@ -144,14 +144,14 @@
 #[test]
 fn a_burst_that_is_turned_away_counts_once_and_customers_near_their_quota_are_still_asked_for() {
     const BURST: u64 = 8;
-    let rig = Rig::with(1, roomy);
+    let rig = Rig::with_config(1, roomy);
     let mut client = rig.gateway.client();
     let mut asked_for = |id| {
         client.send(&words(&of_customer(1, id)));
         let mut bump = rig.counter.next();
         let amount = bump.words[2].clone();
         bump.say(&format!("ok {amount}\r\n"));
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     };
     // Its totals tell that it asks for more than its rate.
@@ -165,7 +165,7 @@
     for mut bump in out.into_iter() {
         bump.say("busy\r\n");
     }
-    (0..BURST).for_each(|_| rig.next().1.serve("fine"));
+    (0..BURST).for_each(|_| rig.next_request().1.serve("fine"));
     for other in &mut others {
         assert_eq!(other.read(), "fine");
     }
@@ -176,7 +176,7 @@
 #[test]
 fn the_charge_of_a_request_that_the_total_refused_is_taken_back_at_once() {
     within_a_window(|| {
-        let rig = Rig::with(1, roomy);
+        let rig = Rig::with_config(1, roomy);
         let mut client = rig.gateway.client();
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         let mut bump = rig.counter.next();
@@ -192,14 +192,14 @@
 #[test]
 fn requests_pass_by_the_store_alone_while_the_counter_refuses_connections() {
     let (_held, gone) = refusing();
-    let rig = Rig::with(1, |config| {
+    let rig = Rig::with_config(1, |config| {
         roomy(config);
         config["counter"] = json!(gone.to_string());
     });
     let mut client = rig.gateway.client();
     for id in 1..4 {
         client.send(&words(&call(id, "safe", "paid", 60, 8000)));
-        rig.next().1.serve("fine");
+        rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     }
 }
--- a/crates/gateway/tests/support/gateway_rig.rs
+++ b/crates/gateway/tests/support/gateway_rig.rs
@@ -1,4 +1,4 @@
-//! The built gateway between scripted stand-ins, all on loopback sockets.
+//! Runs the built gateway against scripted stand-ins, all on loopback sockets.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Write};
@@ -10,64 +10,72 @@
 use serde_json::Value;
 pub use testbed::scripted::*;
 
-#[path = "address.rs"]
-pub mod address;
+#[path = "loopback_address.rs"]
+pub mod loopback_address;
 
-/// A running gateway.
+/// A running gateway process. It is killed on drop.
 pub struct Gateway {
     process: Child,
     pub address: SocketAddr,
-    config: tempfile::NamedTempFile,
-    log: BufReader<ChildStderr>,
+    config_file: tempfile::NamedTempFile,
+    stderr: BufReader<ChildStderr>,
 }
 
-/// Runs the program with a configuration, and gives what it said if it ends by itself.
-pub fn process(config: &str) -> (Child, tempfile::NamedTempFile) {
-    process_as(config, |_| {})
+/// Starts the gateway program with a configuration. The file is deleted when the returned handle is dropped.
+pub fn spawn_gateway(config: &str) -> (Child, tempfile::NamedTempFile) {
+    spawn_gateway_with(config, |_| {})
 }
 
-/// The same with more variables or words than the configuration's.
-pub fn process_as(config: &str, more: impl FnOnce(&mut Command)) -> (Child, tempfile::NamedTempFile) {
-    let mut file = tempfile::NamedTempFile::new().expect("a file");
-    file.write_all(config.as_bytes()).expect("room");
+/// Same as [`spawn_gateway`], but first lets `customize` add environment variables or arguments.
+pub fn spawn_gateway_with(
+    config: &str,
+    customize: impl FnOnce(&mut Command),
+) -> (Child, tempfile::NamedTempFile) {
+    let mut file = tempfile::NamedTempFile::new().expect("create a temporary file");
+    file.write_all(config.as_bytes()).expect("write the configuration");
     let mut command = Command::new(env!("CARGO_BIN_EXE_admission-gateway"));
     command.env("GW_CONFIG", file.path()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    more(&mut command);
-    (command.spawn().expect("the gateway starts"), file)
+    customize(&mut command);
+    (command.spawn().expect("start the gateway"), file)
 }
 
-/// Ends a process that said something else than where it listens, and fails the test with its log.
-fn failed_start(mut process: Child, said: &str) -> ! {
+/// Kills a process that printed something other than its listen address, and panics with its log.
+fn fail_startup(mut process: Child, first_line: &str) -> ! {
     let _ = process.kill();
-    let output = process.wait_with_output().expect("a child");
-    panic!("it listens: no; {}, said {said:?}, log:\n{}", output.status, text(&output.stderr));
+    let output = process.wait_with_output().expect("child process");
+    panic!(
+        "the gateway does not listen; {}, stdout line {first_line:?}, log:\n{}",
+        output.status,
+        lossy_text(&output.stderr)
+    );
 }
 
-fn text(bytes: &[u8]) -> String {
+fn lossy_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
 impl Gateway {
+    /// Starts a gateway and waits until it answers `PING`.
     pub fn start(config: &Value) -> Gateway {
-        Gateway::start_as(config, |_| {})
-    }
-
-    /// The same with more variables or words than the configuration's.
-    pub fn start_as(config: &Value, more: impl FnOnce(&mut Command)) -> Gateway {
-        let (mut process, file) = process_as(&config.to_string(), more);
-        let mut lines = BufReader::new(process.stdout.take().expect("its output")).lines();
-        let said = lines.by_ref().map_while(Result::ok).find(|line| !line.starts_with("admin on "));
-        let said = said.unwrap_or_default();
-        let Some(address) = said.strip_prefix("listening on ") else { failed_start(process, &said) };
-        let address = address.parse().expect("an address");
-        let log = BufReader::new(process.stderr.take().expect("its log"));
-        let gateway = Gateway { process, address, config: file, log };
+        Gateway::start_with(config, |_| {})
+    }
+
+    /// Same as [`Gateway::start`], but first lets `customize` add environment variables or arguments.
+    pub fn start_with(config: &Value, customize: impl FnOnce(&mut Command)) -> Gateway {
+        let (mut process, file) = spawn_gateway_with(&config.to_string(), customize);
+        let mut lines = BufReader::new(process.stdout.take().expect("stdout of the gateway")).lines();
+        let line = lines.by_ref().map_while(Result::ok).find(|line| !line.starts_with("admin on "));
+        let line = line.unwrap_or_default();
+        let Some(address) = line.strip_prefix("listening on ") else { fail_startup(process, &line) };
+        let address = address.parse().expect("socket address");
+        let stderr = BufReader::new(process.stderr.take().expect("stderr of the gateway"));
+        let gateway = Gateway { process, address, config_file: file, stderr };
         assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
         gateway
     }
 
-    /// Its process's number.
-    pub fn id(&self) -> u32 {
+    /// Returns the process ID.
+    pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
@@ -75,49 +83,51 @@
         Client::connect(self.address)
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration by a text and has it read.
-    pub fn configure(&self, text: &str) {
-        std::fs::write(self.config.path(), text).expect("room");
+    /// Replaces the text of the configuration file and sends SIGHUP.
+    pub fn reload(&self, text: &str) {
+        std::fs::write(self.config_file.path(), text).expect("write the configuration");
         self.signal("-HUP");
     }
 
     fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
     }
 
-    /// The next line that it logs.
-    pub fn logged(&mut self) -> String {
+    /// Blocks until the gateway logs another line, and returns it.
+    pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
-        self.log.read_line(&mut line).expect("its log");
+        self.stderr.read_line(&mut line).expect("stderr of the gateway");
         line
     }
 
-    /// The most memory that it ever held, kB.
-    pub fn memory_kb(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a figure");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+    /// Returns the peak resident memory of the process (`VmHWM`), in kB.
+    pub fn peak_memory_kb(&self) -> u64 {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()))
+            .expect("read procfs of the gateway process");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("VmHWM line");
+        line.trim().trim_end_matches(" kB").parse().expect("number")
     }
 
-    /// Waits for its end.
-    pub fn wait(&mut self) -> ExitStatus {
+    /// Waits until the process exits; panics after [`PATIENCE`].
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
-            if let Some(status) = self.process.try_wait().expect("a child") {
+            if let Some(status) = self.process.try_wait().expect("child process") {
                 return status;
             }
-            assert!(start.elapsed() < PATIENCE, "it does not end");
+            assert!(start.elapsed() < PATIENCE, "the gateway does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    pub fn runs(&mut self) -> bool {
-        self.process.try_wait().expect("a child").is_none()
+    pub fn is_running(&mut self) -> bool {
+        self.process.try_wait().expect("child process").is_none()
     }
 }
 
@@ -128,7 +138,7 @@
     }
 }
 
-/// A gateway with its stand-ins; discovery is silent unless a test tells something.
+/// A gateway and its stand-ins. The discovery agent sends nothing unless a test tells it to.
 pub struct Rig {
     pub gateway: Gateway,
     pub config: Value,
@@ -138,42 +148,49 @@
 }
 
 impl Rig {
-    /// Two backends of one cell.
-    pub fn new() -> Rig {
-        Rig::with(2, |_| {})
+    /// Starts a gateway with two backends in one cell.
+    pub fn with_two_backends() -> Rig {
+        Rig::with_config(2, |_| {})
     }
 
-    pub fn with(backends: usize, change: impl FnOnce(&mut Value)) -> Rig {
-        Rig::with_as(backends, change, |_| {})
+    /// Starts a gateway with a number of backends and a changed configuration.
+    pub fn with_config(backends: usize, change: impl FnOnce(&mut Value)) -> Rig {
+        Rig::with_command(backends, change, |_| {})
     }
 
-    /// The same with more variables or words for the program than the configuration's.
-    pub fn with_as(backends: usize, change: impl FnOnce(&mut Value), more: impl FnOnce(&mut Command)) -> Rig {
+    /// Same as [`Rig::with_config`], but also lets `customize` add environment variables or arguments.
+    pub fn with_command(
+        backends: usize,
+        change: impl FnOnce(&mut Value),
+        customize: impl FnOnce(&mut Command),
+    ) -> Rig {
         let (agent, counter) = (Agent::start(), StandIn::counter());
         let backends: Vec<StandIn> = (0..backends).map(|_| StandIn::backend()).collect();
         let known: Vec<Value> = (0..).zip(&backends).map(|(i, b)| serving(i, b)).collect();
         let mut config = config(agent.address, counter.address, &known);
         change(&mut config);
-        Rig { gateway: Gateway::start_as(&config, more), config, agent, counter, backends }
+        Rig { gateway: Gateway::start_with(&config, customize), config, agent, counter, backends }
     }
 
-    pub fn next(&self) -> (usize, Arrived) {
+    /// Waits for the next request at any backend; returns the backend's index and the request.
+    pub fn next_request(&self) -> (usize, Arrived) {
         next_of(&self.backends.iter().collect::<Vec<_>>())
     }
 
-    pub fn idle(&self) -> bool {
+    /// Returns whether no backend has a request that the test has not taken yet.
+    pub fn backends_idle(&self) -> bool {
         self.backends.iter().all(StandIn::idle)
     }
 
-    /// Tells the whole list, so that watches follow.
-    pub fn told(&self, endpoints: &[Value]) {
+    /// Sends a snapshot with version 41 and waits until the gateway watches for later versions.
+    pub fn send_snapshot(&self, endpoints: &[Value]) {
         self.agent.tell(&list(41, true, endpoints));
     }
 
-    /// Sends a request through and serves it.
+    /// Sends a request through the gateway and serves it; returns the backend's index and the request.
     pub fn serve_one(&self, client: &mut Client, id: u64) -> (usize, Arrived) {
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
-        let (place, mut arrived) = self.next();
+        let (place, mut arrived) = self.next_request();
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
         (place, arrived)
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,8 +1,8 @@
 //! Upgrades of the built gateway under load: the platform holds the clients' socket, a second process starts
 //! beside the first, and the first is told to end.
 
-#[path = "support/net.rs"]
-mod net;
+#[path = "support/gateway_rig.rs"]
+mod gateway_rig;
 
 use std::collections::{HashMap, HashSet};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,8 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use net::address::own_address;
-use net::*;
+use gateway_rig::loopback_address::unused_loopback_address;
+use gateway_rig::*;
 use serde_json::{json, Value};
 
 /// A process of the gateway, with its second address.
@@ -28,13 +28,13 @@
 
 impl Process {
     fn start(config: &Value, socket: &TcpListener, under: &Path) -> Process {
-        let management = own_address();
+        let management = unused_loopback_address();
         let mut config = config.clone();
         config["management"] = json!(management.to_string());
-        config["listen"] = json!(socket.local_addr().expect("an address").to_string());
-        let mut file = tempfile::NamedTempFile::new().expect("a file");
+        config["listen"] = json!(socket.local_addr().expect("socket address").to_string());
+        let mut file = tempfile::NamedTempFile::new().expect("create a temporary file");
         file.write_all(config.to_string().as_bytes()).expect("room");
-        let held = OwnedFd::from(socket.try_clone().expect("a handle"));
+        let held = OwnedFd::from(socket.try_clone().expect("duplicate the handle"));
         // The socket comes as descriptor 0 here: any number may be named.
         let child = Command::new(env!("CARGO_BIN_EXE_admission-gateway"))
             .env("GW_CONFIG", file.path())
@@ -59,7 +59,7 @@
     }
 
     fn yes(&self, line: &str) {
-        let answer = self.say(line).expect("it listens");
+        let answer = self.say(line).expect("connect to the gateway");
         assert!(answer.starts_with("SUCCESS"), "{line}: {answer}");
     }
 
@@ -67,21 +67,21 @@
         let start = Instant::now();
         while !self.say("READY").is_some_and(|a| a.starts_with("SUCCESS")) {
             assert!(start.elapsed() < PATIENCE, "never ready");
-            assert!(self.child.try_wait().expect("a child").is_none(), "it ended");
+            assert!(self.child.try_wait().expect("child process").is_none(), "it ended");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
     }
 
     /// Waits for its end after SIGTERM; gives whether it ended well.
     fn ended(&mut self) -> bool {
         let start = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) = self.child.try_wait().expect("child process") {
                 return status.success();
             }
             assert!(start.elapsed() < PATIENCE, "it does not end");
@@ -91,7 +91,7 @@
 
     /// Waits until it has logged a line that holds this.
     fn logged(&mut self, what: &str) {
-        let log = self.child.stderr.as_mut().expect("its log");
+        let log = self.child.stderr.as_mut().expect("stderr of the gateway");
         let found = BufReader::new(log).lines().map_while(Result::ok).any(|line| line.contains(what));
         assert!(found, "{what} is not logged");
     }
@@ -117,7 +117,7 @@
     thread::spawn(move || {
         while let Some(mut arrived) = stand_in.within(Duration::from_secs(120)) {
             if arrived.words.len() > 2 {
-                notes.lock().expect("unpoisoned").push(arrived.words[2].clone());
+                notes.lock().expect("lock not poisoned").push(arrived.words[2].clone());
                 arrived.serve("fine");
             }
         }
@@ -166,8 +166,8 @@
                     let mut answer = None;
                     for _ in 0..2 {
                         let mut stream = open.take().unwrap_or_else(|| {
-                            let stream = TcpStream::connect(at).expect("the platform holds it");
-                            stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                            let stream = TcpStream::connect(at).expect("connect to the inherited listener");
+                            stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
                             BufReader::new(stream)
                         });
                         answer = ask(&mut stream, &words(&request));
@@ -226,12 +226,12 @@
         .map(|(i, b)| endpoint(&format!("s-{i}"), b.address, 1, "SERVING", 0.0))
         .collect();
     let mut config = config(agent.address, counter.address, &known);
-    for class in config["settings"]["profiles"].as_array_mut().expect("a list") {
+    for class in config["settings"]["profiles"].as_array_mut().expect("JSON array") {
         class["deadline-ms"] = json!(700.0);
         class["aim-ms"] = json!(600.0);
     }
-    let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let under = tempfile::tempdir().expect("a folder");
+    let socket = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let under = tempfile::tempdir().expect("create a temporary directory");
     World { socket, under, config, backends, _others: (agent, counter) }
 }
 
@@ -241,14 +241,14 @@
     }
 
     fn at(&self) -> SocketAddr {
-        self.socket.local_addr().expect("an address")
+        self.socket.local_addr().expect("socket address")
     }
 
     /// All that came to backends came once; gives how much.
     fn each_once(&self) -> usize {
         let mut seen = HashSet::new();
         for backend in &self.backends {
-            for id in backend.came.lock().expect("unpoisoned").iter() {
+            for id in backend.came.lock().expect("lock not poisoned").iter() {
                 assert!(seen.insert(id.clone()), "{id} came twice");
             }
         }
@@ -289,8 +289,8 @@
     assert_eq!(asked, answers);
     assert!(world.each_once() > 100, "little came");
     for (id, spans) in banned {
-        for request in world.backends[id].came.lock().expect("unpoisoned").iter() {
-            let number = u64::from_str_radix(request, 16).expect("a number");
+        for request in world.backends[id].came.lock().expect("lock not poisoned").iter() {
+            let number = u64::from_str_radix(request, 16).expect("number");
             let in_ban = spans.iter().any(|(from, to)| number > *from && number <= *to);
             assert!(!in_ban, "{request} came to s-{id} while it was banned");
         }
@@ -313,8 +313,8 @@
     hangs.signal("-STOP");
     old.yes("DISABLE s-0");
     old.yes("READY");
-    hangs.child.kill().expect("a child");
-    hangs.child.wait().expect("a child");
+    hangs.child.kill().expect("child process");
+    hangs.child.wait().expect("child process");
     old.yes("ENABLE s-0");
     let (asked, answers) = load.end();
     assert_eq!(asked, answers);
@@ -330,14 +330,14 @@
     new.ready();
     old.logged("1 other processes");
     old.yes("DISABLE s-1");
-    old.child.kill().expect("a child");
-    old.child.wait().expect("a child");
+    old.child.kill().expect("child process");
+    old.child.wait().expect("child process");
     new.logged("0 other processes");
     assert!(new.say("DISABLE s-1").is_some_and(|a| a.contains("already")));
     // A book that is cut short is a start without it.
     let folder = std::fs::read_dir(world.under.path()).expect("read").flatten().next().expect("one").path();
     let book = std::fs::read(folder.join("book")).expect("it is there");
-    std::fs::write(folder.join("book"), &book[..book.len() / 2]).expect("room");
+    std::fs::write(folder.join("book"), &book[..book.len() / 2]).expect("write the file");
     let mut third = world.start();
     third.ready();
 }
