--- a/crates/gateway/tests/backends.rs
+++ b/crates/gateway/tests/backends.rs
@@ -1,4 +1,4 @@
-//! The built gateway and what backends' connections and answers may bring, on loopback sockets.
+//! How the built gateway handles backend connections, failures and malformed responses, on loopback sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,21 +10,21 @@
 use serde_json::{json, Value};
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
+fn unsafe_request_that_may_have_run_is_not_retried() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "unsafe", "free", 1, 8000)));
     rig.next_request().1.say("-ERR failed used=0,cost=2\r\n");
     assert!(client.read().starts_with("-ERR"));
     client.send(&words(&call(2, "unsafe", "free", 1, 8000)));
-    // Read whole, then the connection ends.
+    // The backend reads the whole request, then closes the connection.
     rig.next_request().1.close();
     assert!(client.read().starts_with("-ERR"));
-    assert!(rig.backends_idle(), "it went out a second time");
+    assert!(rig.backends_idle(), "the request was sent again");
 }
 
 #[test]
-fn what_a_backend_turned_away_unseen_goes_to_another() {
+fn unsafe_request_rejected_by_backend_is_retried_elsewhere() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "unsafe", "free", 1, 8000)));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran_and_the_request_goes_to_another_backend() {
+fn unsafe_request_is_retried_after_refused_connection() {
     let (_held, gone) = refusing();
     let rig = Rig::with_config(1, |config| {
         let known = config["known"]["endpoints"].as_array_mut().expect("JSON array");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_is_sent_again_within_its_cell_only() {
+fn keyed_request_is_retried_only_within_its_cell() {
     let rig = Rig::with_config(3, |config| config["known"]["endpoints"][2]["group"] = json!(2));
     let mut client = rig.gateway.client();
     for id in 1..=8 {
@@ -60,7 +60,7 @@
         let (first, arrived) = rig.next_request();
         arrived.close();
         if first == 2 {
-            // No other backend remembers it.
+            // This backend is alone in its cell, so no other backend knows the key.
             assert!(client.read().starts_with("-ERR"));
         } else {
             let (second, mut arrived) = rig.next_request();
@@ -72,29 +72,29 @@
 }
 
 #[test]
-fn a_silent_backend_costs_a_request_its_time_and_no_more() {
+fn unsafe_request_to_silent_backend_fails_at_deadline() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "unsafe", "free", 1, 1500)));
     let (_, arrived) = rig.next_request();
-    assert!(client.read().starts_with("-ERR"), "no promise for what may run yet");
-    // Giving up closes the connection.
+    assert!(client.read().starts_with("-ERR"), "a request that may still run must fail");
+    // Abandoning the attempt closes the connection.
     arrived.closed();
     assert!(rig.backends_idle());
 }
 
 #[test]
-fn connections_are_used_again_and_not_after_their_backend_closed_them() {
+fn backend_connections_are_reused_until_backend_closes_them() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let (_, first) = rig.serve_one(&mut client, 1);
-    // It rests for a moment behind an answer.
+    // A connection is not reused for a moment after a response.
     sleep(Duration::from_millis(30));
     let (_, second) = rig.serve_one(&mut client, 2);
     assert_eq!((first.connection, second.connection), (0, 0));
     second.close();
     sleep(Duration::from_millis(30));
-    // Unsafe: a write to the closed connection would be a reset that may have run.
+    // The request is unsafe: a reset after a write to the closed connection would leave open whether it ran.
     client.send(&words(&call(3, "unsafe", "free", 1, 8000)));
     let (_, mut third) = rig.next_request();
     assert_eq!(third.connection, 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_restarted_backend_gets_new_connections() {
+fn restarted_backend_gets_new_connections() {
     let rig = Rig::with_config(1, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
@@ -112,42 +112,42 @@
     assert_eq!(rig.serve_one(&mut client, 2).1.connection, 1);
 }
 
-/// Far more time than a test waits, so that no deadline ends an attempt.
-fn patient(config: &mut Value) {
+/// Sets deadlines far longer than a test waits, so that none ends an attempt.
+fn set_long_deadlines(config: &mut Value) {
     for class in config["settings"]["profiles"].as_array_mut().expect("JSON array") {
         class["deadline-ms"] = json!(600_000.0);
     }
 }
 
 #[test]
-fn odd_answers_of_a_backend_are_that_attempts_failure_at_once() {
-    let rig = Rig::with_config(1, patient);
+fn malformed_backend_response_fails_attempt_at_once() {
+    let rig = Rig::with_config(1, set_long_deadlines);
     let mut client = rig.gateway.client();
-    let odd = ["*1\r\n$-1\r\n", "*2\r\n:1\r\n$-1\r\n", "nonsense\r\n", "$-1\r\n", "*99999\r\n"];
-    // What only probes get, noise without an end of line, and answers that never end.
+    let malformed = ["*1\r\n$-1\r\n", "*2\r\n:1\r\n$-1\r\n", "nonsense\r\n", "$-1\r\n", "*99999\r\n"];
+    // Responses that only probes get, bytes without a line end, and responses that are never completed.
     let more = ["+PONG\r\n", "$4\r\nfine\r\n", "noise", "*3\r\n$9\r\nfine", "-ERR", "-NOISE\r\n"];
-    for (id, odd) in (1..).zip(odd.into_iter().chain(more)) {
+    for (id, response) in (1..).zip(malformed.into_iter().chain(more)) {
         client.send(&words(&call(id, "unsafe", "free", 1, 600_000)));
         let (_, mut arrived) = rig.next_request();
-        arrived.say(odd);
-        assert!(client.read().starts_with("-ERR"), "{odd:?}");
+        arrived.say(response);
+        assert!(client.read().starts_with("-ERR"), "{response:?}");
         arrived.closed();
     }
 }
 
 #[test]
-fn a_good_value_is_served_whatever_stands_beside_it() {
+fn valid_value_is_served_despite_malformed_metadata() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    for (id, beside) in (1..).zip([":7\r\n$-1\r\n", "$3\r\n=,=\r\n+odd\r\n", "$8\r\ncost=NaN\r\n$-1\r\n"]) {
+    for (id, metadata) in (1..).zip([":7\r\n$-1\r\n", "$3\r\n=,=\r\n+odd\r\n", "$8\r\ncost=NaN\r\n$-1\r\n"]) {
         client.send(&words(&call(id, "unsafe", "free", 1, 8000)));
-        rig.next_request().1.say(&format!("*3\r\n$4\r\nfine\r\n{beside}"));
-        assert_eq!(client.read(), "fine", "{beside:?}");
+        rig.next_request().1.say(&format!("*3\r\n$4\r\nfine\r\n{metadata}"));
+        assert_eq!(client.read(), "fine", "{metadata:?}");
     }
 }
 
 #[test]
-fn a_second_copy_of_an_answer_is_not_the_next_requests() {
+fn duplicate_response_is_not_used_for_next_request() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
@@ -161,10 +161,10 @@
 }
 
 #[test]
-fn a_backend_whose_address_another_one_has_now_gets_nothing() {
+fn endpoint_whose_address_was_taken_over_gets_no_requests() {
     let rig = Rig::with_two_backends();
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
-    // The list has not noticed yet that the first is gone; what came in its place drains already.
+    // The list still has the first endpoint, though another one, already draining, now has its address.
     let new = endpoint("s-new", rig.backends[0].address, 1, "DRAINING", 1000.0);
     rig.agent.tell(&list(42, false, &[new]));
     let mut client = rig.gateway.client();
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The built gateway and what clients may not do to it, on loopback sockets.
+//! How the built gateway protects itself against disconnected, malformed, idle or excessive clients, on
+//! loopback sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,8 +11,8 @@
 use serde_json::{json, Value};
 
 #[test]
-fn the_attempt_of_a_client_that_left_is_given_up() {
-    // Far more time than the test waits, so that no deadline ends the attempt.
+fn attempt_is_cancelled_when_client_disconnects() {
+    // The deadline is far longer than the test waits, so it does not end the attempt.
     let rig =
         Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
     let mut client = rig.gateway.client();
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn malformed_commands_are_told_so_and_end_the_connection() {
+fn malformed_command_gets_error_and_closes_connection() {
     let mut rig = Rig::with_config(1, |_| {});
     let long = format!("*5\r\n$9\r\nAPI.WRITE\r\n$65537\r\n{}", "x".repeat(65_537));
     let many = format!("*5\r\n$60000\r\n{0}\r\n$60000\r\n{0}", "x".repeat(60_000));
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn commands_that_are_none_of_the_service_are_refused_one_by_one() {
+fn invalid_commands_get_errors_and_connection_stays_open() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let good = call(1, "safe", "free", 1, 8000);
@@ -78,23 +79,23 @@
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         assert!(client.ask(&words).starts_with("-ERR"), "{words:?}");
     }
-    // A keyed class without its key.
+    // A keyed class without an idempotency key.
     let mut keyless = call(2, "keyed", "free", 1, 8000);
     keyless[3] = keyless[3].replace(",k=5c0f6e1a2b3d4c59", "");
     assert!(client.ask(&words(&keyless)).starts_with("-ERR"));
-    assert!(rig.backends_idle(), "something was sent on");
+    assert!(rig.backends_idle(), "a command was forwarded");
     rig.serve_one(&mut client, 9);
 }
 
-/// A configuration with descriptors for one client and one backend.
-fn narrow(config: &mut Value) {
+/// Limits the file descriptors to one client and one backend.
+fn limit_to_one_client(config: &mut Value) {
     config["limits"]["sockets"] = json!(34);
 }
 
 #[test]
-fn connections_beyond_the_descriptors_are_told_to_come_again() {
-    let rig = Rig::with_config(1, narrow);
-    // The one that asked whether it is ready may still be closing.
+fn connection_beyond_descriptor_limit_is_rejected() {
+    let rig = Rig::with_config(1, limit_to_one_client);
+    // The connection with which the rig checked readiness may still be closing.
     let mut kept = rig.gateway.client();
     while kept.ask_or_end(&["PING"]) != "+PONG" {
         kept = rig.gateway.client();
@@ -107,9 +108,9 @@
 }
 
 #[test]
-fn a_connection_that_is_not_used_makes_room_for_a_new_one() {
-    let rig = Rig::with_config(1, narrow);
-    // One that asks once and stays, then one that says nothing at all.
+fn idle_connection_is_closed_for_new_one_at_limit() {
+    let rig = Rig::with_config(1, limit_to_one_client);
+    // First a client that sends one command and stays, then one that sends nothing.
     let mut idle = rig.gateway.client();
     while idle.ask_or_end(&["PING"]) != "+PONG" {
         idle = rig.gateway.client();
@@ -126,31 +127,31 @@
     rig.serve_one(&mut client, 1);
 }
 
-/// Guards against quiet connections kept until places here run short, when clients may hold no more long
-/// before.
+/// Guards against idle connections that are kept until the gateway has no descriptors left: the clients may
+/// reach their own limits long before.
 #[test]
-fn quiet_connections_are_closed_while_half_of_the_places_are_free_yet() {
+fn idle_connections_are_closed_before_descriptors_run_out() {
     let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
-    let mut quiet: Vec<Client> = (0..5).map(|_| rig.gateway.client()).collect();
-    for client in &mut quiet {
+    let mut idle: Vec<Client> = (0..5).map(|_| rig.gateway.client()).collect();
+    for client in &mut idle {
         assert_eq!(client.ask(&["PING"]), "+PONG");
     }
     let since = Instant::now();
     sleep(Duration::from_millis(2_500));
     let mut new = rig.gateway.client();
     assert_eq!(new.ask(&["PING"]), "+PONG");
-    assert_eq!(quiet[0].read(), "(end)");
-    // One that nobody needs the place of is closed after 15 s.
+    assert_eq!(idle[0].read(), "(end)");
+    // The idle timeout alone would close it after 15 s.
     assert!(since.elapsed() < Duration::from_secs(12));
 }
 
-/// Guards against a place kept by a client that has asked once, while others wait for one; and one taken from
-/// a client that comes back again and again.
+/// Guards against keeping the connection of a client that sent a single command while others wait for a
+/// descriptor, and against closing that of a client that sends commands repeatedly.
 #[test]
-fn a_place_kept_by_a_client_that_asked_once_goes_to_others_before_that_of_one_in_use() {
+fn connection_used_once_is_closed_before_one_used_repeatedly() {
     let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
-    let (mut steady, mut once) = (rig.gateway.client(), rig.gateway.client());
-    (0..2).for_each(|_| assert_eq!(steady.ask(&["PING"]), "+PONG"));
+    let (mut repeated, mut once) = (rig.gateway.client(), rig.gateway.client());
+    (0..2).for_each(|_| assert_eq!(repeated.ask(&["PING"]), "+PONG"));
     assert_eq!(once.ask(&["PING"]), "+PONG");
     let ended = std::thread::spawn(move || once.read());
     let mut others = Vec::new();
@@ -160,12 +161,12 @@
         others.push(new);
         sleep(Duration::from_millis(20));
     }
-    assert_eq!(ended.join().expect("it read"), "(end)");
-    assert_eq!(steady.ask_or_end(&["PING"]), "+PONG");
+    assert_eq!(ended.join().expect("reader thread"), "(end)");
+    assert_eq!(repeated.ask_or_end(&["PING"]), "+PONG");
 }
 
 #[test]
-fn a_client_that_says_nothing_or_half_a_command_is_turned_away() {
+fn silent_client_and_incomplete_command_are_disconnected() {
     let rig = Rig::with_config(1, |_| {});
     let (mut silent, mut half) = (rig.gateway.client(), rig.gateway.client());
     half.write(b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n0000");
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_second_request_under_an_open_ones_id_is_an_error_and_the_first_is_served() {
+fn duplicate_id_of_open_request_is_an_error() {
     let rig = Rig::with_config(1, |_| {});
     let (mut client, mut other) = (rig.gateway.client(), rig.gateway.client());
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
@@ -183,14 +184,14 @@
     assert!(other.ask(&words(&call(1, "safe", "free", 1, 8000))).starts_with("-ERR"));
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
-    assert!(rig.backends_idle(), "sent on twice");
-    // It is free again.
+    assert!(rig.backends_idle(), "forwarded twice");
+    // The ID can be used again.
     rig.serve_one(&mut other, 1);
 }
 
 #[test]
-fn requests_that_the_memory_has_no_room_for_are_refused_until_it_has() {
-    // Room for 256 KiB.
+fn requests_beyond_memory_budget_are_rejected_until_memory_is_freed() {
+    // The memory budget is 256 KiB.
     let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let large = |id| {
         let mut large = call(id, "unsafe", "free", 1, 8000);
@@ -208,12 +209,12 @@
     other.send(&words(&large(6)));
     rig.next_request().1.serve("fine");
     assert_eq!(other.read(), "fine");
-    assert!(rig.backends_idle(), "what was refused went on");
+    assert!(rig.backends_idle(), "a rejected request was forwarded");
 }
 
 #[test]
-fn an_answer_that_the_memory_has_no_room_for_has_failed() {
-    // Room for 256 KiB, of which answers that wait behind an open request take most.
+fn response_beyond_memory_budget_fails() {
+    // The memory budget is 256 KiB; responses that wait behind an open request take most of it.
     let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let mut client = rig.gateway.client();
     (1..31).for_each(|id| client.send(&words(&call(id, "unsafe", "free", 1, 8000))));
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The list from discovery at the size of a large fleet, and what is wrong with it.
+//! Endpoint lists from discovery that go back in version, are malformed, truncated or late, and lists of the
+//! size of a large fleet.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,51 +11,51 @@
 use gateway_rig::*;
 use serde_json::Value;
 
-/// Guards against versions that go back again and again, each asked about at once, by a whole fleet.
+/// Guards against a whole fleet that requests a snapshot without a pause each time the version goes back.
 #[test]
-fn versions_that_go_back_in_turn_are_asked_about_with_pauses() {
+fn repeated_version_regressions_are_queried_with_pauses() {
     let rig = Rig::with_config(1, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let begun = Instant::now();
-    for turn in 0..5 {
-        rig.agent.tell(&list(30 - turn, false, &[]));
-        rig.agent.tell(&list(40 - turn, true, &[serving(0, &rig.backends[0])]));
+    for round in 0..5 {
+        rig.agent.tell(&list(30 - round, false, &[]));
+        rig.agent.tell(&list(40 - round, true, &[serving(0, &rig.backends[0])]));
     }
-    // A tenth of a second each; the first call of a turn is the watch that was there.
+    // A pause of 0.1 s in each round; the first call of a round is the watch that was already open.
     assert!(begun.elapsed() >= Duration::from_millis(450), "{:?}", begun.elapsed());
     let mut client = rig.gateway.client();
     assert_eq!(rig.serve_one(&mut client, 1).0, 0);
 }
 
 #[test]
-fn lines_that_cannot_be_read_are_named_and_what_is_known_of_them_stays() {
+fn malformed_endpoints_are_logged_and_keep_their_known_state() {
     let mut rig = Rig::with_config(3, |_| {});
     rig.send_snapshot(&[
         serving(0, &rig.backends[0]),
         serving(1, &rig.backends[1]),
         serving(2, &rig.backends[2]),
     ]);
-    // A whole list: of the first a line that is wrong, of the second none, of the third two.
-    let mut wrong = serving(0, &rig.backends[0]);
-    wrong["group"] = "first".into();
-    let (mut stale, third) = (serving(2, &rig.backends[2]), serving(2, &rig.backends[2]));
-    stale["address"] = "127.0.0.1:1".into();
-    rig.agent.tell(&list(42, true, &[wrong, stale, third]));
+    // A snapshot with a malformed endpoint for the first backend, none for the second and two for the third.
+    let mut malformed = serving(0, &rig.backends[0]);
+    malformed["group"] = "first".into();
+    let (mut duplicate, third) = (serving(2, &rig.backends[2]), serving(2, &rig.backends[2]));
+    duplicate["address"] = "127.0.0.1:1".into();
+    rig.agent.tell(&list(42, true, &[malformed, duplicate, third]));
     for part in ["endpoints[0] \"s-0\": invalid type", "endpoints[1] \"s-2\": named again by endpoints[2]"] {
         let line = rig.gateway.next_log_line();
         assert!(line.contains("discovery") && line.contains(part), "{line}");
     }
     let mut client = rig.gateway.client();
-    let mut met = [0; 3];
+    let mut served = [0; 3];
     for id in 0..40 {
-        met[rig.serve_one(&mut client, id).0] += 1;
+        served[rig.serve_one(&mut client, id).0] += 1;
     }
-    // Whole lists that leave one out end it; a line that is wrong does not.
-    assert!(met[0] > 0 && met[1] == 0, "{met:?}");
+    // A snapshot removes the endpoints that it lacks, but not one that it has in malformed form.
+    assert!(served[0] > 0 && served[1] == 0, "{served:?}");
 }
 
 #[test]
-fn an_answer_that_is_cut_short_is_named_once_and_the_list_held_stays() {
+fn truncated_list_is_logged_once_and_current_list_stays() {
     let mut rig = Rig::with_config(2, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let ten_thousand: Vec<Value> = (0..10_000)
@@ -72,21 +73,21 @@
     for id in 0..10 {
         rig.serve_one(&mut client, id);
     }
-    // It is heard when it can be read: all ten thousand have one address, so the last alone has it.
+    // A complete response is applied. All 10,000 endpoints share an address, so only the last one holds it.
     rig.agent.tell(&list(42, true, &ten_thousand));
-    let mut wrong = ten_thousand[0].clone();
-    wrong["weight"] = "much".into();
-    rig.agent.tell(&list(43, false, &[wrong]));
-    // The next thing that it says: the two others were no reason to.
+    let mut malformed = ten_thousand[0].clone();
+    malformed["weight"] = "much".into();
+    rig.agent.tell(&list(43, false, &[malformed]));
+    // This is the next line of the log: the second and third truncated responses were not logged.
     let line = rig.gateway.next_log_line();
     assert!(line.contains("\"t-0\": invalid type"), "{line}");
     assert_eq!(rig.serve_one(&mut client, 100).0, 0);
     assert!(rig.gateway.is_running());
 }
 
-/// Guards against a start that fails for one line of its own list.
+/// Guards against a failed start because of one malformed endpoint in the configured list.
 #[test]
-fn a_known_list_with_a_line_that_is_wrong_starts_without_that_line() {
+fn malformed_configured_endpoint_is_skipped_at_start() {
     let mut rig = Rig::with_config(2, |config| {
         config["known"]["endpoints"][0]["address"] = "s-0.room:80".into();
     });
@@ -98,8 +99,8 @@
     }
 }
 
-/// The next call for the whole list, on a connection of its own.
-fn whole_list_asked_for(agent: &TcpListener) -> TcpStream {
+/// Accepts the next snapshot call, on a connection of its own.
+fn accept_snapshot_call(agent: &TcpListener) -> TcpStream {
     let (mut stream, _) = agent.accept().expect("accept a call from the gateway");
     let mut line = String::new();
     BufReader::new(&mut stream).read_line(&mut line).expect("read a line");
@@ -107,8 +108,8 @@
     stream
 }
 
-/// Whether the gateway still waits on a connection.
-fn waits(stream: &mut TcpStream) -> bool {
+/// Returns whether the gateway still keeps a connection open.
+fn is_open(stream: &mut TcpStream) -> bool {
     stream.set_nonblocking(true).expect("socket is open");
     let mut rest = [0; 1024];
     loop {
@@ -120,8 +121,8 @@
     }
 }
 
-/// Answers a call; whether the gateway took the list and watches on that connection.
-fn told(call: &mut TcpStream, backend: &StandIn) -> bool {
+/// Answers a call with a snapshot. Returns whether the gateway applied it and watches on that connection.
+fn snapshot_applied(call: &mut TcpStream, backend: &StandIn) -> bool {
     let body = list(7, true, &[serving(0, backend)]).to_string();
     call.set_nonblocking(false).expect("socket is open");
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -131,25 +132,25 @@
         && watch.starts_with("GET /discovery/hosts?after=7&")
 }
 
-/// A call that went into the silence must not be waited for while discovery is back and tells of drains.
+/// Guards against waiting for an unanswered call while discovery is available again and announces drains.
 #[test]
-fn a_discovery_that_fell_silent_is_asked_anew_while_calls_stay_open_and_any_answer_is_taken() {
-    for answers in 0..2 {
+fn silent_discovery_is_called_again_and_any_answer_is_applied() {
+    for answered in 0..2 {
         let agent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let (counter, backend) = (StandIn::counter(), StandIn::backend());
         let config = config(agent.local_addr().expect("socket address"), counter.address, &[]);
         let gateway = Gateway::start(&config);
-        let mut calls = vec![whole_list_asked_for(&agent)];
-        // It is back for the first of two that are open, or for the second. Where this machine stands still
-        // for a second both may be given up, so there are some tries.
-        let told = (0..20).any(|_| {
-            calls.push(whole_list_asked_for(&agent));
+        let mut calls = vec![accept_snapshot_call(&agent)];
+        // Discovery answers the first of two open calls, or the second. If the machine stalls for a second, both
+        // calls may time out, so this is tried several times.
+        let applied = (0..20).any(|_| {
+            calls.push(accept_snapshot_call(&agent));
             let mut two = calls.split_off(calls.len() - 2);
-            let told = two.iter_mut().all(waits) && told(&mut two[answers], &backend);
+            let applied = two.iter_mut().all(is_open) && snapshot_applied(&mut two[answered], &backend);
             calls.extend(two);
-            told
+            applied
         });
-        assert!(told, "each call was given up before the next came");
+        assert!(applied, "each call timed out before the next one arrived");
         let mut client = gateway.client();
         client.send(&words(&call(1, "safe", "free", 1, 8000)));
         backend.next().serve("fine");
--- a/crates/gateway/tests/run_command.rs
+++ b/crates/gateway/tests/run_command.rs
@@ -1,4 +1,4 @@
-//! A gateway started as the platform's `run` does: nothing of what is switched on elsewhere is on.
+//! A gateway started as by the `run` command of `deploy/balancer.toml`: every optional feature is off.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,61 +10,65 @@
 use gateway_rig::*;
 use serde_json::json;
 
-/// What `run` says behind the program's name.
-fn words_of_run() -> Vec<String> {
+/// Returns the arguments that the `run` command passes to the program.
+fn run_arguments() -> Vec<String> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
-    let text = std::fs::read_to_string(file).expect("it is there");
-    let line = text.lines().find_map(|line| line.strip_prefix("run = \"exec ")).expect("run execs");
-    let command = line.split('"').next().expect("a text");
-    let mut words = command.split(' ').map(str::to_string);
-    assert_eq!(words.next().as_deref(), Some("target/release/admission-gateway"));
-    words.collect()
+    let text = std::fs::read_to_string(file).expect("read deploy/balancer.toml");
+    let line =
+        text.lines().find_map(|line| line.strip_prefix("run = \"exec ")).expect("`run` starts with exec");
+    let command = line.split('"').next().expect("quoted command");
+    let mut arguments = command.split(' ').map(str::to_string);
+    assert_eq!(arguments.next().as_deref(), Some("target/release/admission-gateway"));
+    arguments.collect()
 }
 
-/// Sockets of a process in a table of the system's, by the column that tells their state.
-fn sockets(pid: u32, table: &str, state: Option<&str>) -> usize {
+/// Counts the sockets of a process in a table of `/proc/net`, optionally only those in one state (`0A` is
+/// listening).
+fn count_sockets(pid: u32, table: &str, state: Option<&str>) -> usize {
     let link = |entry: std::fs::DirEntry| std::fs::read_link(entry.path()).ok();
-    let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("read procfs of the gateway process");
-    let held: HashSet<PathBuf> = folder.flatten().filter_map(link).collect();
+    let entries = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("read procfs of the gateway process");
+    let open: HashSet<PathBuf> = entries.flatten().filter_map(link).collect();
     let text = std::fs::read_to_string(format!("/proc/{pid}/net/{table}")).unwrap_or_default();
-    let of = |line: &&str| {
+    let matches = |line: &&str| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let inode = columns.get(9).copied().unwrap_or_default();
         state.is_none_or(|state| columns.get(3) == Some(&state))
-            && held.contains(&PathBuf::from(format!("socket:[{inode}]")))
+            && open.contains(&PathBuf::from(format!("socket:[{inode}]")))
     };
-    text.lines().skip(1).filter(of).count()
+    text.lines().skip(1).filter(matches).count()
 }
 
-/// Guards against a pause of seconds in which a discovery that is back can tell it nothing.
+/// Guards against a pause of seconds after an unanswered call, in which a discovery agent that is reachable
+/// again cannot send the gateway any update.
 #[test]
-fn a_call_that_discovery_left_unanswered_is_followed_by_the_next_at_once_in_any_fleet() {
+fn unanswered_discovery_call_is_repeated_without_pause() {
     let rig = Rig::with_config(1, |config| config["settings"]["group-size"] = json!(300));
     rig.agent.asked(1);
     let first = Instant::now();
     rig.agent.asked(2);
-    // Given up after 5 s; a pause of a fleet of 300 after a failure is a second at least.
+    // The call times out after 5 s. The pause after a failure would be at least 1 s in a fleet of 300.
     let next = first.elapsed();
     assert!(next < Duration::from_millis(5_950), "{next:?}");
 }
 
 #[test]
-fn nothing_new_is_on() {
-    // `Rig` starts the program without a word, and without a variable but that of the configuration.
-    assert!(words_of_run().is_empty(), "`run` names no operators' file");
+fn run_command_enables_no_optional_features() {
+    // `Rig` starts the program without arguments and only with the environment variable of the configuration.
+    assert!(run_arguments().is_empty(), "`run` passes no operator configuration");
     let begun = Instant::now();
     let rig = Rig::with_config(2, |config| {
         config["settings"]["group-size"] = json!(300);
         config["settings"]["me"] = json!(299);
     });
-    // The list: by chance within half of the drain's grace, as a watch, and again within 0.2 s; no slot.
+    // Endpoint list: the first call is a watch at a random time within half of the drain grace period, the next
+    // follows within 0.2 s, and neither waits for a slot.
     rig.agent.asked(1);
     let first = begun.elapsed();
-    assert!(first < Duration::from_secs(3), "its slot of 6.6 s was waited for: {first:?}");
+    assert!(first < Duration::from_secs(3), "waited for the slot at 6.6 s: {first:?}");
     let asked = &rig.agent.calls()[0];
     assert!(asked.contains("after=1&wait_ms=4000"), "{asked}");
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
-    // Backends: with no turn waited for, and as many connections at once as requests want.
+    // Backends: connections are not ramped; as many open at once as there are requests.
     let mut clients: Vec<Client> = (0..6).map(|_| rig.gateway.client()).collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
@@ -74,7 +78,7 @@
         a.serve("fine");
     }
     assert!(clients.iter_mut().all(|c| c.read() == "fine"));
-    // The counter: a call for each customer with a quota, none left out.
+    // Shared counter: a call for each customer with a quota; none is skipped.
     for id in 11..15 {
         let mut asked = call(id, "safe", "paid", 1, 8000);
         asked[1] = format!("{:016x}", 0x1_0000 + id);
@@ -85,8 +89,8 @@
         rig.next_request().1.serve("fine");
         assert_eq!(clients[0].read(), "fine");
     }
-    // One socket that clients come to, and no datagram could be sent.
+    // One listening socket for clients, and no UDP socket.
     let pid = rig.gateway.pid();
-    assert_eq!(sockets(pid, "tcp", Some("0A")) + sockets(pid, "tcp6", Some("0A")), 1);
-    assert_eq!(sockets(pid, "udp", None) + sockets(pid, "udp6", None), 0);
+    assert_eq!(count_sockets(pid, "tcp", Some("0A")) + count_sockets(pid, "tcp6", Some("0A")), 1);
+    assert_eq!(count_sockets(pid, "udp", None) + count_sockets(pid, "udp6", None), 0);
 }
--- a/crates/gateway/tests/shared_counter.rs
+++ b/crates/gateway/tests/shared_counter.rs
@@ -1,4 +1,4 @@
-//! The built gateway and the shared counter's troubles, on loopback sockets.
+//! How the built gateway handles failures of the shared counter, on loopback sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -9,15 +9,15 @@
 use gateway_rig::*;
 use serde_json::json;
 
-/// Longer than the gateway keeps off a counter whose connection broke once.
-const KEEP_OFF: Duration = Duration::from_millis(300);
+/// Longer than the backoff after one broken connection to the counter.
+const COUNTER_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Longer than a silent connection is kept where calls end after 30 ms.
-const STALLED: Duration = Duration::from_millis(400);
+/// Longer than a silent connection is kept when counter calls time out after 30 ms.
+const SILENT_CONNECTION_KEPT: Duration = Duration::from_millis(400);
 
-/// Has requests served until one is preceded by a call to the counter; while calls fail, some are left
-/// out by chance.
-fn until_called(rig: &Rig, client: &mut Client) -> Arrived {
+/// Serves requests until one leads to a counter call, and returns that call. While calls fail, the gateway
+/// skips some at random.
+fn serve_until_counter_call(rig: &Rig, client: &mut Client) -> Arrived {
     for id in 100..150 {
         client.send(&words(&call(id, "safe", "paid", 60, 8000)));
         let all: Vec<&StandIn> = rig.backends.iter().chain([&rig.counter]).collect();
@@ -28,26 +28,26 @@
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
     }
-    panic!("no call");
+    panic!("no counter call");
 }
 
-/// Plays a scenario that needs two calls of one name. The windows that name them go by the wall clock;
-/// one that ends in between (`None`) says nothing, and the next is 30 s long.
-fn within_a_window(scenario: impl Fn() -> Option<()>) {
-    assert!((0..3).any(|_| scenario().is_some()), "no two calls had one name");
+/// Runs a scenario that needs two counter calls with the same key. Keys contain a window of the wall clock; if
+/// the window ends between the calls, the scenario returns `None` and is repeated, as each window lasts 30 s.
+fn within_one_window(scenario: impl Fn() -> Option<()>) {
+    assert!((0..3).any(|_| scenario().is_some()), "no two counter calls had the same key");
 }
 
 #[test]
-fn a_silent_counter_does_not_hold_a_request_and_its_late_answer_is_nobody_elses() {
-    within_a_window(|| {
+fn silent_counter_delays_no_request_and_late_answer_is_ignored() {
+    within_one_window(|| {
         let rig = Rig::with_config(1, roomy);
         let mut client = rig.gateway.client();
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         let mut late = rig.counter.next();
-        // No answer in time: the store decides alone.
+        // No answer in time: the token bucket decides alone.
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        let mut bump = until_called(&rig, &mut client);
+        let mut bump = serve_until_counter_call(&rig, &mut client);
         if late.words[1] != bump.words[1] {
             return None;
         }
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn a_connection_on_which_the_counter_stays_silent_is_replaced() {
-    within_a_window(|| {
+fn silent_counter_connection_is_replaced() {
+    within_one_window(|| {
         let rig = Rig::with_config(1, |config| {
             roomy(config);
             config["settings"]["family-info"]["count-wait-ms"] = json!(30.0);
@@ -72,8 +72,8 @@
         let silent = rig.counter.next();
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        sleep(STALLED);
-        // Calls that come now find the silent one before them.
+        sleep(SILENT_CONNECTION_KEPT);
+        // Calls made now queue behind the unanswered one.
         for id in 2..6 {
             client.send(&words(&call(id, "safe", "paid", 60, 8000)));
             rig.next_request().1.serve("fine");
@@ -85,104 +85,105 @@
             }
         }
         silent.closed();
-        sleep(KEEP_OFF);
-        assert_ne!(until_called(&rig, &mut client).connection, silent.connection);
+        sleep(COUNTER_BACKOFF);
+        assert_ne!(serve_until_counter_call(&rig, &mut client).connection, silent.connection);
         Some(())
     });
 }
 
 #[test]
-fn what_a_busy_counter_turned_away_is_told_again() {
+fn charge_rejected_by_busy_counter_is_sent_again() {
     let rig = Rig::with_config(1, roomy);
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "paid", 60, 8000)));
     rig.counter.next().say("busy\r\n");
     rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
-    let amount: f64 = until_called(&rig, &mut client).words[2].parse().expect("number");
+    let amount: f64 = serve_until_counter_call(&rig, &mut client).words[2].parse().expect("number");
     assert!(amount >= 120.0, "{amount}");
 }
 
 #[test]
-fn what_a_counter_may_have_added_is_not_told_again_and_a_fresh_connection_asks_at_once() {
-    // A connection that breaks after the call, answers that can't be read, and one that does not end.
-    for odd in ["", "ok NaN\r\n", "ok 1x\r\n", "oo"] {
+fn charge_with_unknown_result_is_not_sent_again() {
+    // A connection that breaks after the call, malformed answers, and an answer that is never completed.
+    for answer in ["", "ok NaN\r\n", "ok 1x\r\n", "oo"] {
         let rig = Rig::with_config(1, roomy);
         let mut client = rig.gateway.client();
-        // One that is answered well, so that the counter was heard before it breaks.
+        // The first call is answered, so the counter has responded before the failure.
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         rig.counter.next().say("ok 60\r\n");
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         client.send(&words(&call(2, "safe", "paid", 60, 8000)));
         let mut bump = rig.counter.next();
-        bump.say(odd);
-        if odd.is_empty() {
+        bump.say(answer);
+        if answer.is_empty() {
             bump.close();
         }
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         bump.closed();
-        // Each request calls as before: nothing speaks of a busy counter.
+        // Each request makes a call as before, on a new connection: nothing indicates a busy counter.
         client.send(&words(&call(3, "safe", "paid", 60, 8000)));
         let next = rig.counter.next();
-        assert_ne!(next.connection, bump.connection, "{odd:?}");
+        assert_ne!(next.connection, bump.connection, "{answer:?}");
         let amount: f64 = next.words[2].parse().expect("number");
-        assert!(amount < 120.0, "{odd:?}: {amount}");
+        assert!(amount < 120.0, "{answer:?}: {amount}");
     }
 }
 
-/// A request of 60 units by a customer of its own.
-fn of_customer(customer: u64, id: u64) -> Vec<String> {
+/// Returns a request for 60 units by the given customer.
+fn call_for_customer(customer: u64, id: u64) -> Vec<String> {
     let mut words = call(id, "safe", "paid", 60, 8000);
     words[1] = format!("{customer:016x}");
     words
 }
 
-/// Guards against a burst that one line of the counter turns away, taken for as many reasons to call less;
-/// those who are near their quota are then refused or let through unasked.
+/// Guards against counting every rejection of one burst as a separate reason to make fewer counter calls.
+/// Requests of customers near their quota would then be rejected or admitted without a call.
 #[test]
-fn a_burst_that_is_turned_away_counts_once_and_customers_near_their_quota_are_still_asked_for() {
+fn burst_rejected_by_counter_reduces_calls_only_once() {
     const BURST: u64 = 8;
     let rig = Rig::with_config(1, roomy);
     let mut client = rig.gateway.client();
-    let mut asked_for = |id| {
-        client.send(&words(&of_customer(1, id)));
+    let mut serve_counted = |id| {
+        client.send(&words(&call_for_customer(1, id)));
         let mut bump = rig.counter.next();
         let amount = bump.words[2].clone();
         bump.say(&format!("ok {amount}\r\n"));
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     };
-    // Its totals tell that it asks for more than its rate.
-    asked_for(1);
-    asked_for(2);
+    // The totals show that this customer exceeds its rate.
+    serve_counted(1);
+    serve_counted(2);
     let mut others: Vec<Client> = (0..BURST).map(|_| rig.gateway.client()).collect();
     for (customer, other) in (10..).zip(&mut others) {
-        other.send(&words(&of_customer(customer, customer)));
+        other.send(&words(&call_for_customer(customer, customer)));
     }
-    let out: Vec<Arrived> = (0..BURST).map(|_| rig.counter.next()).collect();
-    for mut bump in out.into_iter() {
+    let pending: Vec<Arrived> = (0..BURST).map(|_| rig.counter.next()).collect();
+    for mut bump in pending.into_iter() {
         bump.say("busy\r\n");
     }
     (0..BURST).for_each(|_| rig.next_request().1.serve("fine"));
     for other in &mut others {
         assert_eq!(other.read(), "fine");
     }
-    (100..103).for_each(asked_for);
+    (100..103).for_each(serve_counted);
 }
 
-/// Guards against refused charges that stay in the totals and empty the stores of all gateways.
+/// Guards against charges of rejected requests that stay in the totals and empty the token buckets of all
+/// gateways.
 #[test]
-fn the_charge_of_a_request_that_the_total_refused_is_taken_back_at_once() {
-    within_a_window(|| {
+fn charge_of_request_rejected_by_total_is_reversed_at_once() {
+    within_one_window(|| {
         let rig = Rig::with_config(1, roomy);
         let mut client = rig.gateway.client();
         client.send(&words(&call(1, "safe", "paid", 60, 8000)));
         let mut bump = rig.counter.next();
         bump.say("ok 5000\r\n");
         assert!(client.read().starts_with("-BUSY"));
-        // In a window that is over nothing is taken back.
+        // Nothing is reversed in a window that is over.
         let back = rig.counter.within(Duration::from_secs(5))?;
         assert_eq!((&back.words[1], back.words[2].as_str()), (&bump.words[1], "-60"));
         Some(())
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn requests_pass_by_the_store_alone_while_the_counter_refuses_connections() {
+fn requests_pass_on_token_bucket_while_counter_refuses_connections() {
     let (_held, gone) = refusing();
     let rig = Rig::with_config(1, |config| {
         roomy(config);
