--- a/crates/gateway/tests/basic_operation.rs
+++ b/crates/gateway/tests/basic_operation.rs
@@ -1,4 +1,5 @@
-//! The built gateway on loopback sockets: the ordinary paths, the list of backends, the configuration.
+//! Basic operation of the built gateway on loopback sockets: requests, the endpoint list and configuration
+//! errors.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,23 +11,23 @@
 use serde_json::json;
 
 #[test]
-fn a_request_is_served_with_the_value_and_goes_on_unchanged_but_for_the_wait() {
+fn request_is_forwarded_unchanged_except_for_deadline() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    let asked = call(7, "keyed", "free", 2, 7000);
-    client.send(&words(&asked));
+    let request = call(7, "keyed", "free", 2, 7000);
+    client.send(&words(&request));
     let (_, mut arrived) = rig.next_request();
     let wait = wait_of(&arrived.words[3]);
     assert!((1..7000).contains(&wait), "{wait}");
     let restored = arrived.words[3].replace(&format!("d={wait},"), "d=7000,");
-    assert_eq!(arrived.words[..3], asked[..3]);
-    assert_eq!((restored, &arrived.words[4]), (asked[3].clone(), &asked[4]));
+    assert_eq!(arrived.words[..3], request[..3]);
+    assert_eq!((restored, &arrived.words[4]), (request[3].clone(), &request[4]));
     arrived.serve("a value");
     assert_eq!(client.read(), "a value");
 }
 
 #[test]
-fn answers_of_pipelined_commands_come_in_their_order() {
+fn pipelined_commands_are_answered_in_order() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
     let all: Vec<u8> =
@@ -38,28 +39,32 @@
         let id = a.words[2].clone();
         a.serve(&id);
     }
-    let said: Vec<String> = (0..4).map(|_| client.read()).collect();
-    assert_eq!(said, [format!("{:016x}", 1), format!("{:016x}", 2), format!("{:016x}", 3), "+PONG".into()]);
+    let answers: Vec<String> = (0..4).map(|_| client.read()).collect();
+    assert_eq!(
+        answers,
+        [format!("{:016x}", 1), format!("{:016x}", 2), format!("{:016x}", 3), "+PONG".into()]
+    );
 }
 
 #[test]
-fn a_customer_beyond_its_quota_is_refused_at_once_and_told_when_to_come_again() {
+fn customer_over_quota_is_rejected_with_retry_time() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "paid", 4, 8000)));
     let mut bump = rig.counter.next();
     assert_eq!(bump.words[0], "bump");
     assert_eq!(bump.words[2], "4");
-    // Others have spent more than the store holds and a whole window fills.
+    // Other gateways have charged more than the token bucket holds plus a whole window's refill.
     bump.say("ok 100\r\n");
-    let said = client.read();
-    let ms: u32 = said.strip_prefix("-BUSY ").expect("rejection with a retry time").parse().expect("number");
+    let answer = client.read();
+    let ms: u32 =
+        answer.strip_prefix("-BUSY ").expect("rejection with a retry time").parse().expect("number");
     assert!((1..=2000).contains(&ms), "{ms}");
-    assert!(rig.backends_idle(), "a refused request went to a backend");
+    assert!(rig.backends_idle(), "a rejected request was sent to a backend");
 }
 
 #[test]
-fn a_draining_backend_gets_nothing_new_but_finishes_what_it_has() {
+fn draining_backend_finishes_open_requests_and_gets_no_new_ones() {
     let rig = Rig::with_two_backends();
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let mut client = rig.gateway.client();
@@ -74,15 +79,15 @@
     held.serve("finished");
     assert_eq!(client.read(), "finished");
     let calls = rig.agent.calls();
-    // What it knows already is not asked for again.
+    // Each call asks only for changes after the version held.
     assert!(calls[0].contains("after=1&wait_ms="), "{calls:?}");
     assert!(calls[1].contains("after=41&wait_ms="), "{calls:?}");
     assert!(calls[2].contains("after=42&wait_ms="), "{calls:?}");
 }
 
-/// A fleet that is turned away must not ask for the whole list, over and over.
+/// Guards against a fleet that requests the snapshot again and again while discovery rejects its calls.
 #[test]
-fn a_discovery_that_turns_calls_away_is_asked_again_from_the_version_held() {
+fn rejected_discovery_call_is_repeated_from_current_version() {
     let rig = Rig::with_config(2, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     for _ in 0..3 {
@@ -92,7 +97,7 @@
     }
     let calls = rig.agent.calls();
     assert!(calls[1..].iter().all(|call| call.contains("after=41&wait_ms=")), "{calls:?}");
-    // The list stays in force meanwhile, and news is taken in when it comes.
+    // The list stays in force meanwhile, and later updates are applied.
     rig.agent.tell(&list(42, false, &[endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0)]));
     let mut client = rig.gateway.client();
     for id in 1..6 {
@@ -100,16 +105,16 @@
     }
 }
 
-/// Guards against a discovery that began anew, whose changes are read as those of the list held.
+/// Guards against applying a delta of a restarted discovery agent to the list from before its restart.
 #[test]
-fn a_version_that_goes_back_has_the_whole_list_asked_for() {
+fn version_regression_triggers_snapshot_request() {
     let rig = Rig::with_config(2, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let gone = endpoint("s-1", rig.backends[1].address, 1, "DELETED", 0.0);
     rig.agent.tell(&list(3, false, &[gone]));
     let calls = rig.agent.calls();
     assert!(calls.last().is_some_and(|call| call.contains("/discovery/hosts HTTP")), "{calls:?}");
-    // What that change said of another list is not in force; the whole list is.
+    // The delta, which belongs to another list, is not applied; the snapshot is.
     rig.agent.tell(&list(3, true, &[serving(1, &rig.backends[1])]));
     let mut client = rig.gateway.client();
     for id in 1..6 {
@@ -118,7 +123,7 @@
 }
 
 #[test]
-fn deleted_backends_and_those_a_whole_list_leaves_out_get_nothing() {
+fn deleted_backends_and_those_missing_from_snapshot_get_no_requests() {
     let rig = Rig::with_config(3, |_| {});
     let gone = endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0);
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
@@ -130,8 +135,8 @@
 }
 
 #[test]
-fn an_attempt_still_connecting_when_its_backend_drains_is_never_written() {
-    // A backend whose line of connections is full: the gateway's waits.
+fn attempt_connecting_when_backend_drains_is_not_written() {
+    // The accept queue of this backend is full, so the gateway's connection waits.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let slow =
@@ -145,7 +150,7 @@
     rig.send_snapshot(&only);
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "unsafe", "free", 1, 8000)));
-    // Behind the request on the same connection, so it was taken in.
+    // The gateway handles these updates after the request, so the request has been accepted.
     rig.agent.tell(&list(42, false, &[endpoint("s-1", rig.backends[0].address, 1, "SERVING", 0.0)]));
     rig.agent.tell(&list(43, false, &[endpoint("s-0", address, 1, "DRAINING", 0.0)]));
     let slow = StandIn::backend_on(slow);
@@ -153,11 +158,11 @@
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
     drop(fillers);
-    assert!(slow.idle(), "written to a backend that drains");
+    assert!(slow.idle(), "request written to a draining backend");
 }
 
 #[test]
-fn odd_answers_of_discovery_are_passed_over() {
+fn malformed_discovery_responses_are_ignored() {
     let rig = Rig::with_config(1, |_| {});
     rig.agent.answer("{\"index\": 4");
     rig.agent.answer(&list(5, true, &[json!({"name": "s-0"})]).to_string());
@@ -166,20 +171,20 @@
 }
 
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
-    let some = "127.0.0.1:9".parse().expect("socket address");
-    let good = config(some, some, &[]);
+fn configuration_error_is_reported_in_one_line() {
+    let address = "127.0.0.1:9".parse().expect("socket address");
+    let good = config(address, address, &[]);
     let mut cases = vec![("{".to_string(), "not JSON")];
     for key in ["listen", "discovery", "counter", "seed", "known", "settings", "limits"] {
         let mut bad = good.clone();
         bad.as_object_mut().expect("JSON object").remove(key);
         cases.push((bad.to_string(), key));
     }
-    for (key, odd) in
+    for (key, wrong) in
         [("listen", json!("here")), ("seed", json!("xyz")), ("known", json!([])), ("counter", json!(7))]
     {
         let mut bad = good.clone();
-        bad[key] = odd;
+        bad[key] = wrong;
         cases.push((bad.to_string(), key));
     }
     let mut bad = good.clone();
@@ -188,45 +193,47 @@
     for (text, field) in cases {
         let (child, _file) = spawn_gateway(&text);
         let output = child.wait_with_output().expect("wait for the gateway to exit");
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{field}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(field), "{field}: {said}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains(field), "{field}: {stderr}");
     }
 }
 
-/// Guards against the key of a timer that rang, which another timer has by now, taken out with its request.
+/// Guards against a finished request that removes a timer by the key of its own expired timer, when the key has
+/// been reused for the timer of another request.
 #[test]
-fn a_request_that_ends_silences_no_timer_of_another() {
+fn finished_request_does_not_cancel_timer_of_another() {
     let rig = Rig::with_config(2, |config| {
         roomy(config);
         config["settings"]["policy-limits"]["second-copies"] = json!(true);
         config["settings"]["profiles"][0]["aim-ms"] = json!(8000.0);
     });
-    let ask = |id, plan| {
+    let send_request = |id, plan| {
         let mut client = rig.gateway.client();
         client.send(&words(&call(id, "safe", plan, 60, 30_000)));
         client
     };
-    // The timers on their calls ring while their attempts are out.
+    // The timers of the counter calls expire while the attempts are in flight.
     let counted: Vec<(Client, Arrived)> = (1..4)
         .map(|id| {
-            let client = ask(id, "paid");
+            let client = send_request(id, "paid");
             rig.counter.next().say(&format!("ok {}\r\n", id * 60));
             (client, rig.next_request().1)
         })
         .collect();
     sleep(Duration::from_millis(1_000));
-    let slow = ask(10, "free");
+    let slow = send_request(10, "free");
     let (first, _) = rig.next_request();
     for (mut client, mut arrived) in counted {
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
     }
-    // It is overdue after a while, and a second copy goes to the other backend.
+    // After a while the slow request is hedged: a second copy goes to the other backend.
     let name = format!("{:016x}", 10);
-    let copy =
-        std::iter::repeat_with(|| rig.next_request()).find(|(_, a)| a.words[2] == name).expect("comes");
-    assert_ne!(copy.0, first);
+    let hedge = std::iter::repeat_with(|| rig.next_request())
+        .find(|(_, a)| a.words[2] == name)
+        .expect("hedge arrives");
+    assert_ne!(hedge.0, first);
     drop(slow);
 }
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -1,4 +1,5 @@
-//! The second address of the built gateway: calls and their answers, bans, a drain, on loopback sockets.
+//! The management address of the built gateway: commands and their responses, bans and drains, on loopback
+//! sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -11,37 +12,41 @@
 use gateway_rig::*;
 use serde_json::json;
 
-fn managed(backends: usize) -> (Rig, SocketAddr) {
+/// Starts a gateway with a management address; returns that address too.
+fn managed_rig(backends: usize) -> (Rig, SocketAddr) {
     let at = unused_loopback_address();
     (Rig::with_config(backends, |config| config["management"] = json!(at.to_string())), at)
 }
 
-fn say(at: SocketAddr, line: &[u8]) -> String {
+/// Sends bytes to the management address and returns the response, which must be a single line.
+fn send_command(at: SocketAddr, line: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).expect("connect to the gateway");
     stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     stream.write_all(line).expect("write to the socket");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("read the response");
-    assert!(answer.ends_with("\r\n") && answer.matches('\n').count() == 1, "one line: {answer:?}");
+    assert!(answer.ends_with("\r\n") && answer.matches('\n').count() == 1, "not a single line: {answer:?}");
     answer
 }
 
-fn yes(at: SocketAddr, line: &str) -> String {
-    let answer = say(at, format!("{line}\r\n").as_bytes());
+/// Sends a command that must succeed.
+fn expect_success(at: SocketAddr, line: &str) -> String {
+    let answer = send_command(at, format!("{line}\r\n").as_bytes());
     assert!(answer.starts_with("SUCCESS"), "{line}: {answer}");
     answer
 }
 
-fn no(at: SocketAddr, line: &str) -> String {
-    let answer = say(at, format!("{line}\n").as_bytes());
+/// Sends a command that must fail.
+fn expect_failure(at: SocketAddr, line: &str) -> String {
+    let answer = send_command(at, format!("{line}\n").as_bytes());
     assert!(answer.starts_with("FAILURE"), "{line}: {answer}");
     answer
 }
 
 #[test]
-fn calls_that_are_none_get_a_no_with_the_reason() {
-    let (rig, at) = managed(1);
-    assert!(yes(at, "READY").contains("ready"));
+fn invalid_commands_fail_with_reason() {
+    let (rig, at) = managed_rig(1);
+    assert!(expect_success(at, "READY").contains("ready"));
     for (line, why) in [
         ("REBOOT", "unknown call"),
         ("", "empty"),
@@ -52,11 +57,11 @@
         (&format!("DISABLE {}", "x".repeat(10_000)), "10000 bytes"),
         (&"x".repeat(40_000), "more than"),
     ] {
-        let answer = no(at, line);
+        let answer = expect_failure(at, line);
         assert!(answer.contains(why), "{answer}");
     }
-    assert!(say(at, b"DISABLE \xff\xfe\n").contains("a line of text"));
-    // Half a call that ends.
+    assert!(send_command(at, b"DISABLE \xff\xfe\n").contains("a line of text"));
+    // An incomplete command, after which the client shuts down its sending side.
     let mut half = TcpStream::connect(at).expect("connect to the gateway");
     half.write_all(b"DRA").expect("write to the socket");
     half.shutdown(std::net::Shutdown::Write).expect("socket is open");
@@ -67,8 +72,8 @@
 }
 
 #[test]
-fn callers_that_say_nothing_keep_nobody_out() {
-    let (rig, at) = managed(1);
+fn silent_connections_do_not_block_commands() {
+    let (rig, at) = managed_rig(1);
     let silent: Vec<TcpStream> = (0..100)
         .map(|i| {
             let mut stream = TcpStream::connect(at).expect("connect to the gateway");
@@ -77,105 +82,105 @@
         })
         .collect();
     for _ in 0..5 {
-        yes(at, "READY");
+        expect_success(at, "READY");
     }
     drop(silent);
     assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
 }
 
 #[test]
-fn a_banned_backend_gets_nothing_whatever_discovery_says_until_the_call_back() {
-    let (rig, at) = managed(2);
+fn banned_backend_gets_no_requests_until_enabled() {
+    let (rig, at) = managed_rig(2);
     let both = |since: f64| {
-        let line = |i: usize| endpoint(&format!("s-{i}"), rig.backends[i].address, 1, "SERVING", since);
-        [line(0), line(1)]
+        let listed = |i: usize| endpoint(&format!("s-{i}"), rig.backends[i].address, 1, "SERVING", since);
+        [listed(0), listed(1)]
     };
     rig.send_snapshot(&both(0.0));
     let mut client = rig.gateway.client();
-    yes(at, "DISABLE s-0");
-    assert!(yes(at, "DISABLE s-0").contains("already"));
-    let none_to_it = |client: &mut Client, from: u64| {
+    expect_success(at, "DISABLE s-0");
+    assert!(expect_success(at, "DISABLE s-0").contains("already"));
+    let assert_not_served_by_banned = |client: &mut Client, from: u64| {
         for id in from..from + 8 {
             assert_eq!(rig.serve_one(client, id).0, 1);
         }
     };
-    none_to_it(&mut client, 1);
-    // Another life of it, and the whole list anew.
+    assert_not_served_by_banned(&mut client, 1);
+    // The backend restarts, then a new snapshot arrives.
     rig.agent.tell(&list(42, false, &both(1_000.0)[..1]));
-    none_to_it(&mut client, 20);
+    assert_not_served_by_banned(&mut client, 20);
     rig.agent.tell(&list(43, true, &both(2_000.0)));
-    none_to_it(&mut client, 40);
-    // It leaves the list and comes back: the ban stands.
+    assert_not_served_by_banned(&mut client, 40);
+    // It is removed from the list and added again: the ban stays.
     rig.agent.tell(&list(44, true, &both(0.0)[1..]));
     rig.agent.tell(&list(45, true, &both(3_000.0)));
-    none_to_it(&mut client, 60);
-    yes(at, "ENABLE s-0");
-    let mut met = false;
+    assert_not_served_by_banned(&mut client, 60);
+    expect_success(at, "ENABLE s-0");
+    let mut served = false;
     for id in 100..400 {
-        met |= rig.serve_one(&mut client, id).0 == 0;
+        served |= rig.serve_one(&mut client, id).0 == 0;
     }
-    assert!(met, "one that was given back gets work");
-    // All are banned: refused at once, not queued.
-    yes(at, "DISABLE s-0");
-    yes(at, "DISABLE s-1");
+    assert!(served, "the enabled backend gets no requests");
+    // With all backends banned, requests are rejected at once instead of queued.
+    expect_success(at, "DISABLE s-0");
+    expect_success(at, "DISABLE s-1");
     client.send(&words(&call(500, "safe", "free", 1, 8000)));
     assert_eq!(client.read(), "-BUSY");
 }
 
 #[test]
-fn a_connection_from_before_the_ban_is_not_used_after_it() {
-    let (rig, at) = managed(1);
+fn connection_from_before_ban_is_not_reused() {
+    let (rig, at) = managed_rig(1);
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     let (_, before) = rig.serve_one(&mut client, 1);
-    yes(at, "DISABLE s-0");
+    expect_success(at, "DISABLE s-0");
     before.closed();
-    yes(at, "ENABLE s-0");
+    expect_success(at, "ENABLE s-0");
     let (_, after) = rig.serve_one(&mut client, 2);
     assert_ne!(before.connection, after.connection);
 }
 
 #[test]
-fn a_drained_gateway_says_no_finishes_what_it_has_and_takes_clients_again() {
-    let (rig, at) = managed(1);
+fn drained_gateway_finishes_requests_and_serves_again_after_undrain() {
+    let (rig, at) = managed_rig(1);
     let (mut client, mut idle) = (rig.gateway.client(), rig.gateway.client());
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
-    yes(at, "DRAIN");
+    expect_success(at, "DRAIN");
     assert!(rig.gateway.client().ask(&["PING"]).starts_with("-ERR"));
-    assert!(no(at, "READY").contains("drained"));
-    // Nothing is open on it: it is closed. The other owes an answer.
+    assert!(expect_failure(at, "READY").contains("drained"));
+    // The idle connection is closed; the other one still awaits a response.
     assert_eq!(idle.read(), "(end)");
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
     assert_eq!(client.read(), "(end)");
-    // Connections that come later are told no, and closed after it.
+    // Later connections get an error and are then closed.
     let mut late = rig.gateway.client();
     assert!(late.ask(&["PING"]).starts_with("-ERR"));
     assert_eq!(late.read(), "(end)");
-    yes(at, "UNDRAIN");
-    yes(at, "READY");
+    expect_success(at, "UNDRAIN");
+    expect_success(at, "READY");
     let mut again = rig.gateway.client();
     assert_eq!(again.ask(&["PING"]), "+PONG");
     rig.serve_one(&mut again, 2);
-    // Again within a moment: the last call holds.
-    yes(at, "DRAIN");
-    yes(at, "UNDRAIN");
-    yes(at, "DRAIN");
+    // Commands in quick succession: the last one applies.
+    expect_success(at, "DRAIN");
+    expect_success(at, "UNDRAIN");
+    expect_success(at, "DRAIN");
     assert!(rig.gateway.client().ask(&["PING"]).starts_with("-ERR"));
     assert_eq!(again.read(), "(end)");
 }
 
 #[test]
-fn a_drain_ends_connections_that_never_fall_quiet() {
-    let (rig, at) = managed(1);
+fn drain_closes_connections_that_are_never_idle() {
+    let (rig, at) = managed_rig(1);
     let mut busy = rig.gateway.client();
-    yes(at, "DRAIN");
+    expect_success(at, "DRAIN");
     let start = Instant::now();
-    // Always one more command on its way than answers read.
+    // There is always one more command sent than responses read.
     busy.send(&["PING"]);
     loop {
-        assert!(start.elapsed() < PATIENCE, "it goes on for good");
+        assert!(start.elapsed() < PATIENCE, "the connection is never closed");
         if busy.ask_or_end(&["PING"]) == "(end)" {
             break;
         }
@@ -183,8 +188,8 @@
 }
 
 #[test]
-fn ready_is_answered_while_requests_wait() {
-    let (rig, at) = managed(1);
+fn ready_is_answered_while_requests_are_queued() {
+    let (rig, at) = managed_rig(1);
     let mut clients: Vec<Client> = (0..64).map(|_| rig.gateway.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         for k in 0..32 {
@@ -194,10 +199,10 @@
     let slowest = (0..20)
         .map(|_| {
             let start = Instant::now();
-            yes(at, "READY");
+            expect_success(at, "READY");
             start.elapsed()
         })
         .max();
-    // A second is what callers wait; here it takes a few ms, however slow the machine.
+    // Callers of READY time out after 1 s; the response takes a few ms even on a slow machine.
     assert!(slowest < Some(Duration::from_secs(1)), "{slowest:?}");
 }
--- a/crates/gateway/tests/settings_reload.rs
+++ b/crates/gateway/tests/settings_reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the built gateway serves, on loopback sockets.
+//! Changes of settings with SIGHUP while the built gateway serves requests, on loopback sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -8,8 +8,8 @@
 use gateway_rig::*;
 use serde_json::{json, Value};
 
-/// A file with one more class, named `new`, that is safe.
-fn with_class(config: &Value) -> Value {
+/// Returns the configuration with one more class, `new`, which is a copy of the class `safe`.
+fn with_new_class(config: &Value) -> Value {
     let mut config = config.clone();
     let mut class = config["settings"]["profiles"][0].clone();
     class["name"] = json!("new");
@@ -17,8 +17,8 @@
     config
 }
 
-/// Has the file read, and waits until the log says what became of it.
-fn configure(rig: &mut Rig, text: &str) -> String {
+/// Reloads the configuration and returns the log line with the result.
+fn reload(rig: &mut Rig, text: &str) -> String {
     rig.gateway.reload(text);
     loop {
         let line = rig.gateway.next_log_line();
@@ -28,8 +28,8 @@
     }
 }
 
-/// Asks once, and gives the answer if there is one without a backend.
-fn ask(rig: &Rig, client: &mut Client, id: u64, class: &str) -> String {
+/// Sends a request and returns the response. If the request reaches a backend, the backend serves it.
+fn send_request(rig: &Rig, client: &mut Client, id: u64, class: &str) -> String {
     let mut words_of = call(id, "safe", "free", 1, 8000);
     words_of[3] = words_of[3].replace("c=safe", &format!("c={class}"));
     client.send(&words(&words_of));
@@ -49,37 +49,37 @@
 }
 
 #[test]
-fn a_class_is_added_and_dropped_and_open_requests_keep_theirs() {
+fn removed_class_still_applies_to_open_requests() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    assert!(ask(&rig, &mut client, 1, "new").starts_with("-ERR unknown class"));
-    let (with, without) = (with_class(&rig.config), rig.config.clone());
-    assert!(configure(&mut rig, &with.to_string()).contains("in force"));
-    assert_eq!(ask(&rig, &mut client, 2, "new"), "fine");
-    // One is open while its class is dropped.
+    assert!(send_request(&rig, &mut client, 1, "new").starts_with("-ERR unknown class"));
+    let (with, without) = (with_new_class(&rig.config), rig.config.clone());
+    assert!(reload(&mut rig, &with.to_string()).contains("in force"));
+    assert_eq!(send_request(&rig, &mut client, 2, "new"), "fine");
+    // A request is open while its class is removed.
     let mut open = rig.gateway.client();
     let mut words_of = call(3, "safe", "free", 1, 8000);
     words_of[3] = words_of[3].replace("c=safe", "c=new");
     open.send(&words(&words_of));
     let (_, mut arrived) = rig.next_request();
-    assert!(configure(&mut rig, &without.to_string()).contains("in force"));
-    assert!(ask(&rig, &mut client, 4, "new").starts_with("-ERR unknown class"));
+    assert!(reload(&mut rig, &without.to_string()).contains("in force"));
+    assert!(send_request(&rig, &mut client, 4, "new").starts_with("-ERR unknown class"));
     arrived.say("-ERR failed\r\n");
-    // Safe to repeat, as it was when it came: another attempt.
-    let (_, mut again) = rig.next_request();
-    again.serve("fine");
+    // The request is still safe to retry, as it was on arrival: there is another attempt.
+    let (_, mut retry) = rig.next_request();
+    retry.serve("fine");
     assert_eq!(open.read(), "fine");
 }
 
 #[test]
-fn the_number_of_attempts_binds_from_then_on_and_not_before() {
+fn changed_attempt_limit_applies_to_later_requests_only() {
     let mut rig = Rig::with_config(2, |_| {});
     let (mut before, mut after) = (rig.gateway.client(), rig.gateway.client());
     before.send(&words(&call(1, "safe", "free", 1, 8000)));
     let (_, mut first) = rig.next_request();
     let mut one = rig.config.clone();
     one["settings"]["policy-limits"]["max-attempts"] = json!(1);
-    assert!(configure(&mut rig, &one.to_string()).contains("in force"));
+    assert!(reload(&mut rig, &one.to_string()).contains("in force"));
     first.say("-ERR failed\r\n");
     let (_, mut second) = rig.next_request();
     second.serve("fine");
@@ -87,18 +87,18 @@
     after.send(&words(&call(2, "safe", "free", 1, 8000)));
     let (_, mut only) = rig.next_request();
     only.say("-ERR failed\r\n");
-    assert!(after.read().starts_with('-'), "no second attempt");
+    assert!(after.read().starts_with('-'), "there must be no second attempt");
     assert!(rig.backends_idle());
 }
 
 #[test]
-fn a_class_whose_effect_changes_binds_the_requests_that_come_after() {
+fn changed_class_effect_applies_to_later_requests() {
     let mut rig = Rig::with_config(2, |_| {});
     let mut client = rig.gateway.client();
     let mut other = rig.config.clone();
     other["settings"]["profiles"][2]["effect"] = json!("idempotency_key");
     other["settings"]["profiles"][2]["group"] = json!("all");
-    assert!(configure(&mut rig, &other.to_string()).contains("in force"));
+    assert!(reload(&mut rig, &other.to_string()).contains("in force"));
     let mut words_of = call(1, "unsafe", "free", 1, 8000);
     words_of[3] += ",k=5c0f6e1a2b3d4c59";
     client.send(&words(&words_of));
@@ -110,10 +110,10 @@
 }
 
 #[test]
-fn files_that_are_wrong_anywhere_are_turned_down_whole() {
+fn invalid_configuration_is_rejected_as_a_whole() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    let good = with_class(&rig.config);
+    let good = with_new_class(&rig.config);
     let mut wrong: Vec<(String, &str)> = vec![(String::new(), "not JSON"), ("{}".to_string(), "missing")];
     let text = good.to_string();
     for part in 1..12 {
@@ -140,10 +140,10 @@
     let huge = text.replacen("4000.0", "1e400", 1);
     wrong.extend([(nan, "not JSON"), (huge, "not JSON")]);
     for (id, (file, why)) in (1..).zip(wrong) {
-        let line = configure(&mut rig, &file);
+        let line = reload(&mut rig, &file);
         assert!(line.contains(why) && line.contains("stays"), "{why}: {line}");
-        assert!(ask(&rig, &mut client, id, "new").starts_with("-ERR unknown class"));
+        assert!(send_request(&rig, &mut client, id, "new").starts_with("-ERR unknown class"));
     }
-    assert!(configure(&mut rig, &text).contains("in force"));
-    assert_eq!(ask(&rig, &mut client, 900, "new"), "fine");
+    assert!(reload(&mut rig, &text).contains("in force"));
+    assert_eq!(send_request(&rig, &mut client, 900, "new"), "fine");
 }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -1,4 +1,4 @@
-//! The built gateway and signals: the drain and new configurations, on loopback sockets.
+//! SIGTERM (drain) and SIGHUP (configuration reload) at the built gateway, on loopback sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[test]
-fn sigterm_lets_what_was_taken_finish_and_closes_idle_connections() {
+fn sigterm_finishes_open_requests_and_closes_idle_connections() {
     let mut rig = Rig::with_config(1, |_| {});
     let (mut client, mut idle) = (rig.gateway.client(), rig.gateway.client());
     assert_eq!(idle.ask(&["PING"]), "+PONG");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn connections_in_use_are_served_on_for_a_while_after_sigterm() {
+fn active_connections_are_served_for_a_while_after_sigterm() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     rig.serve_one(&mut client, 1);
@@ -45,22 +45,22 @@
     assert!(rig.gateway.wait_for_exit().success());
 }
 
-/// Guards against a command that crosses the end of a connection.
+/// Guards against closing an idle connection while the client is sending a command on it.
 #[test]
-fn after_sigterm_a_quiet_connection_closes_behind_its_next_answer() {
+fn idle_connection_closes_after_next_response_once_sigterm_arrived() {
     let mut rig = Rig::with_config(1, |_| {});
-    let (mut busy, mut quiet) = (rig.gateway.client(), rig.gateway.client());
-    assert_eq!(quiet.ask(&["PING"]), "+PONG");
+    let (mut busy, mut idle) = (rig.gateway.client(), rig.gateway.client());
+    assert_eq!(idle.ask(&["PING"]), "+PONG");
     rig.gateway.terminate();
-    // One that is always asking is closed behind an answer as soon as connections close.
+    // A connection in constant use is closed after a response as soon as the gateway closes connections.
     while busy.ask_or_end(&["PING"]) != "(end)" {}
-    assert_eq!(quiet.ask(&["PING"]), "+PONG", "closed as it was quiet");
-    assert_eq!(quiet.read(), "(end)");
+    assert_eq!(idle.ask(&["PING"]), "+PONG", "closed while idle");
+    assert_eq!(idle.read(), "(end)");
     assert!(rig.gateway.wait_for_exit().success());
 }
 
 #[test]
-fn what_does_not_finish_after_sigterm_fails_before_the_kill() {
+fn unfinished_request_fails_before_end_of_sigterm_grace_period() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
@@ -70,35 +70,35 @@
     assert!(rig.gateway.wait_for_exit().success());
 }
 
-/// Whole lists that begin watches.
-fn tells(agent: &Agent, backend: &StandIn) {
+/// Sends a snapshot and waits until the gateway watches for later versions.
+fn send_snapshot(agent: &Agent, backend: &StandIn) {
     agent.tell(&list(7, true, &[serving(0, backend)]));
 }
 
 #[test]
-fn sighup_goes_over_to_the_discovery_and_the_counter_that_the_file_names_by_then() {
+fn sighup_switches_to_new_discovery_and_counter_addresses() {
     let mut rig = Rig::with_config(1, roomy);
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "paid", 60, 8000)));
-    // The old counter owes an answer, and never gives it.
-    let owed = rig.counter.next();
+    // The old counter never answers this call.
+    let unanswered = rig.counter.next();
     for _ in 0..2 {
         let (agent, counter, fresh) = (Agent::start(), StandIn::counter(), StandIn::backend());
         let mut config = rig.config.clone();
         config["discovery"] = json!(agent.address.to_string());
         config["counter"] = json!(counter.address.to_string());
         rig.gateway.reload(&config.to_string());
-        tells(&agent, &fresh);
+        send_snapshot(&agent, &fresh);
         (rig.agent, rig.counter) = (agent, counter);
         rig.backends.push(fresh);
     }
-    // Settled without a total; the store decides.
+    // Decided without a total, on the token bucket alone.
     let (_, mut arrived) = rig.next_request();
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
-    owed.closed();
-    // The last list named the last backend alone, and the last counter is asked.
+    unanswered.closed();
+    // The last list has only the last backend, and counter calls go to the last counter.
     for id in 2..14 {
         client.send(&words(&call(id, "safe", "paid", 60, 8000)));
         let (place, mut arrived) = next_of(&[&rig.counter, &rig.backends[2]]);
@@ -109,11 +109,11 @@
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
     }
-    panic!("the new counter was not asked");
+    panic!("the new counter got no call");
 }
 
 #[test]
-fn sighup_with_a_file_that_cannot_be_used_keeps_the_old_configuration() {
+fn sighup_with_invalid_file_keeps_old_configuration() {
     let mut rig = Rig::with_config(1, |_| {});
     rig.gateway.reload("{");
     let line = rig.gateway.next_log_line();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn sighup_during_the_drain_does_not_end_it() {
+fn sighup_during_drain_does_not_end_drain() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
--- a/crates/gateway/tests/streamed_values.rs
+++ b/crates/gateway/tests/streamed_values.rs
@@ -1,4 +1,4 @@
-//! Long values and slow peers at the built gateway, on loopback sockets.
+//! Streamed values and slow peers at the built gateway, on loopback sockets.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -10,21 +10,22 @@
 
 use gateway_rig::*;
 
-const LONG: usize = 4 << 20;
+/// Length of a streamed value in bytes.
+const LONG_VALUE: usize = 4 << 20;
 
-/// Text in which every place is told from its neighbours.
-fn text(length: usize) -> String {
+/// Returns a text whose neighbouring bytes differ, so that a shift is detected.
+fn varied_text(length: usize) -> String {
     (0..length).map(|i| char::from(b'a' + (i % 23) as u8)).collect()
 }
 
-/// Answers with a value whose first part alone comes; what is left to say is given back.
-fn begin<'a>(arrived: &mut Arrived, value: &'a str, first: usize) -> &'a str {
+/// Starts a response with the first `first` bytes of a value, and returns the part that is still to be sent.
+fn start_response<'a>(arrived: &mut Arrived, value: &'a str, first: usize) -> &'a str {
     arrived.say(&format!("*3\r\n${}\r\n{}", value.len(), &value[..first]));
     &value[first..]
 }
 
-/// The head of a value as a client reads it, and the first byte.
-fn first_byte(stream: &mut TcpStream) -> (usize, u8) {
+/// Reads the header of a value and its first byte; returns the length of the value and that byte.
+fn read_first_byte(stream: &mut TcpStream) -> (usize, u8) {
     let (mut head, mut byte) = (String::new(), [0]);
     while !head.ends_with("\r\n") {
         stream.read_exact(&mut byte).expect("read the header");
@@ -34,7 +35,8 @@
     (head.trim().trim_start_matches('$').parse().expect("length"), byte[0])
 }
 
-fn open(rig: &Rig, id: u64) -> (TcpStream, Arrived) {
+/// Sends a request on a new connection; returns the connection and the request as the backend received it.
+fn open_request(rig: &Rig, id: u64) -> (TcpStream, Arrived) {
     let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
     stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     stream.write_all(&command(&words(&call(id, "safe", "free", 1, 8000)))).expect("write to the socket");
@@ -42,25 +44,25 @@
 }
 
 #[test]
-fn a_long_value_goes_on_at_once_and_the_connections_are_used_again() {
+fn streamed_value_is_forwarded_at_once_and_connections_are_reused() {
     let rig = Rig::with_config(1, |_| {});
-    let (mut client, mut arrived) = open(&rig, 1);
-    let value = text(LONG);
-    let rest = begin(&mut arrived, &value, 1);
-    // The first byte is there though the backend has not given more.
-    assert_eq!(first_byte(&mut client), (LONG, b'a'));
+    let (mut client, mut arrived) = open_request(&rig, 1);
+    let value = varied_text(LONG_VALUE);
+    let rest = start_response(&mut arrived, &value, 1);
+    // The first byte arrives although the backend has not sent more.
+    assert_eq!(read_first_byte(&mut client), (LONG_VALUE, b'a'));
     let reader = thread::spawn(move || {
-        let mut got = vec![0; LONG + 1];
-        client.read_exact(&mut got).expect("read the whole value");
-        (client, got)
+        let mut received = vec![0; LONG_VALUE + 1];
+        client.read_exact(&mut received).expect("read the whole value");
+        (client, received)
     });
     for piece in rest.as_bytes().chunks(7_777) {
         arrived.say(std::str::from_utf8(piece).expect("UTF-8 text"));
     }
-    let (mut client, got) = reader.join().expect("read");
-    assert!(got.ends_with(b"\r\n") && &got[..LONG - 1] == rest.as_bytes());
+    let (mut client, received) = reader.join().expect("reader thread");
+    assert!(received.ends_with(b"\r\n") && &received[..LONG_VALUE - 1] == rest.as_bytes());
     arrived.say("\r\n$13\r\nused=0,cost=1\r\n$-1\r\n");
-    // Both connections go on. What stands behind the value is read before the backend's serves again.
+    // Both connections are reused; the backend's only after the metadata behind the value has been read.
     client.write_all(&command(&words(&call(2, "safe", "free", 1, 8000)))).expect("write to the socket");
     let (_, mut next) = rig.next_request();
     next.serve("fine");
@@ -70,22 +72,22 @@
 }
 
 #[test]
-fn a_value_that_breaks_off_ends_the_connection_before_its_length() {
+fn truncated_value_closes_client_connection() {
     let rig = Rig::with_config(2, |_| {});
-    let (mut client, mut arrived) = open(&rig, 1);
-    let value = text(200_000);
-    begin(&mut arrived, &value, 100_000);
+    let (mut client, mut arrived) = open_request(&rig, 1);
+    let value = varied_text(200_000);
+    start_response(&mut arrived, &value, 100_000);
     arrived.close();
-    let mut got = Vec::new();
-    let _ = client.read_to_end(&mut got);
-    assert!(got.len() < 200_000, "{} bytes", got.len());
-    assert!(got.starts_with(b"$200000\r\nabc"));
-    // Safe to repeat, but part of it was passed on: there is no other attempt.
+    let mut received = Vec::new();
+    let _ = client.read_to_end(&mut received);
+    assert!(received.len() < 200_000, "{} bytes", received.len());
+    assert!(received.starts_with(b"$200000\r\nabc"));
+    // The request is safe to retry, but part of the value was forwarded, so there is no other attempt.
     assert!(rig.backends_idle());
 }
 
 #[test]
-fn small_answers_in_pieces_are_waited_for() {
+fn small_response_in_pieces_is_assembled() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
@@ -97,31 +99,32 @@
     assert_eq!(client.read(), "fine");
 }
 
-/// Guards against values that nobody reads yet, held whole. Under 32 MB come twenty of 4 MiB.
+/// Guards against buffering whole values that clients do not read yet: twenty values of 4 MiB are in progress
+/// under a memory limit of 32 MB.
 #[test]
-fn more_long_values_than_memory_holds_pass_to_slow_readers() {
+fn streamed_values_to_slow_readers_stay_within_memory_limit() {
     let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = serde_json::json!(32));
-    let value = text(LONG);
+    let value = varied_text(LONG_VALUE);
     let mut readers = Vec::new();
     for id in 1..=20 {
-        let (mut client, mut arrived) = open(&rig, id);
+        let (mut client, mut arrived) = open_request(&rig, id);
         let value = value.clone();
         let writer = thread::spawn(move || {
-            begin(&mut arrived, &value, LONG);
+            start_response(&mut arrived, &value, LONG_VALUE);
             arrived.say("\r\n$13\r\nused=0,cost=1\r\n$-1\r\n");
         });
-        assert_eq!(first_byte(&mut client), (LONG, b'a'));
+        assert_eq!(read_first_byte(&mut client), (LONG_VALUE, b'a'));
         readers.push((client, writer));
     }
-    // All are under way and nobody reads.
+    // All values are in progress and no client reads.
     thread::sleep(Duration::from_millis(500));
     let peak = rig.gateway.peak_memory_kb();
-    println!("{peak} kB at 20 values of 4 MiB");
+    println!("peak memory: {peak} kB with 20 values of 4 MiB");
     assert!(peak < 32 << 10, "{peak} kB");
     for (mut client, writer) in readers {
-        let mut got = vec![0; LONG + 1];
-        client.read_exact(&mut got).expect("read the whole value");
-        assert!(got.ends_with(b"\r\n") && got[..LONG - 1] == value.as_bytes()[1..]);
-        writer.join().expect("written");
+        let mut received = vec![0; LONG_VALUE + 1];
+        client.read_exact(&mut received).expect("read the whole value");
+        assert!(received.ends_with(b"\r\n") && received[..LONG_VALUE - 1] == value.as_bytes()[1..]);
+        writer.join().expect("writer thread");
     }
 }
