--- a/crates/gateway/tests/backends.rs
+++ b/crates/gateway/tests/backends.rs
@@ -38,10 +38,10 @@
 
 #[test]
 fn unsafe_request_is_retried_after_refused_connection() {
-    let (_held, gone) = refusing();
+    let (_held, refusing_address) = refusing();
     let rig = Rig::with_config(1, |config| {
         let known = config["known"]["endpoints"].as_array_mut().expect("JSON array");
-        known.push(endpoint("s-9", gone, 1, "SERVING", 0.0));
+        known.push(endpoint("s-9", refusing_address, 1, "SERVING", 0.0));
     });
     let mut client = rig.gateway.client();
     for id in 1..=6 {
--- a/crates/gateway/tests/basic_operation.rs
+++ b/crates/gateway/tests/basic_operation.rs
@@ -110,8 +110,8 @@
 fn version_regression_triggers_snapshot_request() {
     let rig = Rig::with_config(2, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
-    let gone = endpoint("s-1", rig.backends[1].address, 1, "DELETED", 0.0);
-    rig.agent.tell(&list(3, false, &[gone]));
+    let deleted = endpoint("s-1", rig.backends[1].address, 1, "DELETED", 0.0);
+    rig.agent.tell(&list(3, false, &[deleted]));
     let calls = rig.agent.calls();
     assert!(calls.last().is_some_and(|call| call.contains("/discovery/hosts HTTP")), "{calls:?}");
     // The delta, which belongs to another list, is not applied; the snapshot is.
@@ -125,9 +125,9 @@
 #[test]
 fn deleted_backends_and_those_missing_from_snapshot_get_no_requests() {
     let rig = Rig::with_config(3, |_| {});
-    let gone = endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0);
+    let deleted = endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0);
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
-    rig.agent.tell(&list(42, false, &[gone]));
+    rig.agent.tell(&list(42, false, &[deleted]));
     let mut client = rig.gateway.client();
     for id in 0..10 {
         assert_eq!(rig.serve_one(&mut client, id).0, 1);
@@ -139,8 +139,9 @@
     // The accept queue of this backend is full, so the gateway's connection waits.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
-    let slow =
-        runtime.block_on(async { refusing().0.listen(1).expect("listen").into_std().expect("listener") });
+    let slow = runtime.block_on(async {
+        refusing().0.listen(1).expect("listen").into_std().expect("convert the listener")
+    });
     slow.set_nonblocking(false).expect("set the listener blocking");
     let address = slow.local_addr().expect("socket address");
     let fillers: Vec<_> =
@@ -200,8 +201,8 @@
     }
 }
 
-/// Guards against a finished request that removes a timer by the key of its own expired timer, when the key has
-/// been reused for the timer of another request.
+/// Guards against a finished request that removes a timer by the key of its own expired timer, when the key
+/// has been reused for the timer of another request.
 #[test]
 fn finished_request_does_not_cancel_timer_of_another() {
     let rig = Rig::with_config(2, |config| {
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -44,9 +44,9 @@
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let good = call(1, "safe", "free", 1, 8000);
-    let with = |place: usize, from: &str, to: &str| {
+    let with = |index: usize, from: &str, to: &str| {
         let mut changed = good.clone();
-        changed[place] = changed[place].replace(from, to);
+        changed[index] = changed[index].replace(from, to);
         changed
     };
     let bad = [
@@ -130,7 +130,7 @@
 /// Guards against idle connections that are kept until the gateway has no descriptors left: the clients may
 /// reach their own limits long before.
 #[test]
-fn idle_connections_are_closed_before_descriptors_run_out() {
+fn idle_connections_close_while_half_of_descriptors_are_free() {
     let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
     let mut idle: Vec<Client> = (0..5).map(|_| rig.gateway.client()).collect();
     for client in &mut idle {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn duplicate_id_of_open_request_is_an_error() {
+fn duplicate_id_gets_error_and_open_request_is_served() {
     let rig = Rig::with_config(1, |_| {});
     let (mut client, mut other) = (rig.gateway.client(), rig.gateway.client());
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
--- a/crates/gateway/tests/counter_connections.rs
+++ b/crates/gateway/tests/counter_connections.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Lets the backend serve the requests of one `send_requests`, and the clients read the values.
+/// Lets the backend serve the requests of one [`send_requests`] call, and the clients read the values.
 fn serve_all(rig: &Rig, clients: &mut [Client]) {
     let all = REQUESTS_PER_CLIENT * clients.len() as u64;
     (0..all).for_each(|_| rig.next_request().1.serve("fine"));
@@ -36,8 +36,8 @@
     }
 }
 
-/// Guards against calls that queue behind a silent connection and time out one after another, until the gateway
-/// makes hardly any call although the counter answers on all other connections.
+/// Guards against calls that queue behind a silent connection and time out one after another, until the
+/// gateway makes hardly any call although the counter answers on all other connections.
 #[test]
 fn silent_counter_connection_is_replaced_without_skipped_calls() {
     // Long enough that every answered call is answered in time even on a slow machine.
--- a/crates/gateway/tests/disconnect_and_shutdown_races.rs
+++ b/crates/gateway/tests/disconnect_and_shutdown_races.rs
@@ -23,8 +23,9 @@
     fn new() -> StalledBackend {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
-        let listener =
-            runtime.block_on(async { refusing().0.listen(1).expect("listen").into_std().expect("listener") });
+        let listener = runtime.block_on(async {
+            refusing().0.listen(1).expect("listen").into_std().expect("convert the listener")
+        });
         listener.set_nonblocking(false).expect("set the listener blocking");
         let address = listener.local_addr().expect("socket address");
         let fillers =
@@ -93,8 +94,8 @@
     (rig, client)
 }
 
-/// Guards against a retry that was decided within the deduplication window but is written after it, because its
-/// connection was established late. By then the backends of the cell no longer know that the request ran.
+/// Guards against a retry that was decided within the deduplication window but is written after it, because
+/// its connection was established late. By then the backends of the cell no longer know that the request ran.
 #[test]
 fn keyed_retry_connected_after_window_is_not_written() {
     let stalled = StalledBackend::new();
@@ -107,7 +108,8 @@
     client.send(&words(&call(1, "keyed", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     let begun = Instant::now();
-    // Another backend of the cell is added and the attempt fails: the retry goes there and waits for a connection.
+    // Another backend of the cell is added and the attempt fails: the retry goes there and waits for a
+    // connection.
     let other = endpoint("s-1", stalled.address, 1, "SERVING", 0.0);
     rig.agent.tell(&list(42, true, &[serving(0, &rig.backends[0]), other]));
     assert!(begun.elapsed() < Duration::from_millis(500), "the machine stalled, so no retry was attempted");
@@ -119,8 +121,8 @@
     assert!(rig.backends_idle());
 }
 
-/// Guards against a request that is written when its backend connection is established although its client has
-/// disconnected, which happened where the settings forbid cancelling attempts.
+/// Guards against a request that is written when its backend connection is established although its client
+/// has disconnected, if the settings do not allow attempts to be cancelled.
 #[test]
 fn request_of_disconnected_client_is_not_written_to_new_connection() {
     for cancel in [true, false] {
@@ -138,8 +140,8 @@
     }
 }
 
-/// Guards against an unnoticed disconnect of a client that wrote more commands than the gateway queues: the end
-/// of the stream is behind commands that are not read yet.
+/// Guards against an unnoticed disconnect of a client that wrote more commands than the gateway queues: the
+/// end of the stream is behind commands that are not read yet.
 #[test]
 fn disconnect_is_detected_behind_unread_commands() {
     // One more than the gateway queues, and more than it reads ahead.
@@ -168,9 +170,9 @@
     });
     let mut large = rig.gateway.client();
     for id in 1..5 {
-        let mut words_of = call(id, "unsafe", "free", 1, 600_000);
-        words_of[4] = "x".repeat(60_000);
-        large.send(&words(&words_of));
+        let mut request = call(id, "unsafe", "free", 1, 600_000);
+        request[4] = "x".repeat(60_000);
+        large.send(&words(&request));
     }
     let _held: Vec<Arrived> = (1..5).map(|_| rig.next_request().1).collect();
     // Some commands get memory; each of the others waits for 0.25 s.
@@ -273,8 +275,8 @@
     assert_eq!(reused_at_once, 0, "of 50 requests were written at once after a response");
 }
 
-/// Guards against a duplicate response that arrives while the next request waits for the connection's pause to
-/// end and is used as its response.
+/// Guards against a duplicate response that arrives while the next request waits for the connection's pause
+/// to end and is used as its response.
 #[test]
 fn duplicate_response_during_pause_is_not_used_for_next_request() {
     let rig = Rig::with_config(1, |_| {});
@@ -378,8 +380,8 @@
     assert!(rig.gateway.wait_for_exit().success());
 }
 
-/// Guards against a rejected connection that is closed with its first request unread: the kernel then resets it,
-/// and the response is lost.
+/// Guards against a rejected connection that is closed with its first request unread: the kernel then resets
+/// it, and the response is lost.
 #[test]
 fn rejected_connection_closes_after_response_without_reset() {
     let (rig, _kept, _arrived) = rig_at_client_limit();
@@ -391,8 +393,8 @@
     assert_eq!(response, "-BUSY\r\n");
 }
 
-/// Guards against a discovery response without a length that is taken for complete although its connection was
-/// reset: backends missing from the received part would be removed.
+/// Guards against a discovery response without a length that is taken for complete although its connection
+/// was reset: backends missing from the received part would be removed.
 #[test]
 fn discovery_response_without_length_ended_by_reset_is_ignored() {
     let agent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
@@ -413,10 +415,10 @@
     let mut served = [0; 2];
     for id in 0..40 {
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
-        let (place, mut arrived) = next_of(&backends.iter().collect::<Vec<_>>());
+        let (index, mut arrived) = next_of(&backends.iter().collect::<Vec<_>>());
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
-        served[place] += 1;
+        served[index] += 1;
     }
     assert!(served[1] > 0, "{served:?}");
 }
@@ -435,7 +437,8 @@
     rig.backends = vec![other];
     let pid = rig.gateway.pid();
     let port = format!(":{:04X}", stalled.address.port());
-    // Requests go there and fail until it is ejected. A connection attempt after a while without any is a probe.
+    // Requests go there and fail until it is ejected. A connection attempt after a while without any is a
+    // probe.
     let (begun, mut last, mut id) = (Instant::now(), Instant::now(), 0);
     let mut clients: Vec<Client> = (0..8).map(|_| rig.gateway.client()).collect();
     loop {
@@ -461,7 +464,7 @@
     }
     rig.agent.tell(&list(42, false, &[stalled_endpoint("DRAINING")]));
     // The gateway's connection follows the two that fill the queue, and ends with nothing written.
-    stalled.listener.set_nonblocking(true).expect("listener");
+    stalled.listener.set_nonblocking(true).expect("set the listener nonblocking");
     let (begun, mut accepted) = (Instant::now(), Vec::new());
     while accepted.len() < 3 {
         assert!(begun.elapsed() < PATIENCE, "the gateway's connection was never established");
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -141,8 +141,8 @@
         let config = config(agent.local_addr().expect("socket address"), counter.address, &[]);
         let gateway = Gateway::start(&config);
         let mut calls = vec![accept_snapshot_call(&agent)];
-        // Discovery answers the first of two open calls, or the second. If the machine stalls for a second, both
-        // calls may time out, so this is tried several times.
+        // Discovery answers the first of two open calls, or the second. If the machine stalls for a second,
+        // both calls may time out, so this is tried several times.
         let applied = (0..20).any(|_| {
             calls.push(accept_snapshot_call(&agent));
             let mut two = calls.split_off(calls.len() - 2);
--- a/crates/gateway/tests/recorded_client_errors.rs
+++ b/crates/gateway/tests/recorded_client_errors.rs
@@ -1,5 +1,5 @@
-//! The bytes that clients get for what is no request of the service, as an earlier program sent them
-//! (`tests/data/bad_commands.txt`).
+//! Responses to bytes and commands that are not valid requests, compared byte by byte with those of an
+//! earlier version of the program (`tests/data/bad_commands.txt`).
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -12,27 +12,28 @@
 
 use gateway_rig::*;
 
-/// The longest part of a command that is shown in the record.
-const SHOWN_MOST: usize = 120;
+/// Bytes of a command that the recorded file shows at most.
+const MAX_SHOWN_BYTES: usize = 120;
 
-/// All that comes for some bytes and a `PING` behind them, to the answer of that or the connection's end.
-fn answered(at: SocketAddr, bytes: &[u8]) -> String {
+/// Sends some bytes and then a `PING`. Returns everything received up to the response to the `PING` or the
+/// end of the connection.
+fn response_to(at: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).expect("connect to the gateway");
     stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     stream.write_all(&[bytes, &command(&["PING"])].concat()).expect("write to the socket");
-    let (mut all, mut piece) = (Vec::new(), [0; 1024]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
     loop {
-        match stream.read(&mut piece).expect("read the response") {
-            0 => return format!("{}(end)", all.escape_ascii()),
-            n => all.extend_from_slice(&piece[..n]),
+        match stream.read(&mut buffer).expect("read the response") {
+            0 => return format!("{}(end)", received.escape_ascii()),
+            n => received.extend_from_slice(&buffer[..n]),
         }
-        if all.ends_with(b"+PONG\r\n") {
-            return all.escape_ascii().to_string();
+        if received.ends_with(b"+PONG\r\n") {
+            return received.escape_ascii().to_string();
         }
     }
 }
 
-/// Bytes that are no RESP, or no message of the service.
+/// Byte sequences that are not RESP or exceed the limits of the service.
 fn malformed() -> Vec<Vec<u8>> {
     let long = "x".repeat(65_537);
     let texts = [
@@ -58,8 +59,8 @@
     texts.into_iter().map(String::into_bytes).chain([b"\x00\x01\x02\r\n".to_vec()]).collect()
 }
 
-/// Messages that are whole, and none of the service.
-fn unknown() -> Vec<Vec<u8>> {
+/// Complete RESP messages that are not valid requests of the service.
+fn invalid() -> Vec<Vec<u8>> {
     let plain = [
         "*0\r\n",
         "*-1\r\n",
@@ -74,16 +75,16 @@
         "*1\r\n$0\r\n\r\n",
     ];
     let good = call(1, "safe", "free", 1, 8000);
-    let with = |place: usize, from: &str, to: &str| {
+    let with = |index: usize, from: &str, to: &str| {
         let mut changed = good.clone();
-        assert!(changed[place].contains(from), "{from} is there to be changed");
-        changed[place] = changed[place].replace(from, to);
+        assert!(changed[index].contains(from), "{from} does not occur in the command");
+        changed[index] = changed[index].replace(from, to);
         changed
     };
     let mut keyless = call(1, "keyed", "free", 1, 8000);
     keyless[3] = keyless[3].replace(",k=5c0f6e1a2b3d4c59", "");
-    let mut more = call(1, "unsafe", "free", 1, 8000);
-    more.push("more".to_string());
+    let mut extra_argument = call(1, "unsafe", "free", 1, 8000);
+    extra_argument.push("more".to_string());
     let calls = [
         with(0, "API.READ", "API.DELETE"),
         with(0, "API.READ", "API.WRITE"),
@@ -125,23 +126,23 @@
         vec!["QUIT".to_string()],
         vec!["INFO".to_string()],
         keyless,
-        more,
+        extra_argument,
     ];
     let calls = calls.iter().map(|each| command(&words(each)));
-    let no_text =
+    let invalid_utf8 =
         b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000001\r\n$2\r\n\xff\xfe\r\n";
-    plain.iter().map(|text| text.as_bytes().to_vec()).chain(calls).chain([no_text.to_vec()]).collect()
+    plain.iter().map(|text| text.as_bytes().to_vec()).chain(calls).chain([invalid_utf8.to_vec()]).collect()
 }
 
 #[test]
-fn what_is_no_request_is_answered_with_the_recorded_bytes() {
+fn invalid_commands_get_recorded_responses() {
     let rig = Rig::with_config(1, |_| {});
-    let mut seen = String::new();
-    for bytes in malformed().into_iter().chain(unknown()) {
-        let shown = bytes[..bytes.len().min(SHOWN_MOST)].escape_ascii().to_string();
-        let answer = answered(rig.gateway.address, &bytes);
-        writeln!(seen, "{shown} ({} bytes)\n  -> {answer}", bytes.len()).expect("write to a string");
+    let mut actual = String::new();
+    for bytes in malformed().into_iter().chain(invalid()) {
+        let shown = bytes[..bytes.len().min(MAX_SHOWN_BYTES)].escape_ascii().to_string();
+        let answer = response_to(rig.gateway.address, &bytes);
+        writeln!(actual, "{shown} ({} bytes)\n  -> {answer}", bytes.len()).expect("write to a string");
     }
-    assert!(rig.backends_idle(), "something was sent on");
-    recorded::assert_recorded("bad_commands.txt", &seen);
+    assert!(rig.backends_idle(), "a command was forwarded");
+    recorded::assert_recorded("bad_commands.txt", &actual);
 }
--- a/crates/gateway/tests/recorded_configuration_errors.rs
+++ b/crates/gateway/tests/recorded_configuration_errors.rs
@@ -1,5 +1,6 @@
-//! The configuration file: a full sample (`tests/data/configuration.json`), and what is said where one of its
-//! keys is missing or wrong (`tests/data/configuration_errors.txt`), as an earlier program said it.
+//! Error messages for a configuration file with a missing or invalid key, starting from a complete sample
+//! (`tests/data/configuration.json`), compared with those of an earlier version of the program
+//! (`tests/data/configuration_errors.txt`, `tests/data/start_errors.txt`).
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -15,38 +16,40 @@
     serde_json::from_str(&recorded::text("configuration.json")).expect("valid JSON")
 }
 
-/// The places of all values, sections before what is in them; of lists the first element alone.
-fn places(value: &Value, at: &str, all: &mut Vec<String>) {
-    let within: Vec<(String, &Value)> = match value {
+/// Collects the JSON pointers of all values, parents before children; of arrays only the first element.
+fn collect_pointers(value: &Value, at: &str, all: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
         Value::Object(map) => map.iter().map(|(key, value)| (format!("{at}/{key}"), value)).collect(),
         Value::Array(list) => list.first().map(|value| (format!("{at}/0"), value)).into_iter().collect(),
         _ => Vec::new(),
     };
-    for (place, value) in within {
-        all.push(place.clone());
-        places(value, &place, all);
+    for (pointer, value) in children {
+        all.push(pointer.clone());
+        collect_pointers(value, &pointer, all);
     }
 }
 
-fn without(place: &str) -> Value {
+/// Returns the sample without one value.
+fn without(pointer: &str) -> Value {
     let mut file = sample();
-    let (section, key) = place.rsplit_once('/').expect("JSON pointer");
+    let (section, key) = pointer.rsplit_once('/').expect("JSON pointer");
     match file.pointer_mut(section).expect("JSON object") {
         Value::Object(map) => drop(map.remove(key)),
         Value::Array(list) => drop(list.remove(key.parse().expect("number"))),
-        other => panic!("{place}: {other}"),
+        other => panic!("{pointer}: {other}"),
     }
     file
 }
 
-fn with(place: &str, value: Value) -> Value {
+/// Returns the sample with one value replaced.
+fn with(pointer: &str, value: Value) -> Value {
     let mut file = sample();
-    *file.pointer_mut(place).expect("JSON pointer") = value;
+    *file.pointer_mut(pointer).expect("JSON pointer") = value;
     file
 }
 
-/// All that is wrong, as the check of a configuration tells it.
-fn wrong(text: &str) -> String {
+/// Returns all errors that the configuration check finds, or `nothing`.
+fn check_errors(text: &str) -> String {
     let all: Vec<String> =
         admission_gateway::check(text.as_bytes()).iter().map(ToString::to_string).collect();
     if all.is_empty() {
@@ -57,29 +60,29 @@
 }
 
 #[test]
-fn each_key_that_is_missing_or_wrong_is_told_in_the_recorded_words() {
-    assert_eq!(wrong(&sample().to_string()), "nothing");
+fn missing_or_invalid_key_gets_recorded_error() {
+    assert_eq!(check_errors(&sample().to_string()), "nothing");
     let mut all = Vec::new();
-    places(&sample(), "", &mut all);
-    let mut seen = String::new();
-    for place in all {
-        writeln!(seen, "{place} missing: {}", wrong(&without(&place).to_string()))
+    collect_pointers(&sample(), "", &mut all);
+    let mut actual = String::new();
+    for pointer in all {
+        writeln!(actual, "{pointer} missing: {}", check_errors(&without(&pointer).to_string()))
             .expect("write to a string");
         let values = [json!("x"), json!(-1), json!(1.5), json!(true), json!(null), json!({}), json!([])];
         for value in values {
             let shown = value.to_string();
-            writeln!(seen, "{place} {shown}: {}", wrong(&with(&place, value).to_string()))
+            writeln!(actual, "{pointer} {shown}: {}", check_errors(&with(&pointer, value).to_string()))
                 .expect("write to a string");
         }
     }
     for text in ["", "{", "[]", "1", "null", "{}", "{\"known\":", "\u{fffd}"] {
-        writeln!(seen, "{text:?}: {}", wrong(text)).expect("write to a string");
+        writeln!(actual, "{text:?}: {}", check_errors(text)).expect("write to a string");
     }
-    recorded::assert_recorded("configuration_errors.txt", &seen);
+    recorded::assert_recorded("configuration_errors.txt", &actual);
 }
 
 #[test]
-fn the_program_says_the_first_that_is_wrong_and_ends() {
+fn program_prints_recorded_first_error_and_exits() {
     let (cut, huge) = (sample().to_string(), sample().to_string().replacen("4000.0", "1e400", 1));
     let texts = [
         ("no JSON", String::new()),
@@ -99,14 +102,14 @@
             file.to_string()
         }),
     ];
-    let mut seen = String::new();
+    let mut actual = String::new();
     for (name, text) in texts {
         let (process, _file) = spawn_gateway(&text);
         let output = process.wait_with_output().expect("child process");
         assert!(output.stdout.is_empty(), "{name}");
-        let said = String::from_utf8(output.stderr).expect("UTF-8 text");
-        let said = recorded::under_recorded_name(&said);
-        write!(seen, "{name} ({:?}): {said}", output.status.code()).expect("write to a string");
+        let stderr = String::from_utf8(output.stderr).expect("UTF-8 text");
+        let stderr = recorded::under_recorded_name(&stderr);
+        write!(actual, "{name} ({:?}): {stderr}", output.status.code()).expect("write to a string");
     }
-    recorded::assert_recorded("start_errors.txt", &seen);
+    recorded::assert_recorded("start_errors.txt", &actual);
 }
--- a/crates/gateway/tests/recorded_operator_protocol.rs
+++ b/crates/gateway/tests/recorded_operator_protocol.rs
@@ -1,5 +1,5 @@
-//! What operators' tools and the agent read: the lines of the second address and of the admin listener, word
-//! for word as an earlier program said them (`tests/data`).
+//! Responses of the management address and the admin listener, which operators' tools and the agent parse,
+//! compared byte by byte with those of an earlier version of the program (`tests/data`).
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -16,15 +16,16 @@
 use gateway_rig::*;
 use serde_json::json;
 
-/// Values that differ from run to run: of the process, of its build and of the machine.
+/// Keys whose values differ between runs, as they depend on the process, its build or the machine.
 const VOLATILE: [&str; 5] = ["boot", "version", "address", "client_connections", "warmth"];
 
-/// What is said to some bytes, after which the caller ends its sending if it `cuts` them short.
-fn said(at: SocketAddr, bytes: &[u8], cuts: bool) -> String {
+/// Sends bytes to a management address, then shuts down sending if `shut_down` is set, and returns the
+/// response.
+fn response_to(at: SocketAddr, bytes: &[u8], shut_down: bool) -> String {
     let mut stream = TcpStream::connect(at).expect("connect to the gateway");
     stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     stream.write_all(bytes).expect("write to the socket");
-    if cuts {
+    if shut_down {
         stream.shutdown(Shutdown::Write).expect("socket is open");
     }
     let mut answer = Vec::new();
@@ -33,12 +34,12 @@
 }
 
 #[test]
-fn calls_at_the_second_address_are_answered_with_the_recorded_lines() {
+fn management_commands_get_recorded_responses() {
     let at = unused_loopback_address();
     let mut rig = Rig::with_config(2, |config| config["management"] = json!(at.to_string()));
     let long_id = format!("DISABLE {}", "x".repeat(254));
     let long_line = "x".repeat(16 * 1024 + 1);
-    let calls = [
+    let commands = [
         "READY",
         "ready",
         "\tREADY \r",
@@ -69,43 +70,45 @@
         &long_id,
         &long_line,
     ];
-    let mut seen = String::new();
-    for call in calls {
-        let shown: String = call.chars().take(24).collect();
-        let answer = said(at, format!("{call}\n").as_bytes(), false);
-        writeln!(seen, "{shown:?} -> {answer}").expect("write to a string");
+    let mut actual = String::new();
+    for line in commands {
+        let shown: String = line.chars().take(24).collect();
+        let answer = response_to(at, format!("{line}\n").as_bytes(), false);
+        writeln!(actual, "{shown:?} -> {answer}").expect("write to a string");
     }
-    for (bytes, cuts) in [(&b"DISABLE \xff\xfe\n"[..], false), (b"DRA", true), (b"", true)] {
-        writeln!(seen, "{} -> {}", bytes.escape_ascii(), said(at, bytes, cuts)).expect("write to a string");
+    for (bytes, shut_down) in [(&b"DISABLE \xff\xfe\n"[..], false), (b"DRA", true), (b"", true)] {
+        writeln!(actual, "{} -> {}", bytes.escape_ascii(), response_to(at, bytes, shut_down))
+            .expect("write to a string");
     }
-    // One that was told to end, with a request that keeps it.
+    // After SIGTERM, with an open request that keeps the process running.
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     rig.gateway.terminate();
-    let mut last = said(at, b"READY\n", false);
+    let mut last = response_to(at, b"READY\n", false);
     while last == "SUCCESS ready\\r\\n" {
-        last = said(at, b"READY\n", false);
+        last = response_to(at, b"READY\n", false);
     }
-    writeln!(seen, "READY after SIGTERM -> {last}").expect("write to a string");
+    writeln!(actual, "READY after SIGTERM -> {last}").expect("write to a string");
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
     assert!(rig.gateway.wait_for_exit().success());
-    recorded::assert_recorded("second_address.txt", &seen);
+    recorded::assert_recorded("second_address.txt", &actual);
 }
 
-/// An operator's file whose admin listener is a socket in a folder, and the socket.
-fn operator_file(folder: &tempfile::TempDir) -> (PathBuf, PathBuf) {
-    let (file, socket) = (folder.path().join("operator.toml"), folder.path().join("admin.sock"));
+/// Writes an operator configuration whose admin listener is a Unix socket in a directory. Returns the paths
+/// of the file and the socket.
+fn operator_file(directory: &tempfile::TempDir) -> (PathBuf, PathBuf) {
+    let (file, socket) = (directory.path().join("operator.toml"), directory.path().join("admin.sock"));
     std::fs::write(&file, format!("[admin]\nlisten = \"unix:{}\"\n", socket.display()))
         .expect("write the file");
     (file, socket)
 }
 
 #[test]
-fn an_old_agents_lines_are_answered_with_the_recorded_ones() {
-    let folder = tempfile::tempdir().expect("create a temporary directory");
-    let (file, socket) = operator_file(&folder);
+fn admin_messages_of_earlier_agent_get_recorded_answers() {
+    let directory = tempfile::tempdir().expect("create a temporary directory");
+    let (file, socket) = operator_file(&directory);
     let rig = Rig::with_command(
         2,
         |_| {},
@@ -113,7 +116,7 @@
             command.arg("--operator").arg(&file);
         },
     );
-    // One request is in flight, at the backend that was alone on the list when it came.
+    // One request is in flight, at the only backend that was on the list when it arrived.
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     client.send(&words(&call(1, "safe", "free", 1, 8000)));
@@ -122,22 +125,22 @@
     let mut stream = UnixStream::connect(&socket).expect("connect to the gateway");
     stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     let mut answers = BufReader::new(stream.try_clone().expect("duplicate the handle"));
-    let mut seen = String::new();
+    let mut actual = String::new();
     for ask in recorded::text("admin_asks.jsonl").lines() {
         stream.write_all(format!("{ask}\n").as_bytes()).expect("write to the socket");
         let mut answer = String::new();
         answers.read_line(&mut answer).expect("read the response");
-        seen += &recorded::mask(&answer, &VOLATILE);
+        actual += &recorded::mask(&answer, &VOLATILE);
     }
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
-    recorded::assert_recorded("admin_answers.jsonl", &seen);
+    recorded::assert_recorded("admin_answers.jsonl", &actual);
 }
 
 #[test]
-fn a_line_that_is_too_long_is_told_so_and_ends_the_connection() {
-    let folder = tempfile::tempdir().expect("create a temporary directory");
-    let (file, socket) = operator_file(&folder);
+fn overlong_admin_line_gets_error_and_closes_connection() {
+    let directory = tempfile::tempdir().expect("create a temporary directory");
+    let (file, socket) = operator_file(&directory);
     let _rig = Rig::with_command(
         1,
         |_| {},
@@ -148,19 +151,19 @@
     let stream = UnixStream::connect(&socket).expect("connect to the gateway");
     stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
     let mut writes = stream.try_clone().expect("duplicate the handle");
-    // It may stop reading before all of it is written.
+    // The gateway may stop reading before the whole line is written.
     let writer = std::thread::spawn(move || drop(writes.write_all(&vec![b'x'; (4 << 20) + 1])));
     let mut answers = BufReader::new(stream).lines();
     let answer = answers.next().expect("read the response").expect("read a line");
-    assert!(answers.next().is_none_or(|end| end.is_err()), "it goes on");
-    writer.join().expect("it wrote");
+    assert!(answers.next().is_none_or(|end| end.is_err()), "the connection stays open");
+    writer.join().expect("writer thread");
     recorded::assert_recorded("admin_long_line.jsonl", &format!("{answer}\n"));
 }
 
 #[test]
-fn a_start_at_a_second_address_that_is_taken_says_so() {
+fn management_address_in_use_is_reported_at_start() {
     let at = unused_loopback_address();
-    let _taken = std::net::TcpListener::bind(at).expect("nobody has it");
+    let _taken = std::net::TcpListener::bind(at).expect("bind the address");
     let mut config = config(unused_loopback_address(), unused_loopback_address(), &[]);
     config["management"] = json!(at.to_string());
     let (process, _file) = spawn_gateway(&config.to_string());
--- a/crates/gateway/tests/routing_defaults.rs
+++ b/crates/gateway/tests/routing_defaults.rs
@@ -1,11 +1,11 @@
-//! The operator's file and the decisions agree on what is looked at where nobody says so.
+//! The operator configuration and the decision code have the same routing defaults.
 
 #[test]
-fn without_a_section_the_decisions_defaults_hold() {
-    let told = operator_config::OperatorConfig::default().routing;
-    let own = gateway_policy::interface::Routing::default();
+fn operator_configuration_defaults_match_routing_defaults() {
+    let configured = operator_config::OperatorConfig::default().routing;
+    let built_in = gateway_policy::interface::Routing::default();
     assert_eq!(
-        (told.whole, told.choices, told.subset, told.coverage),
-        (own.scan_all_up_to, own.choices, own.subset_size, own.coverage)
+        (configured.whole, configured.choices, configured.subset, configured.coverage),
+        (built_in.scan_all_up_to, built_in.choices, built_in.subset_size, built_in.coverage)
     );
 }
--- a/crates/gateway/tests/run_command.rs
+++ b/crates/gateway/tests/run_command.rs
@@ -54,19 +54,19 @@
 #[test]
 fn run_command_enables_no_optional_features() {
     // `Rig` starts the program without arguments and only with the environment variable of the configuration.
-    assert!(run_arguments().is_empty(), "`run` passes no operator configuration");
+    assert!(run_arguments().is_empty(), "`run` must not pass an operator configuration");
     let begun = Instant::now();
     let rig = Rig::with_config(2, |config| {
         config["settings"]["group-size"] = json!(300);
         config["settings"]["me"] = json!(299);
     });
-    // Endpoint list: the first call is a watch at a random time within half of the drain grace period, the next
-    // follows within 0.2 s, and neither waits for a slot.
+    // Endpoint list: the first call is a watch at a random time within half of the drain grace period, the
+    // next follows within 0.2 s, and neither waits for a slot.
     rig.agent.asked(1);
     let first = begun.elapsed();
     assert!(first < Duration::from_secs(3), "waited for the slot at 6.6 s: {first:?}");
-    let asked = &rig.agent.calls()[0];
-    assert!(asked.contains("after=1&wait_ms=4000"), "{asked}");
+    let first_call = &rig.agent.calls()[0];
+    assert!(first_call.contains("after=1&wait_ms=4000"), "{first_call}");
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     // Backends: connections are not ramped; as many open at once as there are requests.
     let mut clients: Vec<Client> = (0..6).map(|_| rig.gateway.client()).collect();
@@ -80,9 +80,9 @@
     assert!(clients.iter_mut().all(|c| c.read() == "fine"));
     // Shared counter: a call for each customer with a quota; none is skipped.
     for id in 11..15 {
-        let mut asked = call(id, "safe", "paid", 1, 8000);
-        asked[1] = format!("{:016x}", 0x1_0000 + id);
-        clients[0].send(&words(&asked));
+        let mut request = call(id, "safe", "paid", 1, 8000);
+        request[1] = format!("{:016x}", 0x1_0000 + id);
+        clients[0].send(&words(&request));
         let mut bump = rig.counter.next();
         assert_eq!((bump.words[0].as_str(), bump.words[2].as_str()), ("bump", "1"));
         bump.say("ok 1\r\n");
--- a/crates/gateway/tests/settings_reload.rs
+++ b/crates/gateway/tests/settings_reload.rs
@@ -30,9 +30,9 @@
 
 /// Sends a request and returns the response. If the request reaches a backend, the backend serves it.
 fn send_request(rig: &Rig, client: &mut Client, id: u64, class: &str) -> String {
-    let mut words_of = call(id, "safe", "free", 1, 8000);
-    words_of[3] = words_of[3].replace("c=safe", &format!("c={class}"));
-    client.send(&words(&words_of));
+    let mut request = call(id, "safe", "free", 1, 8000);
+    request[3] = request[3].replace("c=safe", &format!("c={class}"));
+    client.send(&words(&request));
     let start = Instant::now();
     loop {
         assert!(start.elapsed() < PATIENCE, "no answer");
@@ -58,9 +58,9 @@
     assert_eq!(send_request(&rig, &mut client, 2, "new"), "fine");
     // A request is open while its class is removed.
     let mut open = rig.gateway.client();
-    let mut words_of = call(3, "safe", "free", 1, 8000);
-    words_of[3] = words_of[3].replace("c=safe", "c=new");
-    open.send(&words(&words_of));
+    let mut request = call(3, "safe", "free", 1, 8000);
+    request[3] = request[3].replace("c=safe", "c=new");
+    open.send(&words(&request));
     let (_, mut arrived) = rig.next_request();
     assert!(reload(&mut rig, &without.to_string()).contains("in force"));
     assert!(send_request(&rig, &mut client, 4, "new").starts_with("-ERR unknown class"));
@@ -99,9 +99,9 @@
     other["settings"]["profiles"][2]["effect"] = json!("idempotency_key");
     other["settings"]["profiles"][2]["group"] = json!("all");
     assert!(reload(&mut rig, &other.to_string()).contains("in force"));
-    let mut words_of = call(1, "unsafe", "free", 1, 8000);
-    words_of[3] += ",k=5c0f6e1a2b3d4c59";
-    client.send(&words(&words_of));
+    let mut request = call(1, "unsafe", "free", 1, 8000);
+    request[3] += ",k=5c0f6e1a2b3d4c59";
+    client.send(&words(&request));
     let (_, mut first) = rig.next_request();
     first.say("-ERR failed\r\n");
     let (_, mut second) = rig.next_request();
@@ -119,9 +119,9 @@
     for part in 1..12 {
         wrong.push((text[..text.len() * part / 12].to_string(), "not JSON"));
     }
-    let mut change = |place: &str, value: Value, why: &'static str| {
+    let mut change = |pointer: &str, value: Value, why: &'static str| {
         let mut file = good.clone();
-        *file.pointer_mut(place).expect("key exists") = value;
+        *file.pointer_mut(pointer).expect("key exists") = value;
         wrong.push((file.to_string(), why));
     };
     change("/settings/profiles/1/deadline-ms", json!(0), "classes[1]");
--- a/crates/gateway/tests/shared_counter.rs
+++ b/crates/gateway/tests/shared_counter.rs
@@ -21,8 +21,8 @@
     for id in 100..150 {
         client.send(&words(&call(id, "safe", "paid", 60, 8000)));
         let all: Vec<&StandIn> = rig.backends.iter().chain([&rig.counter]).collect();
-        let (place, mut arrived) = next_of(&all);
-        if place == rig.backends.len() {
+        let (index, mut arrived) = next_of(&all);
+        if index == rig.backends.len() {
             return arrived;
         }
         arrived.serve("fine");
@@ -31,8 +31,8 @@
     panic!("no counter call");
 }
 
-/// Runs a scenario that needs two counter calls with the same key. Keys contain a window of the wall clock; if
-/// the window ends between the calls, the scenario returns `None` and is repeated, as each window lasts 30 s.
+/// Runs a scenario that needs two counter calls with the same key. Keys contain a window of the wall clock. If
+/// it ends between the calls, the scenario returns `None` and is repeated; the next window lasts 30 s.
 fn within_one_window(scenario: impl Fn() -> Option<()>) {
     assert!((0..3).any(|_| scenario().is_some()), "no two counter calls had the same key");
 }
@@ -184,18 +184,18 @@
         bump.say("ok 5000\r\n");
         assert!(client.read().starts_with("-BUSY"));
         // Nothing is reversed in a window that is over.
-        let back = rig.counter.within(Duration::from_secs(5))?;
-        assert_eq!((&back.words[1], back.words[2].as_str()), (&bump.words[1], "-60"));
+        let reversal = rig.counter.within(Duration::from_secs(5))?;
+        assert_eq!((&reversal.words[1], reversal.words[2].as_str()), (&bump.words[1], "-60"));
         Some(())
     });
 }
 
 #[test]
 fn requests_pass_on_token_bucket_while_counter_refuses_connections() {
-    let (_held, gone) = refusing();
+    let (_held, refusing_address) = refusing();
     let rig = Rig::with_config(1, |config| {
         roomy(config);
-        config["counter"] = json!(gone.to_string());
+        config["counter"] = json!(refusing_address.to_string());
     });
     let mut client = rig.gateway.client();
     for id in 1..4 {
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -101,8 +101,8 @@
     // The last list has only the last backend, and counter calls go to the last counter.
     for id in 2..14 {
         client.send(&words(&call(id, "safe", "paid", 60, 8000)));
-        let (place, mut arrived) = next_of(&[&rig.counter, &rig.backends[2]]);
-        if place == 0 {
+        let (index, mut arrived) = next_of(&[&rig.counter, &rig.backends[2]]);
+        if index == 0 {
             assert_eq!(arrived.words[0], "bump");
             return;
         }
--- a/crates/gateway/tests/support/gateway_rig.rs
+++ b/crates/gateway/tests/support/gateway_rig.rs
@@ -190,9 +190,9 @@
     /// Sends a request through the gateway and serves it; returns the backend's index and the request.
     pub fn serve_one(&self, client: &mut Client, id: u64) -> (usize, Arrived) {
         client.send(&words(&call(id, "safe", "free", 1, 8000)));
-        let (place, mut arrived) = self.next_request();
+        let (index, mut arrived) = self.next_request();
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
-        (place, arrived)
+        (index, arrived)
     }
 }
--- a/crates/gateway/tests/support/loopback_address.rs
+++ b/crates/gateway/tests/support/loopback_address.rs
@@ -11,8 +11,8 @@
 /// Returns an address on which another process can listen later, such as a gateway's management address.
 ///
 /// No other process can take the address in the meantime, unlike a port that was bound and released: the host
-/// is unique to this process (127.64.0.0 to 127.127.255.255, derived from the process ID, which has at most 22
-/// bits on Linux), and each port is returned once.
+/// is unique to this process (127.64.0.0 to 127.127.255.255, derived from the process ID, which has at most
+/// 22 bits on Linux), and each port is returned once.
 ///
 /// # Panics
 /// If the process has used up all ports, or if its ID has more than 22 bits.
--- a/crates/gateway/tests/support/recorded.rs
+++ b/crates/gateway/tests/support/recorded.rs
@@ -13,8 +13,8 @@
     std::fs::read_to_string(path(name)).unwrap_or_default()
 }
 
-/// Asserts that `actual` equals the recorded file. On a mismatch, writes `actual` to the build's directory for
-/// temporary files, so that it can be inspected.
+/// Asserts that `actual` equals the recorded file. On a mismatch, writes `actual` to the build's directory
+/// for temporary files, so that it can be inspected.
 pub fn assert_recorded(name: &str, actual: &str) {
     let recorded = text(name);
     if recorded == actual {
@@ -46,7 +46,8 @@
     format!("{RECORDED_PROGRAM}{rest}")
 }
 
-/// Replaces the values of JSON keys that differ between runs by `_` and leaves the rest of the line unchanged.
+/// Replaces the values of JSON keys that differ between runs by `_` and leaves the rest of the line
+/// unchanged.
 pub fn mask(line: &str, keys: &[&str]) -> String {
     let mut masked = line.to_string();
     for key in keys {
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Upgrades of the built gateway under load: the platform holds the clients' socket, a second process starts
-//! beside the first, and the first is told to end.
+//! Upgrades of the built gateway under load: the platform holds the listening socket, a second process starts
+//! beside the first, and the first gets SIGTERM.
 
 #[path = "support/gateway_rig.rs"]
 mod gateway_rig;
@@ -19,37 +19,37 @@
 use gateway_rig::*;
 use serde_json::{json, Value};
 
-/// A process of the gateway, with its second address.
-struct Process {
+/// A gateway process and its management address. It is killed on drop.
+struct GatewayProcess {
     child: Child,
     management: SocketAddr,
     _config: tempfile::NamedTempFile,
 }
 
-impl Process {
-    fn start(config: &Value, socket: &TcpListener, under: &Path) -> Process {
+impl GatewayProcess {
+    fn start(config: &Value, socket: &TcpListener, state_parent: &Path) -> GatewayProcess {
         let management = unused_loopback_address();
         let mut config = config.clone();
         config["management"] = json!(management.to_string());
         config["listen"] = json!(socket.local_addr().expect("socket address").to_string());
         let mut file = tempfile::NamedTempFile::new().expect("create a temporary file");
-        file.write_all(config.to_string().as_bytes()).expect("room");
-        let held = OwnedFd::from(socket.try_clone().expect("duplicate the handle"));
-        // The socket comes as descriptor 0 here: any number may be named.
+        file.write_all(config.to_string().as_bytes()).expect("write the file");
+        let inherited = OwnedFd::from(socket.try_clone().expect("duplicate the handle"));
+        // The socket is passed as descriptor 0; `GW_SOCKET_FD` may name any number.
         let child = Command::new(env!("CARGO_BIN_EXE_admission-gateway"))
             .env("GW_CONFIG", file.path())
             .env("GW_SOCKET_FD", "0")
-            .env("TMPDIR", under)
-            .stdin(Stdio::from(held))
+            .env("TMPDIR", state_parent)
+            .stdin(Stdio::from(inherited))
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        Process { child, management, _config: file }
+            .expect("start the gateway");
+        GatewayProcess { child, management, _config: file }
     }
 
-    /// What it says to a call; none if it is not there.
-    fn say(&self, line: &str) -> Option<String> {
+    /// Sends a management command; returns the response, or `None` if the exchange fails.
+    fn send_command(&self, line: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.management).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).ok()?;
@@ -58,16 +58,18 @@
         Some(answer)
     }
 
-    fn yes(&self, line: &str) {
-        let answer = self.say(line).expect("connect to the gateway");
+    /// Sends a management command that must succeed.
+    fn expect_success(&self, line: &str) {
+        let answer = self.send_command(line).expect("connect to the gateway");
         assert!(answer.starts_with("SUCCESS"), "{line}: {answer}");
     }
 
-    fn ready(&mut self) {
+    /// Waits until `READY` succeeds.
+    fn wait_until_ready(&mut self) {
         let start = Instant::now();
-        while !self.say("READY").is_some_and(|a| a.starts_with("SUCCESS")) {
-            assert!(start.elapsed() < PATIENCE, "never ready");
-            assert!(self.child.try_wait().expect("child process").is_none(), "it ended");
+        while !self.send_command("READY").is_some_and(|a| a.starts_with("SUCCESS")) {
+            assert!(start.elapsed() < PATIENCE, "the process never becomes ready");
+            assert!(self.child.try_wait().expect("child process").is_none(), "the process exited");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -77,64 +79,66 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
     }
 
-    /// Waits for its end after SIGTERM; gives whether it ended well.
-    fn ended(&mut self) -> bool {
+    /// Waits until the process exits; returns whether it exited successfully.
+    fn wait_for_exit(&mut self) -> bool {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("child process") {
                 return status.success();
             }
-            assert!(start.elapsed() < PATIENCE, "it does not end");
+            assert!(start.elapsed() < PATIENCE, "the process does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits until it has logged a line that holds this.
-    fn logged(&mut self, what: &str) {
+    /// Waits for a log line that contains a text.
+    fn wait_for_log(&mut self, text: &str) {
         let log = self.child.stderr.as_mut().expect("stderr of the gateway");
-        let found = BufReader::new(log).lines().map_while(Result::ok).any(|line| line.contains(what));
-        assert!(found, "{what} is not logged");
+        let found = BufReader::new(log).lines().map_while(Result::ok).any(|line| line.contains(text));
+        assert!(found, "no log line contains {text:?}");
     }
 }
 
-impl Drop for Process {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A backend that serves all, and notes what came.
+/// A backend that serves every request and records its ID.
 struct Backend {
     address: SocketAddr,
-    came: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
-fn backend() -> Backend {
+fn start_backend() -> Backend {
     let stand_in = StandIn::backend();
-    let (address, came) = (stand_in.address, Arc::new(Mutex::new(Vec::new())));
-    let notes = Arc::clone(&came);
+    let (address, received) = (stand_in.address, Arc::new(Mutex::new(Vec::new())));
+    let recorded = Arc::clone(&received);
     thread::spawn(move || {
         while let Some(mut arrived) = stand_in.within(Duration::from_secs(120)) {
             if arrived.words.len() > 2 {
-                notes.lock().expect("lock not poisoned").push(arrived.words[2].clone());
+                recorded.lock().expect("lock not poisoned").push(arrived.words[2].clone());
                 arrived.serve("fine");
             }
         }
     });
-    Backend { address, came }
+    Backend { address, received }
 }
 
+/// Clients that send requests one after another in threads of their own.
 struct Load {
     stop: Arc<AtomicBool>,
-    /// The last number that was given to a request, and that of the request each client is at.
+    /// ID of the request that was started last.
     last: Arc<AtomicU64>,
-    at: Arc<Vec<AtomicU64>>,
+    /// ID of the current request of each client.
+    current: Arc<Vec<AtomicU64>>,
     clients: Vec<thread::JoinHandle<u64>>,
 }
 
-/// One request on a connection: the answer, or none if the connection ended before any of it.
-fn ask(stream: &mut BufReader<TcpStream>, words: &[&str]) -> Option<String> {
+/// Sends a request on a connection; returns the response, or `None` if the connection ended before it.
+fn send_request(stream: &mut BufReader<TcpStream>, words: &[&str]) -> Option<String> {
     stream.get_mut().write_all(&command(words)).ok()?;
     let mut line = String::new();
     if stream.read_line(&mut line).ok()? == 0 {
@@ -149,20 +153,21 @@
 }
 
 impl Load {
-    /// Clients that ask one thing after the other, on connections that they keep until they are closed. Each
-    /// gives how many answers it had; one that is neither served nor refused ends it.
+    /// Starts clients that keep each connection until the gateway closes it. Each thread returns its number
+    /// of responses, and panics if a request is neither served nor rejected.
     fn start(at: SocketAddr, clients: u64) -> Load {
         let (stop, last) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let each: Arc<Vec<AtomicU64>> = Arc::new((0..clients).map(|_| AtomicU64::new(0)).collect());
-        let client = |me: u64| {
-            let (stop, last, each) = (Arc::clone(&stop), Arc::clone(&last), Arc::clone(&each));
+        let current: Arc<Vec<AtomicU64>> = Arc::new((0..clients).map(|_| AtomicU64::new(0)).collect());
+        let client = |index: u64| {
+            let (stop, last, current) = (Arc::clone(&stop), Arc::clone(&last), Arc::clone(&current));
             thread::spawn(move || {
                 let (mut answers, mut open) = (0, None::<BufReader<TcpStream>>);
                 while !stop.load(Ordering::Relaxed) {
                     let id = last.fetch_add(1, Ordering::SeqCst) + 1;
-                    each[me as usize].store(id, Ordering::SeqCst);
+                    current[index as usize].store(id, Ordering::SeqCst);
                     let request = call(id, "unsafe", "free", 1, 8000);
-                    // A close that crosses a request: it is sent once more, on a new connection.
+                    // If the gateway closed the connection meanwhile, the request is sent once more on a new
+                    // one.
                     let mut answer = None;
                     for _ in 0..2 {
                         let mut stream = open.take().unwrap_or_else(|| {
@@ -170,7 +175,7 @@
                             stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
                             BufReader::new(stream)
                         });
-                        answer = ask(&mut stream, &words(&request));
+                        answer = send_request(&mut stream, &words(&request));
                         if answer.is_some() {
                             open = Some(stream);
                             break;
@@ -185,42 +190,45 @@
             })
         };
         let clients = (0..clients).map(client).collect();
-        Load { stop, last, at: each, clients }
+        Load { stop, last, current, clients }
     }
 
-    /// The last number by now. Requests that begin later have greater ones.
-    fn last(&self) -> u64 {
+    /// Returns the ID of the request started last. Requests that start later have greater IDs.
+    fn last_id(&self) -> u64 {
         self.last.load(Ordering::SeqCst)
     }
 
-    /// Waits until all requests up to a number are over.
-    fn over(&self, number: u64) {
+    /// Waits until all requests with IDs up to `id` are finished.
+    fn wait_until_finished(&self, id: u64) {
         let start = Instant::now();
-        while self.at.iter().any(|at| at.load(Ordering::SeqCst) <= number) {
-            assert!(start.elapsed() < PATIENCE, "the load does not go on");
+        while self.current.iter().any(|current| current.load(Ordering::SeqCst) <= id) {
+            assert!(start.elapsed() < PATIENCE, "the clients make no progress");
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    fn end(self) -> (u64, u64) {
+    /// Stops the clients; returns the numbers of requests and of responses.
+    fn finish(self) -> (u64, u64) {
         self.stop.store(true, Ordering::Relaxed);
         let answers = self.clients.into_iter().map(|c| c.join().expect("no request is lost")).sum();
         (self.last.load(Ordering::Relaxed), answers)
     }
 }
 
-struct World {
+/// The listening socket, the stand-ins and the configuration that all processes of a gateway share.
+struct UpgradeRig {
     socket: TcpListener,
-    under: tempfile::TempDir,
+    state_parent: tempfile::TempDir,
     config: Value,
     backends: Vec<Backend>,
-    _others: (Agent, StandIn),
+    _stand_ins: (Agent, StandIn),
 }
 
-/// Deadlines are short, so that a process that is told to end does so soon.
-fn world() -> World {
+/// Prepares the stand-ins and the configuration. Deadlines are short, so that a process exits soon after
+/// SIGTERM.
+fn upgrade_rig() -> UpgradeRig {
     let (agent, counter) = (Agent::start(), StandIn::counter());
-    let backends: Vec<Backend> = (0..3).map(|_| backend()).collect();
+    let backends: Vec<Backend> = (0..3).map(|_| start_backend()).collect();
     let known: Vec<Value> = (0..)
         .zip(&backends)
         .map(|(i, b)| endpoint(&format!("s-{i}"), b.address, 1, "SERVING", 0.0))
@@ -231,25 +239,26 @@
         class["aim-ms"] = json!(600.0);
     }
     let socket = TcpListener::bind("127.0.0.1:0").expect("bind a port");
-    let under = tempfile::tempdir().expect("create a temporary directory");
-    World { socket, under, config, backends, _others: (agent, counter) }
+    let state_parent = tempfile::tempdir().expect("create a temporary directory");
+    UpgradeRig { socket, state_parent, config, backends, _stand_ins: (agent, counter) }
 }
 
-impl World {
-    fn start(&self) -> Process {
-        Process::start(&self.config, &self.socket, self.under.path())
+impl UpgradeRig {
+    fn start(&self) -> GatewayProcess {
+        GatewayProcess::start(&self.config, &self.socket, self.state_parent.path())
     }
 
-    fn at(&self) -> SocketAddr {
+    /// Returns the address of the listening socket.
+    fn address(&self) -> SocketAddr {
         self.socket.local_addr().expect("socket address")
     }
 
-    /// All that came to backends came once; gives how much.
-    fn each_once(&self) -> usize {
+    /// Asserts that no request reached the backends twice; returns the number of requests.
+    fn assert_no_duplicates(&self) -> usize {
         let mut seen = HashSet::new();
         for backend in &self.backends {
-            for id in backend.came.lock().expect("lock not poisoned").iter() {
-                assert!(seen.insert(id.clone()), "{id} came twice");
+            for id in backend.received.lock().expect("lock not poisoned").iter() {
+                assert!(seen.insert(id.clone()), "request {id} arrived twice");
             }
         }
         seen.len()
@@ -257,87 +266,93 @@
 }
 
 #[test]
-fn upgrades_in_a_row_lose_nothing_double_nothing_and_keep_bans() {
-    let world = world();
-    let mut old = world.start();
-    old.ready();
-    let load = Load::start(world.at(), 4);
-    // Requests that begin after its yes and are over before the call back: none of them may come.
+fn repeated_upgrades_lose_and_duplicate_no_requests_and_keep_bans() {
+    let rig = upgrade_rig();
+    let mut old = rig.start();
+    old.wait_until_ready();
+    let load = Load::start(rig.address(), 4);
+    // ID ranges of requests that start after a ban took effect and finish before it is lifted: none of them
+    // may reach the banned backend.
     let mut banned: HashMap<usize, Vec<(u64, u64)>> = HashMap::new();
     for round in 0..6usize {
         let id = round % 3;
-        let mut new = world.start();
-        // In turn: told before the upgrade, in the middle of it, and to the old or the new process.
+        let mut new = rig.start();
+        // The ban is set alternately before the upgrade on the old process, and during it on the new one.
         if round % 2 == 0 {
-            old.yes(&format!("DISABLE s-{id}"));
+            old.expect_success(&format!("DISABLE s-{id}"));
         }
-        let early = load.last();
-        new.ready();
+        let last_before = load.last_id();
+        new.wait_until_ready();
         if round % 2 == 1 {
-            new.yes(&format!("DISABLE s-{id}"));
+            new.expect_success(&format!("DISABLE s-{id}"));
         }
-        let from = if round % 2 == 0 { early } else { load.last() };
+        let from = if round % 2 == 0 { last_before } else { load.last_id() };
         old.signal("-TERM");
-        assert!(old.ended(), "round {round}: the old process ends well");
-        let to = load.last() + 8;
-        load.over(to);
+        assert!(old.wait_for_exit(), "round {round}: the old process failed");
+        let to = load.last_id() + 8;
+        load.wait_until_finished(to);
         banned.entry(id).or_default().push((from, to));
-        new.yes(&format!("ENABLE s-{id}"));
+        new.expect_success(&format!("ENABLE s-{id}"));
         old = new;
     }
-    let (asked, answers) = load.end();
-    assert_eq!(asked, answers);
-    assert!(world.each_once() > 100, "little came");
-    for (id, spans) in banned {
-        for request in world.backends[id].came.lock().expect("lock not poisoned").iter() {
-            let number = u64::from_str_radix(request, 16).expect("number");
-            let in_ban = spans.iter().any(|(from, to)| number > *from && number <= *to);
-            assert!(!in_ban, "{request} came to s-{id} while it was banned");
+    let (requests, answers) = load.finish();
+    assert_eq!(requests, answers);
+    assert!(rig.assert_no_duplicates() > 100, "too few requests arrived");
+    for (id, ranges) in banned {
+        for request in rig.backends[id].received.lock().expect("lock not poisoned").iter() {
+            let request_id = u64::from_str_radix(request, 16).expect("number");
+            let in_ban = ranges.iter().any(|(from, to)| request_id > *from && request_id <= *to);
+            assert!(!in_ban, "request {request} reached s-{id} during its ban");
         }
     }
 }
 
 #[test]
-fn a_new_process_that_fails_to_start_changes_nothing() {
-    let mut world = world();
-    let mut old = world.start();
-    old.ready();
-    let load = Load::start(world.at(), 2);
-    let good = world.config.clone();
-    world.config["settings"]["policy-limits"]["max-attempts"] = json!(0);
-    let mut broken = world.start();
-    assert!(!broken.ended(), "it must not start");
-    // One that hangs before it is ready, and is killed.
-    world.config = good;
-    let mut hangs = world.start();
-    hangs.signal("-STOP");
-    old.yes("DISABLE s-0");
-    old.yes("READY");
-    hangs.child.kill().expect("child process");
-    hangs.child.wait().expect("child process");
-    old.yes("ENABLE s-0");
-    let (asked, answers) = load.end();
-    assert_eq!(asked, answers);
-    world.each_once();
+fn failed_start_of_new_process_does_not_affect_old() {
+    let mut rig = upgrade_rig();
+    let mut old = rig.start();
+    old.wait_until_ready();
+    let load = Load::start(rig.address(), 2);
+    let good = rig.config.clone();
+    rig.config["settings"]["policy-limits"]["max-attempts"] = json!(0);
+    let mut broken = rig.start();
+    assert!(!broken.wait_for_exit(), "the start must fail");
+    // A process that hangs before it is ready and is killed.
+    rig.config = good;
+    let mut hanging = rig.start();
+    hanging.signal("-STOP");
+    old.expect_success("DISABLE s-0");
+    old.expect_success("READY");
+    hanging.child.kill().expect("child process");
+    hanging.child.wait().expect("child process");
+    old.expect_success("ENABLE s-0");
+    let (requests, answers) = load.finish();
+    assert_eq!(requests, answers);
+    rig.assert_no_duplicates();
 }
 
 #[test]
-fn a_process_that_is_killed_leaves_its_part_and_its_bans_to_the_other() {
-    let world = world();
-    let mut old = world.start();
-    old.ready();
-    let mut new = world.start();
-    new.ready();
-    old.logged("1 other processes");
-    old.yes("DISABLE s-1");
+fn remaining_process_takes_over_share_and_bans_of_killed_one() {
+    let rig = upgrade_rig();
+    let mut old = rig.start();
+    old.wait_until_ready();
+    let mut new = rig.start();
+    new.wait_until_ready();
+    old.wait_for_log("1 other processes");
+    old.expect_success("DISABLE s-1");
     old.child.kill().expect("child process");
     old.child.wait().expect("child process");
-    new.logged("0 other processes");
-    assert!(new.say("DISABLE s-1").is_some_and(|a| a.contains("already")));
-    // A book that is cut short is a start without it.
-    let folder = std::fs::read_dir(world.under.path()).expect("read").flatten().next().expect("one").path();
-    let book = std::fs::read(folder.join("book")).expect("it is there");
-    std::fs::write(folder.join("book"), &book[..book.len() / 2]).expect("write the file");
-    let mut third = world.start();
-    third.ready();
+    new.wait_for_log("0 other processes");
+    assert!(new.send_command("DISABLE s-1").is_some_and(|a| a.contains("already")));
+    // A process starts without its `book` file if that is truncated.
+    let directory = std::fs::read_dir(rig.state_parent.path())
+        .expect("read the directory")
+        .flatten()
+        .next()
+        .expect("state directory")
+        .path();
+    let book = std::fs::read(directory.join("book")).expect("read the book file");
+    std::fs::write(directory.join("book"), &book[..book.len() / 2]).expect("write the file");
+    let mut third = rig.start();
+    third.wait_until_ready();
 }
