--- a/crates/gateway/tests/recorded_state_files.rs
+++ b/crates/gateway/tests/recorded_state_files.rs
@@ -188,7 +188,7 @@
     // The counter is unreachable, so the charge stays unreported.
     let unreachable = unused_loopback_address();
     let mut leaving = ManagedGateway::start_with(parent.path(), |config| {
-        config["counter"] = json!(unreachable.to_string())
+        config["counter"] = json!(unreachable.to_string());
     });
     let mut client = leaving.rig.gateway.client();
     let mut request = call(1, "safe", "paid", 3, 8000);
--- a/crates/gateway/tests/shared_counter.rs
+++ b/crates/gateway/tests/shared_counter.rs
@@ -31,8 +31,8 @@
     panic!("no counter call");
 }
 
-/// Runs a scenario that needs two counter calls with the same key. Keys contain a window of the wall clock. If
-/// it ends between the calls, the scenario returns `None` and is repeated; the next window lasts 30 s.
+/// Runs a scenario that needs two counter calls with the same key. Keys contain a window of the wall clock.
+/// If it ends between the calls, the scenario returns `None` and is repeated; the next window lasts 30 s.
 fn within_one_window(scenario: impl Fn() -> Option<()>) {
     assert!((0..3).any(|_| scenario().is_some()), "no two counter calls had the same key");
 }
