--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -50,7 +50,7 @@
 use tool_listener::Scope;
 
 pub use endpoint_list::EndpointListError;
-pub use log::{Contents, Log, LogError, RegisteredGateway, ORDERS_KEPT};
+pub use log::{Contents, Log, LogError, RegisteredGateway, MAX_RETAINED_ORDERS};
 
 /// Requests, and reports, that may wait for the control loop; whoever brings more waits.
 const MAX_QUEUED_INPUTS: usize = 4_096;
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -15,7 +15,7 @@
 };
 
 /// Orders that are kept once they are settled. The id of an older one is forgotten.
-pub const ORDERS_KEPT: usize = 10_000;
+pub const MAX_RETAINED_ORDERS: usize = 10_000;
 /// The version of the file's form that this program reads and writes.
 const FORM: u64 = 1;
 /// Ends the name of a log that is being created.
@@ -42,7 +42,7 @@
     /// Its contents are damaged or contradict each other.
     Damaged(PathBuf, Cause),
     /// It has the form of another version.
-    Form(PathBuf, u64),
+    UnsupportedFormat(PathBuf, u64),
     /// The system failed, or the disk is full.
     Io(PathBuf, Cause),
 }
@@ -57,7 +57,7 @@
                  gateways keep what they hold until then",
                 path.display()
             ),
-            LogError::Form(path, form) => {
+            LogError::UnsupportedFormat(path, form) => {
                 write!(f, "{}: form {form} of the log; this program reads form {FORM}", path.display())
             }
             LogError::Io(path, cause) => write!(f, "{}: {cause}", path.display()),
@@ -69,7 +69,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             LogError::Damaged(_, cause) | LogError::Io(_, cause) => Some(&**cause),
-            LogError::InUse(_) | LogError::Form(..) => None,
+            LogError::InUse(_) | LogError::UnsupportedFormat(..) => None,
         }
     }
 }
@@ -165,7 +165,7 @@
         };
         let form = number(FORM_KEY)?;
         if form != FORM {
-            return Err(LogError::Form(self.path.clone(), form));
+            return Err(LogError::UnsupportedFormat(self.path.clone(), form));
         }
         number(TERM_KEY)
     }
@@ -212,7 +212,7 @@
     }
 
     /// Appends orders, and with `settled` the state that they and all before them make; orders beyond
-    /// [`ORDERS_KEPT`] are removed then. They are on the disk when this returns.
+    /// [`MAX_RETAINED_ORDERS`] are removed then. They are on the disk when this returns.
     ///
     /// # Errors
     /// [`LogError::Io`]: none of them is to be taken as logged.
@@ -230,7 +230,7 @@
             let superfluous: Vec<(u64, u64)> = table
                 .iter()?
                 .rev()
-                .skip(ORDERS_KEPT)
+                .skip(MAX_RETAINED_ORDERS)
                 .filter_map(|row| row.ok().map(|(key, _)| key.value()))
                 .filter(|key| *key <= floor)
                 .collect();
@@ -303,7 +303,7 @@
     let path = path.to_path_buf();
     match error {
         DatabaseError::DatabaseAlreadyOpen => LogError::InUse(path),
-        DatabaseError::UpgradeRequired(form) => LogError::Form(path, u64::from(form)),
+        DatabaseError::UpgradeRequired(form) => LogError::UnsupportedFormat(path, u64::from(form)),
         DatabaseError::Storage(redb::StorageError::Io(error)) if !is_truncated(&error) => {
             LogError::Io(path, error.into())
         }
--- a/crates/agent/src/order_ledger.rs
+++ b/crates/agent/src/order_ledger.rs
@@ -8,7 +8,7 @@
     guard, ApplyOutcome, Backend, Change, DesiredState, GuardCounts, Order, OrderId, Revision, Subject,
 };
 
-use crate::log::ORDERS_KEPT;
+use crate::log::MAX_RETAINED_ORDERS;
 
 /// Orders after which their state is logged as one snapshot.
 const ORDERS_PER_SNAPSHOT: u64 = 256;
@@ -169,7 +169,7 @@
         self.orders_since_snapshot += 1;
         self.revisions.insert(logged.order.id.clone(), logged.order.revision);
         self.orders.push_back(logged);
-        if self.orders.len() > ORDERS_KEPT {
+        if self.orders.len() > MAX_RETAINED_ORDERS {
             if let Some(oldest) = self.orders.pop_front() {
                 self.revisions.remove(&oldest.order.id);
             }
--- a/crates/agent/src/tool_listener.rs
+++ b/crates/agent/src/tool_listener.rs
@@ -87,7 +87,7 @@
                     self.fail(UNKNOWN_REQUEST_ID, ErrorCode::TooLong, error.to_string()).await?;
                     return Err(ConnectionEnded);
                 }
-                Ok(Ok(None) | Err(JsonLinesError::Broken(_))) | Err(_) => return Err(ConnectionEnded),
+                Ok(Ok(None) | Err(JsonLinesError::Io(_))) | Err(_) => return Err(ConnectionEnded),
             }
         }
     }
--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -270,7 +270,7 @@
 
     /// The order that drains a gateway, if any does.
     #[must_use]
-    pub fn gateway_drained(&self, name: &str) -> Option<&OrderId> {
+    pub fn gateway_drained_by(&self, name: &str) -> Option<&OrderId> {
         let subject = Subject::Gateway(name.parse().ok()?);
         self.drain(&subject).map(|register| &register.id)
     }
--- a/crates/fleet/src/guard.rs
+++ b/crates/fleet/src/guard.rs
@@ -45,16 +45,17 @@
     /// How many have to be left ready.
     pub minimum: u32,
     /// `backends` or `gateways`.
-    pub of: &'static str,
+    pub counted: &'static str,
 }
 
 impl fmt::Display for TooFewReady {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let GuardCounts { serving, ready, ready_after, .. } = self.counts;
-        let TooFewReady { minimum, of, .. } = self;
+        let TooFewReady { minimum, counted, .. } = self;
         write!(
             f,
-            "would leave {ready_after} of {serving} {of} ready ({ready} are now); {minimum} are to be left"
+            "would leave {ready_after} of {serving} {counted} ready ({ready} are now); \
+             {minimum} are to be left"
         )
     }
 }
@@ -80,14 +81,14 @@
     gateways: impl Iterator<Item = &'a str>,
     min_ready_fraction: f64,
 ) -> Result<GuardCounts, TooFewReady> {
-    let (counts, of) = match &order.subject {
+    let (counts, counted) = match &order.subject {
         Subject::Gateway(name) => (count_gateways(desired, order, name, gateways), GATEWAYS),
         _ => (count_backends(desired, order, backends), BACKENDS),
     };
     let minimum = (f64::from(counts.serving) * min_ready_fraction.clamp(0.0, 1.0)).ceil() as u32;
     let is_drain = order.change == Change::Drain;
     if is_drain && counts.ready_after < counts.ready && counts.ready_after < minimum {
-        return Err(TooFewReady { counts, minimum, of });
+        return Err(TooFewReady { counts, minimum, counted });
     }
     Ok(counts)
 }
@@ -102,7 +103,7 @@
     for name in gateways {
         let covered = name == subject.as_str();
         counts.covered += u32::from(covered);
-        let is_ready = desired.gateway_drained(name).is_none();
+        let is_ready = desired.gateway_drained_by(name).is_none();
         counts.add_serving(order.change, Serving { covered, is_ready, drained_elsewhere: false });
     }
     counts
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -180,7 +180,7 @@
     assert_eq!(judge(&state, &first, &[], &names).expect("two are left").ready_after, 2);
     state.apply(&first);
     let refused = judge(&state, &order("b", 2, "gateway/n1", Change::Drain), &[], &names);
-    assert_eq!(refused.expect_err("one would be left").of, "gateways");
+    assert_eq!(refused.expect_err("one would be left").counted, "gateways");
 }
 
 #[test]
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -169,6 +169,6 @@
         Ok(Err(e @ JsonLinesError::TooLong(_))) => {
             Some(Response::fault(ErrorCode::TooLong, e.to_string(), true))
         }
-        Ok(Ok(None) | Err(JsonLinesError::Broken(_))) | Err(_) => None,
+        Ok(Ok(None) | Err(JsonLinesError::Io(_))) | Err(_) => None,
     }
 }
--- a/crates/gateway/src/event_loop/oversight.rs
+++ b/crates/gateway/src/event_loop/oversight.rs
@@ -153,7 +153,7 @@
             self.apply_lines(gateway_policy::interface::UpdateScope::Delta, lines);
         }
         let oversight = &self.oversight;
-        let drained = oversight.desired.gateway_drained(&oversight.name).is_some()
+        let drained = oversight.desired.gateway_drained_by(&oversight.name).is_some()
             || oversight.maintenance.drained_ms().is_some();
         self.oversight.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
     }
@@ -198,7 +198,7 @@
             incarnation: oversight.incarnation,
             applied_revision: oversight.desired.revision(),
             last_order: oversight.last_order.clone(),
-            drained_by: oversight.desired.gateway_drained(&oversight.name).cloned(),
+            drained_by: oversight.desired.gateway_drained_by(&oversight.name).cloned(),
             drained_ms: oversight.maintenance.drained_ms(),
             list_version: self.table.changes(),
             statistics: self.statistics(&views),
--- a/crates/transport/src/json_lines.rs
+++ b/crates/transport/src/json_lines.rs
@@ -25,7 +25,7 @@
     /// names of fields.
     Malformed(String),
     /// The connection broke.
-    Broken(std::io::Error),
+    Io(std::io::Error),
 }
 
 impl fmt::Display for JsonLinesError {
@@ -33,7 +33,7 @@
         match self {
             JsonLinesError::TooLong(max_bytes) => write!(f, "line too long; {max_bytes} bytes at most"),
             JsonLinesError::Malformed(reason) => write!(f, "not a message: {reason}"),
-            JsonLinesError::Broken(error) => write!(f, "connection broke: {error}"),
+            JsonLinesError::Io(error) => write!(f, "connection broke: {error}"),
         }
     }
 }
@@ -41,7 +41,7 @@
 impl std::error::Error for JsonLinesError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            JsonLinesError::Broken(error) => Some(error),
+            JsonLinesError::Io(error) => Some(error),
             _ => None,
         }
     }
@@ -83,7 +83,7 @@
             Some(Err(AnyDelimiterCodecError::MaxChunkLengthExceeded)) => {
                 return Err(JsonLinesError::TooLong(self.max_line_bytes));
             }
-            Some(Err(AnyDelimiterCodecError::Io(e))) => return Err(JsonLinesError::Broken(e)),
+            Some(Err(AnyDelimiterCodecError::Io(e))) => return Err(JsonLinesError::Io(e)),
         };
         serde_json::from_slice(&line).map(Some).map_err(|error| {
             // What a peer has sent must not be quoted whole in a response or a log.
@@ -95,11 +95,11 @@
     /// Sends a value. Cancelling may leave half a line behind: the connection can't be used any more then.
     ///
     /// # Errors
-    /// [`JsonLinesError::Broken`]; [`JsonLinesError::Malformed`] if the value is no JSON.
+    /// [`JsonLinesError::Io`]; [`JsonLinesError::Malformed`] if the value is no JSON.
     pub async fn send<T: Serialize>(&mut self, value: &T) -> Result<(), JsonLinesError> {
         let text = serde_json::to_string(value).map_err(|e| JsonLinesError::Malformed(e.to_string()))?;
         self.framed.send(text).await.map_err(|e| match e {
-            AnyDelimiterCodecError::Io(e) => JsonLinesError::Broken(e),
+            AnyDelimiterCodecError::Io(e) => JsonLinesError::Io(e),
             AnyDelimiterCodecError::MaxChunkLengthExceeded => JsonLinesError::TooLong(self.max_line_bytes),
         })
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use connect::{connect, ConnectError, Connector};
 pub use json_lines::{JsonLines, JsonLinesError};
-pub use listen::{BindError, IncomingConnection, Listener, TakenBy};
+pub use listen::{BindError, IncomingConnection, Listener, PathOccupant};
 pub use serve::serve;
 pub use tls::{TlsError, TlsFiles};
 
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub enum BindError {
     /// The path of a Unix socket is taken.
-    Taken(PathBuf, TakenBy),
+    PathInUse(PathBuf, PathOccupant),
     /// The system's error.
     Io(Address, io::Error),
     /// The certificates can't be used.
@@ -34,18 +34,18 @@
 
 /// What a path is taken by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TakenBy {
+pub enum PathOccupant {
     /// A file that is no socket.
     File,
     /// A socket that a process listens on.
     Listener,
 }
 
-impl fmt::Display for TakenBy {
+impl fmt::Display for PathOccupant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TakenBy::File => "is there and no socket",
-            TakenBy::Listener => "something listens there already",
+            PathOccupant::File => "is there and no socket",
+            PathOccupant::Listener => "something listens there already",
         })
     }
 }
@@ -53,7 +53,7 @@
 impl fmt::Display for BindError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BindError::Taken(path, taken_by) => write!(f, "unix:{}: {taken_by}", path.display()),
+            BindError::PathInUse(path, taken_by) => write!(f, "unix:{}: {taken_by}", path.display()),
             BindError::Io(address, error) => write!(f, "{address}: {error}"),
             BindError::Tls(error) => error.fmt(f),
         }
@@ -63,7 +63,7 @@
 impl std::error::Error for BindError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            BindError::Taken(..) => None,
+            BindError::PathInUse(..) => None,
             BindError::Io(_, error) => Some(error),
             BindError::Tls(error) => Some(error),
         }
@@ -185,7 +185,7 @@
 }
 
 fn tls_acceptor(tls: Option<&TlsConfig>) -> Result<TlsAcceptor, TlsError> {
-    let config = tls.ok_or_else(|| TlsError::Unfit("TCP needs them, and none are named".into()))?;
+    let config = tls.ok_or_else(|| TlsError::Invalid("TCP needs them, and none are named".into()))?;
     let server_config = TlsFiles::read(config)?.server()?;
     Ok(TlsAcceptor::from(server_config))
 }
@@ -227,10 +227,10 @@
         Err(error) => return Err(BindError::Io(Address::Unix(path.to_path_buf()), error)),
     };
     if !metadata.file_type().is_socket() {
-        return Err(BindError::Taken(path.to_path_buf(), TakenBy::File));
+        return Err(BindError::PathInUse(path.to_path_buf(), PathOccupant::File));
     }
     if UnixStream::connect(path).await.is_ok() {
-        return Err(BindError::Taken(path.to_path_buf(), TakenBy::Listener));
+        return Err(BindError::PathInUse(path.to_path_buf(), PathOccupant::Listener));
     }
     Ok(())
 }
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -20,14 +20,14 @@
     /// A file can't be read, or does not hold what it should.
     File(PathBuf, Cause),
     /// Certificate, key and authorities don't fit together.
-    Unfit(Cause),
+    Invalid(Cause),
 }
 
 impl fmt::Display for TlsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TlsError::File(path, cause) => write!(f, "{}: {cause}", path.display()),
-            TlsError::Unfit(cause) => write!(f, "certificate and key: {cause}"),
+            TlsError::Invalid(cause) => write!(f, "certificate and key: {cause}"),
         }
     }
 }
@@ -35,7 +35,7 @@
 impl std::error::Error for TlsError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            TlsError::File(_, cause) | TlsError::Unfit(cause) => Some(&**cause),
+            TlsError::File(_, cause) | TlsError::Invalid(cause) => Some(&**cause),
         }
     }
 }
@@ -68,13 +68,13 @@
     /// has signed.
     ///
     /// # Errors
-    /// [`TlsError::Unfit`].
+    /// [`TlsError::Invalid`].
     pub fn server(&self) -> Result<Arc<ServerConfig>, TlsError> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let authorities = Arc::clone(&self.authorities);
         let verifier = WebPkiClientVerifier::builder_with_provider(authorities, Arc::clone(&provider))
             .build()
-            .map_err(|error| TlsError::Unfit(error.into()))?;
+            .map_err(|error| TlsError::Invalid(error.into()))?;
         let config = ServerConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
             .map_err(unfit)?
@@ -88,7 +88,7 @@
     /// the authorities has signed.
     ///
     /// # Errors
-    /// [`TlsError::Unfit`].
+    /// [`TlsError::Invalid`].
     pub fn client(&self) -> Result<Arc<ClientConfig>, TlsError> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let config = ClientConfig::builder_with_provider(provider)
@@ -102,7 +102,7 @@
 }
 
 fn unfit(error: rustls::Error) -> TlsError {
-    TlsError::Unfit(error.into())
+    TlsError::Invalid(error.into())
 }
 
 fn read_file(path: &Path) -> Result<Vec<u8>, TlsError> {
--- a/crates/transport/tests/access.rs
+++ b/crates/transport/tests/access.rs
@@ -106,7 +106,7 @@
         drop(Listener::bind(&address, None, MOST).await.expect("replaced"));
         fs::write(&path, "precious").expect("room");
         let refused = Listener::bind(&address, None, MOST).await.expect_err("a file");
-        assert!(matches!(refused, BindError::Taken(..)), "{refused}");
+        assert!(matches!(refused, BindError::PathInUse(..)), "{refused}");
         assert_eq!(fs::read_to_string(&path).expect("there"), "precious");
     });
 }
