--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -1,4 +1,4 @@
-//! The state that operators want, built up from orders and snapshots.
+//! The desired state of the fleet, built from orders and snapshots.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,18 +8,18 @@
 use crate::name::OrderId;
 use crate::order::{ApplyOutcome, Change, Order, Revision, Subject};
 
-/// The most registers that a state holds; an order for one more is rejected, which bounds the memory.
+/// Maximum number of registers in a state. An order that needs one more is rejected, which bounds memory.
 pub const MAX_REGISTERS: usize = 5_000;
-/// Orders whose first outcome is remembered. Repetitions of older ones are still known by their revision.
+/// Number of orders whose first outcome is cached. Repetitions of older ones are recognized by revision.
 const MAX_REMEMBERED_OUTCOMES: usize = 4_096;
 
-/// The aspect of a subject that a register is about.
+/// The property of a subject that a register holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Aspect {
-    /// Whether it is drained.
+    /// Whether the subject is drained.
     Drain,
-    /// Its weight.
+    /// Weight of the subject.
     Weight,
 }
 
@@ -29,7 +29,7 @@
 pub enum Value {
     /// Whether the subject is drained.
     Drained(bool),
-    /// Its weight.
+    /// Weight of the subject.
     Weight(f64),
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether it has the same effect as no order at all.
+    /// Whether the value has the same effect as no order at all.
     fn is_neutral(self) -> bool {
         match self {
             Value::Drained(drained) => !drained,
@@ -60,16 +60,16 @@
     }
 }
 
-/// The newest order on an aspect of a subject.
+/// A last-writer-wins register: the newest order for one aspect of one subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Register {
-    /// What it is about.
+    /// What the order applies to.
     pub subject: Subject,
-    /// The order's revision.
+    /// Revision of the order.
     pub revision: Revision,
-    /// The order's id.
+    /// Id of the order.
     pub id: OrderId,
-    /// The value.
+    /// Value that the order sets.
     pub value: Value,
 }
 
@@ -78,61 +78,65 @@
         (self.subject.clone(), self.value.aspect())
     }
 
-    /// Should two writers ever give the same revision, the id decides, alike everywhere.
+    /// Compares revisions, then ids. Two writers should never assign the same revision; if they do, every
+    /// replica still picks the same winner.
     fn is_newer_than(&self, other: &Register) -> bool {
         (self.revision, &self.id) > (other.revision, &other.id)
     }
 }
 
-/// A whole state. All orders up to the floor are settled in it; of later ones it holds those that it names.
+/// A complete state. All orders up to the floor are settled: each is in a register, was superseded or has no
+/// effect. Of later orders, the snapshot accounts only for those in its registers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The first revision that its writer knows of. It says nothing about orders before that.
+    /// The first revision that the writer knows. The snapshot makes no statement about earlier orders.
     #[serde(default)]
     pub since: Revision,
-    /// Orders up to this revision that no register names were superseded, or have no effect.
+    /// Orders up to this revision that are in no register were superseded, or have no effect.
     pub floor: Revision,
-    /// The registers.
+    /// All registers, ordered by subject and aspect.
     pub registers: Vec<Register>,
 }
 
-/// The effect of all orders on a backend.
+/// The combined effect of all orders on a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveState {
-    /// The first order that drains it, if any does.
+    /// Order that drains the backend, if any. If there are several: the one on the backend itself, else the
+    /// one on its cell.
     pub drained_by: Option<OrderId>,
-    /// Its weight; 1 unless ordered otherwise.
+    /// Weight of the backend; 1 unless ordered otherwise.
     pub weight: f64,
 }
 
-/// The state that operators want: a register for each subject and aspect, in which the newest revision wins.
+/// The desired state: one register per subject and aspect, in which the newest revision wins.
 #[derive(Clone, Debug, Default)]
 pub struct DesiredState {
     since: Revision,
     floor: Revision,
     registers: BTreeMap<(Subject, Aspect), Register>,
-    /// First outcomes of orders, and the ids of these orders, oldest first.
+    /// First outcomes of the most recent orders.
     outcomes: BTreeMap<OrderId, ApplyOutcome>,
+    /// Ids of the orders in `outcomes`, oldest first.
     recent_ids: VecDeque<OrderId>,
 }
 
 impl DesiredState {
-    /// A state whose writer knows of no order before `since`.
+    /// Creates a state whose writer knows no order before `since`.
     ///
-    /// It says nothing about earlier orders, so a writer that has lost its log does not take back every drain
-    /// of before: gateways keep them until an order on the same subject arrives. Whoever has lost the log
-    /// has to look for such drains.
+    /// The state makes no statement about earlier orders, so a writer that has lost its log does not reverse
+    /// the drains that were ordered before: gateways keep them until an order on the same subject arrives.
+    /// An operator who has lost the log has to look for such drains.
     #[must_use]
     pub fn since(since: Revision) -> DesiredState {
         DesiredState { since, ..DesiredState::default() }
     }
 
-    /// Applies an order. A repetition, by its id, has the first outcome and changes nothing.
+    /// Applies an order. A repeated id returns the first outcome and changes nothing.
     pub fn apply(&mut self, order: &Order) -> ApplyOutcome {
         if let Some(first) = self.outcomes.get(&order.id) {
             return first.clone();
         }
-        let outcome = self.apply_first(order);
+        let outcome = self.apply_new(order);
         if self.recent_ids.len() >= MAX_REMEMBERED_OUTCOMES {
             if let Some(oldest) = self.recent_ids.pop_front() {
                 self.outcomes.remove(&oldest);
@@ -143,7 +147,7 @@
         outcome
     }
 
-    fn apply_first(&mut self, order: &Order) -> ApplyOutcome {
+    fn apply_new(&mut self, order: &Order) -> ApplyOutcome {
         if let Err(invalid) = order.check() {
             return ApplyOutcome::Rejected(invalid.to_string());
         }
@@ -159,7 +163,7 @@
             Entry::Occupied(current) if !register.is_newer_than(current.get()) => {
                 ApplyOutcome::Superseded(current.get().revision)
             }
-            // What superseded it may have left no register behind.
+            // The order that superseded it may have no register any more.
             _ if register.revision <= self.floor => ApplyOutcome::Superseded(self.floor),
             Entry::Occupied(mut current) => {
                 current.insert(register);
@@ -175,19 +179,20 @@
         }
     }
 
-    /// Merges a whole state: of both, the newer register wins. Returns whether anything changed.
+    /// Merges a snapshot: of two registers with the same key, the newer one wins. Returns whether anything
+    /// changed.
     ///
-    /// A register that the other side has settled, by its floor, without naming it is removed. Beyond
-    /// [`MAX_REGISTERS`], which no honest writer exceeds, the oldest are removed.
+    /// A register that is settled by the snapshot's floor and missing from the snapshot is removed. If there
+    /// are more than [`MAX_REGISTERS`] then, which no correct writer causes, the oldest are removed.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
         let before = self.snapshot();
-        let adopted: BTreeMap<(Subject, Aspect), &Register> =
+        let incoming: BTreeMap<(Subject, Aspect), &Register> =
             snapshot.registers.iter().map(|register| (register.key(), register)).collect();
         self.registers.retain(|key, register| {
             let is_settled = (snapshot.since..=snapshot.floor).contains(&register.revision);
-            !is_settled || adopted.get(key) == Some(&&*register)
+            !is_settled || incoming.get(key) == Some(&&*register)
         });
-        for (key, register) in adopted {
+        for (key, register) in incoming {
             if register.revision <= self.floor {
                 continue;
             }
@@ -219,21 +224,21 @@
         self.registers.retain(|_, register| register.revision >= oldest_retained);
     }
 
-    /// Settles all orders so far, and forgets registers that have no effect. Only a writer that has logged
-    /// all orders up to [`DesiredState::revision`] may do so.
+    /// Settles all orders so far, and removes registers that have no effect. Only a writer that has logged
+    /// all orders up to [`DesiredState::revision`] may call this.
     pub fn compact(&mut self) {
         self.floor = self.revision();
         self.registers.retain(|_, register| !register.value.is_neutral());
     }
 
-    /// The newest revision seen; before any, the one at which its writer began.
+    /// The newest revision seen; before the first order, the revision at which the writer began.
     #[must_use]
     pub fn revision(&self) -> Revision {
         let newest = self.registers.values().map(|register| register.revision).max().unwrap_or_default();
         newest.max(self.floor).max(self.since)
     }
 
-    /// The whole state.
+    /// Returns the complete state.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
@@ -243,14 +248,15 @@
         }
     }
 
-    /// The effect of all orders on a backend: it is drained if any order drains it, its cell or its type.
+    /// The combined effect of all orders on a backend, which is drained if any order drains the backend, its
+    /// cell or its instance type.
     ///
-    /// A backend that was drained for a fault thus stays drained when its cell is undrained. Whoever drained
-    /// both has to undrain both.
+    /// A backend that was drained on its own therefore stays drained when its cell is undrained: an operator
+    /// who drained both has to undrain both.
     #[must_use]
-    pub fn effective_state(&self, name: &str, group: u32, kind: &str) -> EffectiveState {
+    pub fn effective_state(&self, name: &str, group: u32, instance_type: &str) -> EffectiveState {
         let mut effective = EffectiveState { drained_by: None, weight: 1.0 };
-        for subject in covering_subjects(name, group, kind) {
+        for subject in covering_subjects(name, group, instance_type) {
             if effective.drained_by.is_none() {
                 effective.drained_by = self.drain(&subject).map(|register| register.id.clone());
             }
@@ -262,34 +268,40 @@
         effective
     }
 
-    /// Whether a backend is drained by any order but those on one subject.
-    pub(crate) fn is_drained_elsewhere(&self, name: &str, group: u32, kind: &str, except: &Subject) -> bool {
-        let mut others = covering_subjects(name, group, kind).filter(|subject| subject != except);
+    /// Whether an order on any subject other than `except` drains a backend.
+    pub(crate) fn is_drained_by_other(
+        &self,
+        name: &str,
+        group: u32,
+        instance_type: &str,
+        except: &Subject,
+    ) -> bool {
+        let mut others = covering_subjects(name, group, instance_type).filter(|subject| subject != except);
         others.any(|subject| self.drain(&subject).is_some())
     }
 
-    /// The order that drains a gateway, if any does.
+    /// Id of the order that drains a gateway, if any.
     #[must_use]
     pub fn gateway_drained_by(&self, name: &str) -> Option<&OrderId> {
         let subject = Subject::Gateway(name.parse().ok()?);
         self.drain(&subject).map(|register| &register.id)
     }
 
-    /// The register that drains exactly this subject, if one does.
+    /// The register that drains exactly this subject, if any.
     fn drain(&self, subject: &Subject) -> Option<&Register> {
         let register = self.registers.get(&(subject.clone(), Aspect::Drain))?;
         (register.value == Value::Drained(true)).then_some(register)
     }
 
-    /// All registers, by subject.
+    /// All registers, ordered by subject and aspect.
     pub fn registers(&self) -> impl Iterator<Item = &Register> {
         self.registers.values()
     }
 }
 
-/// The subjects that cover a backend. A name that no order can hold has no subject.
-fn covering_subjects(name: &str, group: u32, kind: &str) -> impl Iterator<Item = Subject> {
+/// The subjects that cover a backend. A name that is invalid in an order yields no subject.
+fn covering_subjects(name: &str, group: u32, instance_type: &str) -> impl Iterator<Item = Subject> {
     let backend = name.parse().ok().map(Subject::Backend);
-    let instance_type = kind.parse().ok().map(Subject::Type);
+    let instance_type = instance_type.parse().ok().map(Subject::Type);
     [backend, Some(Subject::Group(group)), instance_type].into_iter().flatten()
 }
--- a/crates/fleet/src/gateway_record.rs
+++ b/crates/fleet/src/gateway_record.rs
@@ -1,4 +1,4 @@
-//! What is known of a gateway, from observations and when they were made.
+//! What the agent knows about a gateway, derived from timestamped observations.
 
 use std::fmt;
 
@@ -6,19 +6,19 @@
 
 use crate::order::Revision;
 
-/// Whether a gateway can be relied on to have applied all orders.
+/// Whether a gateway is known to have applied all orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
     /// Not observed yet.
     Unknown,
-    /// It answered lately, and holds every order.
+    /// It responded recently and has applied every order.
     Ok,
-    /// It answered lately, and orders are on their way to it.
+    /// It responded recently but has not applied the newest orders yet.
     Behind,
-    /// It did not answer in time. What it does is not known; it goes on with the last orders that it had.
+    /// It did not respond in time. Its state is unknown; it continues with the last orders that it received.
     Unreachable {
-        /// Why, in a few words.
+        /// Short description of the failure.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -35,41 +35,41 @@
     }
 }
 
-/// What a session learned of a gateway.
+/// The result of one contact of a session with its gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// It answered.
+    /// The gateway responded.
     Reachable {
-        /// Its process: new with each start.
+        /// Number of the gateway's process, new with each start.
         incarnation: u64,
-        /// The newest revision that it holds.
+        /// The newest revision that the gateway has applied.
         applied_revision: Revision,
     },
-    /// It could not be asked, or did not answer, for this reason.
+    /// The gateway could not be reached or did not respond, for this reason.
     Unreachable(String),
 }
 
-/// An outage that lasts.
+/// An ongoing outage.
 #[derive(Clone, Debug)]
 struct Outage {
     since_ms: f64,
-    /// The latest reason.
+    /// Reason of the latest failure.
     reason: String,
 }
 
-/// A gateway as the agent knows it.
+/// The agent's record of a gateway, without I/O or a clock: callers pass the time in ms.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayRecord {
     incarnation: Option<u64>,
     applied_revision: Revision,
     last_seen_ms: Option<f64>,
     outage: Option<Outage>,
-    /// How often its process was seen to have restarted.
+    /// Number of observed restarts of the gateway's process.
     pub restarts: u32,
 }
 
 impl GatewayRecord {
-    /// Takes in an observation. Returns whether the process is another than before.
+    /// Records an observation. Returns whether it shows a restart of the gateway's process.
     pub fn observe(&mut self, now_ms: f64, observation: Observation) -> bool {
         match observation {
             Observation::Reachable { incarnation, applied_revision } => {
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Its health, given the newest revision and how long it may be silent, ms.
+    /// Health of the gateway. One that was last seen more than `max_silence_ms` ago is unreachable; one that
+    /// has not applied `newest` is behind.
     #[must_use]
     pub fn health(&self, now_ms: f64, newest: Revision, max_silence_ms: f64) -> Health {
         if let Some(outage) = &self.outage {
@@ -98,7 +99,7 @@
         let Some(last_seen_ms) = self.last_seen_ms else { return Health::Unknown };
         let silence_ms = now_ms - last_seen_ms;
         if silence_ms > max_silence_ms {
-            Health::Unreachable { reason: format!("silent for {silence_ms:.0} ms") }
+            Health::Unreachable { reason: format!("no response for {silence_ms:.0} ms") }
         } else if self.applied_revision < newest {
             Health::Behind
         } else {
@@ -106,19 +107,19 @@
         }
     }
 
-    /// The newest revision that it is known to hold.
+    /// The newest revision that the gateway is known to have applied.
     #[must_use]
     pub fn applied_revision(&self) -> Revision {
         self.applied_revision
     }
 
-    /// When it last answered.
+    /// Time of the last response, ms.
     #[must_use]
     pub fn last_seen_ms(&self) -> Option<f64> {
         self.last_seen_ms
     }
 
-    /// Since when it is unreachable, if it is.
+    /// Start of the current outage, ms, if there is one.
     #[must_use]
     pub fn unreachable_since_ms(&self) -> Option<f64> {
         self.outage.as_ref().map(|outage| outage.since_ms)
--- a/crates/fleet/src/guard.rs
+++ b/crates/fleet/src/guard.rs
@@ -1,4 +1,4 @@
-//! The guard: rejects an order that would take too much of a fleet out of service.
+//! The guard: rejects orders that would take too large a part of the fleet out of service.
 
 use std::fmt;
 
@@ -8,43 +8,43 @@
 use crate::name::Name;
 use crate::order::{Change, Order, Subject};
 
-/// A backend as some gateway lists it.
+/// A backend as listed by a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its name.
+    /// Name on the endpoint list.
     pub name: String,
-    /// Its cell.
+    /// Cell of the backend.
     pub group: u32,
-    /// Its instance type.
+    /// Instance type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Whether it is serving by the endpoint list.
+    /// Whether the endpoint list says that it is serving.
     pub serving: bool,
 }
 
-/// What the guard counted.
+/// Numbers of backends, or of gateways, before and after an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Counts", expecting = "struct Counts")]
 pub struct GuardCounts {
-    /// Backends, or gateways, that the order's subject covers.
+    /// Backends, or gateways, that the subject of the order covers.
     pub covered: u32,
-    /// Backends that are serving, or gateways that answer.
+    /// Backends that are serving, or gateways that are reachable.
     pub serving: u32,
-    /// Those of them that no order drains.
+    /// Those of `serving` that no order drains.
     pub ready: u32,
-    /// Those of them that no order would drain after this one.
+    /// Those of `serving` that would not be drained after this order.
     #[serde(rename = "left")]
     pub ready_after: u32,
 }
 
-/// An order would leave too few ready.
+/// An order would leave too few backends or gateways ready.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TooFewReady {
-    /// What was counted.
+    /// The numbers that the decision is based on.
     pub counts: GuardCounts,
-    /// How many have to be left ready.
+    /// Minimum number that has to stay ready.
     pub minimum: u32,
-    /// `backends` or `gateways`.
+    /// What was counted: `backends` or `gateways`.
     pub counted: &'static str,
 }
 
@@ -62,18 +62,19 @@
 
 impl std::error::Error for TooFewReady {}
 
-/// What is counted is backends, or gateways where the order is on one.
 const BACKENDS: &str = "backends";
 const GATEWAYS: &str = "gateways";
 
-/// Counts what an order would leave ready. `gateways` are the names of those that answer;
-/// `min_ready_fraction` is the part of those serving, from 0 to 1, that has to be left ready, rounded up.
+/// Counts the backends that an order would leave ready, or the gateways if its subject is a gateway.
 ///
-/// Only a drain is ever rejected, and one that changes nothing never is. The guard is there for a drain of a
-/// whole instance type by mistake; in an emergency such an order has to be forced.
+/// `gateways` are the names of the reachable gateways. `min_ready_fraction`, from 0 to 1, is the part of the
+/// serving ones that has to stay ready; the resulting number is rounded up.
+///
+/// Only drains are rejected, and a drain that changes nothing never is. The guard protects against mistakes
+/// such as a drain of a whole instance type; in an emergency, such an order has to be forced.
 ///
 /// # Errors
-/// [`TooFewReady`], with the counts.
+/// [`TooFewReady`] if fewer than the minimum would stay ready.
 pub fn guard<'a>(
     desired: &DesiredState,
     order: &Order,
@@ -104,7 +105,7 @@
         let covered = name == subject.as_str();
         counts.covered += u32::from(covered);
         let is_ready = desired.gateway_drained_by(name).is_none();
-        counts.add_serving(order.change, Serving { covered, is_ready, drained_elsewhere: false });
+        counts.add_serving(order.change, Serving { covered, is_ready, drained_by_other: false });
     }
     counts
 }
@@ -120,27 +121,27 @@
         counts.covered += u32::from(covered);
         if *serving {
             let is_ready = desired.effective_state(name, *group, kind).drained_by.is_none();
-            let drained_elsewhere =
-                covered && desired.is_drained_elsewhere(name, *group, kind, &order.subject);
-            counts.add_serving(order.change, Serving { covered, is_ready, drained_elsewhere });
+            let drained_by_other = covered && desired.is_drained_by_other(name, *group, kind, &order.subject);
+            counts.add_serving(order.change, Serving { covered, is_ready, drained_by_other });
         }
     }
     counts
 }
 
-/// A backend that is serving, or a gateway that answers.
+/// A backend that is serving, or a gateway that is reachable.
 struct Serving {
     covered: bool,
     is_ready: bool,
     /// Whether an order on another subject drains it.
-    drained_elsewhere: bool,
+    drained_by_other: bool,
 }
 
 impl GuardCounts {
-    /// What is ready after the order is derived for each alone, which needs no copy of the whole state.
+    /// Counts one backend or gateway. Whether it is ready after the order is derived from its own state, so
+    /// that no copy of the desired state is needed.
     fn add_serving(&mut self, change: Change, serving: Serving) {
         let ready_after = match change {
-            Change::Undrain if serving.covered => !serving.drained_elsewhere,
+            Change::Undrain if serving.covered => !serving.drained_by_other,
             Change::Drain if serving.covered => false,
             _ => serving.is_ready,
         };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! Orders to a fleet of gateways: what they are, how they merge, which of them the guard rejects, and what
-//! is known of each gateway. No I/O, no clock, no tasks.
+//! Orders to a fleet of gateways: their merging, the guard that rejects dangerous ones, the wire format, and
+//! the health of each gateway. No I/O, no clock, no tasks.
 //!
 //! ```text
-//!  Order ─▶ guard ─▶ DesiredState (agent) ─▶ Snapshot, Order ─▶ DesiredState (each gateway) ─▶
-//! EffectiveState ▲                                                          │
-//!             └───── Backend, as gateways list them ◀────────────────────┘    GatewayRecord: ok, unreachable
+//!  Order ─▶ guard ─▶ DesiredState (agent) ── Snapshot, Order ──▶ DesiredState (gateway) ─▶ EffectiveState
+//!             ▲                                                         │
+//!             └────────── Backend, as listed by the gateways ◀──────────┘
 //! ```
 //!
-//! [`DesiredState`] is a state-based replicated data type: a register for each subject and aspect, in which
-//! the newest revision wins, with a floor below which all is settled. Orders and snapshots may arrive in any
-//! sequence and any number of times; whoever has received the same ones holds the same state.
+//! [`DesiredState`] is a state-based replicated data type (CRDT): a last-writer-wins register per subject and
+//! aspect, with a floor below which all orders are settled. Orders and snapshots may arrive in any sequence
+//! and any number of times; replicas that have received the same ones hold the same state.
 
 mod desired;
 mod gateway_record;
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -1,16 +1,17 @@
-//! Names that come from outside, checked before anything is done with them.
+//! Names and ids from untrusted input, validated when they are parsed.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a backend, type or gateway, bytes: that of a domain name (RFC 1035, section 2.3.4).
+/// Maximum length of a backend, instance type or gateway name, bytes. This is the limit for domain names
+/// (RFC 1035, section 2.3.4).
 pub const MAX_NAME_BYTES: usize = 253;
-/// The longest id of an order, bytes.
+/// Maximum length of an order id, bytes.
 pub const MAX_ORDER_ID_BYTES: usize = 64;
 
-/// A text that is no valid name.
+/// Why a text is not a valid name or id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidName {
     what: &'static str,
@@ -31,17 +32,17 @@
     max_bytes: usize,
     is_allowed: fn(char) -> bool,
 ) -> Result<(), InvalidName> {
-    // Valid names may be quoted in messages and logs: they are short, and write nothing else to a terminal.
+    // Valid names are safe to quote in messages and logs: they are short and hold no control characters.
     let problem = match text.chars().find(|c| !is_allowed(*c)) {
         _ if text.is_empty() => "is empty".to_string(),
         _ if text.len() > max_bytes => format!("has {} bytes; {max_bytes} at most", text.len()),
-        Some(odd) => format!("holds {odd:?}, which no name holds"),
+        Some(invalid) => format!("holds {invalid:?}, which no name holds"),
         None => return Ok(()),
     };
     Err(InvalidName { what, problem })
 }
 
-/// A type for texts that are short and hold only some characters.
+/// Defines a string type with a maximum length and a restricted set of characters.
 macro_rules! bounded_text {
     ($(#[$doc:meta])* $name:ident, $what:literal, $max_bytes:ident, $is_allowed:expr) => {
         $(#[$doc])*
@@ -50,7 +51,7 @@
         pub struct $name(Box<str>);
 
         impl $name {
-            /// The text.
+            /// Returns the text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -93,6 +94,6 @@
     Name, "name", MAX_NAME_BYTES, |c| !c.is_whitespace() && !c.is_control()
 );
 bounded_text!(
-    /// Id of an order, given by its author: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
+    /// Id of an order, chosen by its sender: 1 to [`MAX_ORDER_ID_BYTES`] letters, digits, `.`, `_`, `-`, `:`.
     OrderId, "order id", MAX_ORDER_ID_BYTES, |c| c.is_ascii_alphanumeric() || "._-:".contains(c)
 );
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,4 +1,4 @@
-//! An order, its subject and its revision.
+//! Orders, their subjects and revisions.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,23 +7,24 @@
 
 use crate::name::{InvalidName, Name, OrderId};
 
-/// The least weight; less is a drain, and is to be ordered as one.
+/// Minimum weight. To send a backend no work at all, it has to be drained.
 pub const MIN_WEIGHT: f64 = 0.01;
-/// The most weight.
+/// Maximum weight.
 pub const MAX_WEIGHT: f64 = 100.0;
 
-/// Place of an order among all orders: by term, then by sequence. A term has one writer, so no two orders
-/// share a revision; a replicated log gives both as Raft does (Ongaro and Ousterhout 2014, section 5).
+/// Position of an order among all orders, compared by term, then by sequence number. A term has a single
+/// writer, so revisions are unique; a replicated log could assign both as Raft does (Ongaro and Ousterhout
+/// 2014, section 5).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// Grows with each new writer.
+    /// Increases with each new writer.
     pub term: u64,
-    /// Grows with each order; 0 stands before all.
+    /// Increases by one with each order of a term; 0 precedes the first order.
     pub seq: u64,
 }
 
 impl Revision {
-    /// The revision of the next order of the same writer.
+    /// Returns the revision of the writer's next order.
     #[must_use]
     pub fn next(self) -> Revision {
         Revision { term: self.term, seq: self.seq + 1 }
@@ -36,28 +37,28 @@
     }
 }
 
-/// What an order is about.
+/// What an order applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
-    /// A backend, by its name on the endpoint list.
+    /// The backend with this name on the endpoint list.
     Backend(Name),
-    /// All backends in a cell.
+    /// All backends of a cell.
     Group(u32),
     /// All backends of an instance type.
     Type(Name),
-    /// A gateway.
+    /// The gateway with this name.
     Gateway(Name),
 }
 
 impl Subject {
-    /// Whether it covers a backend.
+    /// Whether the subject covers a backend.
     #[must_use]
-    pub fn covers(&self, name: &str, group: u32, kind: &str) -> bool {
+    pub fn covers(&self, name: &str, group: u32, instance_type: &str) -> bool {
         match self {
             Subject::Backend(n) => n.as_str() == name,
             Subject::Group(g) => *g == group,
-            Subject::Type(t) => t.as_str() == kind,
+            Subject::Type(t) => t.as_str() == instance_type,
             Subject::Gateway(_) => false,
         }
     }
@@ -68,7 +69,7 @@
         f.pad(&match self {
             Subject::Backend(name) => format!("backend/{name}"),
             Subject::Group(group) => format!("group/{group}"),
-            Subject::Type(kind) => format!("type/{kind}"),
+            Subject::Type(instance_type) => format!("type/{instance_type}"),
             Subject::Gateway(name) => format!("gateway/{name}"),
         })
     }
@@ -77,7 +78,7 @@
 impl FromStr for Subject {
     type Err = InvalidOrder;
 
-    /// Reads `backend/NAME`, `group/NUMBER`, `type/NAME` or `gateway/NAME`; a bare name is a backend's.
+    /// Parses `backend/NAME`, `group/NUMBER`, `type/NAME` or `gateway/NAME`. A bare name denotes a backend.
     fn from_str(text: &str) -> Result<Self, InvalidOrder> {
         Ok(match text.split_once('/') {
             None => Subject::Backend(text.parse()?),
@@ -90,15 +91,15 @@
     }
 }
 
-/// What an order changes.
+/// The change that an order makes to its subject.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// Nothing new is sent there; what is in flight is completed.
+    /// Sends it no new work; work in flight is completed.
     Drain,
     /// Reverses a drain of the same subject.
     Undrain,
-    /// Share of new work relative to backends of weight 1: [`MIN_WEIGHT`] to [`MAX_WEIGHT`].
+    /// Sets its share of new work relative to backends of weight 1: [`MIN_WEIGHT`] to [`MAX_WEIGHT`].
     Weight(f64),
 }
 
@@ -112,24 +113,24 @@
     }
 }
 
-/// An order.
+/// An order of an operator to the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// Chosen by whoever makes it. The same id again is a repetition.
+    /// Chosen by the sender. A second order with the same id is a repetition.
     pub id: OrderId,
-    /// Given by whoever logs orders.
+    /// Assigned by the writer of the log.
     pub revision: Revision,
-    /// What it is about.
+    /// What the order applies to.
     pub subject: Subject,
-    /// What it changes.
+    /// The change to the subject.
     pub change: Change,
 }
 
 impl Order {
-    /// Checks whether the order can be applied at all.
+    /// Checks that the order is valid.
     ///
     /// # Errors
-    /// An [`InvalidOrder`] that says why not.
+    /// See [`InvalidOrder`].
     pub fn check(&self) -> Result<(), InvalidOrder> {
         InvalidOrder::of(&self.subject, self.change)
     }
@@ -140,35 +141,35 @@
 #[serde(rename_all = "lowercase")]
 #[serde(rename = "Outcome", expecting = "enum Outcome")]
 pub enum ApplyOutcome {
-    /// It is in effect.
+    /// The order is in effect.
     Applied,
-    /// A newer order, of this revision, is or was in effect; nothing was changed.
+    /// A newer order, with this revision, took precedence; nothing was changed.
     Superseded(Revision),
-    /// It was not applied, for this reason; nothing was changed.
+    /// The order was not applied, for this reason; nothing was changed.
     #[serde(rename = "refused")]
     Rejected(String),
 }
 
-/// What is wrong with an order.
+/// Why an order is not valid.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidOrder {
     /// A name is invalid.
     Name(InvalidName),
-    /// The cell is no number.
+    /// The cell is not a number.
     Group,
-    /// The subject is of no known kind.
+    /// The kind of subject is unknown.
     Subject,
     /// The weight is out of range.
     Weight(f64),
-    /// A weight is ordered for something that is no backend.
+    /// A weight is ordered for a subject that is not a backend.
     WeightOf(Subject),
 }
 
 impl InvalidOrder {
-    /// Checks an order that has no id or revision yet.
+    /// Checks the subject and the change of an order that has no id or revision yet.
     ///
     /// # Errors
-    /// An [`InvalidOrder`].
+    /// See [`InvalidOrder`].
     pub fn of(subject: &Subject, change: Change) -> Result<(), InvalidOrder> {
         let Change::Weight(weight) = change else { return Ok(()) };
         if !matches!(subject, Subject::Backend(_)) {
--- a/crates/fleet/src/wire/endpoint_list.rs
+++ b/crates/fleet/src/wire/endpoint_list.rs
@@ -1,30 +1,30 @@
-//! The status of the endpoint list that the agent makes from its sources.
+//! Status of the endpoint list that the agent builds from DNS-SD.
 
 use serde::{Deserialize, Serialize};
 
-/// The endpoint list that is made from sources, and its status.
+/// The endpoint list that the agent builds from its sources, and the status of the queries behind it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "ListState", expecting = "struct ListState")]
 pub struct EndpointListStatus {
-    /// The list, by name.
+    /// Endpoints on the list, ordered by name.
     pub list: Vec<EndpointStatus>,
-    /// Instances that are not on it because of their own records.
+    /// Instances that are left out because of faults in their own records.
     pub dropped: Vec<DroppedEndpoint>,
-    /// Queries that go unanswered, the oldest first.
+    /// Unanswered queries, the longest outstanding first.
     pub unanswered: Vec<UnansweredQuery>,
-    /// Endpoints that stay on the list until a second answer confirms their removal.
+    /// Number of endpoints that stay on the list until a second answer confirms their removal.
     #[serde(rename = "held")]
     pub awaiting_confirmation: usize,
-    /// Instances some of whose records are not known yet.
+    /// Number of instances some of whose records are not known yet.
     pub pending: usize,
-    /// Services with no known record.
+    /// Number of services without a known record.
     pub unknown: usize,
-    /// Queries sent since the start.
+    /// Number of queries sent since the agent started.
     #[serde(rename = "asked")]
     pub queries_sent: u64,
-    /// Whether the list is known, and so served.
+    /// Whether the list is known, so that the agent serves it.
     pub known: bool,
-    /// Each record that is followed, if they were requested.
+    /// All records in use, if the request asked for them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub records: Vec<RecordStatus>,
 }
@@ -33,63 +33,63 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "ListedState", expecting = "struct ListedState")]
 pub struct EndpointStatus {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: String,
-    /// Its tier; lower ones are used first.
+    /// Its tier; lower tiers are used first.
     pub priority: u16,
-    /// Its weight within the tier.
+    /// Weight within the tier.
     pub weight: u16,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its instance type.
+    /// Instance type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Its cell.
+    /// Cell.
     pub group: u32,
     /// Whether it is serving; otherwise it is draining.
     pub serving: bool,
-    /// When it started, Unix time in ms; 0 for long ago.
+    /// Start time, Unix time in ms; 0 if it started long ago.
     pub since_ms: f64,
-    /// For how long one of its records has been stale, ms; none while all are fresh.
+    /// Time for which one of its records has been stale, ms; `None` while all are fresh.
     pub stale_ms: Option<f64>,
 }
 
-/// An instance that is not on the list.
+/// An instance that is left out of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Because", expecting = "struct Because")]
 pub struct DroppedEndpoint {
-    /// Its name.
+    /// Name of the instance.
     #[serde(rename = "what")]
     pub instance: String,
-    /// Why it is not.
+    /// Why it is left out.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// A query that goes unanswered.
+/// A query without an answer so far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Unanswered", expecting = "struct Unanswered")]
 pub struct UnansweredQuery {
-    /// Name and type.
+    /// Name and type that are queried.
     pub question: String,
-    /// For how long it has, ms.
+    /// Time without an answer, ms.
     pub for_ms: f64,
-    /// The latest reason.
+    /// Reason of the latest failure.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// A query that is followed, and its records.
+/// A query that is repeated to keep the list current, and its records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "RecordState", expecting = "struct RecordState")]
 pub struct RecordStatus {
-    /// Name and type.
+    /// Name and type that are queried.
     pub question: String,
-    /// How many records there are; none while that is not known.
+    /// Number of records; `None` while it is not known.
     pub records: Option<usize>,
-    /// What remains of their time to live, ms; negative once they are stale.
+    /// Remaining time to live, ms; negative once the records are stale.
     #[serde(rename = "life_ms")]
     pub ttl_ms: Option<f64>,
 }
--- a/crates/fleet/src/wire/error.rs
+++ b/crates/fleet/src/wire/error.rs
@@ -1,4 +1,4 @@
-//! Errors that a gateway or the agent responds with.
+//! Error responses of gateways and the agent.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Fault", expecting = "struct Fault")]
 pub struct ErrorResponse {
-    /// The kind of error, for programs.
+    /// The kind of error, for programs to act on.
     pub code: ErrorCode,
-    /// What is wrong and what to do, for people.
+    /// What is wrong and what to do about it, for operators.
     pub message: String,
 }
 
 impl ErrorResponse {
-    /// An error of a kind.
+    /// Creates an error response.
     pub fn new(code: ErrorCode, message: impl Into<String>) -> ErrorResponse {
         ErrorResponse { code, message: message.into() }
     }
@@ -28,16 +28,16 @@
     BadRequest,
     /// The line is too long.
     TooLong,
-    /// The requester is not allowed to.
+    /// The requester is not authorized for this request.
     Forbidden,
-    /// No gateway knows the subject.
+    /// The subject is unknown.
     UnknownSubject,
-    /// The guard rejects it.
+    /// The guard rejects the order: too few backends or gateways would stay ready.
     TooFew,
-    /// The id was used for another order.
+    /// The id belongs to an earlier order with another content.
     IdReused,
-    /// Overloaded, or shutting down; a retry may succeed.
+    /// The peer is overloaded or shutting down; a retry may succeed.
     Unavailable,
-    /// The log can't be written.
+    /// The agent can't write its log.
     Log,
 }
--- a/crates/fleet/src/wire/gateway.rs
+++ b/crates/fleet/src/wire/gateway.rs
@@ -1,4 +1,4 @@
-//! Requests of the agent to a gateway, and the gateway's responses.
+//! Requests of the agent to a gateway, and its responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,23 +12,23 @@
 #[serde(tag = "op", rename_all = "lowercase")]
 #[serde(rename = "GatewayAsk", expecting = "internally tagged enum GatewayAsk")]
 pub enum GatewayRequest {
-    /// Report the state.
+    /// Reports the gateway's state.
     State {
-        /// Whether to include each backend.
+        /// Whether to include the backends.
         #[serde(default)]
         backends: bool,
     },
-    /// Apply orders, at most [`MAX_ORDERS_PER_REQUEST`](super::MAX_ORDERS_PER_REQUEST).
+    /// Applies orders, at most [`MAX_ORDERS_PER_REQUEST`](super::MAX_ORDERS_PER_REQUEST).
     Apply {
         /// The orders, oldest first.
         orders: Vec<Order>,
     },
-    /// Adopt a whole state.
+    /// Merges a snapshot of the desired state.
     Adopt {
-        /// The state.
+        /// The snapshot.
         snapshot: Snapshot,
     },
-    /// Count what is in flight at a subject.
+    /// Counts the work in flight at a subject.
     Inflight {
         /// A backend, a cell, an instance type, or the gateway itself.
         subject: Subject,
@@ -40,13 +40,13 @@
 #[serde(rename_all = "lowercase")]
 #[serde(rename = "GatewaySay", expecting = "enum GatewaySay")]
 pub enum GatewayResponse {
-    /// The state.
+    /// The gateway's state.
     State(GatewayState),
-    /// The results of orders, or of a whole state.
+    /// The response to orders or to a snapshot.
     Applied(Applied),
-    /// Attempts in flight, or requests where the subject is a gateway.
+    /// Number of attempts in flight, or of requests if the subject is a gateway.
     Inflight(u64),
-    /// Nothing was done.
+    /// The request was not carried out.
     #[serde(rename = "fault")]
     Error(ErrorResponse),
 }
@@ -54,13 +54,13 @@
 /// The results of orders at a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Applied {
-    /// The gateway's process: new with each start, below 2^53.
+    /// Number of the gateway's process, new with each start; below 2^53.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The newest revision that it holds.
+    /// The newest revision that the gateway has applied.
     #[serde(rename = "holds")]
     pub applied_revision: Revision,
-    /// One for each order, in the same sequence.
+    /// One result per order, in the sequence of the request.
     #[serde(rename = "verdicts")]
     pub results: Vec<OrderResult>,
 }
@@ -69,10 +69,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Verdict", expecting = "struct Verdict")]
 pub struct OrderResult {
-    /// The order's id.
+    /// Id of the order.
     pub id: OrderId,
-    /// The result.
+    /// The outcome.
     pub outcome: ApplyOutcome,
-    /// Backends on the gateway's endpoint list that the subject covers; 1 for the gateway itself.
+    /// Number of backends on the gateway's endpoint list that the subject covers; 1 if the subject is the
+    /// gateway itself.
     pub matched: u32,
 }
--- a/crates/fleet/src/wire/gateway_state.rs
+++ b/crates/fleet/src/wire/gateway_state.rs
@@ -1,57 +1,57 @@
-//! The state of a gateway and of its backends.
+//! State of a gateway and its backends.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::OrderId;
 use crate::order::Revision;
 
-/// A gateway's state.
+/// State that a gateway reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayState {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Version of its program.
+    /// Version of the gateway's program.
     pub version: String,
-    /// Its process: new with each start, below 2^53.
+    /// Number of the gateway's process, new with each start; below 2^53.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The newest revision that it holds.
+    /// The newest revision that the gateway has applied.
     #[serde(rename = "holds")]
     pub applied_revision: Revision,
-    /// The order that was applied last, if any was.
+    /// Id of the order that was applied last, if any.
     pub last_order: Option<OrderId>,
-    /// The order that drains the gateway itself, if any does.
+    /// Id of the order that drains the gateway itself, if any.
     pub drained_by: Option<OrderId>,
-    /// Since when a command at its second address drains it, Unix time in ms, if one does.
+    /// Unix time in ms since which a command at the gateway's management address drains it, if one does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drained_ms: Option<f64>,
-    /// Version of `backends`: grows with each change but those of what is in flight.
+    /// Version of `backends`: increases with each change except those of `in_flight`.
     #[serde(rename = "list")]
     pub list_version: u64,
-    /// Counts and gauges.
+    /// Counters and gauges.
     #[serde(rename = "figures")]
     pub statistics: GatewayStatistics,
-    /// Its backends, if they were requested.
+    /// The gateway's backends, if the request asked for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backends: Option<Vec<BackendState>>,
 }
 
-/// Counts and gauges of a gateway.
+/// Counters and gauges of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Figures", expecting = "struct Figures")]
 pub struct GatewayStatistics {
-    /// Backends on the endpoint list.
+    /// Number of backends on the endpoint list.
     pub listed: u32,
-    /// Those that discovery says serve.
+    /// Those that are serving by the endpoint list.
     pub serving: u32,
-    /// Those that an order drains.
+    /// Those that are drained by an order.
     pub drained: u32,
     /// Those that are ejected as outliers.
     pub ejected: u32,
     /// Those that are warming up.
     #[serde(rename = "cold")]
     pub warming_up: u32,
-    /// Those that wait for their slot for a first connection.
+    /// Those that wait for their slot to open a first connection.
     #[serde(default)]
     #[serde(rename = "waiting")]
     pub awaiting_connection: u32,
@@ -59,50 +59,50 @@
     pub requests: u64,
     /// Attempts in flight.
     pub in_flight: u64,
-    /// Idle connections to backends.
+    /// Number of idle connections to backends.
     pub idle_connections: u32,
-    /// Connections of clients.
+    /// Number of client connections.
     pub client_connections: u32,
-    /// Customers whose token bucket is in memory.
+    /// Number of customers whose token bucket is in memory.
     pub customers: u64,
-    /// Customers whose token bucket was evicted to make room for others.
+    /// Number of customers whose token bucket was evicted to make room for others.
     #[serde(default)]
     #[serde(rename = "forgotten")]
     pub evicted_customers: u64,
-    /// Units that these customers may use beyond their quotas.
+    /// Units that the evicted customers may use beyond their quotas.
     #[serde(default)]
     #[serde(rename = "forgotten_units")]
     pub evicted_units: u64,
 }
 
-/// A backend as a gateway sees it.
+/// State of a backend at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendState {
-    /// Its name.
+    /// Name on the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: String,
-    /// Its cell.
+    /// Cell.
     pub group: u32,
-    /// Its instance type.
+    /// Instance type.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Whether it is serving by the endpoint list; otherwise it is draining.
+    /// Whether the endpoint list says that it is serving; otherwise it is draining.
     pub serving: bool,
-    /// The order that drains it, if any does.
+    /// Id of the order that drains it, if any.
     pub drained_by: Option<OrderId>,
-    /// Since when a command at the gateway's second address bans it, Unix time in ms, if one does.
+    /// Unix time in ms since which a command at the gateway's management address bans it, if one does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub banned_ms: Option<f64>,
-    /// The weight that is ordered; 1 without an order.
+    /// Weight set by an order; 1 without one.
     pub weight: f64,
     /// Whether it is ejected as an outlier.
     pub ejected: bool,
-    /// The part of its capacity that it is assumed to have while it warms up, 0 to 1.
+    /// Fraction of its full capacity, 0 to 1, that it is assumed to have while it is warming up.
     #[serde(rename = "warmth")]
     pub capacity_fraction: f64,
-    /// Attempts in flight there.
+    /// Number of attempts in flight to it.
     pub in_flight: u64,
 }
--- a/crates/fleet/src/wire/order.rs
+++ b/crates/fleet/src/wire/order.rs
@@ -1,84 +1,84 @@
-//! What the agent tells of an order, and keeps of it in its log.
+//! What the agent reports about an order, and what it stores in its log.
 
 use serde::{Deserialize, Serialize};
 
 use crate::guard::GuardCounts;
 use crate::order::{ApplyOutcome, Order, Revision};
 
-/// The acknowledgement of an order that is in the log.
+/// Acknowledgement of an order that is in the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Accepted", expecting = "struct Accepted")]
 pub struct OrderAccepted {
-    /// The order's revision.
+    /// Revision of the order.
     pub revision: Revision,
-    /// Whether the id was known, so that nothing new was logged.
+    /// Whether the order is a repetition, so that nothing new was logged.
     pub repeated: bool,
-    /// What the guard counted.
+    /// Numbers that the guard computed.
     pub counts: GuardCounts,
-    /// Gateways that are to apply it.
+    /// Number of gateways that are to apply the order.
     pub instances: u32,
 }
 
-/// An order as it is in the log.
+/// An order as stored in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Logged", expecting = "struct Logged")]
 pub struct LoggedOrder {
     /// The order.
     #[serde(flatten)]
     pub order: Order,
-    /// Whether it passed over the guard.
+    /// Whether the order was forced, so that the guard did not apply.
     pub forced: bool,
-    /// When it was accepted, Unix time in ms.
+    /// Time of acceptance, Unix time in ms.
     pub at_ms: u64,
-    /// What the guard counted.
+    /// Numbers that the guard computed.
     pub counts: GuardCounts,
 }
 
-/// The outcome at one gateway.
+/// Report of the outcome at one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Instance", expecting = "struct Instance")]
 pub struct InstanceReport {
-    /// Its name.
+    /// Name of the gateway.
     pub gateway: String,
     /// The outcome.
     #[serde(flatten)]
     pub outcome: InstanceOutcome,
 }
 
-/// The outcome of an order, or of a count, at one gateway.
+/// Outcome of an order, or of an in-flight query, at one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "did", rename_all = "lowercase")]
 #[serde(rename = "Did", expecting = "internally tagged enum Did")]
 pub enum InstanceOutcome {
-    /// It answered.
+    /// The gateway has responded to the order.
     Answered {
-        /// The result there.
+        /// Outcome of the order.
         outcome: ApplyOutcome,
-        /// Backends on its endpoint list that the subject covers; none for a gateway that holds the order as
-        /// part of the whole state.
+        /// Number of backends on its endpoint list that the subject covers; `None` if the gateway received
+        /// the order as part of a snapshot.
         matched: Option<u32>,
-        /// Time from the acknowledgement to its answer, ms.
+        /// Time from the acknowledgement of the order to the gateway's response, ms.
         took_ms: f64,
     },
-    /// It counted what is in flight.
+    /// The gateway has counted the work in flight.
     #[serde(rename = "counted")]
     InFlight {
-        /// Attempts, or requests where the subject is a gateway.
+        /// Number of attempts, or of requests if the subject is a gateway.
         in_flight: u64,
     },
-    /// It is unreachable. It goes on with its last orders, and gets the whole state when it is back.
+    /// The gateway is unreachable. It continues with its last orders and gets a snapshot when it is back.
     Unreachable {
-        /// The reason.
+        /// Why it is unreachable.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// It did not answer within the deadline.
+    /// The gateway did not respond before the deadline.
     #[serde(rename = "late")]
     TimedOut,
 }
 
 impl InstanceOutcome {
-    /// Whether the gateway is known to have applied the order, or to have counted.
+    /// Whether the gateway is known to have applied the order, or has counted the work in flight.
     #[must_use]
     pub fn succeeded(&self) -> bool {
         match self {
@@ -89,13 +89,13 @@
     }
 }
 
-/// The summary over all gateways.
+/// Summary of the outcomes at all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Done", expecting = "struct Done")]
 pub struct OrderSummary {
-    /// Gateways that have succeeded.
+    /// Number of gateways that have succeeded.
     #[serde(rename = "done")]
     pub succeeded: u32,
-    /// Gateways that are not known to have succeeded.
+    /// Number of gateways that are not known to have succeeded.
     pub failed: u32,
 }
--- a/crates/fleet/src/wire/start.rs
+++ b/crates/fleet/src/wire/start.rs
@@ -1,51 +1,51 @@
-//! Instructions to gateways that start, and reports of their first calls for the endpoint list.
+//! Coordinated start: instructions to starting gateways, and reports of their first call to the list service.
 
 use serde::{Deserialize, Serialize};
 
-/// Instructions for a gateway that starts. Without a time in them it keeps to its slots.
+/// Instructions for a starting gateway. Without a time in them, the gateway uses its own slots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Starting", expecting = "struct Starting")]
 pub struct StartInstructions {
-    /// Make the first call for the endpoint list after so long, ms, unless the slot comes earlier.
+    /// Delay of the first call for the endpoint list, ms, unless the gateway's slot comes earlier.
     pub call_in_ms: Option<f64>,
-    /// Whether that call is to fetch the whole list, and
-    /// [`ToolRequest::Started`](super::ToolRequest::Started) is to carry it.
+    /// Whether that call has to fetch the whole list, and
+    /// [`ToolRequest::Started`](super::ToolRequest::Started) has to carry it.
     #[serde(default)]
     pub fetch: bool,
-    /// Ask again after so long, ms.
+    /// Delay after which the gateway has to request instructions again, ms.
     pub ask_in_ms: Option<f64>,
-    /// A newer list than the one that it holds: the text of an answer of the list service. It is handed on
-    /// unchecked.
+    /// A newer list than the gateway has: the body of a response of the list service, forwarded without
+    /// validation.
     pub list: Option<String>,
 }
 
-/// The outcome of the first call for the endpoint list of a gateway that starts.
+/// The first call of a starting gateway for the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FirstCall {
     /// The outcome.
     #[serde(rename = "came")]
     pub outcome: FirstCallOutcome,
-    /// How long it took, ms.
+    /// Duration of the call, ms.
     pub took_ms: f64,
-    /// The whole list with its version, if it was to be fetched;
-    /// [`MAX_START_LIST_BYTES`](super::MAX_START_LIST_BYTES) bytes at most.
+    /// Version and text of the whole list, if the instructions said to fetch it; at most
+    /// [`MAX_START_LIST_BYTES`](super::MAX_START_LIST_BYTES) bytes.
     pub list: Option<(u64, String)>,
 }
 
-/// The outcome of a first call.
+/// Outcome of the first call to the list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[serde(rename = "FirstCame", expecting = "enum FirstCame")]
 pub enum FirstCallOutcome {
-    /// The service answered with the list, or that it has not changed.
+    /// The service responded with the list, or that it is unchanged.
     #[serde(rename = "told")]
     Answered,
-    /// It rejected the call.
+    /// The service rejected the call.
     #[serde(rename = "turned-away")]
     Rejected,
-    /// It did not answer in time.
+    /// The service did not respond within the timeout.
     #[serde(rename = "silent")]
     TimedOut,
-    /// No connection, or a malformed answer.
+    /// There was no connection, or the response was malformed.
     Failed,
 }
--- a/crates/fleet/src/wire/tool.rs
+++ b/crates/fleet/src/wire/tool.rs
@@ -1,4 +1,4 @@
-//! Requests of tools, and of gateways that register or start, to the agent, and the agent's responses.
+//! Requests to the agent, from tools and from gateways that register or start, and the agent's responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,81 +16,81 @@
 #[serde(tag = "op", rename_all = "lowercase")]
 #[serde(rename = "Ask", expecting = "internally tagged enum Ask")]
 pub enum ToolRequest {
-    /// Log an order and have every gateway apply it.
+    /// Logs an order and has every gateway apply it.
     Order {
-        /// Chosen by the requester. An order with the same id is a repetition, and not applied again.
+        /// Chosen by the requester. A second order with the same id is a repetition and is not applied again.
         id: OrderId,
-        /// What it is about.
+        /// What the order applies to.
         subject: Subject,
-        /// What it changes.
+        /// The change to the subject.
         change: Change,
-        /// Whether the guard and unknown subjects are passed over.
+        /// Whether the order skips the guard and the check for unknown subjects.
         #[serde(default)]
         forced: bool,
-        /// How long to wait for the gateways, ms.
+        /// Maximum time to wait for the gateways, ms.
         deadline_ms: u64,
     },
-    /// Report the status of all gateways.
+    /// Reports the status of all gateways.
     Status {
-        /// Whether each gateway is to be polled for its backends. [`ToolResponse::Backends`] follows for each
-        /// gateway then, and [`ToolResponse::Done`].
+        /// Whether to poll each gateway for its backends. The status is then followed by a
+        /// [`ToolResponse::Backends`] for each gateway and by [`ToolResponse::Done`].
         #[serde(default)]
         backends: bool,
     },
-    /// List the logged orders, newest first.
+    /// Lists logged orders, newest first.
     Orders {
-        /// How many at most.
+        /// Maximum number of orders.
         #[serde(rename = "most")]
         limit: usize,
     },
-    /// Poll each gateway for what is in flight at a subject.
+    /// Polls each gateway for the work in flight at a subject.
     Inflight {
-        /// The subject.
+        /// A backend, a cell, an instance type or a gateway.
         subject: Subject,
-        /// How long to wait for the gateways, ms.
+        /// Maximum time to wait for the gateways, ms.
         deadline_ms: u64,
     },
-    /// Report the status of the endpoint list that the agent makes from its sources.
+    /// Reports the status of the endpoint list that the agent builds from its sources.
     Sources {
-        /// Whether to include each record.
+        /// Whether to include the records.
         #[serde(default)]
         records: bool,
     },
-    /// Report each event from now on, until the connection is closed.
+    /// Streams all events from now on, until the connection is closed.
     Watch,
-    /// Oversee a gateway from now on.
+    /// Registers a gateway, which the agent manages from now on.
     Register {
-        /// Its name.
+        /// Name of the gateway.
         name: Name,
-        /// Its admin listener.
+        /// Address of its admin listener.
         address: String,
     },
-    /// Instruct a gateway that starts.
+    /// Requests instructions for a starting gateway.
     Start {
-        /// Its name.
+        /// Name of the gateway.
         name: Name,
-        /// Its process: new with each start, below 2^53.
+        /// Number of the gateway's process, new with each start; below 2^53.
         #[serde(rename = "boot")]
         incarnation: u64,
-        /// Gateways in its fleet.
+        /// Number of gateways in its fleet.
         gateways: u32,
-        /// The version of the endpoint list that it holds, if it holds one.
+        /// Version of the endpoint list that the gateway has, if any.
         #[serde(rename = "held")]
         held_version: Option<u64>,
     },
-    /// Take in the outcome of the first call of a gateway that starts.
+    /// Reports the first call of a starting gateway.
     Started {
-        /// Its name.
+        /// Name of the gateway.
         name: Name,
-        /// Its process.
+        /// Number of the gateway's process.
         #[serde(rename = "boot")]
         incarnation: u64,
-        /// The outcome.
+        /// The call and its outcome.
         call: FirstCall,
     },
-    /// Oversee a gateway no more.
+    /// Removes a registered gateway, which the agent no longer manages.
     Deregister {
-        /// Its name.
+        /// Name of the gateway.
         name: Name,
     },
 }
@@ -102,9 +102,9 @@
 pub enum ToolResponse {
     /// The order is in the log.
     Accepted(OrderAccepted),
-    /// The outcome at one gateway.
+    /// The outcome of an order at one gateway.
     Instance(InstanceReport),
-    /// The summary, after which no response follows.
+    /// The summary. It is the last response to a request.
     Done(OrderSummary),
     /// The status of all gateways.
     Status(FleetStatus),
@@ -112,26 +112,26 @@
     Backends(GatewayBackends),
     /// Logged orders, newest first.
     Orders(Vec<LoggedOrder>),
-    /// What is in flight, by gateway.
+    /// The work in flight at each gateway.
     Inflight(Vec<InstanceReport>),
     /// The status of the endpoint list.
     Sources(Box<EndpointListStatus>),
-    /// Instructions for a gateway that starts.
+    /// Instructions for a starting gateway.
     Starting(StartInstructions),
-    /// An event.
+    /// An event, as a line of text.
     Event(String),
-    /// Nothing was done.
+    /// The request was not carried out.
     #[serde(rename = "fault")]
     Error(ErrorResponse),
 }
 
-/// The backends of one gateway, polled just now.
+/// The backends of one gateway, polled for this request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Seen", expecting = "struct Seen")]
 pub struct GatewayBackends {
-    /// The gateway.
+    /// Name of the gateway.
     pub gateway: String,
-    /// Its state with its backends, or why it could not be polled.
+    /// Its state including backends, or why it could not be polled.
     pub state: Result<GatewayState, String>,
 }
 
@@ -141,30 +141,30 @@
 pub struct FleetStatus {
     /// The newest revision.
     pub revision: Revision,
-    /// Each gateway, by name.
+    /// All gateways, ordered by name.
     pub gateways: Vec<GatewayStatus>,
-    /// What is ordered, by subject.
+    /// All registers of the desired state, ordered by subject and aspect.
     pub ordered: Vec<Register>,
 }
 
-/// The status of one gateway, as the agent knows it.
+/// Status of one gateway as known to the agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "MemberState", expecting = "struct MemberState")]
 pub struct GatewayStatus {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Its admin listener.
+    /// Address of its admin listener.
     pub address: String,
-    /// Whether it can be relied on to have applied all orders.
+    /// Whether it is known to have applied all orders.
     pub health: Health,
-    /// The newest revision that it is known to hold.
+    /// The newest revision that it is known to have applied.
     #[serde(rename = "holds")]
     pub applied_revision: Revision,
-    /// How long ago it last answered, ms.
+    /// Time since its last response, ms.
     #[serde(rename = "heard_ms_ago")]
     pub last_seen_ms_ago: Option<u64>,
-    /// How often its process was seen to have restarted.
+    /// Number of observed restarts of its process.
     pub restarts: u32,
-    /// The state that it last reported.
+    /// The state that it reported last, without its backends.
     pub state: Option<GatewayState>,
 }
