--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -1,4 +1,4 @@
-//! The connecting side.
+//! The connecting side: checks the owner of a Unix socket, or the server's certificate.
 
 use std::fmt;
 use std::fs;
@@ -20,16 +20,16 @@
 use crate::tls::{TlsError, TlsFiles};
 use crate::{Stream, ROOT_USER};
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// Nobody listens, or the peer can't be reached.
+    /// The system's or the TLS library's error, e.g. that nobody listens at the address.
     Io(Address, io::Error),
-    /// The connection did not come up in time.
+    /// The connection was not established within the timeout.
     TimedOut(Address),
-    /// The socket belongs to another user, who may be anybody.
+    /// The Unix socket belongs to another user, with this id, who can't be trusted.
     Owner(Address, u32),
-    /// The address is TCP, and there are no certificates to show.
+    /// The address is TCP, and no client certificate is configured.
     NoCertificate(Address),
 }
 
@@ -37,11 +37,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConnectError::Io(address, error) => write!(f, "{address}: {error}"),
-            ConnectError::TimedOut(address) => write!(f, "{address}: no connection in time"),
+            ConnectError::TimedOut(address) => write!(f, "{address}: connection timed out"),
             ConnectError::Owner(address, user) => {
-                write!(f, "{address}: the socket belongs to user {user}, who is neither root nor you")
+                write!(f, "{address}: the socket belongs to user {user}, not to root or the current user")
             }
-            ConnectError::NoCertificate(address) => write!(f, "{address}: no certificate to show"),
+            ConnectError::NoCertificate(address) => write!(f, "{address}: no client certificate configured"),
         }
     }
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Opens connections with one set of certificates.
+/// Opens connections, with a client certificate if one is configured.
 #[derive(Clone, Default)]
 pub struct Connector {
     tls: Option<Arc<ClientConfig>>,
@@ -68,23 +68,23 @@
 }
 
 impl Connector {
-    /// Reads the certificates, if any are configured.
+    /// Reads the certificate files, if any are configured.
     ///
     /// # Errors
-    /// A [`TlsError`] that names the file.
+    /// A [`TlsError`] if the files can't be read or used.
     pub fn new(tls: Option<&TlsConfig>) -> Result<Connector, TlsError> {
         let client_config = |config: &TlsConfig| TlsFiles::read(config)?.client();
         Ok(Connector { tls: tls.map(client_config).transpose()? })
     }
 
-    /// Connects within `limit`, for lines of at most `max_line_bytes`.
+    /// Connects within `connect_timeout`; longer lines than `max_line_bytes` are errors.
     ///
     /// # Errors
-    /// A [`ConnectError`].
+    /// See [`ConnectError`].
     pub async fn connect(
         &self,
         address: &Address,
-        limit: Duration,
+        connect_timeout: Duration,
         max_line_bytes: usize,
     ) -> Result<JsonLines, ConnectError> {
         let connecting = async {
@@ -94,7 +94,9 @@
             };
             Ok(JsonLines::new(stream, max_line_bytes))
         };
-        timeout(limit, connecting).await.unwrap_or_else(|_| Err(ConnectError::TimedOut(address.clone())))
+        timeout(connect_timeout, connecting)
+            .await
+            .unwrap_or_else(|_| Err(ConnectError::TimedOut(address.clone())))
     }
 
     async fn connect_tls(
@@ -112,16 +114,16 @@
     }
 }
 
-/// Connects to a Unix socket, or by TCP without any certificate, which every listener here rejects.
+/// Connects without a client certificate, which suffices for Unix sockets only.
 ///
 /// # Errors
-/// A [`ConnectError`].
+/// See [`ConnectError`]; for a TCP address always [`ConnectError::NoCertificate`].
 pub async fn connect(
     address: &Address,
-    limit: Duration,
+    connect_timeout: Duration,
     max_line_bytes: usize,
 ) -> Result<JsonLines, ConnectError> {
-    Connector::default().connect(address, limit, max_line_bytes).await
+    Connector::default().connect(address, connect_timeout, max_line_bytes).await
 }
 
 async fn connect_unix(path: &Path, address: &Address) -> Result<Box<dyn Stream>, ConnectError> {
@@ -130,11 +132,11 @@
     Ok(Box::new(stream))
 }
 
-/// Rejects a socket that another user has put in the place of ours, who would receive every order and could
-/// respond at will.
+/// Rejects a socket that another user may have put in place of the agent's or gateway's: that user would
+/// receive every order and could forge responses.
 fn check_owner(path: &Path, address: &Address) -> Result<(), ConnectError> {
     let owner = fs::metadata(path).map_err(|error| ConnectError::Io(address.clone(), error))?.uid();
-    // The effective user of this process: files in /proc/self belong to it.
+    // /proc/self belongs to the effective user of this process.
     let user = fs::metadata("/proc/self").map(|metadata| metadata.uid()).unwrap_or(owner);
     if owner == user || owner == ROOT_USER {
         Ok(())
--- a/crates/transport/src/json_lines.rs
+++ b/crates/transport/src/json_lines.rs
@@ -1,4 +1,4 @@
-//! A connection that carries one JSON value a line.
+//! Framing: one JSON value per line.
 
 use std::fmt;
 
@@ -10,21 +10,21 @@
 
 use crate::Stream;
 
-/// The read buffer that an idle connection retains, bytes.
+/// Maximum read buffer that an idle connection retains, bytes.
 const MAX_IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Characters of the reason why a line is malformed.
+/// Maximum length of the reason in [`JsonLinesError::Malformed`], characters.
 const MAX_REASON_CHARS: usize = 200;
 
-/// Why a line could not be received or sent.
+/// Why a value could not be received or sent.
 #[derive(Debug)]
 pub enum JsonLinesError {
-    /// It is longer than this many bytes; nothing more can be read from the connection.
+    /// The line is longer than this many bytes; nothing more can be read from the connection.
     TooLong(usize),
-    /// It is no JSON of the expected type; the next line can be read. The text holds nothing of the line but
-    /// names of fields.
+    /// The line is not JSON of the expected type; the next line can be read. The text is the parser's
+    /// message, truncated.
     Malformed(String),
-    /// The connection broke.
+    /// The connection failed.
     Io(std::io::Error),
 }
 
@@ -33,7 +33,7 @@
         match self {
             JsonLinesError::TooLong(max_bytes) => write!(f, "line too long; {max_bytes} bytes at most"),
             JsonLinesError::Malformed(reason) => write!(f, "not a message: {reason}"),
-            JsonLinesError::Io(error) => write!(f, "connection broke: {error}"),
+            JsonLinesError::Io(error) => write!(f, "connection failed: {error}"),
         }
     }
 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// A connection that carries one JSON value a line.
+/// A connection that carries one JSON value per line.
 pub struct JsonLines {
     framed: Framed<Box<dyn Stream>, AnyDelimiterCodec>,
     max_line_bytes: usize,
@@ -61,18 +61,18 @@
 
 impl JsonLines {
     pub(crate) fn new(stream: Box<dyn Stream>, max_line_bytes: usize) -> JsonLines {
-        // The codec for lines of text would end the connection at the first byte that is not UTF-8.
+        // `LinesCodec` would end the connection at the first byte that is not UTF-8.
         let codec = AnyDelimiterCodec::new_with_max_length(b"\n".to_vec(), b"\n".to_vec(), max_line_bytes);
         JsonLines { framed: Framed::new(stream, codec), max_line_bytes }
     }
 
-    /// The next value; `None` when the peer has closed the connection. Cancelling loses nothing: the part of
-    /// a line that has arrived stays for the next call.
+    /// Receives the next value; `None` if the peer has closed the connection. Cancel safe: a partly received
+    /// line stays in the buffer.
     ///
     /// # Errors
-    /// A [`JsonLinesError`]. Only after [`JsonLinesError::Malformed`] can the connection still be used.
+    /// See [`JsonLinesError`]. Only after [`JsonLinesError::Malformed`] can the connection still be used.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, JsonLinesError> {
-        // Otherwise each connection would retain a buffer for the longest line that it ever received.
+        // Otherwise each connection would retain a buffer of the size of the longest line it has received.
         let buffer = self.framed.read_buffer_mut();
         if buffer.is_empty() && buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             *buffer = BytesMut::new();
@@ -86,16 +86,17 @@
             Some(Err(AnyDelimiterCodecError::Io(e))) => return Err(JsonLinesError::Io(e)),
         };
         serde_json::from_slice(&line).map(Some).map_err(|error| {
-            // What a peer has sent must not be quoted whole in a response or a log.
+            // Responses and logs must not quote long parts of what a peer has sent.
             let reason: String = error.to_string().chars().take(MAX_REASON_CHARS).collect();
             JsonLinesError::Malformed(reason)
         })
     }
 
-    /// Sends a value. Cancelling may leave half a line behind: the connection can't be used any more then.
+    /// Sends a value. Not cancel safe: after a cancelled call, part of a line may have been written, and the
+    /// connection must not be used any more.
     ///
     /// # Errors
-    /// [`JsonLinesError::Io`]; [`JsonLinesError::Malformed`] if the value is no JSON.
+    /// [`JsonLinesError::Io`]; [`JsonLinesError::Malformed`] if the value can't be represented as JSON.
     pub async fn send<T: Serialize>(&mut self, value: &T) -> Result<(), JsonLinesError> {
         let text = serde_json::to_string(value).map_err(|e| JsonLinesError::Malformed(e.to_string()))?;
         self.framed.send(text).await.map_err(|e| match e {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,12 +1,14 @@
-//! Lines of JSON between tools, agent and gateways.
+//! Connections between tools, agent and gateways that carry one JSON value per line.
 //!
 //! ```text
-//!  Listener::bind ─ accept ─▶ JsonLines ◀─ connect
-//!       │ unix: mode 0600, the peer's user checked      owner of the socket checked │
-//!       └ tcp:  certificates of both sides (tls)  ──────────────────────────────────┘
+//!  Listener::bind ─ accept ─▶ IncomingConnection ─ open ─▶ JsonLines ◀─ connect
+//!
+//!  Unix sockets: the socket has mode 0600; the listener checks the peer's user, the connecting side checks
+//!                the owner of the socket
+//!  TCP:          mutual TLS; both sides check the other's certificate
 //! ```
 //!
-//! A peer that can't prove that it may speak is rejected before a byte of it is read as a message.
+//! A peer that is not authorized is rejected before any of its bytes is read as a message.
 
 mod connect;
 mod json_lines;
@@ -22,10 +24,10 @@
 pub use serve::serve;
 pub use tls::{TlsError, TlsFiles};
 
-/// The user id of root.
+/// User id of root.
 pub(crate) const ROOT_USER: u32 = 0;
 
-/// A stream of either kind.
+/// A byte stream over a Unix socket or TLS.
 pub(crate) trait Stream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Stream for T {}
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -1,4 +1,4 @@
-//! The listening side.
+//! The listening side: checks the user behind a Unix socket, or the client's certificate.
 
 use std::fmt;
 use std::fs;
@@ -16,15 +16,15 @@
 use crate::tls::{TlsError, TlsFiles};
 use crate::{Stream, ROOT_USER};
 
-/// How long a handshake may take: a silent peer holds one of a bounded number of connections.
+/// Timeout of TLS handshakes. A silent peer takes up one of a limited number of connections.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The mode of a Unix socket: only its owner may connect.
+/// File mode of Unix sockets: only the owner may connect.
 const SOCKET_MODE: u32 = 0o600;
 
 /// Why a listener can't be opened.
 #[derive(Debug)]
 pub enum BindError {
-    /// The path of a Unix socket is taken.
+    /// Something else exists at the path of the Unix socket.
     PathInUse(PathBuf, PathOccupant),
     /// The system's error.
     Io(Address, io::Error),
@@ -32,12 +32,12 @@
     Tls(TlsError),
 }
 
-/// What a path is taken by.
+/// What exists at the path of a Unix socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathOccupant {
-    /// A file that is no socket.
+    /// A file that is not a socket.
     File,
-    /// A socket that a process listens on.
+    /// A socket on which a process listens.
     Listener,
 }
 
@@ -53,7 +53,7 @@
 impl fmt::Display for BindError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BindError::PathInUse(path, taken_by) => write!(f, "unix:{}: {taken_by}", path.display()),
+            BindError::PathInUse(path, occupant) => write!(f, "unix:{}: {occupant}", path.display()),
             BindError::Io(address, error) => write!(f, "{address}: {error}"),
             BindError::Tls(error) => error.fmt(f),
         }
@@ -92,18 +92,18 @@
     Tls { stream: TcpStream, acceptor: TlsAcceptor },
 }
 
-/// A connection whose peer may not be allowed to speak.
+/// An accepted connection whose peer is not authorized yet.
 pub struct IncomingConnection {
     kind: IncomingKind,
     max_line_bytes: usize,
 }
 
 impl Listener {
-    /// Listens at an address for lines of at most `max_line_bytes`. TCP needs certificates. A socket that no
-    /// process listens on any more is replaced.
+    /// Listens at an address; longer lines than `max_line_bytes` are errors. TCP requires `tls`. A Unix
+    /// socket on which no process listens any more is replaced.
     ///
     /// # Errors
-    /// A [`BindError`].
+    /// See [`BindError`].
     pub async fn bind(
         address: &Address,
         tls: Option<&TlsConfig>,
@@ -125,10 +125,10 @@
         Ok(Listener { kind, max_line_bytes })
     }
 
-    /// Where it listens, with the port that the system has chosen.
+    /// Returns the address, with the actual port if the system has chosen it.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     pub fn address(&self) -> io::Result<Address> {
         Ok(match &self.kind {
             ListenerKind::Unix { path, .. } => Address::Unix(path.clone()),
@@ -136,10 +136,10 @@
         })
     }
 
-    /// The next connection. Cancelling loses none.
+    /// Accepts the next connection. Cancel safe.
     ///
     /// # Errors
-    /// The system's; a retry after a pause may succeed.
+    /// The system's error; a retry after a delay may succeed.
     pub async fn accept(&self) -> io::Result<IncomingConnection> {
         let kind = match &self.kind {
             ListenerKind::Unix { listener, owner, .. } => {
@@ -156,11 +156,11 @@
 }
 
 impl IncomingConnection {
-    /// Checks whether the peer may speak. This waits for the peer, and so belongs in a task of its own.
+    /// Checks whether the peer is authorized. This waits for the peer, so it should run in a task of its own.
     ///
     /// # Errors
-    /// `PermissionDenied` for a process of another user, the error of the handshake for a certificate that is
-    /// missing or that no authority has signed, `TimedOut` for a silent peer.
+    /// `PermissionDenied` for a process of another user; the handshake error for a client certificate that is
+    /// missing or not signed by one of the authorities; `TimedOut` if the handshake takes too long.
     pub async fn open(self) -> io::Result<JsonLines> {
         let stream: Box<dyn Stream> = match self.kind {
             IncomingKind::Unix { stream, owner } => {
@@ -185,12 +185,12 @@
 }
 
 fn tls_acceptor(tls: Option<&TlsConfig>) -> Result<TlsAcceptor, TlsError> {
-    let config = tls.ok_or_else(|| TlsError::Invalid("TCP needs them, and none are named".into()))?;
+    let config = tls.ok_or_else(|| TlsError::Invalid("TCP needs them, and none are configured".into()))?;
     let server_config = TlsFiles::read(config)?.server()?;
     Ok(TlsAcceptor::from(server_config))
 }
 
-/// Rejects processes of other users. The mode of the socket does so too, but not on every file system.
+/// Rejects processes of other users. The mode of the socket does so too, but not on all systems.
 fn check_peer(stream: &UnixStream, owner: u32) -> io::Result<()> {
     let user = stream.peer_cred()?.uid();
     if user == owner || user == ROOT_USER {
@@ -200,27 +200,27 @@
     Err(io::Error::new(io::ErrorKind::PermissionDenied, message))
 }
 
-/// Binds a Unix socket that only its owner can connect to. It gets its mode under another name, and then its
-/// own one, so that it is never open to others.
+/// Binds a Unix socket that only its owner can connect to. The mode is set under a temporary name before the
+/// socket is renamed to `path`, so that it is never open to others there.
 async fn bind_private_socket(path: &Path) -> Result<UnixListener, BindError> {
-    check_free(path).await?;
+    check_replaceable(path).await?;
     let failed = |error| BindError::Io(Address::Unix(path.to_path_buf()), error);
-    let mut hidden = path.as_os_str().to_os_string();
-    hidden.push(format!(".{}", std::process::id()));
-    let hidden = PathBuf::from(hidden);
-    let _ = fs::remove_file(&hidden);
-    let listener = UnixListener::bind(&hidden).map_err(failed)?;
-    let named = fs::set_permissions(&hidden, fs::Permissions::from_mode(SOCKET_MODE))
-        .and_then(|()| fs::rename(&hidden, path));
-    if named.is_err() {
-        let _ = fs::remove_file(&hidden);
+    let mut temporary = path.as_os_str().to_os_string();
+    temporary.push(format!(".{}", std::process::id()));
+    let temporary = PathBuf::from(temporary);
+    let _ = fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary).map_err(failed)?;
+    let renamed = fs::set_permissions(&temporary, fs::Permissions::from_mode(SOCKET_MODE))
+        .and_then(|()| fs::rename(&temporary, path));
+    if renamed.is_err() {
+        let _ = fs::remove_file(&temporary);
     }
-    named.map_err(failed)?;
+    renamed.map_err(failed)?;
     Ok(listener)
 }
 
-/// Checks that nothing is lost if the path is replaced: it must be free, or a socket without a listener.
-async fn check_free(path: &Path) -> Result<(), BindError> {
+/// Checks that the path may be replaced: nothing exists there, or a socket on which no process listens.
+async fn check_replaceable(path: &Path) -> Result<(), BindError> {
     let metadata = match fs::symlink_metadata(path) {
         Ok(metadata) => metadata,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
--- a/crates/transport/src/serve.rs
+++ b/crates/transport/src/serve.rs
@@ -1,4 +1,4 @@
-//! The loop that accepts connections, at most so many at once.
+//! The accept loop, with a limit on concurrent connections.
 
 use std::future::Future;
 use std::io;
@@ -10,11 +10,11 @@
 
 use crate::{JsonLines, Listener};
 
-/// Pause after a connection that could not be accepted, as while the process has no descriptor left.
+/// Delay after a failed accept, e.g. while the process has no file descriptor left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections until the task ends, and handles each in a task of its own. Connections beyond
-/// `max_connections` wait in the listener's backlog. `rejected` is called for each that may not speak.
+/// Accepts connections until the task is cancelled, and handles each in a task of its own. Connections beyond
+/// `max_connections` wait in the listener's backlog. `rejected` is called for each unauthorized peer.
 pub async fn serve<H, F, R>(listener: Listener, max_connections: usize, handle: H, rejected: R)
 where
     H: Fn(JsonLines) -> F + Clone + Send + 'static,
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates of both sides, from the files in the operator's configuration.
+//! Mutual TLS, with the certificate files of the operator's configuration.
 
 use std::fmt;
 use std::fs;
@@ -11,23 +11,23 @@
 use rustls::server::WebPkiClientVerifier;
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 
-/// What lies behind an error.
-type Cause = Box<dyn std::error::Error + Send + Sync>;
+/// The error behind a [`TlsError`].
+type Source = Box<dyn std::error::Error + Send + Sync>;
 
 /// Why certificates can't be used.
 #[derive(Debug)]
 pub enum TlsError {
-    /// A file can't be read, or does not hold what it should.
-    File(PathBuf, Cause),
-    /// Certificate, key and authorities don't fit together.
-    Invalid(Cause),
+    /// A file can't be read, or lacks the expected certificate or key.
+    File(PathBuf, Source),
+    /// Certificates are missing, or certificate, key and authorities do not match each other.
+    Invalid(Source),
 }
 
 impl fmt::Display for TlsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TlsError::File(path, cause) => write!(f, "{}: {cause}", path.display()),
-            TlsError::Invalid(cause) => write!(f, "certificate and key: {cause}"),
+            TlsError::File(path, source) => write!(f, "{}: {source}", path.display()),
+            TlsError::Invalid(source) => write!(f, "certificate and key: {source}"),
         }
     }
 }
@@ -35,12 +35,12 @@
 impl std::error::Error for TlsError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            TlsError::File(_, cause) | TlsError::Invalid(cause) => Some(&**cause),
+            TlsError::File(_, source) | TlsError::Invalid(source) => Some(&**source),
         }
     }
 }
 
-/// The contents of the files of one side.
+/// Certificate chain, private key and trusted authorities of one side of the connections.
 #[derive(Debug)]
 pub struct TlsFiles {
     chain: Vec<CertificateDer<'static>>,
@@ -49,10 +49,10 @@
 }
 
 impl TlsFiles {
-    /// Reads the files. No part of a key is ever part of an error.
+    /// Reads the files. Errors never contain any part of the key.
     ///
     /// # Errors
-    /// A [`TlsError`] that names the file.
+    /// [`TlsError::File`], which names the file.
     pub fn read(config: &TlsConfig) -> Result<TlsFiles, TlsError> {
         let chain = read_certificates(&config.certificate)?;
         let key = read_key(&config.key)?;
@@ -64,8 +64,8 @@
         Ok(TlsFiles { chain, key, authorities: Arc::new(authorities) })
     }
 
-    /// The configuration of a server, which rejects clients without a certificate that one of the authorities
-    /// has signed.
+    /// Returns a server configuration that rejects clients without a certificate signed by one of the
+    /// authorities.
     ///
     /// # Errors
     /// [`TlsError::Invalid`].
@@ -77,15 +77,15 @@
             .map_err(|error| TlsError::Invalid(error.into()))?;
         let config = ServerConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(unfit)?
+            .map_err(invalid)?
             .with_client_cert_verifier(verifier)
             .with_single_cert(self.chain.clone(), self.key.clone_key())
-            .map_err(unfit)?;
+            .map_err(invalid)?;
         Ok(Arc::new(config))
     }
 
-    /// The configuration of a client, which shows its certificate and rejects servers without one that one of
-    /// the authorities has signed.
+    /// Returns a client configuration that presents the certificate and rejects servers without one signed by
+    /// one of the authorities.
     ///
     /// # Errors
     /// [`TlsError::Invalid`].
@@ -93,15 +93,15 @@
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let config = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(unfit)?
+            .map_err(invalid)?
             .with_root_certificates(Arc::clone(&self.authorities))
             .with_client_auth_cert(self.chain.clone(), self.key.clone_key())
-            .map_err(unfit)?;
+            .map_err(invalid)?;
         Ok(Arc::new(config))
     }
 }
 
-fn unfit(error: rustls::Error) -> TlsError {
+fn invalid(error: rustls::Error) -> TlsError {
     TlsError::Invalid(error.into())
 }
 
@@ -120,7 +120,7 @@
 
 fn read_key(path: &Path) -> Result<PrivateKeyDer<'static>, TlsError> {
     let text = read_file(path)?;
-    // The cause is dropped, as it might quote the key.
+    // The parser's error is dropped, as it might quote the key.
     PrivateKeyDer::from_pem_slice(&text)
         .map_err(|_| TlsError::File(path.to_path_buf(), "holds no PEM key".into()))
 }
