--- a/crates/agent/src/backend_catalog.rs
+++ b/crates/agent/src/backend_catalog.rs
@@ -1,21 +1,22 @@
-//! All backends that some gateway lists, each held once. No I/O.
+//! The union of the backends listed by all gateways, each stored once. No I/O.
 
 use std::collections::HashMap;
 
 use fleet::wire::BackendState;
 use fleet::Backend;
 
-/// A backend and the gateways that list it.
+/// A backend and the number of gateways that list it.
 #[derive(Debug)]
 struct CatalogEntry {
     backend: Backend,
-    /// Gateways that list it.
+    /// Number of gateways that list the backend.
     listed_by: u32,
-    /// Those of them that say it serves.
+    /// Number of those that list it as serving.
     serving_for: u32,
 }
 
-/// An entry as one gateway lists it: twice the entry's index, plus one if the gateway says that it serves.
+/// Packed reference from a gateway's list to an entry: the index shifted left by one bit; the lowest bit is
+/// set if the gateway lists the backend as serving.
 #[derive(Clone, Copy, Debug)]
 struct ListedEntry(u32);
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// The backends of all gateways. The list of one gateway takes four bytes a backend, however long names are.
+/// The backends of all gateways. A gateway's list takes four bytes per backend, whatever the names' lengths.
 #[derive(Debug, Default)]
 pub struct BackendCatalog {
     indices: HashMap<Box<str>, u32>,
@@ -43,7 +44,7 @@
 }
 
 impl BackendCatalog {
-    /// Replaces the list of a gateway.
+    /// Replaces a gateway's list of backends.
     pub fn update(&mut self, gateway: &str, backends: &[BackendState]) {
         let mut list = Vec::with_capacity(backends.len());
         for state in backends {
@@ -51,8 +52,8 @@
             if let Some(entry) = self.entries.get_mut(index as usize).and_then(Option::as_mut) {
                 entry.listed_by += 1;
                 entry.serving_for += u32::from(state.serving);
-                // Gateways may differ in group or type for a while; the last one counts, as all of them have
-                // the same source.
+                // Gateways may temporarily differ in a backend's cell or type. The latest report wins, as all
+                // gateways have the same source of the endpoint list.
                 entry.backend.group = state.group;
                 entry.backend.kind = state.kind.clone();
                 entry.backend.serving = entry.serving_for > 0;
@@ -63,13 +64,13 @@
         self.release(replaced);
     }
 
-    /// Forgets the list of a gateway.
+    /// Removes a gateway's list.
     pub fn remove(&mut self, gateway: &str) {
         let removed = self.lists.remove(gateway);
         self.release(removed);
     }
 
-    /// The index of a backend, which gets a free one if it is new.
+    /// Returns the index of a backend, after adding an entry if it is new.
     fn index_of(&mut self, state: &BackendState) -> u32 {
         if let Some(index) = self.indices.get(state.name.as_str()) {
             return *index;
@@ -95,7 +96,7 @@
         index
     }
 
-    /// Takes a list back, and frees entries that no gateway lists any more.
+    /// Undoes the counts of a replaced or removed list, and frees entries that no gateway lists any more.
     fn release(&mut self, list: Option<Box<[ListedEntry]>>) {
         for listed in list.unwrap_or_default() {
             let index = listed.index();
@@ -111,12 +112,12 @@
         }
     }
 
-    /// All backends that some gateway lists.
+    /// All backends that at least one gateway lists, in no particular order.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.entries.iter().flatten().map(|entry| &entry.backend)
     }
 
-    /// Whether no gateway has listed its backends.
+    /// Whether no gateway has reported its backends yet.
     pub fn is_empty(&self) -> bool {
         self.lists.is_empty()
     }
--- a/crates/agent/src/backend_catalog/tests.rs
+++ b/crates/agent/src/backend_catalog/tests.rs
@@ -1,4 +1,4 @@
-//! The catalog against lists of gateways that come and go.
+//! Updates and removals of gateways' lists.
 
 use super::*;
 
@@ -19,14 +19,15 @@
     }
 }
 
-fn seen(catalog: &BackendCatalog) -> Vec<(String, bool)> {
+/// Names of all backends and whether they are serving, sorted.
+fn listed(catalog: &BackendCatalog) -> Vec<(String, bool)> {
     let mut all: Vec<_> = catalog.backends().map(|b| (b.name.clone(), b.serving)).collect();
     all.sort();
     all
 }
 
 #[test]
-fn backend_is_listed_and_serving_while_any_gateway_lists_it_so() {
+fn backend_is_listed_and_serving_while_any_gateway_says_so() {
     let mut catalog = BackendCatalog::default();
     assert!(catalog.is_empty());
     catalog.update("n0", &[state("a", true), state("b", true)]);
@@ -34,15 +35,15 @@
     let expected = |all: &[(&str, bool)]| -> Vec<(String, bool)> {
         all.iter().map(|(n, s)| (n.to_string(), *s)).collect()
     };
-    assert_eq!(seen(&catalog), expected(&[("a", true), ("b", true), ("c", true)]));
+    assert_eq!(listed(&catalog), expected(&[("a", true), ("b", true), ("c", true)]));
     catalog.update("n0", &[state("b", true)]);
-    assert_eq!(seen(&catalog), expected(&[("a", false), ("b", true), ("c", true)]));
+    assert_eq!(listed(&catalog), expected(&[("a", false), ("b", true), ("c", true)]));
     catalog.remove("n1");
-    assert_eq!(seen(&catalog), expected(&[("b", true)]));
-    // Places are used again, so that what comes and goes for good takes no more.
+    assert_eq!(listed(&catalog), expected(&[("b", true)]));
+    // Indices are reused, so backends that come and go do not let the catalog grow.
     for i in 0..1_000 {
         catalog.update("n1", &[state(&format!("x{i}"), true)]);
     }
     assert!(catalog.entries.len() <= 5, "{}", catalog.entries.len());
-    assert_eq!(seen(&catalog), expected(&[("b", true), ("x999", true)]));
+    assert_eq!(listed(&catalog), expected(&[("b", true), ("x999", true)]));
 }
--- a/crates/agent/src/control_loop.rs
+++ b/crates/agent/src/control_loop.rs
@@ -1,5 +1,5 @@
-//! The control loop: the one owner of the orders. It decides on orders, has them logged, publishes them to
-//! the sessions, and tells each tool the outcome at each gateway.
+//! The control loop, the single owner of the desired state. It decides on orders, logs them, publishes them
+//! to the sessions, and reports the outcome at each gateway to the tool that sent the order.
 
 mod registration;
 mod requests;
@@ -24,48 +24,48 @@
 use crate::session::{SessionContext, SessionReport};
 use crate::start_coordinator::StartCoordinator;
 
-/// Requests, or reports, taken in at once; the orders among them are logged together.
+/// Maximum number of requests, or of reports, handled together. Orders in a batch are logged in one commit.
 const MAX_BATCH: usize = 256;
-/// How often deadlines of orders are checked.
+/// Interval between checks of the deadlines of pending orders.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A request of a tool. [`ToolRequest::Watch`] is not for the control loop.
+/// A request of a tool, other than [`ToolRequest::Watch`], which the tool listener handles.
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// The request.
     pub request: ToolRequest,
-    /// Takes the responses.
+    /// Receives the responses.
     pub responder: Responder,
 }
 
 /// A gateway in the operator's file.
 pub struct ConfiguredGateway {
-    /// Its name.
+    /// Name of the gateway.
     pub name: Name,
-    /// Its admin listener.
+    /// Address of its admin listener.
     pub address: Address,
 }
 
-/// What the control loop is configured with.
+/// Configuration of the control loop.
 pub struct ControlLoopConfig {
-    /// Gateways in the operator's file.
+    /// The gateways in the operator's file.
     pub gateways: Vec<ConfiguredGateway>,
-    /// The part of backends, and of gateways, that an order has to leave ready.
+    /// Fraction of the backends, or gateways, that an order has to leave ready.
     pub min_ready_fraction: f64,
     /// The endpoint list, if the agent serves one.
     pub endpoint_list: Option<EndpointList>,
-    /// Gives turns to gateways that start, if the agent does so.
+    /// Coordinates the first calls of starting gateways, if the agent is configured to.
     pub start_coordinator: Option<StartCoordinator>,
 }
 
-/// An order that is accepted and not yet in the log.
+/// An order that is accepted but not yet in the log.
 struct UnloggedOrder {
     logged: LoggedOrder,
     responder: Responder,
     deadline: Duration,
 }
 
-/// The control loop and all that it owns.
+/// The control loop and the state that it owns.
 pub struct ControlLoop {
     ledger: OrderLedger,
     log: Arc<Log>,
@@ -79,7 +79,7 @@
 }
 
 impl ControlLoop {
-    /// Takes over the contents of the log, and begins the sessions with gateways.
+    /// Creates the control loop from the contents of the log, and starts the sessions with the gateways.
     pub fn new(
         config: ControlLoopConfig,
         log: Log,
@@ -114,10 +114,10 @@
         control_loop
     }
 
-    /// Runs until nobody can send requests any more, or the log can't be written.
+    /// Runs until all senders of requests are dropped, or the log can't be written.
     ///
     /// # Errors
-    /// A [`LogError`]: the state in memory is then ahead of the log, and nothing may be built on it.
+    /// A [`LogError`]. The state in memory is ahead of the log then and must not be used any more.
     pub async fn run(
         mut self,
         mut requests: mpsc::Receiver<IncomingRequest>,
@@ -144,23 +144,23 @@
         }
     }
 
-    /// Handles requests. The orders among them are logged together, and none of them is acknowledged or
-    /// published before that.
+    /// Handles a batch of requests. Its orders are logged together, and are acknowledged and published only
+    /// after that.
     async fn handle_requests(&mut self, batch: Vec<IncomingRequest>) -> Result<(), LogError> {
         let mut unlogged: Vec<UnloggedOrder> = Vec::new();
         for IncomingRequest { request, responder } in batch {
             let ToolRequest::Order { id, subject, change, forced, deadline_ms } = request else {
-                // Responses must not show orders that are not in the log yet.
+                // Responses must not reveal orders that are not in the log yet.
                 self.commit(&mut unlogged).await?;
                 self.handle_request(request, responder)?;
                 continue;
             };
             let deadline = Duration::from_millis(deadline_ms);
             match self.decide(OrderRequest { id, subject, change, forced }) {
-                Decision::Write(logged) => unlogged.push(UnloggedOrder { logged, responder, deadline }),
+                Decision::Accepted(logged) => unlogged.push(UnloggedOrder { logged, responder, deadline }),
                 Decision::Rejected(error) => responder.respond(ToolResponse::Error(error)),
                 Decision::Repeated(logged) => {
-                    // The first one may be in this batch, and not be logged yet.
+                    // The original order may be in this batch and not be logged yet.
                     if unlogged.iter().any(|order| order.logged.order.id == logged.order.id) {
                         self.commit(&mut unlogged).await?;
                     }
@@ -171,7 +171,7 @@
         self.commit(&mut unlogged).await
     }
 
-    /// Logs orders, and then acknowledges and publishes them.
+    /// Logs the orders, then acknowledges and publishes them.
     async fn commit(&mut self, unlogged: &mut Vec<UnloggedOrder>) -> Result<(), LogError> {
         if unlogged.is_empty() {
             return Ok(());
@@ -212,7 +212,7 @@
     fn decide(&mut self, request: OrderRequest) -> Decision {
         let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         if self.pending_orders.is_full() {
-            let message = "too many orders wait for gateways; try again";
+            let message = "too many orders are pending; try again later";
             return Decision::Rejected(ErrorResponse::new(ErrorCode::Unavailable, message));
         }
         let gateways = &self.gateways;
@@ -220,12 +220,12 @@
             backends: self.catalog.backends(),
             reachable_gateways: gateways.reachable(),
             has_backend_lists: !self.catalog.is_empty(),
-            is_overseen: &|name: &str| gateways.get(name).is_some(),
+            is_managed: &|name: &str| gateways.get(name).is_some(),
         };
         self.ledger.decide(request, view, now_ms)
     }
 
-    /// Acknowledges an order that is in the log. From then on its tool is told the outcome at each gateway.
+    /// Acknowledges a logged order. From then on, the outcome at each gateway is reported to its tool.
     fn acknowledge(&mut self, order: UnloggedOrder, repeated: bool) {
         let UnloggedOrder { logged: LoggedOrder { order, counts, .. }, responder, deadline } = order;
         let instances = self.gateways.len() as u32;
@@ -238,7 +238,7 @@
                 Health::Unreachable { reason } => {
                     pending.record(name, InstanceOutcome::Unreachable { reason });
                 }
-                _ if gateway.applied_revision() >= pending.revision() => pending.record_caught_up(name),
+                _ if gateway.applied_revision() >= pending.revision() => pending.record_from_snapshot(name),
                 _ => {}
             }
         }
--- a/crates/agent/src/control_loop/registration.rs
+++ b/crates/agent/src/control_loop/registration.rs
@@ -1,4 +1,4 @@
-//! Registration of gateways that are not in the operator's file, and its end.
+//! Registration and deregistration of gateways that are not in the operator's file.
 
 use fleet::wire::{ErrorCode, ErrorResponse};
 use fleet::{Health, Name};
@@ -9,7 +9,7 @@
 use crate::responder::Responder;
 
 impl ControlLoop {
-    /// Oversees a gateway from now on. The same registration again changes nothing.
+    /// Adds a gateway to those that the agent manages. A repeated registration changes nothing.
     ///
     /// # Errors
     /// A [`LogError`] if the log can't be written.
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Why a gateway of this name may not register at another address, if it may not.
+    /// Why a gateway with this name may not register at a new address, if it may not.
     fn registration_conflict(&self, name: &Name) -> Option<String> {
         let Some(known) = self.gateways.get(name.as_str()) else {
             let is_full = self.gateways.len() >= MAX_GATEWAYS;
@@ -49,13 +49,13 @@
         if known.configured {
             return Some(format!("{name} is in the operator's file, at {}", known.address));
         }
-        // A gateway that takes the name of another one would get the orders that are meant for that one.
+        // A gateway that took the name of a running one would receive the orders meant for that one.
         let health = self.gateways.health(known, self.ledger.newest());
         let is_reachable = matches!(health, Health::Ok | Health::Behind);
-        is_reachable.then(|| format!("{name} answers at {}; end it or remove it first", known.address))
+        is_reachable.then(|| format!("{name} answers at {}; stop it or remove it first", known.address))
     }
 
-    /// Oversees a gateway no more.
+    /// Removes a registered gateway from those that the agent manages.
     ///
     /// # Errors
     /// A [`LogError`] if the log can't be written.
--- a/crates/agent/src/control_loop/requests.rs
+++ b/crates/agent/src/control_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of tools that are no orders.
+//! Requests other than orders.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use crate::responder::Responder;
 use crate::start_coordinator::StartRequest;
 
-/// Orders that are listed at most.
+/// Maximum number of orders in one response.
 const MAX_LISTED_ORDERS: usize = 1_000;
-/// The longest time for which gateways may be asked what is in flight.
+/// Maximum deadline of an in-flight query.
 const MAX_QUERY_DEADLINE: Duration = Duration::from_secs(60);
-/// Response timeouts in which all gateways have to tell their backends.
+/// Timeout for polling the backends of all gateways, as a multiple of the response timeout.
 const BACKENDS_TIMEOUT_FACTOR: u32 = 2;
 
-/// The error for a gateway that asks an agent for a turn that gives none.
-const NO_TURNS: &str = "the operator's file of the agent has no ordered_by_agent in [start]";
-/// The error for a request about an endpoint list that there is none of.
+/// Error for a starting gateway if the agent does not coordinate starts.
+const START_NOT_COORDINATED: &str = "the operator's file of the agent has no ordered_by_agent in [start]";
+/// Error for a request about the endpoint list if the agent serves none.
 const NO_SOURCES: &str = "the operator's file of the agent has no [sources]";
 
 impl ControlLoop {
-    /// Handles a request that is no order.
+    /// Handles a request other than an order.
     ///
     /// # Errors
     /// A [`LogError`] if the log can't be written.
@@ -57,7 +57,7 @@
             ToolRequest::Register { name, address } => return self.register(&name, &address, &responder),
             ToolRequest::Deregister { name } => return self.deregister(&name, &responder),
             ToolRequest::Order { .. } | ToolRequest::Watch => {
-                responder.fail(ErrorCode::BadRequest, "not for here");
+                responder.fail(ErrorCode::BadRequest, "request not handled by the control loop");
             }
         }
         Ok(())
@@ -78,18 +78,19 @@
         }
     }
 
-    /// Responds with the status of the endpoint list, once whoever follows it has told it.
+    /// Responds with the status of the endpoint list once the task that updates it has reported it.
     fn respond_endpoint_list(&self, records: bool, responder: Responder) {
         let Some(endpoint_list) = &self.endpoint_list else {
             return responder.fail(ErrorCode::BadRequest, NO_SOURCES);
         };
         let Some(status) = endpoint_list.request_status(records) else {
-            return responder.fail(ErrorCode::Unavailable, "too many ask; try again");
+            return responder
+                .fail(ErrorCode::Unavailable, "too many status requests are queued; try again later");
         };
         tokio::spawn(async move {
             match status.await {
                 Ok(status) => responder.respond(ToolResponse::Sources(Box::new(status))),
-                Err(_) => responder.fail(ErrorCode::Unavailable, "the list is not followed any more"),
+                Err(_) => responder.fail(ErrorCode::Unavailable, "the endpoint list is no longer updated"),
             }
         });
     }
@@ -101,7 +102,7 @@
                 let instructions = coordinator.instruct(now_ms, request);
                 responder.respond(ToolResponse::Starting(instructions));
             }
-            None => responder.fail(ErrorCode::BadRequest, NO_TURNS),
+            None => responder.fail(ErrorCode::BadRequest, START_NOT_COORDINATED),
         }
     }
 
@@ -110,7 +111,7 @@
         let Some(coordinator) = &mut self.start_coordinator else { return };
         if let Some(version) = coordinator.first_call_ended(now_ms, name, incarnation, call) {
             self.events.emit(format!(
-                "gateway {name} has fetched the list, version {version}, for those that start"
+                "gateway {name} has fetched version {version} of the endpoint list for starting gateways"
             ));
         }
     }
--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that gateways fetch from the agent: its DNS-SD source, and its listener.
+//! The endpoint list that gateways fetch from the agent: the tasks that build it from DNS-SD and serve it.
 
 use std::fmt;
 use std::io;
@@ -16,22 +16,22 @@
 
 use crate::responder::EventSender;
 
-/// Status requests that may wait.
+/// Maximum number of queued status requests.
 const MAX_QUEUED_REQUESTS: usize = 16;
 
 /// Why the endpoint list can't be served.
 #[derive(Debug)]
 pub enum EndpointListError {
-    /// A service has a name that DNS can't hold.
+    /// The name of a service is not a valid DNS name.
     ServiceName {
-        /// The name.
+        /// The name in the operator's file.
         service: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The socket can't be opened.
+    /// The listener can't be opened.
     Listen {
-        /// Its address.
+        /// Address of the listener.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
@@ -56,20 +56,20 @@
     }
 }
 
-/// An endpoint list that is followed and served until it is dropped.
+/// The tasks that update and serve the endpoint list; they end when this is dropped.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// Where gateways fetch it.
+    /// Address from which gateways fetch the list.
     pub address: SocketAddr,
     status_requests: mpsc::Sender<StatusRequest>,
     tasks: [JoinHandle<()>; 2],
 }
 
 impl EndpointList {
-    /// Begins to follow the services, and to serve what is known of them.
+    /// Starts to query the services and to serve the resulting list.
     ///
     /// # Errors
-    /// An [`EndpointListError`].
+    /// See [`EndpointListError`].
     pub async fn start(
         config: &SourcesConfig,
         events: EventSender,
@@ -85,18 +85,18 @@
         let failed = |source| EndpointListError::Listen { address: config.listen, source };
         let listener = TcpListener::bind(config.listen).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
-        // Versions begin above all that an earlier process can have come to.
+        // The start time as first version is greater than any version that an earlier process reached.
         let first_table = EndpointTable::new(started.as_millis() as u64);
         let (table, tables) = watch::channel(Arc::new(first_table));
         let (status_requests, requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let announce = move |line: String| events.emit(format!("list: {line}"));
-        let following = tokio::spawn(follow(settings, resolver, table, requests, announce));
+        let updating = tokio::spawn(follow(settings, resolver, table, requests, announce));
         let serving = tokio::spawn(serve(listener, tables));
-        Ok(EndpointList { address, status_requests, tasks: [following, serving] })
+        Ok(EndpointList { address, status_requests, tasks: [updating, serving] })
     }
 
-    /// Requests the status of the list. It arrives as soon as an update in progress is done. None if too many
-    /// requests wait already.
+    /// Requests the status of the list, which is sent once an update in progress is done. `None` if too many
+    /// requests are queued.
     pub fn request_status(&self, records: bool) -> Option<oneshot::Receiver<EndpointListStatus>> {
         let (answer, status) = oneshot::channel();
         self.status_requests.try_send(StatusRequest { records, answer }).ok()?;
--- a/crates/agent/src/gateway_queries.rs
+++ b/crates/agent/src/gateway_queries.rs
@@ -1,4 +1,4 @@
-//! Questions of tools that are passed on to every gateway.
+//! Queries that the agent forwards to every gateway.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,24 +15,24 @@
 use crate::session::QueryResult;
 use crate::session_error::SessionError;
 
-/// A gateway that was asked, and where its response arrives.
+/// A gateway that was queried, and the channel for its response.
 pub struct QueriedGateway {
-    /// Its name.
+    /// Name of the gateway.
     pub name: Arc<str>,
-    /// None if its session has too many queries in its queue.
+    /// `None` if the queue of its session was full.
     pub response: Option<oneshot::Receiver<QueryResult>>,
 }
 
-/// Why a gateway gave no answer to a query.
+/// Why a query has no result.
 #[derive(Debug)]
 enum QueryError {
-    /// No response in time.
+    /// There was no response before the deadline.
     TimedOut,
-    /// Its session has too many queries in its queue.
+    /// The queue of the session was full.
     QueueFull,
-    /// Its session was dropped with the query.
+    /// The session ended before it handled the query.
     SessionDropped,
-    /// Its session failed.
+    /// The session failed, or the response was an error.
     Session(Arc<SessionError>),
 }
 
@@ -45,9 +45,9 @@
 impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            QueryError::TimedOut => write!(f, "no answer in time"),
-            QueryError::QueueFull => write!(f, "too many questions wait for it"),
-            QueryError::SessionDropped => write!(f, "its connection ended"),
+            QueryError::TimedOut => write!(f, "no response before the deadline"),
+            QueryError::QueueFull => write!(f, "too many queries are queued for it"),
+            QueryError::SessionDropped => write!(f, "its session ended"),
             QueryError::Session(error) => error.fmt(f),
         }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Responds with what is in flight at each gateway.
+/// Responds with the number of attempts or requests in flight at each gateway.
 pub async fn respond_in_flight(queried: Vec<QueriedGateway>, limit: Duration, responder: Responder) {
     let deadline = Instant::now() + limit;
     let mut reports = Vec::with_capacity(queried.len());
@@ -74,11 +74,11 @@
         };
         reports.push(InstanceReport { gateway: name.to_string(), outcome });
     }
-    // Fails only when the tool has disconnected.
+    // Fails only if the tool has disconnected.
     let _ = responder.respond_when_free(ToolResponse::Inflight(reports)).await;
 }
 
-/// Responds with the state of each gateway, and then with a summary.
+/// Sends one response with the state of each gateway, then a summary.
 pub async fn respond_backends(queried: Vec<QueriedGateway>, limit: Duration, responder: Responder) {
     let deadline = Instant::now() + limit;
     let mut summary = OrderSummary::default();
--- a/crates/agent/src/gateways.rs
+++ b/crates/agent/src/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways that the agent oversees: their sessions, and what is known of each.
+//! The gateways that the agent manages: their sessions, and the last known state of each.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,52 +14,52 @@
 use crate::gateway_queries::QueriedGateway;
 use crate::session::{self, SessionContext, SessionQuery};
 
-/// Queries that a session may have in its queue.
+/// Maximum number of queries in the queue of a session.
 const MAX_QUEUED_QUERIES: usize = 16;
-/// A gateway that was not seen for so many heartbeats and one response timeout is unreachable.
+/// A gateway is unreachable if it was not seen for this number of heartbeats plus one response timeout.
 const MAX_MISSED_HEARTBEATS: u32 = 2;
 
-/// A gateway that the agent oversees.
-pub struct OverseenGateway {
-    /// Its admin listener.
+/// A gateway that the agent manages.
+pub struct ManagedGateway {
+    /// Address of its admin listener.
     pub address: Address,
-    /// Whether it is in the operator's file, so that no tool may remove it.
+    /// Whether it is in the operator's file, so that tools can't remove it.
     pub configured: bool,
     record: GatewayRecord,
     state: Option<GatewayState>,
     queries: mpsc::Sender<SessionQuery>,
     session: AbortHandle,
-    /// The health of the last event about it.
+    /// The health that was announced last.
     announced: Health,
 }
 
-/// What an observation has changed.
+/// What an observation shows about a gateway.
 pub struct ObservedChange {
-    /// Whether the gateway is another process than before.
+    /// Whether the gateway has restarted.
     pub restarted: bool,
-    /// The revision that it holds.
+    /// The newest revision that it has applied.
     pub applied: Revision,
 }
 
-/// All gateways that the agent oversees.
+/// All gateways that the agent manages.
 pub struct Gateways {
-    by_name: BTreeMap<Arc<str>, OverseenGateway>,
+    by_name: BTreeMap<Arc<str>, ManagedGateway>,
     context: SessionContext,
     started_at: Instant,
 }
 
 impl Gateways {
-    /// No gateway yet; sessions will have this context.
+    /// Creates an empty set whose sessions will share `context`.
     pub fn new(context: SessionContext) -> Gateways {
         Gateways { by_name: BTreeMap::new(), context, started_at: Instant::now() }
     }
 
-    /// Begins a session with a gateway, in place of an earlier one with the same name.
+    /// Adds a gateway and starts its session. A gateway with the same name is replaced.
     pub fn add(&mut self, name: &str, address: Address, configured: bool) {
         let name: Arc<str> = name.into();
         let (queries, queue) = mpsc::channel(MAX_QUEUED_QUERIES);
         let session = session::run(Arc::clone(&name), address.clone(), self.context.clone(), queue);
-        let gateway = OverseenGateway {
+        let gateway = ManagedGateway {
             address,
             configured,
             record: GatewayRecord::default(),
@@ -73,31 +73,31 @@
         }
     }
 
-    /// Ends the session with a gateway.
+    /// Removes a gateway and ends its session.
     pub fn remove(&mut self, name: &str) {
         if let Some(gateway) = self.by_name.remove(name) {
             gateway.session.abort();
         }
     }
 
-    /// A gateway.
-    pub fn get(&self, name: &str) -> Option<&OverseenGateway> {
+    /// Returns the gateway with this name.
+    pub fn get(&self, name: &str) -> Option<&ManagedGateway> {
         self.by_name.get(name)
     }
 
-    /// All gateways, by name.
-    pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &OverseenGateway)> {
+    /// All gateways, ordered by name.
+    pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &ManagedGateway)> {
         self.by_name.iter()
     }
 
-    /// How many there are.
+    /// Number of gateways.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Names of gateways that have answered and are not known to be unreachable.
+    /// Names of the gateways that have responded and are not known to be unreachable.
     pub fn reachable(&self) -> impl Iterator<Item = &str> {
-        let is_reachable = |gateway: &OverseenGateway| {
+        let is_reachable = |gateway: &ManagedGateway| {
             gateway.record.last_seen_ms().is_some() && gateway.record.unreachable_since_ms().is_none()
         };
         self.by_name.iter().filter(move |(_, gateway)| is_reachable(gateway)).map(|(name, _)| &**name)
@@ -108,18 +108,18 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// How long a response may take.
+    /// Timeout of a gateway's response.
     pub fn response_timeout(&self) -> Duration {
         self.context.response_timeout
     }
 
-    /// The health of a gateway, given the newest revision.
-    pub fn health(&self, gateway: &OverseenGateway, newest: Revision) -> Health {
+    /// The health of a gateway, given the newest revision of the orders.
+    pub fn health(&self, gateway: &ManagedGateway, newest: Revision) -> Health {
         let max_silence = self.context.heartbeat * MAX_MISSED_HEARTBEATS + self.context.response_timeout;
         gateway.record.health(self.now_ms(), newest, max_silence.as_secs_f64() * 1000.0)
     }
 
-    /// Takes in what a session has learned. None if the gateway is no longer overseen.
+    /// Records what a session has observed. `None` if the gateway is no longer managed.
     pub fn observe(
         &mut self,
         name: &str,
@@ -130,18 +130,18 @@
         let gateway = self.by_name.get_mut(name)?;
         let restarted = gateway.record.observe(now_ms, observation.clone());
         if let Some(state) = state {
-            // The catalog holds each backend once for all gateways.
+            // Backends are stored once for all gateways, in the catalog.
             gateway.state = Some(GatewayState { backends: None, ..state });
         }
         Some(ObservedChange { restarted, applied: gateway.record.applied_revision() })
     }
 
-    /// The event about a change of a gateway's health, if there is one to announce.
+    /// Returns the event to announce if the health of a gateway has changed.
     pub fn announce_health(&mut self, name: &str, newest: Revision) -> Option<String> {
         let health = self.health(self.by_name.get(name)?, newest);
         let gateway = self.by_name.get_mut(name)?;
         let is_same = std::mem::discriminant(&gateway.announced) == std::mem::discriminant(&health);
-        // Each order leaves a gateway behind for a moment.
+        // `Behind` is not announced, as each order leaves every gateway behind for a moment.
         if is_same || health == Health::Behind {
             return None;
         }
@@ -153,9 +153,9 @@
         Some(event)
     }
 
-    /// Queries all gateways.
+    /// Sends a query to all gateways.
     pub fn query(&self, request: &GatewayRequest) -> Vec<QueriedGateway> {
-        let query = |(name, gateway): (&Arc<str>, &OverseenGateway)| {
+        let query = |(name, gateway): (&Arc<str>, &ManagedGateway)| {
             let (response, receiver) = oneshot::channel();
             let query = SessionQuery { request: request.clone(), response };
             let is_queued = gateway.queries.try_send(query).is_ok();
@@ -164,10 +164,10 @@
         self.by_name.iter().map(query).collect()
     }
 
-    /// The status of all gateways, by name.
+    /// The status of all gateways, ordered by name.
     pub fn status(&self, newest: Revision) -> Vec<GatewayStatus> {
         let now_ms = self.now_ms();
-        let status = |(name, gateway): (&Arc<str>, &OverseenGateway)| GatewayStatus {
+        let status = |(name, gateway): (&Arc<str>, &ManagedGateway)| GatewayStatus {
             name: name.to_string(),
             address: gateway.address.to_string(),
             health: self.health(gateway, newest),
@@ -180,8 +180,8 @@
     }
 }
 
-impl OverseenGateway {
-    /// The newest revision that it is known to hold.
+impl ManagedGateway {
+    /// The newest revision that it is known to have applied.
     pub fn applied_revision(&self) -> Revision {
         self.record.applied_revision()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent: holds the state that operators want in a durable log, and has every gateway apply it.
+//! The agent: stores the operators' orders in a durable log, and has every gateway apply them.
 //!
 //! ```text
-//!  tools ── tool_listener ─ IncomingRequest ─▶ control_loop ─ append ─▶ log (redb, on the disk first)
-//!                 ◀─── ToolResponse ───         │  order_ledger: repeat, reject or write
+//!  tools ── tool_listener ─ IncomingRequest ─▶ control_loop ─ append ─▶ log (redb, synced before the rest)
+//!                 ◀─── ToolResponse ───         │  order_ledger: repeated, rejected or accepted
 //!                                               │  gateways, backend_catalog, pending_orders
 //!                                               ▼ watch: PublishedState
 //!                      session, one for each gateway ── adopt, apply, state ──▶ admin listener
@@ -10,10 +10,10 @@
 //!  gateways ◀─ GET /discovery/hosts ─ endpoint_list ◀─ resolvers
 //! ```
 //!
-//! An order is acknowledged once it is on the disk, and only then published to the sessions. An agent that is
-//! killed continues from its log: what was acknowledged is in it, and no gateway was sent what is not in it.
-//! A session begins each connection with the whole state, so gateways that were away converge by themselves.
-//! Without an agent, gateways go on with the last state that they had.
+//! An order is written to disk before it is acknowledged and published to the sessions. An agent that was
+//! killed therefore continues from its log: the log holds every order that was acknowledged or sent to a
+//! gateway. A session begins each connection with a snapshot, so gateways that were unreachable converge
+//! without help. While no agent runs, gateways continue with the last state that they received.
 
 mod backend_catalog;
 mod control_loop;
@@ -45,26 +45,26 @@
 use endpoint_list::EndpointList;
 use publication::PublishedState;
 use responder::EventSender;
-use session::{SessionContext, MAX_CONNECTING};
+use session::{SessionContext, MAX_CONCURRENT_CONNECTS};
 use start_coordinator::StartCoordinator;
 use tool_listener::Scope;
 
 pub use endpoint_list::EndpointListError;
 pub use log::{Contents, Log, LogError, RegisteredGateway, MAX_RETAINED_ORDERS};
 
-/// Requests, and reports, that may wait for the control loop; whoever brings more waits.
+/// Capacity of the control loop's queues for requests and for reports. Senders wait while a queue is full.
 const MAX_QUEUED_INPUTS: usize = 4_096;
-/// Events that a watcher may lag behind before it misses some.
+/// Maximum number of events that a watcher may lag behind before it misses some.
 const MAX_WATCHER_LAG: usize = 1_024;
 
-/// Why an agent can't run.
+/// Why the agent can't run.
 #[derive(Debug)]
 pub enum AgentError {
-    /// Its log can't be used.
+    /// The log can't be used.
     Log(LogError),
-    /// Its socket can't be opened.
+    /// A listener can't be opened.
     Bind(BindError),
-    /// Its certificates can't be used.
+    /// The certificates can't be used.
     Tls(TlsError),
     /// The endpoint list can't be served.
     Sources(EndpointListError),
@@ -96,14 +96,16 @@
     }
 }
 
-/// Oversees gateways until `shutdown` completes, and serves them the endpoint list of `sources`, if there are
-/// any; `ready` is called with its address. Gateways that start get turns for their first call if `start`
-/// says so.
+/// Runs the agent until `shutdown` completes.
 ///
-/// Cancelling has the effect of a kill: nothing that was acknowledged is lost.
+/// With `sources`, the agent serves the endpoint list that it builds from them. `ready` is called once all
+/// listeners are open, with the address of the endpoint list, if there is one. If `start` enables it, the
+/// agent also coordinates the first calls of starting gateways.
+///
+/// Cancelling is equivalent to killing the process: no acknowledged order is lost.
 ///
 /// # Errors
-/// An [`AgentError`], at the start or once the log can't be written.
+/// An [`AgentError`] if the agent can't start, or when the log can't be written.
 pub async fn run(
     config: &AgentConfig,
     gateways: &[GatewayConfig],
@@ -114,7 +116,7 @@
 ) -> Result<(), AgentError> {
     let connector = Connector::new(config.tls.as_ref()).map_err(AgentError::Tls)?;
     let gateways = configured_gateways(gateways).map_err(AgentError::Name)?;
-    // The log first: a second agent on the same log ends here, before it says anything to a gateway.
+    // The log comes first: a second agent on the same log fails here, before it contacts any gateway.
     let (log, contents) = Log::open(&config.log).map_err(AgentError::Log)?;
     let listeners = Listeners::bind(config).await.map_err(AgentError::Bind)?;
     let (published, receiver) = watch::channel(PublishedState::default());
@@ -126,7 +128,7 @@
         heartbeat: config.heartbeat(),
         response_timeout: config.answer(),
         request_permits: Arc::new(Semaphore::new(config.fan_out)),
-        connect_permits: Arc::new(Semaphore::new(MAX_CONNECTING)),
+        connect_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CONNECTS)),
         published: receiver,
         reports: report_sender,
     };
@@ -166,7 +168,7 @@
 /// The agent's listeners.
 struct Listeners {
     tools: Listener,
-    /// For gateways that register.
+    /// For gateways that register and start, if configured.
     gateways: Option<Listener>,
 }
 
@@ -174,7 +176,7 @@
     async fn bind(config: &AgentConfig) -> Result<Listeners, BindError> {
         let tools = Listener::bind(&config.listen, None, MAX_TOOL_LINE_BYTES).await?;
         let gateways = match &config.register {
-            // A line has room for an endpoint list that a gateway has fetched.
+            // A line may carry an endpoint list that a gateway has fetched.
             Some(address) => Some(Listener::bind(address, config.tls.as_ref(), MAX_LINE_BYTES).await?),
             None => None,
         };
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -1,7 +1,7 @@
-//! The durable log: every order that was acknowledged, and the gateways that were registered.
+//! The durable log: all acknowledged orders and the registered gateways.
 //!
-//! One `redb` file. A commit is there whole or not at all, and is on the disk when it returns. At each start
-//! the file's checksums are checked, so a torn or flipped page is found and reported.
+//! It is one `redb` file. Commits are atomic, and are on disk when they return. The file's checksums are
+//! verified at each start, so that torn or corrupted pages are detected and reported.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -14,53 +14,57 @@
     WriteTransaction,
 };
 
-/// Orders that are kept once they are settled. The id of an older one is forgotten.
+/// Number of orders that are retained once they are settled. An older order's id can be used again.
 pub const MAX_RETAINED_ORDERS: usize = 10_000;
-/// The version of the file's form that this program reads and writes.
-const FORM: u64 = 1;
-/// Ends the name of a log that is being created.
+/// Version of the file format that this program reads and writes.
+const FORMAT_VERSION: u64 = 1;
+/// Suffix of the file name while a log is being created.
 const NEW_FILE_SUFFIX: &str = ".new";
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-const FORM_KEY: &str = "form";
+const FORMAT_KEY: &str = "form";
 const TERM_KEY: &str = "term";
 const SETTLED: TableDefinition<&str, &[u8]> = TableDefinition::new("settled");
 const SNAPSHOT_KEY: &str = "snapshot";
-/// By term and sequence.
+/// Orders as JSON, by term and sequence number.
 const ORDERS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("orders");
-/// Addresses by name.
+/// Addresses of registered gateways, by name.
 const MEMBERS: TableDefinition<&str, &str> = TableDefinition::new("members");
 
-/// What lies behind an error.
-type Cause = Box<dyn std::error::Error + Send + Sync>;
+/// The error behind a [`LogError`].
+type Source = Box<dyn std::error::Error + Send + Sync>;
 
 /// Why the log can't be used.
 #[derive(Debug)]
 pub enum LogError {
     /// Another process has it open.
     InUse(PathBuf),
-    /// Its contents are damaged or contradict each other.
-    Damaged(PathBuf, Cause),
-    /// It has the form of another version.
+    /// Its contents are damaged or inconsistent.
+    Damaged(PathBuf, Source),
+    /// Its format has this version, which is not supported.
     UnsupportedFormat(PathBuf, u64),
-    /// The system failed, or the disk is full.
-    Io(PathBuf, Cause),
+    /// The system reported an error, e.g. that the disk is full.
+    Io(PathBuf, Source),
 }
 
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogError::InUse(path) => write!(f, "{}: another agent has it open", path.display()),
-            LogError::Damaged(path, cause) => write!(
+            LogError::Damaged(path, source) => write!(
                 f,
-                "{}: the log is damaged: {cause}; put a copy in its place, or move it away and order anew: \
+                "{}: the log is damaged: {source}; put a copy in its place, or move it away and order anew: \
                  gateways keep what they hold until then",
                 path.display()
             ),
             LogError::UnsupportedFormat(path, form) => {
-                write!(f, "{}: form {form} of the log; this program reads form {FORM}", path.display())
+                write!(
+                    f,
+                    "{}: form {form} of the log; this program reads form {FORMAT_VERSION}",
+                    path.display()
+                )
             }
-            LogError::Io(path, cause) => write!(f, "{}: {cause}", path.display()),
+            LogError::Io(path, source) => write!(f, "{}: {source}", path.display()),
         }
     }
 }
@@ -68,7 +72,7 @@
 impl std::error::Error for LogError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            LogError::Damaged(_, cause) | LogError::Io(_, cause) => Some(&**cause),
+            LogError::Damaged(_, source) | LogError::Io(_, source) => Some(&**source),
             LogError::InUse(_) | LogError::UnsupportedFormat(..) => None,
         }
     }
@@ -77,26 +81,26 @@
 /// A gateway that has registered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegisteredGateway {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Its admin listener.
+    /// Address of its admin listener.
     pub address: String,
 }
 
-/// What the log holds.
+/// Contents of the log.
 #[derive(Debug, Default)]
 pub struct Contents {
-    /// The state that operators want.
+    /// The desired state.
     pub desired: DesiredState,
     /// The newest revision.
     pub newest: Revision,
-    /// The orders that are kept, oldest first.
+    /// The retained orders, oldest first.
     pub orders: Vec<LoggedOrder>,
-    /// Gateways that have registered, by name.
+    /// The registered gateways, ordered by name.
     pub members: Vec<RegisteredGateway>,
 }
 
-/// The log.
+/// An open log.
 #[derive(Debug)]
 pub struct Log {
     path: PathBuf,
@@ -104,13 +108,13 @@
 }
 
 impl Log {
-    /// Opens the log, or creates one, and checks all of it.
+    /// Opens the log, or creates one, and verifies all of it.
     ///
     /// # Errors
     /// A [`LogError`] that names the file.
     pub fn open(path: &Path) -> Result<(Log, Contents), LogError> {
-        // A new file gets its name once it is complete, so that an agent that is killed meanwhile leaves no
-        // file that nobody can read.
+        // A new file is renamed to its final name once it is complete, so that an agent that is killed
+        // meanwhile does not leave an unreadable log.
         let is_new = !path.exists();
         let file = if is_new { new_file(path) } else { path.to_path_buf() };
         if is_new {
@@ -125,21 +129,21 @@
         Ok((log, contents))
     }
 
-    /// The error for a log that can't be reached.
-    pub(crate) fn unavailable(&self, cause: impl Into<Cause>) -> LogError {
-        LogError::Io(self.path.clone(), cause.into())
+    /// Returns the error for a log that can't be read or written.
+    pub(crate) fn unavailable(&self, source: impl Into<Source>) -> LogError {
+        LogError::Io(self.path.clone(), source.into())
     }
 
-    fn damaged(&self, cause: impl Into<Cause>) -> LogError {
-        LogError::Damaged(self.path.clone(), cause.into())
+    fn damaged(&self, source: impl Into<Source>) -> LogError {
+        LogError::Damaged(self.path.clone(), source.into())
     }
 
     fn initialize(&self) -> Result<(), LogError> {
-        // The start time as term: orders of a later log supersede those of an earlier one that was lost.
+        // With the creation time as term, orders of this log supersede those of an earlier one that was lost.
         let term = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs().max(1);
         self.write(|transaction| {
             let mut table = transaction.open_table(META)?;
-            table.insert(FORM_KEY, FORM)?;
+            table.insert(FORMAT_KEY, FORMAT_VERSION)?;
             table.insert(TERM_KEY, term)?;
             Ok(())
         })
@@ -156,22 +160,22 @@
         Ok(contents)
     }
 
-    /// Checks the form, and reads the term.
+    /// Checks the format version, and reads the term.
     fn read_term(&self, transaction: &ReadTransaction) -> Result<u64, LogError> {
         let table = transaction.open_table(META).map_err(|error| self.damaged(error))?;
         let number = |key: &str| -> Result<u64, LogError> {
             let value = table.get(key).map_err(|error| self.damaged(error))?;
             value.map(|value| value.value()).ok_or_else(|| self.damaged(format!("{key} is missing")))
         };
-        let form = number(FORM_KEY)?;
-        if form != FORM {
+        let form = number(FORMAT_KEY)?;
+        if form != FORMAT_VERSION {
             return Err(LogError::UnsupportedFormat(self.path.clone(), form));
         }
         number(TERM_KEY)
     }
 
     fn read_snapshot(&self, transaction: &ReadTransaction, contents: &mut Contents) -> Result<(), LogError> {
-        // There is no table before the first snapshot.
+        // The table does not exist before the first snapshot.
         let Ok(table) = transaction.open_table(SETTLED) else { return Ok(()) };
         let Some(bytes) = table.get(SNAPSHOT_KEY).map_err(|error| self.damaged(error))? else {
             return Ok(());
@@ -211,11 +215,12 @@
         Ok(())
     }
 
-    /// Appends orders, and with `settled` the state that they and all before them make; orders beyond
-    /// [`MAX_RETAINED_ORDERS`] are removed then. They are on the disk when this returns.
+    /// Appends orders. `settled`, if given, is the state after these and all earlier orders; it replaces the
+    /// stored snapshot, and settled orders beyond [`MAX_RETAINED_ORDERS`] are removed. All changes are on
+    /// disk when this returns.
     ///
     /// # Errors
-    /// [`LogError::Io`]: none of them is to be taken as logged.
+    /// [`LogError::Io`]. None of the orders may be regarded as logged then.
     pub fn append(&self, orders: &[LoggedOrder], settled: Option<&Snapshot>) -> Result<(), LogError> {
         self.write(|transaction| {
             let mut table = transaction.open_table(ORDERS)?;
@@ -227,21 +232,21 @@
             let bytes = serde_json::to_vec(snapshot).unwrap_or_default();
             transaction.open_table(SETTLED)?.insert(SNAPSHOT_KEY, bytes.as_slice())?;
             let floor = (snapshot.floor.term, snapshot.floor.seq);
-            let superfluous: Vec<(u64, u64)> = table
+            let excess: Vec<(u64, u64)> = table
                 .iter()?
                 .rev()
                 .skip(MAX_RETAINED_ORDERS)
                 .filter_map(|row| row.ok().map(|(key, _)| key.value()))
                 .filter(|key| *key <= floor)
                 .collect();
-            for key in superfluous {
+            for key in excess {
                 table.remove(key)?;
             }
             Ok(())
         })
     }
 
-    /// Logs that a gateway has registered.
+    /// Stores a registered gateway.
     ///
     /// # Errors
     /// [`LogError::Io`].
@@ -252,7 +257,7 @@
         })
     }
 
-    /// Removes a gateway that had registered.
+    /// Removes a registered gateway.
     ///
     /// # Errors
     /// [`LogError::Io`].
@@ -269,26 +274,26 @@
     ) -> Result<(), LogError> {
         let mut transaction = self.database.begin_write().map_err(|error| self.unavailable(error))?;
         transaction.set_durability(Durability::Immediate).map_err(|error| self.unavailable(error))?;
-        // With a commit in one phase, one that is torn or flipped later would be passed over in favour of the
-        // commit before it, as if its orders had never been acknowledged. In two phases only the last commit
-        // counts, and is found to be damaged. The price is a second wait for the disk.
+        // With one-phase commits, a last commit that is torn or corrupted would be skipped in favour of the
+        // previous one, and its acknowledged orders would be lost unnoticed. With two-phase commits, the
+        // damage is detected and reported. The cost is a second sync per commit.
         transaction.set_two_phase_commit(true);
         change(&transaction).map_err(|error| self.unavailable(error))?;
         transaction.commit().map_err(|error| self.unavailable(error))
     }
 }
 
-/// The name of a log that is being created.
+/// Returns the temporary file name of a log that is being created.
 fn new_file(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_os_string();
     name.push(NEW_FILE_SUFFIX);
     PathBuf::from(name)
 }
 
-/// Opens a database and checks all of it. Errors name `path`, whatever the file is called now.
+/// Opens the database in `file` and verifies all of it. Errors name `path`, the final name of the log.
 fn open_database(path: &Path, file: &Path) -> Result<Database, LogError> {
-    let damaged = |cause: Cause| LogError::Damaged(path.to_path_buf(), cause);
-    // The library panics over some files whose pages make no sense.
+    let damaged = |source: Source| LogError::Damaged(path.to_path_buf(), source);
+    // redb panics on some files with corrupted pages.
     let opened = std::panic::catch_unwind(|| -> Result<Database, LogError> {
         let mut database = Database::create(file).map_err(|error| open_error(path, error))?;
         match database.check_integrity() {
@@ -296,7 +301,7 @@
             Err(error) => Err(damaged(error.into())),
         }
     });
-    opened.unwrap_or_else(|_| Err(damaged("its pages make no sense".into())))
+    opened.unwrap_or_else(|_| Err(damaged("its pages are corrupted".into())))
 }
 
 fn open_error(path: &Path, error: DatabaseError) -> LogError {
@@ -311,7 +316,7 @@
     }
 }
 
-/// Whether an error tells of a file that is cut off or no database.
+/// Whether an error indicates a file that is truncated or not a database.
 fn is_truncated(error: &std::io::Error) -> bool {
     matches!(error.kind(), std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof)
 }
--- a/crates/agent/src/order_ledger.rs
+++ b/crates/agent/src/order_ledger.rs
@@ -1,5 +1,4 @@
-//! The ledger of orders: decides whether an order is a repetition, is rejected, or is to be logged. No I/O
-//! and no clock.
+//! The ledger of orders: decides whether an order is repeated, rejected or accepted. No I/O, no clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,46 +9,46 @@
 
 use crate::log::MAX_RETAINED_ORDERS;
 
-/// Orders after which their state is logged as one snapshot.
+/// Number of orders after which a snapshot of the desired state is logged.
 const ORDERS_PER_SNAPSHOT: u64 = 256;
 
 /// An order as a tool requests it.
 #[derive(Clone, Debug)]
 pub struct OrderRequest {
-    /// Chosen by the tool.
+    /// Id chosen by the tool.
     pub id: OrderId,
-    /// What it is about.
+    /// What the order applies to.
     pub subject: Subject,
-    /// What it changes.
+    /// The change to the subject.
     pub change: Change,
-    /// Whether the guard and unknown subjects are passed over.
+    /// Whether to skip the guard and the check for unknown subjects.
     pub forced: bool,
 }
 
-/// What the agent knows of the fleet when it decides on an order.
+/// The agent's view of the fleet at the time of a decision.
 pub struct FleetView<'a, B, G> {
-    /// Backends that some gateway lists.
+    /// Backends that at least one gateway lists.
     pub backends: B,
-    /// Gateways that answer.
+    /// Names of the reachable gateways.
     pub reachable_gateways: G,
-    /// Whether any gateway has listed its backends.
+    /// Whether any gateway has reported its backends.
     pub has_backend_lists: bool,
-    /// Whether a gateway of this name is overseen, reachable or not.
-    pub is_overseen: &'a dyn Fn(&str) -> bool,
+    /// Whether the agent manages a gateway with this name, reachable or not.
+    pub is_managed: &'a dyn Fn(&str) -> bool,
 }
 
 /// The decision on an order.
 #[derive(Debug)]
 pub enum Decision {
-    /// It was logged before, as this.
+    /// A repetition of this order.
     Repeated(LoggedOrder),
-    /// It is to be logged as this.
-    Write(LoggedOrder),
-    /// It is rejected.
+    /// Accepted; this has to be logged.
+    Accepted(LoggedOrder),
+    /// Rejected for this reason.
     Rejected(ErrorResponse),
 }
 
-/// All orders and the state that they make.
+/// The retained orders and the desired state that results from all orders.
 #[derive(Debug)]
 pub struct OrderLedger {
     desired: DesiredState,
@@ -62,7 +61,7 @@
 }
 
 impl OrderLedger {
-    /// A ledger with the contents of the log.
+    /// Creates a ledger from the contents of the log.
     pub fn new(
         desired: DesiredState,
         newest: Revision,
@@ -81,8 +80,8 @@
         }
     }
 
-    /// Decides on an order. One that is to be logged counts in further decisions, so a ledger whose order
-    /// could not be logged must not be used any more.
+    /// Decides on an order. Accepted orders count in further decisions at once, so a ledger must not be used
+    /// any more if one of its accepted orders could not be logged.
     pub fn decide<'a, B, G>(
         &mut self,
         request: OrderRequest,
@@ -102,13 +101,13 @@
             Ok(counts) => {
                 let logged = LoggedOrder { order, forced, at_ms, counts };
                 self.add(logged.clone());
-                Decision::Write(logged)
+                Decision::Accepted(logged)
             }
             Err(error) => Decision::Rejected(error),
         }
     }
 
-    /// Checks an order, and applies it to the desired state if nothing speaks against it.
+    /// Checks an order, and applies it to the desired state if all checks pass.
     fn check<'a, B, G>(
         &mut self,
         order: &Order,
@@ -127,7 +126,7 @@
                 ErrorResponse::new(ErrorCode::TooFew, message)
             })?;
         if !forced {
-            self.check_subject(&order.subject, counts, view.has_backend_lists, view.is_overseen)?;
+            self.check_subject(&order.subject, counts, view.has_backend_lists, view.is_managed)?;
         }
         match self.desired.apply(order) {
             ApplyOutcome::Rejected(reason) => Err(ErrorResponse::new(ErrorCode::Unavailable, reason)),
@@ -135,19 +134,20 @@
         }
     }
 
-    /// Rejects a subject that nobody knows. What was ordered on it already can always be reversed.
+    /// Rejects unknown subjects. A subject with a register is always accepted, so that earlier orders on it
+    /// can be reversed.
     fn check_subject(
         &self,
         subject: &Subject,
         counts: GuardCounts,
         has_backend_lists: bool,
-        is_overseen: &dyn Fn(&str) -> bool,
+        is_managed: &dyn Fn(&str) -> bool,
     ) -> Result<(), ErrorResponse> {
         if self.desired.registers().any(|register| register.subject == *subject) {
             return Ok(());
         }
         if let Subject::Gateway(name) = subject {
-            if is_overseen(name.as_str()) {
+            if is_managed(name.as_str()) {
                 return Ok(());
             }
             let message = format!("{subject}: no gateway of that name is overseen");
@@ -182,8 +182,8 @@
         self.orders.get(index)
     }
 
-    /// Settles all orders if a snapshot is due. Returns whether it is, and so has to be logged along with the
-    /// next orders.
+    /// Settles all orders if a snapshot is due. Returns whether it is; the caller has to log the snapshot
+    /// together with the next orders.
     pub fn settle(&mut self) -> bool {
         let is_due = self.orders_since_snapshot >= ORDERS_PER_SNAPSHOT;
         if is_due {
@@ -198,19 +198,19 @@
         self.newest
     }
 
-    /// The state that the orders make.
+    /// The desired state that results from the orders.
     pub fn desired(&self) -> &DesiredState {
         &self.desired
     }
 
-    /// The orders that are retained, newest first.
+    /// The retained orders, newest first.
     pub fn latest(&self) -> impl Iterator<Item = &LoggedOrder> {
         self.orders.iter().rev()
     }
 }
 
-/// The decision on an order whose id is known. Another order with the same id is rejected, or whoever made it
-/// would be told that it was applied.
+/// The decision on an order whose id is known. A different order with the same id is rejected; otherwise its
+/// sender would be told that it was applied.
 fn repeated(first: &LoggedOrder, request: &OrderRequest) -> Decision {
     if first.order.subject == request.subject && first.order.change == request.change {
         return Decision::Repeated(first.clone());
--- a/crates/agent/src/pending_orders.rs
+++ b/crates/agent/src/pending_orders.rs
@@ -1,4 +1,4 @@
-//! Orders that are in the log and not yet accounted for by every gateway.
+//! Logged orders for which the outcome at some gateways is still unknown.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 
 use crate::responder::Responder;
 
-/// Orders that may wait for gateways at once; one more is rejected.
+/// Maximum number of pending orders; further orders are rejected.
 const MAX_PENDING_ORDERS: usize = 4_096;
-/// The longest time for which an order waits for gateways.
+/// Maximum time for which an order waits for the gateways.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// An order whose tool waits for gateways to apply it.
+/// An order whose tool waits for the outcome at all gateways.
 pub struct PendingOrder {
     responder: Responder,
     order: Order,
     accepted_at: Instant,
     deadline: Instant,
-    unaccounted: BTreeSet<Arc<str>>,
+    awaited_gateways: BTreeSet<Arc<str>>,
     summary: OrderSummary,
 }
 
 impl PendingOrder {
-    /// An order that was accepted just now and that these gateways are to apply.
+    /// Creates a pending order that waits for `gateways` from now on.
     pub fn new(
         responder: Responder,
         order: Order,
@@ -39,19 +39,19 @@
             order,
             accepted_at,
             deadline: accepted_at + deadline.min(MAX_DEADLINE),
-            unaccounted: gateways,
+            awaited_gateways: gateways,
             summary: OrderSummary::default(),
         }
     }
 
-    /// The order's revision.
+    /// Revision of the order.
     pub fn revision(&self) -> Revision {
         self.order.revision
     }
 
-    /// Notes the outcome at a gateway. Only the first one counts.
+    /// Records and reports the outcome at a gateway. Later outcomes at the same gateway are ignored.
     pub fn record(&mut self, gateway: &str, outcome: InstanceOutcome) {
-        if !self.unaccounted.remove(gateway) {
+        if !self.awaited_gateways.remove(gateway) {
             return;
         }
         if outcome.succeeded() {
@@ -63,8 +63,8 @@
         self.responder.respond(ToolResponse::Instance(report));
     }
 
-    /// Notes that a gateway holds the order as part of the whole state, so that it told no result for it.
-    pub fn record_caught_up(&mut self, gateway: &str) {
+    /// Records that a gateway has received the order as part of a snapshot, for which it reports no result.
+    pub fn record_from_snapshot(&mut self, gateway: &str) {
         let took_ms = self.elapsed_ms();
         let outcome = ApplyOutcome::Applied;
         self.record(gateway, InstanceOutcome::Answered { outcome, matched: None, took_ms });
@@ -91,20 +91,20 @@
                 let took_ms = self.elapsed_ms();
                 self.record(gateway, InstanceOutcome::Answered { outcome, matched, took_ms });
             }
-            _ if applied >= self.order.revision => self.record_caught_up(gateway),
+            _ if applied >= self.order.revision => self.record_from_snapshot(gateway),
             _ => {}
         }
     }
 
     fn time_out(&mut self) {
-        while let Some(gateway) = self.unaccounted.first().cloned() {
+        while let Some(gateway) = self.awaited_gateways.first().cloned() {
             self.record(&gateway, InstanceOutcome::TimedOut);
         }
     }
 
-    /// Whether every gateway is accounted for; the tool is told so.
+    /// Sends the summary if the outcome at every gateway is known. Returns whether it is.
     fn finish(&mut self) -> bool {
-        let finished = self.unaccounted.is_empty();
+        let finished = self.awaited_gateways.is_empty();
         if finished {
             self.responder.respond(ToolResponse::Done(self.summary));
         }
@@ -119,19 +119,19 @@
 }
 
 impl PendingOrders {
-    /// Whether no further order may wait.
+    /// Whether no further order may be added.
     pub fn is_full(&self) -> bool {
         self.orders.len() >= MAX_PENDING_ORDERS
     }
 
-    /// Adds an order, unless every gateway is accounted for.
+    /// Adds an order, unless the outcome at every gateway is known already.
     pub fn add(&mut self, mut order: PendingOrder) {
         if !order.finish() {
             self.orders.push(order);
         }
     }
 
-    /// Takes in what a session learned of a gateway, which now holds a revision.
+    /// Evaluates what a session has observed; `applied` is the newest revision that the gateway has applied.
     pub fn observe(
         &mut self,
         gateway: &Arc<str>,
@@ -139,13 +139,13 @@
         results: &[OrderResult],
         applied: Revision,
     ) {
-        for order in self.orders.iter_mut().filter(|order| order.unaccounted.contains(gateway)) {
+        for order in self.orders.iter_mut().filter(|order| order.awaited_gateways.contains(gateway)) {
             order.observe(gateway, observation, results, applied);
         }
         self.remove_finished();
     }
 
-    /// Accounts for a gateway that is no longer overseen.
+    /// Records a gateway that was removed as unreachable.
     pub fn gateway_removed(&mut self, gateway: &str) {
         for order in &mut self.orders {
             let reason = "no longer overseen".to_string();
@@ -154,7 +154,7 @@
         self.remove_finished();
     }
 
-    /// Ends orders whose deadline is over, and those whose tool has disconnected.
+    /// Ends orders whose deadline has passed, and removes those whose tool has disconnected.
     pub fn remove_expired(&mut self) {
         let now = Instant::now();
         for order in self.orders.iter_mut().filter(|order| order.deadline <= now) {
--- a/crates/agent/src/publication.rs
+++ b/crates/agent/src/publication.rs
@@ -7,35 +7,35 @@
 use fleet::{DesiredState, Order, Revision, Snapshot};
 use tokio::sync::watch;
 
-/// Orders that are sent one by one to gateways that have all orders before them.
+/// Maximum number of recent orders to publish. Gateways that have all earlier ones get these, not a snapshot.
 const MAX_RECENT_ORDERS: usize = 256;
 
 /// The state that gateways are to reach.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedState {
-    /// The whole state.
+    /// Snapshot of the desired state.
     pub snapshot: Arc<Snapshot>,
-    /// The newest orders, oldest first, without a gap.
+    /// The newest orders without gaps, oldest first.
     pub recent_orders: Arc<Vec<Order>>,
     /// The newest revision.
     pub newest: Revision,
 }
 
-/// Publishes the desired state, and retains the newest orders for it.
+/// Publishes the desired state together with the newest orders.
 pub struct Publisher {
     recent_orders: VecDeque<Order>,
     published: watch::Sender<PublishedState>,
 }
 
 impl Publisher {
-    /// A publisher that begins with the orders of the log, oldest first.
+    /// Creates a publisher; `logged` are the orders of the log, oldest first.
     pub fn new(logged: &[LoggedOrder], published: watch::Sender<PublishedState>) -> Publisher {
         let skipped = logged.len().saturating_sub(MAX_RECENT_ORDERS);
         let recent_orders = logged.iter().skip(skipped).map(|logged| logged.order.clone()).collect();
         Publisher { recent_orders, published }
     }
 
-    /// Adds the newest order. Sessions see it with the next [`Publisher::publish`].
+    /// Adds a new order, which is published by the next [`Publisher::publish`].
     pub fn add(&mut self, order: Order) {
         self.recent_orders.push_back(order);
         if self.recent_orders.len() > MAX_RECENT_ORDERS {
--- a/crates/agent/src/responder.rs
+++ b/crates/agent/src/responder.rs
@@ -1,9 +1,9 @@
-//! Responses to one request of a tool, and events to all watchers.
+//! Channels for the responses to a tool's request, and for events to all watchers.
 
 use fleet::wire::{ErrorCode, ErrorResponse, OrderSummary, ToolResponse};
 use tokio::sync::{broadcast, mpsc};
 
-/// Takes the responses to one request. The request ends when its last responder is dropped.
+/// Sends the responses to one request. The request ends when its last responder is dropped.
 #[derive(Clone, Debug)]
 pub struct Responder {
     queue: mpsc::Sender<ToolResponse>,
@@ -14,31 +14,31 @@
 pub struct Disconnected;
 
 impl Responder {
-    /// A responder that puts responses into a queue, which the tool's connection empties.
+    /// Creates a responder that puts responses into the queue of the tool's connection.
     pub fn new(queue: mpsc::Sender<ToolResponse>) -> Responder {
         Responder { queue }
     }
 
-    /// Queues a response, and never waits: a tool that reads nothing must not delay the others. A response
-    /// that finds no room is lost, and the tool's connection ends as a write to it times out.
+    /// Queues a response without waiting, as a tool that reads nothing must not delay the others. If the
+    /// queue is full, the response is lost; the write timeout then ends the tool's connection.
     pub fn respond(&self, response: ToolResponse) {
         let _ = self.queue.try_send(response);
     }
 
-    /// Queues an error.
+    /// Queues an error response.
     pub fn fail(&self, code: ErrorCode, message: impl Into<String>) {
         self.respond(ToolResponse::Error(ErrorResponse::new(code, message)));
     }
 
-    /// Queues the summary of a request that has succeeded and concerns nobody but the agent.
+    /// Queues the summary of a successful request that involved only the agent.
     pub fn succeed(&self) {
         self.respond(ToolResponse::Done(OrderSummary { succeeded: 1, failed: 0 }));
     }
 
-    /// Queues a response, and waits for room.
+    /// Queues a response, waiting while the queue is full.
     ///
     /// # Errors
-    /// [`Disconnected`].
+    /// [`Disconnected`] if the tool has disconnected.
     pub async fn respond_when_free(&self, response: ToolResponse) -> Result<(), Disconnected> {
         self.queue.send(response).await.map_err(|_| Disconnected)
     }
@@ -49,14 +49,14 @@
     }
 }
 
-/// Sends events to all watchers, and to standard error.
+/// Sends events to all watchers and logs them on standard error.
 #[derive(Clone, Debug)]
 pub struct EventSender {
     watchers: broadcast::Sender<String>,
 }
 
 impl EventSender {
-    /// A sender whose watchers may lag by so many events before they miss some.
+    /// Creates a sender whose watchers may lag `max_lag` events behind before they miss some.
     pub fn new(max_lag: usize) -> EventSender {
         EventSender { watchers: broadcast::Sender::new(max_lag) }
     }
@@ -64,11 +64,11 @@
     /// Sends an event.
     pub fn emit(&self, line: String) {
         eprintln!("agent: {line}");
-        // Fails only while nobody watches.
+        // Fails only if there are no watchers.
         let _ = self.watchers.send(line);
     }
 
-    /// All events from now on.
+    /// Subscribes to all events from now on.
     pub fn subscribe(&self) -> broadcast::Receiver<String> {
         self.watchers.subscribe()
     }
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -1,8 +1,8 @@
-//! The session with one gateway: connects, brings the gateway up to date, and reports to the control loop.
+//! The session with one gateway: connects, keeps the gateway up to date, and reports to the control loop.
 //!
-//! Each connection begins with the whole state, whatever an earlier one has sent: the gateway may have
-//! restarted, or have missed orders. A request that is not answered in time ends the connection, as a late
-//! response could be taken for that to the next request.
+//! Each connection begins with a snapshot, as the gateway may have restarted or missed orders since the last
+//! one. A response timeout ends the connection, as the late response could otherwise be mistaken for the
+//! response to the next request.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -21,64 +21,67 @@
 use crate::publication::PublishedState;
 use crate::session_error::SessionError;
 
-/// Backoff after the first connection that failed; it doubles with each further one.
+/// Backoff after the first failed connection; it doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff, without its spread.
+/// Maximum backoff, without the spread.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Steps by which backoffs of different gateways spread, so that a thousand don't reconnect at one moment.
+/// Number of steps over which the backoffs of gateways are spread, so that a thousand sessions don't
+/// reconnect at the same time.
 const BACKOFF_SPREAD_STEPS: u32 = 256;
-/// A gateway's backends are polled at most once in so many heartbeats.
+/// Minimum number of heartbeats between polls of a gateway's backends.
 const MIN_HEARTBEATS_BETWEEN_LISTS: u32 = 3;
-/// A gateway's state is polled at the latest so long after orders were sent.
+/// Maximum delay of the state poll that follows orders.
 const POLL_DELAY_AFTER_ORDERS: Duration = Duration::from_millis(100);
-/// Connections that may be opened at once.
-pub const MAX_CONNECTING: usize = 64;
+/// Maximum number of connections that are being opened at the same time.
+pub const MAX_CONCURRENT_CONNECTS: usize = 64;
 
-/// What a session learned of its gateway.
+/// What a session has observed of its gateway.
 #[derive(Debug)]
 pub struct SessionReport {
-    /// The gateway.
+    /// Name of the gateway.
     pub gateway: Arc<str>,
-    /// Whether it is reachable.
+    /// Whether it is reachable, and what it has applied.
     pub observation: Observation,
-    /// Results of orders.
+    /// Results of orders that were sent to it.
     pub results: Vec<OrderResult>,
-    /// Its state, if it was polled.
+    /// Its state, if that was polled.
     pub state: Option<GatewayState>,
 }
 
-/// A gateway's response, or why there is none.
+/// The response of a gateway, or why there is none.
 pub type QueryResult = Result<GatewayResponse, Arc<SessionError>>;
 
-/// A request to a gateway that changes nothing there.
+/// A read-only request to a gateway.
 #[derive(Debug)]
 pub struct SessionQuery {
     /// The request.
     pub request: GatewayRequest,
-    /// Takes the response.
+    /// Receives the response.
     pub response: oneshot::Sender<QueryResult>,
 }
 
-/// What all sessions share.
+/// Context shared by all sessions.
 #[derive(Clone, Debug)]
 pub struct SessionContext {
     /// Opens connections.
     pub connector: Connector,
-    /// How often the state is polled.
+    /// Interval between polls of the state.
     pub heartbeat: Duration,
-    /// How long a connection, and a response, may take.
+    /// Timeout for opening a connection, and for each response.
     pub response_timeout: Duration,
     /// Permits for requests in flight.
     pub request_permits: Arc<Semaphore>,
-    /// Permits for opening connections, so that many silent gateways can't delay requests to the others.
+    /// Permits for opening connections; separate, so that many gateways that do not respond can't delay
+    /// requests to the others.
     pub connect_permits: Arc<Semaphore>,
     /// The state that gateways are to reach.
     pub published: watch::Receiver<PublishedState>,
-    /// Takes reports.
+    /// Receives reports.
     pub reports: mpsc::Sender<SessionReport>,
 }
 
-/// Keeps a session with a gateway until the task ends.
+/// Maintains the session with a gateway, reconnecting after failures, until the task is cancelled or the
+/// agent shuts down.
 pub async fn run(
     gateway: Arc<str>,
     address: Address,
@@ -118,14 +121,14 @@
     connection.map_err(SessionError::Connect)
 }
 
-/// Lengthens a backoff by up to its own length, by an amount that depends on the gateway's name.
+/// Lengthens a backoff by up to its own length, by a fraction derived from a hash of the gateway's name.
 fn spread(backoff: Duration, gateway: &str) -> Duration {
     let hash = gateway.bytes().fold(17_u32, |hash, byte| hash.wrapping_mul(31).wrapping_add(u32::from(byte)));
     let step = hash % BACKOFF_SPREAD_STEPS;
     backoff + backoff.mul_f64(f64::from(step) / f64::from(BACKOFF_SPREAD_STEPS))
 }
 
-/// Waits, and rejects queries meanwhile. Breaks off once nobody can query any more.
+/// Waits for `delay`, and rejects queries meanwhile. Breaks when all senders of queries are dropped.
 async fn reject_queries_for(
     delay: Duration,
     queries: &mut mpsc::Receiver<SessionQuery>,
@@ -138,7 +141,7 @@
             () = &mut delay => return ControlFlow::Continue(()),
             query = queries.recv() => {
                 let Some(query) = query else { return ControlFlow::Break(()) };
-                // Fails only when nobody waits for the response any more.
+                // Fails only if nobody waits for the response any more.
                 let _ = query.response.send(Err(Arc::clone(error)));
             }
         }
@@ -150,14 +153,15 @@
     connection: JsonLines,
     context: &'a SessionContext,
     last_request_id: u64,
-    /// The gateway's incarnation; 0 until it has reported its state.
+    /// Incarnation of the gateway; 0 until it has reported its state.
     incarnation: u64,
     /// The newest revision that was sent.
     sent_revision: Revision,
-    /// The floor of the last snapshot that was sent.
+    /// Floor of the last snapshot that was sent.
     sent_floor: Revision,
-    /// Version of the last list of backends, and heartbeats since then.
+    /// Version of the list of backends that was polled last.
     list_version: u64,
+    /// Heartbeats since then.
     heartbeats_since_list: u32,
 }
 
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Whether the gateway has ever reported its state in this session.
+    /// Whether the gateway has reported its state on this connection.
     fn has_reported(&self) -> bool {
         self.incarnation != 0
     }
@@ -207,7 +211,8 @@
                     }
                     let current = published.borrow_and_update().clone();
                     self.send_changes(&current).await?;
-                    // The effect of the orders is polled once they have been sent to all gateways.
+                    // The effect of the orders is polled after a delay, once they have been sent to all
+                    // gateways.
                     heartbeat.reset_after(self.context.heartbeat.min(POLL_DELAY_AFTER_ORDERS));
                 }
                 query = queries.recv() => {
@@ -219,8 +224,8 @@
         }
     }
 
-    /// Sends the whole state, and reports the gateway once its backends are known too. Reported earlier, it
-    /// would count as healthy while orders are still rejected as no gateway had listed its backends.
+    /// Sends a snapshot, and reports the gateway once its backends are known, too. If it was reported
+    /// earlier, it would count as healthy while orders are still rejected because no backends are known.
     async fn synchronize(&mut self, current: &PublishedState) -> Result<(), SessionError> {
         let snapshot = (*current.snapshot).clone();
         match self.request(GatewayRequest::Adopt { snapshot }).await? {
@@ -233,8 +238,8 @@
         self.report_state(state).await
     }
 
-    /// Sends the orders since the last ones. The whole state is sent instead where some of them are no longer
-    /// at hand or are too many, and where more was settled, so that the gateway can forget it.
+    /// Sends the new orders. A snapshot is sent instead if some of them are no longer available, if they are
+    /// too many, or if the floor has changed, so that the gateway can remove settled registers.
     async fn send_changes(&mut self, current: &PublishedState) -> Result<(), SessionError> {
         let is_new = |order: &&Order| order.revision > self.sent_revision;
         let orders: Vec<Order> = current.recent_orders.iter().filter(is_new).cloned().collect();
@@ -251,16 +256,16 @@
         Ok(())
     }
 
-    /// Sends a query, and hands its response, or the error that ends the session, to whoever waits for it.
+    /// Sends a query, and forwards its response, or the error that ends the session, to the querying task.
     async fn forward(&mut self, query: SessionQuery) -> Result<(), Arc<SessionError>> {
         let result = self.request(query.request).await.map_err(Arc::new);
         let error = result.as_ref().err().cloned();
-        // Fails only when nobody waits for the response any more.
+        // Fails only if nobody waits for the response any more.
         let _ = query.response.send(result);
         error.map_or(Ok(()), Err)
     }
 
-    /// Polls the state, with the backends where they have changed and were not polled lately.
+    /// Polls the state, including the backends if they have changed and were not polled recently.
     async fn poll(&mut self) -> Result<(), SessionError> {
         self.heartbeats_since_list += 1;
         let mut state = self.state(false).await?;
@@ -276,7 +281,7 @@
 
     async fn state(&mut self, backends: bool) -> Result<GatewayState, SessionError> {
         match self.request(GatewayRequest::State { backends }).await? {
-            // Orders to one gateway must not reach another that has got its address.
+            // Orders must not go to another gateway that now listens at this address.
             GatewayResponse::State(state) if state.name != **self.gateway => {
                 Err(SessionError::WrongGateway(state.name))
             }
@@ -313,7 +318,7 @@
         self.context.reports.send(report).await.map_err(|_| SessionError::AgentShuttingDown)
     }
 
-    /// Sends a request and returns the response to it.
+    /// Sends a request and returns its response.
     async fn request(&mut self, request: GatewayRequest) -> Result<GatewayResponse, SessionError> {
         let permit = self.context.request_permits.acquire().await;
         let _permit = permit.map_err(|_| SessionError::AgentShuttingDown)?;
@@ -325,7 +330,7 @@
         };
         let limit = self.context.response_timeout;
         let exchanged = timeout(limit, exchange).await.map_err(|_| SessionError::Timeout(limit))?;
-        match exchanged.map_err(SessionError::Line)? {
+        match exchanged.map_err(SessionError::Transport)? {
             Some(response) if response.request_id == request_id => Ok(response.body),
             Some(response) => Err(SessionError::unexpected(&response.body)),
             None => Err(SessionError::Closed),
--- a/crates/agent/src/start_coordinator.rs
+++ b/crates/agent/src/start_coordinator.rs
@@ -1,4 +1,5 @@
-//! Gateways that start: their turns for the first call to the list service, and the endpoint list.
+//! Coordinates starting gateways: assigns turns for their first call to the list service, and distributes the
+//! endpoint list that one of them has fetched.
 
 use std::sync::Arc;
 
@@ -6,40 +7,40 @@
 use fleet::wire::{FirstCall, FirstCallOutcome, StartInstructions, MAX_START_LIST_BYTES};
 use fleet::Name;
 
-/// A gateway without any list asks again so soon, ms, while there is none to hand out.
+/// Maximum time until a gateway without a list asks again while the agent has no list either, ms.
 const RETRY_WITHOUT_LIST_MS: f64 = 500.0;
 
-/// A gateway that starts asks what to do.
+/// Request of a starting gateway for instructions.
 pub struct StartRequest {
-    /// Its name.
+    /// Name of the gateway.
     pub name: Name,
-    /// Its process.
+    /// Number of the gateway's process, new with each start.
     pub incarnation: u64,
-    /// Gateways in its fleet.
+    /// Number of gateways in its fleet.
     pub gateways: u32,
-    /// The version of the list that it holds, if it holds one.
+    /// Version of the list that it has, if any.
     pub held_version: Option<u64>,
 }
 
-/// An endpoint list that a gateway has fetched.
+/// An endpoint list fetched by a gateway.
 struct FetchedList {
     version: u64,
     text: Arc<str>,
 }
 
-/// Gives turns to gateways that start, and hands out the list that one of them has fetched.
+/// Assigns turns to starting gateways, and distributes the list that one of them has fetched.
 pub struct StartCoordinator {
     batches: StartBatches,
     list: Option<FetchedList>,
 }
 
 impl StartCoordinator {
-    /// For a list service that takes so many calls a second from all gateways.
+    /// Creates a coordinator for a list service that accepts `list_calls_per_s` calls per second in total.
     pub fn new(list_calls_per_s: f64) -> StartCoordinator {
         StartCoordinator { batches: StartBatches::new(list_calls_per_s), list: None }
     }
 
-    /// What a gateway that starts, or asks again, is to do.
+    /// Returns the instructions for a starting gateway. It may request them repeatedly.
     pub fn instruct(&mut self, now_ms: f64, request: &StartRequest) -> StartInstructions {
         let StartRequest { name, incarnation, gateways, held_version } = request;
         let turn = self.batches.request_turn(now_ms, name.as_str(), *incarnation, *gateways);
@@ -54,7 +55,7 @@
                 instructions.call_in_ms = Some((at_ms - now_ms).max(0.0));
                 instructions.fetch = fetch;
             }
-            // Without a list it can't serve, so it has to learn soon of one that another has fetched.
+            // Without a list the gateway can't serve, so it has to get one soon after another has fetched it.
             StartTurn::AskAgain { after_ms } if held_version.is_none() && self.list.is_none() => {
                 instructions.ask_in_ms = Some(after_ms.min(RETRY_WITHOUT_LIST_MS));
             }
@@ -64,8 +65,7 @@
         instructions
     }
 
-    /// Takes in the outcome of a gateway's first call. Returns the version of the list that it has fetched,
-    /// if it has.
+    /// Records the first call of a gateway. Returns the version of the list that it has fetched, if any.
     pub fn first_call_ended(
         &mut self,
         now_ms: f64,
--- a/crates/agent/src/tool_listener.rs
+++ b/crates/agent/src/tool_listener.rs
@@ -1,4 +1,5 @@
-//! The listener for tools. Each connection carries one request after the other.
+//! The listeners for tools and for gateways that register or start. Each connection carries one request at a
+//! time.
 
 use std::time::Duration;
 
@@ -10,38 +11,38 @@
 use crate::control_loop::IncomingRequest;
 use crate::responder::{EventSender, Responder};
 
-/// Connections at once; further ones wait in the listener's backlog.
+/// Maximum number of concurrent connections; further ones wait in the listener's backlog.
 const MAX_CONNECTIONS: usize = 256;
-/// How long a connection may be idle between requests.
+/// Idle timeout of a connection between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long writing a line may take, as a tool may read nothing.
+/// Timeout for writing a line, as a tool may stop reading.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Responses that may wait for one tool: one of each gateway, and some more.
+/// Maximum number of queued responses for one tool: one per gateway, and some more.
 const MAX_QUEUED_RESPONSES: usize = operator_config::MAX_GATEWAYS + 16;
-/// The request id of a response to a line that could not be read.
+/// Request id in the response to a line that could not be parsed.
 const UNKNOWN_REQUEST_ID: u64 = 0;
 
-/// What may be requested on a listener.
+/// The requests that a listener accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Everything.
+    /// All requests.
     All,
-    /// What gateways request for themselves: registration, and a turn when they start. Whoever may register a
-    /// gateway must not thereby be able to order drains.
+    /// Requests of gateways for themselves: registration, and instructions when they start. A client that may
+    /// register gateways must not be able to order drains.
     Gateways,
 }
 
 impl Scope {
     fn allows(self, request: &ToolRequest) -> bool {
-        let is_of_gateway = matches!(
+        let is_gateway_request = matches!(
             request,
             ToolRequest::Register { .. } | ToolRequest::Start { .. } | ToolRequest::Started { .. }
         );
-        self == Scope::All || is_of_gateway
+        self == Scope::All || is_gateway_request
     }
 }
 
-/// Accepts connections until the task ends.
+/// Accepts connections until the task is cancelled.
 pub async fn serve(
     listener: Listener,
     scope: Scope,
@@ -52,11 +53,11 @@
         let connection = ToolConnection { lines, scope, requests: requests.clone(), events: events.clone() };
         connection.run()
     };
-    let rejected = |error: &std::io::Error| eprintln!("agent: turned away: {error}");
+    let rejected = |error: &std::io::Error| eprintln!("agent: rejected connection: {error}");
     transport::serve(listener, MAX_CONNECTIONS, handle, rejected).await;
 }
 
-/// The connection has ended, or is of no more use.
+/// The connection is closed or can't be used any more.
 struct ConnectionEnded;
 
 struct ToolConnection {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The next request. Lines that are none are answered with an error.
+    /// Receives the next request. Responds with an error to lines that are not requests.
     async fn receive(&mut self) -> Result<Envelope<ToolRequest>, ConnectionEnded> {
         loop {
             match timeout(IDLE_TIMEOUT, self.lines.next::<Envelope<ToolRequest>>()).await {
@@ -101,19 +102,19 @@
         if matches!(request, ToolRequest::Watch) {
             return self.watch(request_id).await;
         }
-        // The last response to an order, or to a request for all backends, is its summary or an error. To any
-        // other request there is one response.
+        // The last response to an order, or to a request for all backends, is a summary or an error. All
+        // other requests have exactly one response.
         let has_many_responses =
             matches!(request, ToolRequest::Order { .. } | ToolRequest::Status { backends: true });
         let max_queued = if has_many_responses { MAX_QUEUED_RESPONSES } else { 1 };
         let (queue, mut responses) = mpsc::channel(max_queued);
         let incoming = IncomingRequest { request, responder: Responder::new(queue) };
         if self.requests.send(incoming).await.is_err() {
-            self.fail(request_id, ErrorCode::Unavailable, "the agent is ending").await?;
+            self.fail(request_id, ErrorCode::Unavailable, "the agent is shutting down").await?;
             return Err(ConnectionEnded);
         }
         loop {
-            // None: the agent shuts down, or could not write its log.
+            // `None`: the agent is shutting down, or could not write its log.
             let response = responses.recv().await.ok_or(ConnectionEnded)?;
             let is_last =
                 !has_many_responses || matches!(response, ToolResponse::Done(_) | ToolResponse::Error(_));
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Sends all events until the tool disconnects.
+    /// Streams all events until the tool disconnects.
     async fn watch(&mut self, request_id: u64) -> Result<(), ConnectionEnded> {
         let mut events = self.events.subscribe();
         self.send(request_id, ToolResponse::Event("watching".to_string())).await?;
@@ -140,7 +141,7 @@
                     };
                     self.send(request_id, ToolResponse::Event(line)).await?;
                 }
-                // No further request may come; the end of the connection is noticed by this.
+                // No further request is allowed; this also detects that the tool has disconnected.
                 _ = self.lines.next::<Envelope<ToolRequest>>() => return Err(ConnectionEnded),
             }
         }
--- a/crates/agent/tests/conversation/main.rs
+++ b/crates/agent/tests/conversation/main.rs
@@ -1,4 +1,4 @@
-//! What an agent sends to tools, to watchers and to gateways, as recorded: over its sockets and line by line.
+//! Exact lines that the agent sends to tools, watchers and gateways over its sockets.
 
 mod orders;
 mod sessions;
--- a/crates/agent/tests/conversation/sessions.rs
+++ b/crates/agent/tests/conversation/sessions.rs
@@ -1,34 +1,35 @@
-//! What the agent announces of sessions that fail.
+//! Events that the agent announces for failed sessions.
 
 use serde_json::json;
 
-use crate::support::{accept, ask, gateway_state, listen_as_gateway, Connection, Fixture};
+use crate::support::{accept, gateway_state, listen_as_gateway, request, AgentFixture, Connection};
 
-/// Has a gateway overseen that gives one answer to the first request, and gives what is said of it.
-async fn said_of(agent: &Fixture, watcher: &mut Connection, answer: Option<&str>) -> String {
+/// Registers a gateway that sends `response` to the first request; an empty one closes the connection, `None`
+/// sends nothing. Returns the reason in the event that the gateway is unreachable.
+async fn failure_reason(agent: &AgentFixture, watcher: &mut Connection, response: Option<&str>) -> String {
     let mut tool = Connection::connect(&agent.path("agent.sock")).await;
     let (listener, address) = listen_as_gateway(agent, "n1");
-    ask(&mut tool, json!({"n": 1, "op": "register", "name": "n1", "address": address})).await;
-    assert_eq!(watcher.event().await, format!("gateway n1 is overseen, at {address}"));
+    request(&mut tool, json!({"n": 1, "op": "register", "name": "n1", "address": address})).await;
+    assert_eq!(watcher.receive_event().await, format!("gateway n1 is overseen, at {address}"));
     let mut gateway = accept(&listener).await;
     gateway.receive().await;
-    match answer {
+    match response {
         Some("") => gateway.shut_down().await,
-        Some(answer) => gateway.send_text(answer).await,
+        Some(response) => gateway.send_text(response).await,
         None => {}
     }
-    let event = watcher.event().await;
-    ask(&mut tool, json!({"n": 1, "op": "deregister", "name": "n1"})).await;
-    assert_eq!(watcher.event().await, "gateway n1 is overseen no more");
-    std::fs::remove_file(agent.path("n1.sock")).expect("it is there");
-    event.strip_prefix("gateway n1 is unreachable: ").expect("it is unreachable").to_string()
+    let event = watcher.receive_event().await;
+    request(&mut tool, json!({"n": 1, "op": "deregister", "name": "n1"})).await;
+    assert_eq!(watcher.receive_event().await, "gateway n1 is overseen no more");
+    std::fs::remove_file(agent.path("n1.sock")).expect("socket exists");
+    event.strip_prefix("gateway n1 is unreachable: ").expect("event for an unreachable gateway").to_string()
 }
 
 #[tokio::test]
 async fn announces_failed_sessions_as_recorded() {
-    let agent = Fixture::start(20_000).await;
+    let agent = AgentFixture::start(20_000).await;
     let mut watcher = Connection::connect(&agent.path("agent.sock")).await;
-    ask(&mut watcher, json!({"n": 9, "op": "watch"})).await;
+    request(&mut watcher, json!({"n": 9, "op": "watch"})).await;
     let long = "7".repeat((4 << 20) + 1);
     let cases = [
         (r#"{"n":1,"fault":{"code":"unavailable","message":"not now"}}"#, "it says: not now"),
@@ -46,29 +47,29 @@
         (&long, "line too long; 4194304 bytes at most"),
         ("", "it ended the connection"),
     ];
-    for (answer, why) in cases {
-        assert_eq!(said_of(&agent, &mut watcher, Some(answer)).await, why);
+    for (response, reason) in cases {
+        assert_eq!(failure_reason(&agent, &mut watcher, Some(response)).await, reason);
     }
-    agent.end().await;
+    agent.shut_down().await;
 }
 
 #[tokio::test]
 async fn announces_silent_and_misnamed_gateways_as_recorded() {
-    let agent = Fixture::start(2_000).await;
+    let agent = AgentFixture::start(2_000).await;
     let mut watcher = Connection::connect(&agent.path("agent.sock")).await;
-    ask(&mut watcher, json!({"n": 9, "op": "watch"})).await;
-    assert_eq!(said_of(&agent, &mut watcher, None).await, "no answer within 2000 ms");
+    request(&mut watcher, json!({"n": 9, "op": "watch"})).await;
+    assert_eq!(failure_reason(&agent, &mut watcher, None).await, "no answer within 2000 ms");
 
     let mut tool = Connection::connect(&agent.path("agent.sock")).await;
     let (listener, address) = listen_as_gateway(&agent, "n2");
-    ask(&mut tool, json!({"n": 1, "op": "register", "name": "n2", "address": address})).await;
-    watcher.event().await;
+    request(&mut tool, json!({"n": 1, "op": "register", "name": "n2", "address": address})).await;
+    watcher.receive_event().await;
     let mut gateway = accept(&listener).await;
     gateway.receive().await;
     let holds = json!({"term": 1, "seq": 0});
     gateway.send(json!({"n": 1, "applied": {"boot": 7, "holds": holds, "verdicts": []}})).await;
     gateway.receive().await;
     gateway.send(json!({"n": 2, "state": gateway_state(7, 0, 1, true)})).await;
-    assert_eq!(watcher.event().await, "gateway n2 is unreachable: gateway n1 answers there");
-    agent.end().await;
+    assert_eq!(watcher.receive_event().await, "gateway n2 is unreachable: gateway n1 answers there");
+    agent.shut_down().await;
 }
--- a/crates/agent/tests/conversation/support.rs
+++ b/crates/agent/tests/conversation/support.rs
@@ -1,4 +1,4 @@
-//! An agent in this process, and connections to it that carry a JSON value a line.
+//! An agent in the test process, and connections to it that carry one JSON value per line.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -12,9 +12,9 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One side of a connection, a JSON value a line.
+/// One side of a connection with one JSON value per line.
 pub struct Connection {
     read: BufReader<OwnedReadHalf>,
     write: OwnedWriteHalf,
@@ -27,7 +27,7 @@
     }
 
     pub async fn connect(path: &Path) -> Connection {
-        Connection::new(UnixStream::connect(path).await.expect("it listens"))
+        Connection::new(UnixStream::connect(path).await.expect("agent is listening"))
     }
 
     pub async fn send(&mut self, value: Value) {
@@ -35,78 +35,81 @@
     }
 
     pub async fn send_text(&mut self, text: &str) {
-        self.write.write_all(format!("{text}\n").as_bytes()).await.expect("it reads");
+        self.write.write_all(format!("{text}\n").as_bytes()).await.expect("writable connection");
     }
 
     pub async fn receive(&mut self) -> Value {
         let mut line = String::new();
-        timeout(PATIENCE, self.read.read_line(&mut line)).await.expect("in time").expect("a line");
+        timeout(TIMEOUT, self.read.read_line(&mut line)).await.expect("before the timeout").expect("a line");
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line}: {e}"))
     }
 
-    /// Ends this side of the connection; the other side can still write.
+    /// Shuts down this side of the connection; the other side can still write.
     pub async fn shut_down(&mut self) {
-        self.write.shutdown().await.expect("it can end");
+        self.write.shutdown().await.expect("open connection");
     }
 
-    pub async fn event(&mut self) -> String {
+    /// Receives an event, and returns its text.
+    pub async fn receive_event(&mut self) -> String {
         let line = self.receive().await;
         line["event"].as_str().expect("an event").to_string()
     }
 }
 
-/// A running agent and the folder with its sockets.
-pub struct Fixture {
-    folder: TempDir,
-    end: oneshot::Sender<()>,
+/// A running agent and the directory of its sockets and log.
+pub struct AgentFixture {
+    directory: TempDir,
+    shutdown: oneshot::Sender<()>,
     agent: tokio::task::JoinHandle<()>,
 }
 
-impl Fixture {
-    pub async fn start(answer_ms: u64) -> Fixture {
-        let folder = tempfile::tempdir().expect("a folder");
-        let at = folder.path().display();
+impl AgentFixture {
+    /// Starts an agent with a heartbeat of a minute and this response timeout.
+    pub async fn start(answer_ms: u64) -> AgentFixture {
+        let directory = tempfile::tempdir().expect("temporary directory");
+        let base = directory.path().display();
         let text = format!(
-            "[agent]\nlisten = \"unix:{at}/agent.sock\"\nregister = \"unix:{at}/register.sock\"\n\
-             log = \"{at}/log\"\nheartbeat_ms = 60000\nanswer_ms = {answer_ms}"
+            "[agent]\nlisten = \"unix:{base}/agent.sock\"\nregister = \"unix:{base}/register.sock\"\n\
+             log = \"{base}/log\"\nheartbeat_ms = 60000\nanswer_ms = {answer_ms}"
         );
-        let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("a good file");
-        let config: AgentConfig = file.agent.expect("an agent");
-        let (end, ended) = oneshot::channel();
+        let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("valid configuration");
+        let config: AgentConfig = file.agent.expect("[agent] section");
+        let (shutdown, receiver) = oneshot::channel();
         let (ready, is_ready) = oneshot::channel();
         let agent = tokio::spawn(async move {
-            let ready = move |list| ready.send(list).expect("somebody waits");
-            let end = async { drop(ended.await) };
-            agent::run(&config, &[], None, None, ready, end).await.expect("it runs");
+            let ready = move |list| ready.send(list).expect("receiver exists");
+            let shutdown = async { drop(receiver.await) };
+            agent::run(&config, &[], None, None, ready, shutdown).await.expect("agent runs without errors");
         });
-        assert_eq!(timeout(PATIENCE, is_ready).await.expect("in time"), Ok(None));
-        Fixture { folder, end, agent }
+        assert_eq!(timeout(TIMEOUT, is_ready).await.expect("before the timeout"), Ok(None));
+        AgentFixture { directory, shutdown, agent }
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
-        self.folder.path().join(name)
+        self.directory.path().join(name)
     }
 
-    pub async fn end(self) {
-        self.end.send(()).expect("it runs");
-        timeout(PATIENCE, self.agent).await.expect("in time").expect("it ended well");
+    pub async fn shut_down(self) {
+        self.shutdown.send(()).expect("agent is running");
+        timeout(TIMEOUT, self.agent).await.expect("before the timeout").expect("agent task did not panic");
     }
 }
 
 /// Listens for the agent as a gateway. Returns the listener and its address.
-pub fn listen_as_gateway(agent: &Fixture, name: &str) -> (UnixListener, String) {
+pub fn listen_as_gateway(agent: &AgentFixture, name: &str) -> (UnixListener, String) {
     let socket = agent.path(&format!("{name}.sock"));
-    let listener = UnixListener::bind(&socket).expect("it is free");
+    let listener = UnixListener::bind(&socket).expect("path is free");
     (listener, format!("unix:{}", socket.display()))
 }
 
-/// The next connection of the agent to a gateway.
+/// Accepts the next connection of the agent to a gateway.
 pub async fn accept(listener: &UnixListener) -> Connection {
-    let (stream, _) = timeout(PATIENCE, listener.accept()).await.expect("in time").expect("a connection");
+    let (stream, _) =
+        timeout(TIMEOUT, listener.accept()).await.expect("before the timeout").expect("a connection");
     Connection::new(stream)
 }
 
-/// The state of gateway n1, as it reports it.
+/// The state that gateway n1 reports.
 pub fn gateway_state(boot: u64, seq: u64, term: u64, backends: bool) -> Value {
     let mut state = json!({
         "name": "n1", "version": "0.1.0", "boot": boot, "holds": {"term": term, "seq": seq},
@@ -127,7 +130,7 @@
 }
 
 /// Sends a request, and returns the first response.
-pub async fn ask(tool: &mut Connection, question: Value) -> Value {
-    tool.send(question).await;
+pub async fn request(tool: &mut Connection, request: Value) -> Value {
+    tool.send(request).await;
     tool.receive().await
 }
--- a/crates/agent/tests/log_form.rs
+++ b/crates/agent/tests/log_form.rs
@@ -1,4 +1,4 @@
-//! The form of the agent's log, as recorded: a file of this form is read, and new files hold the same rows.
+//! Compatibility of the log's file format: a recorded log can be read, and new logs hold the same rows.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,9 +9,9 @@
 use fleet::{Change, GuardCounts, Order, Revision, Snapshot, Subject, Value};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
-/// When the recorded log began, and so the term of its orders.
+/// Creation time of the recorded log in Unix seconds, which is the term of its orders.
 const TERM: u64 = 1_700_000_000;
-/// On each line, parted by tabs: table, key and value of each row of the recorded log.
+/// Rows of the recorded log, one per line: table, key and value, separated by tabs.
 const ROWS: &str = include_str!("data/log-form-1.txt");
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
@@ -19,7 +19,7 @@
 const ORDERS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("orders");
 const MEMBERS: TableDefinition<&str, &str> = TableDefinition::new("members");
 
-fn logged(seq: u64, subject: Subject, change: Change, forced: bool) -> LoggedOrder {
+fn logged_order(seq: u64, subject: Subject, change: Change, forced: bool) -> LoggedOrder {
     let order = Order {
         id: format!("o-{seq}").parse().expect("an id"),
         revision: Revision { term: TERM, seq },
@@ -30,24 +30,24 @@
     LoggedOrder { order, forced, at_ms: TERM * 1_000 + seq, counts }
 }
 
-/// Orders that were settled, and those that came after.
+/// The settled orders of the recorded log, and those after them.
 fn orders() -> (Vec<LoggedOrder>, Vec<LoggedOrder>) {
     let backend = |name: &str| Subject::Backend(name.parse().expect("a name"));
     let settled = vec![
-        logged(1, backend("s-1"), Change::Drain, false),
-        logged(2, Subject::Group(3), Change::Drain, true),
-        logged(3, Subject::Group(3), Change::Undrain, false),
-        logged(4, backend("s-2"), Change::Weight(0.25), false),
+        logged_order(1, backend("s-1"), Change::Drain, false),
+        logged_order(2, Subject::Group(3), Change::Drain, true),
+        logged_order(3, Subject::Group(3), Change::Undrain, false),
+        logged_order(4, backend("s-2"), Change::Weight(0.25), false),
     ];
     let later = vec![
-        logged(5, Subject::Type("m2".parse().expect("a name")), Change::Drain, true),
-        logged(6, Subject::Gateway("n1".parse().expect("a name")), Change::Drain, false),
-        logged(7, backend("s-1"), Change::Undrain, false),
+        logged_order(5, Subject::Type("m2".parse().expect("a name")), Change::Drain, true),
+        logged_order(6, Subject::Gateway("n1".parse().expect("a name")), Change::Drain, false),
+        logged_order(7, backend("s-1"), Change::Undrain, false),
     ];
     (settled, later)
 }
 
-/// The state that the settled orders make.
+/// Snapshot of the state after the settled orders.
 fn snapshot() -> Snapshot {
     let mut desired = fleet::DesiredState::since(Revision { term: TERM, seq: 0 });
     for logged in orders().0 {
@@ -58,17 +58,17 @@
 }
 
 fn write_sample(path: &Path) {
-    let (log, _) = Log::open(path).expect("a new log");
+    let (log, _) = Log::open(path).expect("new log");
     let (settled, later) = orders();
-    log.append(&settled, Some(&snapshot())).expect("room");
-    log.append(&later, None).expect("room");
-    log.add_member("n1", "unix:/run/n1.sock").expect("room");
-    log.add_member("n2", "tcp:127.0.0.1:7001").expect("room");
-    log.add_member("n3", "unix:/run/n3.sock").expect("room");
-    log.remove_member("n3").expect("room");
+    log.append(&settled, Some(&snapshot())).expect("successful write");
+    log.append(&later, None).expect("successful write");
+    log.add_member("n1", "unix:/run/n1.sock").expect("successful write");
+    log.add_member("n2", "tcp:127.0.0.1:7001").expect("successful write");
+    log.add_member("n3", "unix:/run/n3.sock").expect("successful write");
+    log.remove_member("n3").expect("successful write");
 }
 
-/// Every row of a log, as in [`ROWS`], with the names of all tables.
+/// The names of all tables of a log, and its rows in the form of [`ROWS`].
 fn rows(path: &Path) -> (Vec<String>, Vec<String>) {
     let database = Database::open(path).expect("a database");
     let read = database.begin_read().expect("a transaction");
@@ -96,18 +96,18 @@
     (tables, rows)
 }
 
-fn recorded_copy(folder: &Path) -> PathBuf {
-    let path = folder.join("log");
+fn recorded_copy(directory: &Path) -> PathBuf {
+    let path = directory.join("log");
     let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/log-form-1.redb");
     fs::copy(recorded, &path).expect("the recorded log");
     path
 }
 
 #[test]
-fn reads_a_recorded_log() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = recorded_copy(folder.path());
-    let (log, contents) = Log::open(&path).expect("a good log");
+fn recorded_log_is_read() {
+    let directory = tempfile::tempdir().expect("temporary directory");
+    let path = recorded_copy(directory.path());
+    let (log, contents) = Log::open(&path).expect("valid log");
     drop(log);
     let Contents { desired, newest, orders: read, members } = contents;
     let (mut expected, later) = orders();
@@ -127,27 +127,27 @@
         .iter()
         .map(|register| (register.subject.to_string(), (register.revision.seq, register.value)))
         .collect();
-    let wanted = [
+    let expected = [
         ("backend/s-1", (7, Value::Drained(false))),
         ("backend/s-2", (4, Value::Weight(0.25))),
         ("gateway/n1", (6, Value::Drained(true))),
         ("type/m2", (5, Value::Drained(true))),
     ];
-    assert_eq!(held, wanted.into_iter().map(|(subject, value)| (subject.to_string(), value)).collect());
-    // Reading changed no row.
+    assert_eq!(held, expected.into_iter().map(|(subject, value)| (subject.to_string(), value)).collect());
+    // Reading must not change any row.
     assert_eq!(rows(&path).1, ROWS.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn new_logs_hold_the_recorded_rows() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("log");
+fn new_log_holds_the_recorded_rows() {
+    let directory = tempfile::tempdir().expect("temporary directory");
+    let path = directory.path().join("log");
     write_sample(&path);
     let (tables, written) = rows(&path);
     assert_eq!(tables, ["members", "meta", "orders", "settled"]);
     let is_term = |row: &&str| row.starts_with("meta\tterm\t");
     let written: Vec<&str> = written.iter().map(String::as_str).collect();
-    // The term is the time at which a log begins, and so differs; all else does not.
+    // Only the term, which is the log's creation time, differs from the recorded rows.
     let terms: Vec<&&str> = written.iter().filter(|row| is_term(row)).collect();
     let term: u64 = terms[0].rsplit('\t').next().and_then(|text| text.parse().ok()).expect("a number");
     assert!(terms.len() == 1 && term > TERM, "{terms:?}");
@@ -156,48 +156,53 @@
 }
 
 #[test]
-fn appends_to_a_recorded_log() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = recorded_copy(folder.path());
-    let (log, _) = Log::open(&path).expect("a good log");
-    log.append(&[logged(8, Subject::Group(4), Change::Drain, false)], None).expect("room");
-    log.remove_member("n2").expect("room");
+fn orders_are_appended_to_a_recorded_log() {
+    let directory = tempfile::tempdir().expect("temporary directory");
+    let path = recorded_copy(directory.path());
+    let (log, _) = Log::open(&path).expect("valid log");
+    log.append(&[logged_order(8, Subject::Group(4), Change::Drain, false)], None).expect("successful write");
+    log.remove_member("n2").expect("successful write");
     drop(log);
-    let (_, contents) = Log::open(&path).expect("a good log");
+    let (_, contents) = Log::open(&path).expect("valid log");
     assert_eq!(contents.newest, Revision { term: TERM, seq: 8 });
     assert_eq!(contents.orders.len(), 8);
     assert_eq!(contents.members.len(), 1);
 }
 
 #[test]
-fn open_errors_are_as_recorded() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = recorded_copy(folder.path());
+fn open_errors_match_recorded_messages() {
+    let directory = tempfile::tempdir().expect("temporary directory");
+    let path = recorded_copy(directory.path());
     {
         let database = Database::open(&path).expect("a database");
         let write = database.begin_write().expect("a transaction");
-        write.open_table(META).expect("a table").insert("form", 2).expect("room");
-        write.commit().expect("room");
+        write.open_table(META).expect("a table").insert("form", 2).expect("successful write");
+        write.commit().expect("successful write");
     }
-    let said = Log::open(&path).expect_err("another form").to_string();
-    assert_eq!(said, format!("{}: form 2 of the log; this program reads form 1", path.display()));
+    let message = Log::open(&path).expect_err("unsupported format").to_string();
+    assert_eq!(message, format!("{}: form 2 of the log; this program reads form 1", path.display()));
 
-    let path = recorded_copy(folder.path());
-    let (held, _) = Log::open(&path).expect("a good log");
-    let said = Log::open(&path).expect_err("in use").to_string();
-    assert_eq!(said, format!("{}: another agent has it open", path.display()));
-    drop(held);
+    let path = recorded_copy(directory.path());
+    let (open_log, _) = Log::open(&path).expect("valid log");
+    let message = Log::open(&path).expect_err("in use").to_string();
+    assert_eq!(message, format!("{}: another agent has it open", path.display()));
+    drop(open_log);
 
     {
         let database = Database::open(&path).expect("a database");
         let write = database.begin_write().expect("a transaction");
-        let moved = serde_json::to_vec(&logged(9, Subject::Group(4), Change::Drain, false)).expect("JSON");
-        write.open_table(ORDERS).expect("a table").insert((TERM, 8), moved.as_slice()).expect("room");
-        write.commit().expect("room");
+        let misplaced =
+            serde_json::to_vec(&logged_order(9, Subject::Group(4), Change::Drain, false)).expect("JSON");
+        write
+            .open_table(ORDERS)
+            .expect("a table")
+            .insert((TERM, 8), misplaced.as_slice())
+            .expect("successful write");
+        write.commit().expect("successful write");
     }
-    let said = Log::open(&path).expect_err("damaged").to_string();
+    let message = Log::open(&path).expect_err("damaged").to_string();
     assert_eq!(
-        said,
+        message,
         format!(
             "{}: the log is damaged: order {TERM}.8 stands in another's place; put a copy in its place, or \
              move it away and order anew: gateways keep what they hold until then",
--- a/crates/agent/tests/settling.rs
+++ b/crates/agent/tests/settling.rs
@@ -1,4 +1,4 @@
-//! When an agent settles its orders, as recorded: with the 256th since its start or the last time.
+//! The agent settles its orders with every 256th since its start or since it last did so.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,46 +11,48 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 #[tokio::test]
 async fn settles_orders_with_every_256th() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let at = folder.path().display();
-    let text = format!("[agent]\nlisten = \"unix:{at}/agent.sock\"\nlog = \"{at}/log\"");
+    let directory = tempfile::tempdir().expect("temporary directory");
+    let base = directory.path().display();
+    let text = format!("[agent]\nlisten = \"unix:{base}/agent.sock\"\nlog = \"{base}/log\"");
     let config =
-        OperatorConfig::parse(Path::new("operator.toml"), &text).expect("good").agent.expect("an agent");
+        OperatorConfig::parse(Path::new("operator.toml"), &text).expect("valid").agent.expect("an agent");
     let log = config.log.clone();
-    for (orders, settled) in [(255_u64, 0), (256, 511), (257, 767)] {
-        let (end, ended) = oneshot::channel::<()>();
+    for (orders, expected_floor) in [(255_u64, 0), (256, 511), (257, 767)] {
+        let (shutdown, receiver) = oneshot::channel::<()>();
         let (ready, is_ready) = oneshot::channel();
         let config = config.clone();
         let agent = tokio::spawn(async move {
-            let ready = move |_| ready.send(()).expect("somebody waits");
-            run(&config, &[], None, None, ready, async { drop(ended.await) }).await.expect("it runs");
+            let ready = move |_| ready.send(()).expect("receiver exists");
+            run(&config, &[], None, None, ready, async { drop(receiver.await) }).await.expect("it runs");
         });
-        timeout(PATIENCE, is_ready).await.expect("in time").expect("it runs");
-        let stream = UnixStream::connect(folder.path().join("agent.sock")).await.expect("it listens");
+        timeout(TIMEOUT, is_ready).await.expect("before the timeout").expect("agent is ready");
+        let stream =
+            UnixStream::connect(directory.path().join("agent.sock")).await.expect("agent is listening");
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
-        let held = Log::open(&log).expect_err("in use").to_string();
-        assert!(held.ends_with("another agent has it open"), "{held}");
+        let error = Log::open(&log).expect_err("in use").to_string();
+        assert!(error.ends_with("another agent has it open"), "{error}");
         for n in 1..=orders {
-            // Each drains a backend anew, so that nothing but settling lets go of a register.
+            // Each order is on another backend, so that only settling removes registers.
             let id = format!("o-{orders}-{n}");
             let order = json!({"n": n, "op": "order", "id": id, "subject": {"backend": format!("s-{n}")},
                 "change": if n % 2 == 0 { "drain" } else { "undrain" }, "forced": true, "deadline_ms": 1000});
-            write.write_all(format!("{order}\n").as_bytes()).await.expect("it reads");
+            write.write_all(format!("{order}\n").as_bytes()).await.expect("writable connection");
             for _ in 0..2 {
-                let line = timeout(PATIENCE, lines.next_line()).await.expect("in time").expect("a line");
-                let said: Value = serde_json::from_str(&line.expect("a line")).expect("JSON");
-                assert!(said.get("fault").is_none(), "{said}");
+                let line =
+                    timeout(TIMEOUT, lines.next_line()).await.expect("before the timeout").expect("a line");
+                let response: Value = serde_json::from_str(&line.expect("a line")).expect("JSON");
+                assert!(response.get("fault").is_none(), "{response}");
             }
         }
-        end.send(()).expect("it runs");
-        timeout(PATIENCE, agent).await.expect("in time").expect("it ended well");
-        let (_, contents) = Log::open(&log).expect("a good log");
+        shutdown.send(()).expect("agent is running");
+        timeout(TIMEOUT, agent).await.expect("before the timeout").expect("agent task did not panic");
+        let (_, contents) = Log::open(&log).expect("valid log");
         let floor = contents.desired.snapshot().floor;
-        assert_eq!(floor.seq, settled, "after {orders} more orders");
+        assert_eq!(floor.seq, expected_floor, "after {orders} more orders");
     }
 }
--- a/crates/agent/tests/start_errors.rs
+++ b/crates/agent/tests/start_errors.rs
@@ -1,28 +1,28 @@
-//! Errors of agents that can't start, as recorded.
+//! Exact error messages of agents that can't start.
 
 use std::path::Path;
 
 use agent::run;
 use operator_config::OperatorConfig;
 
-/// What is said of an agent that can't start with this file; `{at}` stands for the folder.
-async fn refusal(at: &str, text: &str) -> String {
+/// The error of an agent that can't start with this configuration. `{at}` stands for the directory in both.
+async fn start_error(at: &str, text: &str) -> String {
     let text = text.replace("{at}", at);
-    let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("a good file");
-    let agent = file.agent.expect("an agent");
-    let ready = |_| panic!("it started");
+    let file = OperatorConfig::parse(Path::new("operator.toml"), &text).expect("valid configuration");
+    let agent = file.agent.expect("[agent] section");
+    let ready = |_| panic!("agent started");
     let never = std::future::pending();
-    let ended = run(&agent, &file.gateways, file.sources.as_ref(), file.start.as_ref(), ready, never).await;
-    ended.expect_err("it can't start").to_string().replace(at, "{at}")
+    let result = run(&agent, &file.gateways, file.sources.as_ref(), file.start.as_ref(), ready, never).await;
+    result.expect_err("start error").to_string().replace(at, "{at}")
 }
 
 #[tokio::test]
-async fn start_errors_are_as_recorded() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let at = folder.path().display().to_string();
-    std::fs::write(folder.path().join("file"), "no socket, and no log").expect("room");
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let port = taken.local_addr().expect("an address").port();
+async fn start_errors_match_recorded_messages() {
+    let directory = tempfile::tempdir().expect("temporary directory");
+    let at = directory.path().display().to_string();
+    std::fs::write(directory.path().join("file"), "neither a socket nor a log").expect("successful write");
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let port = occupied.local_addr().expect("an address").port();
     let agent = "[agent]\nlisten = \"unix:{at}/agent.sock\"\nlog = \"{at}/log\"\n";
     let sources = |listen: &str, service: &str| {
         format!(
@@ -60,7 +60,7 @@
             "sources: _a._tcp.b\u{e9}: Malformed label: b\u{e9}".to_string(),
         ),
     ];
-    for (text, said) in cases {
-        assert_eq!(refusal(&at, &text).await, said);
+    for (text, message) in cases {
+        assert_eq!(start_error(&at, &text).await, message);
     }
 }
