--- a/crates/agent/src/control_loop/requests.rs
+++ b/crates/agent/src/control_loop/requests.rs
@@ -42,8 +42,8 @@
             }
             ToolRequest::Inflight { subject, deadline_ms } => {
                 let queried = self.gateways.query(&GatewayRequest::Inflight { subject });
-                let limit = Duration::from_millis(deadline_ms).min(MAX_QUERY_DEADLINE);
-                tokio::spawn(respond_in_flight(queried, limit, responder));
+                let timeout = Duration::from_millis(deadline_ms).min(MAX_QUERY_DEADLINE);
+                tokio::spawn(respond_in_flight(queried, timeout, responder));
             }
             ToolRequest::Sources { records } => self.respond_endpoint_list(records, responder),
             ToolRequest::Start { name, incarnation, gateways, held_version } => {
@@ -73,8 +73,8 @@
         responder.respond(ToolResponse::Status(status));
         if backends {
             let queried = self.gateways.query(&GatewayRequest::State { backends: true });
-            let limit = self.gateways.response_timeout() * BACKENDS_TIMEOUT_FACTOR;
-            tokio::spawn(respond_backends(queried, limit, responder));
+            let timeout = self.gateways.response_timeout() * BACKENDS_TIMEOUT_FACTOR;
+            tokio::spawn(respond_backends(queried, timeout, responder));
         }
     }
 
--- a/crates/agent/src/gateway_queries.rs
+++ b/crates/agent/src/gateway_queries.rs
@@ -63,8 +63,8 @@
 }
 
 /// Responds with the number of attempts or requests in flight at each gateway.
-pub async fn respond_in_flight(queried: Vec<QueriedGateway>, limit: Duration, responder: Responder) {
-    let deadline = Instant::now() + limit;
+pub async fn respond_in_flight(queried: Vec<QueriedGateway>, timeout: Duration, responder: Responder) {
+    let deadline = Instant::now() + timeout;
     let mut reports = Vec::with_capacity(queried.len());
     for QueriedGateway { name, response } in queried {
         let outcome = match in_flight(response, deadline).await {
@@ -79,8 +79,8 @@
 }
 
 /// Sends one response with the state of each gateway, then a summary.
-pub async fn respond_backends(queried: Vec<QueriedGateway>, limit: Duration, responder: Responder) {
-    let deadline = Instant::now() + limit;
+pub async fn respond_backends(queried: Vec<QueriedGateway>, timeout: Duration, responder: Responder) {
+    let deadline = Instant::now() + timeout;
     let mut summary = OrderSummary::default();
     for QueriedGateway { name, response } in queried {
         let state = state(response, deadline).await.map_err(|error| error.to_string());
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,7 +1,7 @@
 //! The agent: stores the operators' orders in a durable log, and has every gateway apply them.
 //!
 //! ```text
-//!  tools ── tool_listener ─ IncomingRequest ─▶ control_loop ─ append ─▶ log (redb, synced before the rest)
+//!  tools ── tool_listener ─ IncomingRequest ─▶ control_loop ─ append ─▶ log (redb, synced first)
 //!                 ◀─── ToolResponse ───         │  order_ledger: repeated, rejected or accepted
 //!                                               │  gateways, backend_catalog, pending_orders
 //!                                               ▼ watch: PublishedState
--- a/crates/agent/src/pending_orders.rs
+++ b/crates/agent/src/pending_orders.rs
@@ -145,7 +145,7 @@
         self.remove_finished();
     }
 
-    /// Records a gateway that was removed as unreachable.
+    /// Reports a removed gateway as unreachable for all orders that wait for it.
     pub fn gateway_removed(&mut self, gateway: &str) {
         for order in &mut self.orders {
             let reason = "no longer overseen".to_string();
--- a/crates/agent/tests/conversation/orders.rs
+++ b/crates/agent/tests/conversation/orders.rs
@@ -185,7 +185,7 @@
         assert_eq!(self.tool.receive().await, json!({"n": 7, "inflight": counted}));
     }
 
-    /// The gateway closes the connection, and reconnects as a new process.
+    /// The gateway closes the connection, and responds to the next one as a new process.
     async fn restart_gateway(&mut self) {
         self.gateway.shut_down().await;
         self.tool
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -14,20 +14,20 @@
 /// Why a text is not a valid name or id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidName {
-    what: &'static str,
+    label: &'static str,
     problem: String,
 }
 
 impl fmt::Display for InvalidName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.what, self.problem)
+        write!(f, "{} {}", self.label, self.problem)
     }
 }
 
 impl std::error::Error for InvalidName {}
 
 fn check(
-    what: &'static str,
+    label: &'static str,
     text: &str,
     max_bytes: usize,
     is_allowed: fn(char) -> bool,
@@ -39,12 +39,12 @@
         Some(invalid) => format!("holds {invalid:?}, which no name holds"),
         None => return Ok(()),
     };
-    Err(InvalidName { what, problem })
+    Err(InvalidName { label, problem })
 }
 
 /// Defines a string type with a maximum length and a restricted set of characters.
 macro_rules! bounded_text {
-    ($(#[$doc:meta])* $name:ident, $what:literal, $max_bytes:ident, $is_allowed:expr) => {
+    ($(#[$doc:meta])* $name:ident, $label:literal, $max_bytes:ident, $is_allowed:expr) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(try_from = "String", into = "String")]
@@ -62,7 +62,7 @@
             type Err = InvalidName;
 
             fn from_str(text: &str) -> Result<Self, InvalidName> {
-                check($what, text, $max_bytes, $is_allowed).map(|()| $name(text.into()))
+                check($label, text, $max_bytes, $is_allowed).map(|()| $name(text.into()))
             }
         }
 
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -201,7 +201,7 @@
     gateway.observe(20.0, reachable(newest));
     assert_eq!(gateway.health(30.0, newest, 2_000.0), Health::Ok);
     assert!(matches!(gateway.health(2_021.0, newest, 2_000.0), Health::Unreachable { .. }));
-    gateway.observe(40.0, Observation::Unreachable("connection rejected".to_string()));
+    gateway.observe(40.0, Observation::Unreachable("connection refused".to_string()));
     gateway.observe(90.0, Observation::Unreachable("no answer".to_string()));
     assert_eq!(gateway.unreachable_since_ms(), Some(40.0));
     let health = gateway.health(91.0, newest, 2_000.0);
