--- a/crates/agent/src/control_loop/requests.rs
+++ b/crates/agent/src/control_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of tools that are no orders.
+//! Requests other than orders.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use crate::responder::Responder;
 use crate::start_coordinator::StartRequest;
 
-/// Orders that are listed at most.
+/// Maximum number of orders in one response.
 const MAX_LISTED_ORDERS: usize = 1_000;
-/// The longest time for which gateways may be asked what is in flight.
+/// Maximum deadline of an in-flight query.
 const MAX_QUERY_DEADLINE: Duration = Duration::from_secs(60);
-/// Response timeouts in which all gateways have to tell their backends.
+/// Timeout for polling the backends of all gateways, as a multiple of the response timeout.
 const BACKENDS_TIMEOUT_FACTOR: u32 = 2;
 
-/// The error for a gateway that asks an agent for a turn that gives none.
-const NO_TURNS: &str = "the operator's file of the agent has no ordered_by_agent in [start]";
-/// The error for a request about an endpoint list that there is none of.
+/// Error for a starting gateway if the agent does not coordinate starts.
+const START_NOT_COORDINATED: &str = "the operator's file of the agent has no ordered_by_agent in [start]";
+/// Error for a request about the endpoint list if the agent serves none.
 const NO_SOURCES: &str = "the operator's file of the agent has no [sources]";
 
 impl ControlLoop {
-    /// Handles a request that is no order.
+    /// Handles a request other than an order.
     ///
     /// # Errors
     /// A [`LogError`] if the log can't be written.
@@ -42,8 +42,8 @@
             }
             ToolRequest::Inflight { subject, deadline_ms } => {
                 let queried = self.gateways.query(&GatewayRequest::Inflight { subject });
-                let limit = Duration::from_millis(deadline_ms).min(MAX_QUERY_DEADLINE);
-                tokio::spawn(respond_in_flight(queried, limit, responder));
+                let timeout = Duration::from_millis(deadline_ms).min(MAX_QUERY_DEADLINE);
+                tokio::spawn(respond_in_flight(queried, timeout, responder));
             }
             ToolRequest::Sources { records } => self.respond_endpoint_list(records, responder),
             ToolRequest::Start { name, incarnation, gateways, held_version } => {
@@ -73,12 +73,12 @@
         responder.respond(ToolResponse::Status(status));
         if backends {
             let queried = self.gateways.query(&GatewayRequest::State { backends: true });
-            let limit = self.gateways.response_timeout() * BACKENDS_TIMEOUT_FACTOR;
-            tokio::spawn(respond_backends(queried, limit, responder));
+            let timeout = self.gateways.response_timeout() * BACKENDS_TIMEOUT_FACTOR;
+            tokio::spawn(respond_backends(queried, timeout, responder));
         }
     }
 
-    /// Responds with the status of the endpoint list, once whoever follows it has told it.
+    /// Responds with the status of the endpoint list once the task that updates it has reported it.
     fn respond_endpoint_list(&self, records: bool, responder: Responder) {
         let Some(endpoint_list) = &self.endpoint_list else {
             return responder.fail(ErrorCode::BadRequest, NO_SOURCES);
@@ -101,7 +101,7 @@
                 let instructions = coordinator.instruct(now_ms, request);
                 responder.respond(ToolResponse::Starting(instructions));
             }
-            None => responder.fail(ErrorCode::BadRequest, NO_TURNS),
+            None => responder.fail(ErrorCode::BadRequest, START_NOT_COORDINATED),
         }
     }
 
--- a/crates/gateway/src/event_loop/control_plane.rs
+++ b/crates/gateway/src/event_loop/control_plane.rs
@@ -153,7 +153,7 @@
             self.apply_endpoints(gateway_policy::interface::UpdateScope::Delta, changed);
         }
         let control_plane = &self.control_plane;
-        let drained = control_plane.desired.gateway_drained(&control_plane.name).is_some()
+        let drained = control_plane.desired.gateway_drained_by(&control_plane.name).is_some()
             || control_plane.maintenance.drained_ms().is_some();
         self.control_plane.drained.send_if_modified(|was| std::mem::replace(was, drained) != drained);
     }
@@ -200,7 +200,7 @@
             incarnation: control_plane.incarnation,
             applied_revision: control_plane.desired.revision(),
             last_order: control_plane.last_order.clone(),
-            drained_by: control_plane.desired.gateway_drained(&control_plane.name).cloned(),
+            drained_by: control_plane.desired.gateway_drained_by(&control_plane.name).cloned(),
             drained_ms: control_plane.maintenance.drained_ms(),
             list_version: self.table.changes(),
             statistics: self.statistics(&views),
