--- a/crates/cold-start/src/connection_ramp.rs
+++ b/crates/cold-start/src/connection_ramp.rs
@@ -188,7 +188,7 @@
 
     /// How many backends may be selected.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open_count
     }
 
@@ -263,7 +263,7 @@
     /// When to look again, Unix time in ms: at the next slot, or when more backends are wanted. None if only
     /// an update of the list changes anything.
     #[must_use]
-    pub fn next(&self, now_ms: f64) -> Option<f64> {
+    pub fn next_wakeup_ms(&self, now_ms: f64) -> Option<f64> {
         let next_slot_ms = self.queue.first().map(|queued| queued.at_us as f64 / 1_000.0);
         if self.deferred_by_rank.is_empty() {
             return next_slot_ms;
@@ -345,7 +345,7 @@
     /// How long a gateway with backends on its list waits for the first that is open before it is ready: two
     /// rounds and a response. Before, it would reject every client.
     #[must_use]
-    pub fn first_timeout(&self) -> Duration {
+    pub fn readiness_timeout(&self) -> Duration {
         Duration::from_secs_f64(2.0 * self.round_ms / 1_000.0) + FIRST_RESPONSE_TIMEOUT
     }
 }
--- a/crates/cold-start/src/poll_schedule.rs
+++ b/crates/cold-start/src/poll_schedule.rs
@@ -134,7 +134,7 @@
     /// How long a gateway without a list waits for one before it is ready: two rounds and a response, as one
     /// poll may fail, and 20 s at most. Without a list it would reject every client.
     #[must_use]
-    pub fn first_timeout(&self) -> Duration {
+    pub fn readiness_timeout(&self) -> Duration {
         (self.slots.round() * 2 + FIRST_RESPONSE_TIMEOUT).min(MAX_FIRST_TIMEOUT)
     }
 
@@ -142,7 +142,7 @@
     ///
     /// The first one, and the one after a failure, is to be answered at once, as a watch would not tell until
     /// its end whether the cached list is still the present one.
-    pub fn next(&mut self, now_ms: f64) -> Poll {
+    pub fn next_poll(&mut self, now_ms: f64) -> Poll {
         let slot = self.slot_for_next_poll(now_ms);
         self.last_round = Some(slot.round);
         let wait = if self.watching { self.plan_watch(slot.start_ms) } else { Duration::ZERO };
--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -52,7 +52,7 @@
         loop {
             self.ramp.choose(now, 0);
             self.released.extend(self.ramp.release(now));
-            let Some(next) = self.ramp.next(now).map(|at| at.max(now) + late) else { return };
+            let Some(next) = self.ramp.next_wakeup_ms(now).map(|at| at.max(now) + late) else { return };
             if next >= until {
                 return;
             }
@@ -110,7 +110,7 @@
             let mut gateway = Gateway::new(place, n, backends, now).confirmed(now);
             gateway.run(now, now + 2.0 * round + 200.0, late, |_, _| true);
             prop_assert_eq!(gateway.ramp.stage(), RampStage::Warm);
-            prop_assert_eq!(gateway.ramp.open(), backends as usize);
+            prop_assert_eq!(gateway.ramp.open_count(), backends as usize);
             // It tried its subset in slots, at least four backends.
             let degree = home(place, n).degree(backends as usize);
             let of_home = |id: &u32| home(place, n).threshold(key(*id)) < degree;
@@ -130,11 +130,11 @@
     for gateway in &mut fleet {
         gateway.run(BEGIN_MS, BEGIN_MS + 0.99 * round_ms(n), 0.0, half);
         // Others follow those that failed, each in a slot of its own.
-        assert!((1..=4).contains(&gateway.ramp.open()), "{}", gateway.ramp.open());
+        assert!((1..=4).contains(&gateway.ramp.open_count()), "{}", gateway.ramp.open_count());
         assert_eq!((gateway.ramp.stage(), gateway.released.len()), (RampStage::Known, 0));
     }
     slots_hold(&fleet, backends, 0.0);
-    let open: usize = fleet.iter().map(|g| g.ramp.open()).sum();
+    let open: usize = fleet.iter().map(|g| g.ramp.open_count()).sum();
     assert!(open >= 300 * 3, "{open} open at 300 gateways");
     let at_dead = fleet.iter().flat_map(|g| &g.tried).filter(|(_, id)| id % 2 == 1).count();
     // All of them would be 300 at each of 20; four that answer are found by about four that do not.
@@ -143,7 +143,7 @@
     let gateway = &mut fleet[7];
     let from = BEGIN_MS + round_ms(n);
     gateway.run(from, from + 8.0 * round_ms(n), 0.0, |_, _| true);
-    assert_eq!(gateway.ramp.open(), backends as usize);
+    assert_eq!(gateway.ramp.open_count(), backends as usize);
     assert_eq!(gateway.ramp.stage(), RampStage::Known);
 }
 
@@ -156,7 +156,7 @@
         let mut tried = 0;
         let mut ramp = gateway.ramp.clone();
         let mut now = BEGIN_MS;
-        while let Some(at) = ramp.next(now).filter(|at| *at < BEGIN_MS + 0.99 * round_ms(n)) {
+        while let Some(at) = ramp.next_wakeup_ms(now).filter(|at| *at < BEGIN_MS + 0.99 * round_ms(n)) {
             now = at;
             while ramp.due(now).is_some() {
                 tried += 1;
@@ -216,7 +216,7 @@
     let back = BEGIN_MS + 120_000.0;
     for gateway in &mut fleet {
         gateway.run(BEGIN_MS, back + 30_000.0, 0.0, |_, now| now >= back);
-        assert_eq!(gateway.ramp.open(), 1);
+        assert_eq!(gateway.ramp.open_count(), 1);
         let last = gateway.tried.last().map_or(0.0, |(at, _)| *at);
         assert!(last < back + 20_000.0 + 2.0 * round_ms(n), "found {} ms late", last - back);
     }
@@ -236,7 +236,7 @@
     // Its moment, and its id.
     let due = |ramp: &mut ConnectionRamp, from: f64| {
         ramp.choose(from, 0);
-        let at = ramp.next(from).expect("it waits");
+        let at = ramp.next_wakeup_ms(from).expect("it waits");
         assert_eq!(ramp.due(at - 0.5), None, "before its turn");
         (at, ramp.due(at))
     };
@@ -251,7 +251,7 @@
     assert_eq!(id, Some(5));
     assert!(!ramp.add(5, 77, 20.0), "another life");
     assert!(!ramp.first_connection_ended(at + 1.0, 5, 10.0, true), "an answer of the life before");
-    assert_eq!((ramp.open(), ramp.waiting_count()), (0, 1));
+    assert_eq!((ramp.open_count(), ramp.waiting_count()), (0, 1));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
     assert!(ramp.first_connection_ended(at, 5, 20.0, true));
@@ -264,7 +264,7 @@
     assert!(ramp.first_connection_ended(at, 5, 30.0, true));
     // Drained and undrained.
     ramp.remove(5);
-    assert_eq!((ramp.stage(), ramp.next(at)), (RampStage::Empty, None));
+    assert_eq!((ramp.stage(), ramp.next_wakeup_ms(at)), (RampStage::Empty, None));
     assert!(!ramp.add(5, 77, 30.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
@@ -285,7 +285,7 @@
     for gateway in &mut fleet {
         gateway.ramp.choose(BEGIN_MS, 0);
         gateway.run(on, on + 2.1 * round_ms(n), 0.0, |_, _| true);
-        assert_eq!(gateway.ramp.open(), 4);
+        assert_eq!(gateway.ramp.open_count(), 4);
     }
     slots_hold(&fleet, 4, 100.0);
 }
--- a/crates/cold-start/tests/service.rs
+++ b/crates/cold-start/tests/service.rs
@@ -78,7 +78,7 @@
     let begin = BEGIN_MS + shift_ms;
     let mut out: Vec<Option<Poll>> = vec![None; gateways as usize];
     for (g, calls) in (0..gateways).zip(&mut fleet) {
-        let call = calls.next(begin);
+        let call = calls.next_poll(begin);
         out[g as usize] = Some(call);
         heap.push(Reverse((us(call.at_ms), 0, g)));
     }
@@ -98,7 +98,7 @@
             if matches!(came, PollOutcome::Updated | PollOutcome::Unchanged) {
                 played.confirmed[g as usize].get_or_insert(now - begin);
             }
-            let call = fleet[g as usize].next(now);
+            let call = fleet[g as usize].next_poll(now);
             out[g as usize] = Some(call);
             heap.push(Reverse((us(call.at_ms.max(now)), 0, g)));
             continue;
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -53,11 +53,11 @@
             let mut from = BEGIN_MS;
             // Running gateways got the list in the round before, as after a start of all.
             if !anew(place) {
-                let before = calls.next(BEGIN_MS - round_ms_of(gateways));
+                let before = calls.next_poll(BEGIN_MS - round_ms_of(gateways));
                 calls.poll_ended(before.at_ms + 20.0, PollOutcome::Unchanged);
                 from = before.at_ms + 21.0;
             }
-            let call = calls.next(from);
+            let call = calls.next_poll(from);
             let asks_ms = (with_agent && anew(place)).then_some(BEGIN_MS);
             let (name, answered_ms, turn, told_ms) = (format!("n{place}"), None, None, None);
             Gateway { name, calls, call, answered_ms, asks_ms, turn, told_ms, first: anew(place) }
@@ -91,7 +91,7 @@
                         batches.call_ended(now, &g.name, 1, PollOutcome::Rejected(None), 0.0, false);
                         g.first = true;
                     }
-                    g.call = g.calls.next(now);
+                    g.call = g.calls.next_poll(now);
                 } else {
                     free_ms = free_ms.max(now) + 1_000.0 / bears;
                     g.answered_ms = Some(free_ms + g.call.wait.as_secs_f64() * 1_000.0);
@@ -105,7 +105,7 @@
                     (g.asks_ms, g.turn) = (None, None);
                     batches.call_ended(now, &g.name, 1, PollOutcome::Unchanged, now - g.call.at_ms, false);
                 }
-                g.call = g.calls.next(now);
+                g.call = g.calls.next_poll(now);
             }
         }
         now += STEP_MS;
--- a/crates/cold-start/tests/traces.rs
+++ b/crates/cold-start/tests/traces.rs
@@ -67,11 +67,11 @@
         let first = calls.start_now(BEGIN_MS - 9_000.0).expect("none was made before");
         let Poll { at_ms, wait, timeout_at_ms } = first;
         let first = format!("Some(Call {{ at_ms: {at_ms:?}, wait: {wait:?}, until_ms: {timeout_at_ms:?} }})");
-        note!(all, "{place} {gateways}: {:?} {first}", calls.first_timeout());
+        note!(all, "{place} {gateways}: {:?} {first}", calls.readiness_timeout());
         let mut now = BEGIN_MS;
         for i in 0..48 {
             let came = results[(i + shift) % results.len()];
-            let call = calls.next(now);
+            let call = calls.next_poll(now);
             let Poll { at_ms, wait, timeout_at_ms } = call;
             let missed = calls.missed(call, at_ms + 100.0);
             now = match came {
@@ -159,7 +159,7 @@
         let subset = Subset::new(place, gateways, 5, 3);
         let mut ramp = ConnectionRamp::new(place, gateways, subset, 50.0, BEGIN_MS);
         (0..25).for_each(|id| assert!(!ramp.add(id, key(id), 0.0)));
-        note!(all, "{place} {gateways}: {:?} {:?}", ramp.round(), ramp.first_timeout());
+        note!(all, "{place} {gateways}: {:?} {:?}", ramp.round(), ramp.readiness_timeout());
         let mut now = BEGIN_MS;
         for step in 0..120 {
             ramp.choose(now, step % 6);
@@ -187,8 +187,8 @@
                 RampStage::Confirmed => 2,
                 RampStage::Warm => 3,
             };
-            let state = (stage, ramp.open(), ramp.waiting_count(), ramp.confirmed());
-            let Some(next) = ramp.next(now) else {
+            let state = (stage, ramp.open_count(), ramp.waiting_count(), ramp.confirmed());
+            let Some(next) = ramp.next_wakeup_ms(now) else {
                 note!(all, "{now:?} {state:?} none");
                 now += 50.0;
                 continue;
--- a/crates/gateway/src/discovery/slots.rs
+++ b/crates/gateway/src/discovery/slots.rs
@@ -37,7 +37,7 @@
     let mut poller = Poller { address, state: ListState::new(known_version), connection: None };
     let mut slot_request = start.map(|start| SlotRequest::start(start, known_version));
     loop {
-        let (mut call, mut fetch) = (calls.next(clock.now_ms()), false);
+        let (mut call, mut fetch) = (calls.next_poll(clock.now_ms()), false);
         loop {
             let message = tokio::select! {
                 () = sleep_until(clock.instant(call.at_ms)) => break,
--- a/crates/gateway/src/event_loop/ramp.rs
+++ b/crates/gateway/src/event_loop/ramp.rs
@@ -84,7 +84,7 @@
             self.handle_event(Event::EndpointsUpdated { scope: UpdateScope::Delta, endpoints: &entries });
         }
         let Some(ramp) = &mut self.ramp else { return };
-        let (stage, open) = (ramp.schedule.stage(), ramp.schedule.open());
+        let (stage, open) = (ramp.schedule.stage(), ramp.schedule.open_count());
         if std::mem::replace(&mut ramp.stage, stage) != stage {
             tracing::info!("start: {stage}; {open} backends open, {} wait", ramp.schedule.waiting_count());
         }
@@ -100,7 +100,7 @@
         let Some(ramp) = &mut self.ramp else { return };
         let now = self.clock.now_ms();
         ramp.schedule.choose(now, self.attempts.len());
-        let next = ramp.schedule.next(now);
+        let next = ramp.schedule.next_wakeup_ms(now);
         if next == ramp.timer.as_ref().map(|(_, at_ms)| *at_ms) {
             return;
         }
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -307,6 +307,6 @@
     match (known, slots) {
         (Some(_), _) => FIRST_UPDATE_TIMEOUT,
         (None, None) => FIRST_LIST_TIMEOUT,
-        (None, Some(slots)) => PollSchedule::new(slots).first_timeout(),
+        (None, Some(slots)) => PollSchedule::new(slots).readiness_timeout(),
     }
 }
--- a/crates/gateway/src/server/fleet_start.rs
+++ b/crates/gateway/src/server/fleet_start.rs
@@ -41,7 +41,7 @@
 
 /// Prepares a connection ramp for the event loop. Also returns the first backend for which the start waits.
 pub(super) fn with_first_backend(ramp: ConnectionRamp) -> (StartRamp, FirstBackend) {
-    let timeout = ramp.first_timeout();
+    let timeout = ramp.readiness_timeout();
     let (ramp, reached) = StartRamp::new(ramp);
     (ramp, FirstBackend { reached, timeout })
 }
