--- a/crates/cold-start/src/adaptive_share.rs
+++ b/crates/cold-start/src/adaptive_share.rs
@@ -1,28 +1,28 @@
-//! The part of its rounds that a gateway uses, by what the service does.
+//! The fraction of its rounds that a gateway uses, adapted to the responses of the service.
 
-/// The least share: a fleet goes on asking, however long a service was away. A service with less than this
-/// part of its stated capacity is called more than it can take.
+/// Minimum share. It keeps a fleet calling, however long an outage of the service lasts. A service that has
+/// less than this fraction of its stated capacity gets more calls than it can handle.
 pub const MIN_SHARE: f64 = 1.0 / 16.0;
-/// What a response adds, as a part of the whole.
+/// Added to the share by each response.
 const ADDITIVE_INCREASE: f64 = 1.0 / 128.0;
-/// Factor of the share after a response that came at once: the service has capacity left.
+/// Factor of the share after a fast response, which shows that the service has spare capacity.
 const FAST_INCREASE_FACTOR: f64 = 2.0;
-/// Factor of the share after a call that was too much.
+/// Factor of the share after a rejection, a timeout or a response that was queued for too long.
 const DECREASE_FACTOR: f64 = 0.5;
-/// A response that was queued for less than this, ms, came at once.
+/// A response that was queued for less than this, ms, is fast.
 const FAST_RESPONSE_MS: f64 = 100.0;
 /// A response that was queued for longer than this, ms, counts as a rejection.
 const QUEUED_RESPONSE_MS: f64 = 1_000.0;
 
-/// The part of its rounds that a gateway uses, from [`MIN_SHARE`] to 1.
+/// Fraction of its rounds that a gateway uses, from [`MIN_SHARE`] to 1.
 ///
-/// Additive increase and multiplicative decrease settle at the service's capacity, evenly among gateways that
-/// do not know of each other (Chiu and Jain, 1989). Where a response time tells more, the share follows
-/// sooner.
+/// Additive increase and multiplicative decrease converge on the service's capacity and on equal shares,
+/// without communication between the gateways (Chiu and Jain, 1989). Where a response time is known, it
+/// changes the share faster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdaptiveShare {
     fraction: f64,
-    /// The least response time, ms: what the network takes.
+    /// Minimum response time so far, ms: an estimate of the network's latency.
     min_response_ms: Option<f64>,
     consecutive_rejections: u32,
 }
@@ -34,28 +34,31 @@
 }
 
 impl AdaptiveShare {
-    /// A share that begins with a fraction of [`MIN_SHARE`] to 1.
+    /// Returns a share that starts at `fraction`, limited to the range from [`MIN_SHARE`] to 1.
     #[must_use]
     pub fn starting_at(fraction: f64) -> AdaptiveShare {
         AdaptiveShare { fraction: fraction.clamp(MIN_SHARE, 1.0), ..AdaptiveShare::default() }
     }
 
-    /// The share now.
+    /// Returns the current share.
     #[must_use]
     pub fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// Records a response, and the response time, ms, of a call that was to be answered at once.
+    /// Records a response. `response_ms` is the response time, ms, of a call that was to be answered
+    /// immediately, and `None` for other calls.
     pub fn record_response(&mut self, response_ms: Option<f64>) {
         self.consecutive_rejections = 0;
         let Some(response_ms) = response_ms else {
             self.fraction = (self.fraction + ADDITIVE_INCREASE).min(1.0);
             return;
         };
-        // The first response tells nothing of the network yet.
-        let network_ms = self.min_response_ms.map_or(0.0, |least| least.min(response_ms));
-        self.min_response_ms = Some(self.min_response_ms.map_or(response_ms, |least| least.min(response_ms)));
+        // The first response alone does not separate network latency from queueing, so all of its time counts
+        // as queueing.
+        let network_ms = self.min_response_ms.map_or(0.0, |min_ms| min_ms.min(response_ms));
+        self.min_response_ms =
+            Some(self.min_response_ms.map_or(response_ms, |min_ms| min_ms.min(response_ms)));
         let queued_ms = response_ms - network_ms;
         if queued_ms < FAST_RESPONSE_MS {
             self.fraction = (self.fraction * FAST_INCREASE_FACTOR + ADDITIVE_INCREASE).min(1.0);
@@ -66,8 +69,8 @@
 
     /// Records a call that was rejected or timed out.
     ///
-    /// The first in a row changes nothing for a gateway that has no list confirmed yet: a service that was
-    /// away for less than a round rejects every gateway once.
+    /// The first of consecutive rejections does not change the share of a gateway whose list is not
+    /// confirmed: an outage of less than a round rejects every gateway once.
     pub fn record_rejection(&mut self, list_confirmed: bool) {
         self.consecutive_rejections = self.consecutive_rejections.saturating_add(1);
         if list_confirmed || self.consecutive_rejections > 1 {
--- a/crates/cold-start/src/connection_ramp.rs
+++ b/crates/cold-start/src/connection_ramp.rs
@@ -1,4 +1,4 @@
-//! When a gateway opens its first connection to each backend, and when the backend may be selected.
+//! Schedules a gateway's first connection to each backend, and decides when the backend may be selected.
 
 mod backend;
 mod stage;
@@ -13,38 +13,39 @@
 use backend::{Backend, ConnectionState, QueuedBackend, RankedBackend, SlottedBackend};
 pub use stage::RampStage;
 
-/// Backends that are opened in the first round while the list is unconfirmed; twice as many in each further
-/// one.
+/// Number of backends that are opened in the first round while the list is unconfirmed. It doubles with each
+/// further round.
 const INITIAL_BACKENDS: usize = MIN_SUBSET_SIZE;
-/// Rounds after which that number doubles no more.
+/// Number of rounds after which [`INITIAL_BACKENDS`] is doubled no further.
 const MAX_DOUBLINGS: u64 = 20;
-/// Attempts in flight for each further backend that is opened.
+/// Attempts in flight for which one more backend is opened.
 const ATTEMPTS_PER_BACKEND: usize = 2;
-/// Rounds after the list was confirmed in which backends of the subset may be waited for.
+/// Maximum number of rounds after the confirmation of the list that the other backends wait for the subset.
 const RELEASE_ROUNDS: f64 = 2.0;
-/// The least backoff after a first connection that failed, ms. It doubles with each failure in a row.
+/// Minimum backoff after a first connection failed, ms. It doubles with each consecutive failure.
 const MIN_BACKOFF_MS: f64 = 200.0;
-/// The longest backoff, ms, where a round is shorter.
+/// Maximum backoff, ms, unless a round is longer.
 const MAX_BACKOFF_MS: f64 = 20_000.0;
-/// Failures in a row after which the backoff doubles no more.
+/// Consecutive failures after which the backoff doubles no further.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// A slot that has passed for this long, ms, is skipped: gateways that were stopped together and go on
-/// together would connect together.
+/// A slot that is missed by this time, ms, is skipped. Otherwise gateways that were suspended and resumed at
+/// the same time would all connect at once.
 const MAX_LATENESS_MS: f64 = 100.0;
-/// How long a gateway waits for its first backend, beside two rounds.
-const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a gateway waits for its first backend, in addition to two rounds.
+const FIRST_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// The backends of one gateway that take work by the list: which of them are open, and when the others get
-/// their first connection.
+/// The listed backends of one gateway that accept requests: which of them are open, and when each of the
+/// others gets its first connection.
 ///
-/// Without it, hundreds of gateways would each find out by requests of their own which backends are gone, and
-/// all would connect at once to one that is back. So each backend gets one first connection a slot from the
-/// whole fleet: gateway `g` has the slot `(g + key) mod N` of a round for it. In return a backend gets its
-/// first work from a gateway up to a round after it was listed.
+/// Without the ramp, each of hundreds of gateways would use its own requests to find out which backends are
+/// gone, and all of them would connect at once to a backend that returns. So a backend gets at most one first
+/// connection per slot from the whole fleet: gateway `g` of `N` has the slot `(g + key) mod N` of each round
+/// for it. The cost is that a backend gets its first request from a gateway up to a round after it was
+/// listed.
 ///
 /// A gateway uses slots for its subset, the backends that it prefers by rendezvous hashing, and for as many
-/// more as its work needs. The others may be selected once the subset was tried: what overflows to them opens
-/// a connection when it needs one.
+/// others as its load needs. The remaining backends may be selected once the subset was tried; requests that
+/// spill over to one of them open a connection to it when they need one.
 #[derive(Clone, Debug)]
 pub struct ConnectionRamp {
     subset: Subset,
@@ -58,20 +59,20 @@
     deferred_by_slot: BTreeSet<SlottedBackend>,
     queue: BTreeSet<QueuedBackend>,
     open_count: usize,
-    /// How many backends are [pending](Backend::is_pending).
+    /// Number of [pending](Backend::is_pending) backends.
     pending_count: usize,
     /// When the list was confirmed, Unix time in ms.
     confirmed_ms: Option<f64>,
     /// Whether deferred backends may be selected.
     released: bool,
-    /// Attempts that failed before that.
+    /// Number of attempts that failed before the deferred backends were released.
     failed_attempts: usize,
 }
 
 impl ConnectionRamp {
-    /// The ramp of gateway `gateway_index`, from 0, of `gateways` (0 counts as 1) that starts at `now_ms`,
-    /// Unix time, where a backend takes `connections_per_s` first connections a second from all of them, at
-    /// least 0.001.
+    /// Returns the ramp of gateway `gateway_index` (from 0) of `gateways` (0 counts as 1) that starts at
+    /// `now_ms`, Unix time. A backend accepts `connections_per_s` first connections a second from all
+    /// gateways; values below 0.001 count as 0.001.
     #[must_use]
     pub fn new(
         gateway_index: u32,
@@ -100,19 +101,19 @@
         }
     }
 
-    /// This gateway's slots for the backend with that key.
+    /// Returns this gateway's slots for the backend with that key.
     fn slots_for(&self, key: u64) -> SlotSchedule {
         let gateways = u64::from(self.gateways);
         let index = (u64::from(self.gateway_index) + key % gateways) % gateways;
         SlotSchedule::new(index as u32, self.gateways, self.connections_per_s)
     }
 
-    /// The list names a backend that takes work: its id at this gateway, its key at all gateways, and from
-    /// when it is warming up, Unix time in ms. Returns whether it may be selected now; if not,
-    /// [`ConnectionRamp::choose`] and [`ConnectionRamp::release`] are to follow once the whole list was
-    /// added.
+    /// Adds a listed backend that accepts requests: `id` is local to this gateway, `key` is the same at all
+    /// gateways, and `warming_from_ms` is when its warm-up started, Unix time in ms. Returns whether it may
+    /// be selected now. If not, the caller calls [`ConnectionRamp::choose`] and [`ConnectionRamp::release`]
+    /// once the whole list was added.
     ///
-    /// A later incarnation is empty, so it waits for its slot as a new backend does.
+    /// A later incarnation has no connections, so it waits for its slot like a new backend.
     pub fn add(&mut self, id: u32, key: u64, warming_from_ms: f64) -> bool {
         let known = self.backends.get(&id).filter(|backend| backend.warming_from_ms >= warming_from_ms);
         if let Some(known) = known {
@@ -127,7 +128,8 @@
         false
     }
 
-    /// A backend drains or was removed from the list. When it takes work again it waits for a slot.
+    /// Removes a backend that drains or is no longer listed. If it accepts requests again, it waits for a new
+    /// slot.
     pub fn remove(&mut self, id: u32) {
         let Some(backend) = self.backends.remove(&id) else { return };
         match backend.state {
@@ -146,7 +148,7 @@
         self.deferred_by_slot.remove(&SlottedBackend { slot_index: self.slots_for(key).slot_index(), id });
     }
 
-    /// Removes all backends that a whole list does not name.
+    /// Removes all backends that a snapshot of the list does not contain.
     pub fn retain(&mut self, is_listed: impl Fn(u32) -> bool) {
         let removed: Vec<u32> = self.backends.keys().copied().filter(|id| !is_listed(*id)).collect();
         for id in removed {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// The cached list was confirmed, at `now_ms`.
+    /// Records that the list was confirmed at `now_ms`.
     pub fn confirm(&mut self, now_ms: f64) {
         self.confirmed_ms.get_or_insert(now_ms);
     }
@@ -165,14 +167,15 @@
         self.confirmed_ms.is_some()
     }
 
-    /// An attempt at an open backend failed. While few are open, another is opened in its place.
+    /// Records a failed attempt to an open backend. Until the deferred backends are released, one more
+    /// backend is opened for each failure.
     pub fn record_failure(&mut self) {
         if !self.released {
             self.failed_attempts = self.failed_attempts.saturating_add(1).min(self.backends.len());
         }
     }
 
-    /// How far the gateway has come.
+    /// Returns the stage of the gateway's start.
     #[must_use]
     pub fn stage(&self) -> RampStage {
         if self.backends.is_empty() {
@@ -186,22 +189,24 @@
         }
     }
 
-    /// How many backends may be selected.
+    /// Returns the number of backends that may be selected.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.open_count
     }
 
-    /// How many backends on the list may not be selected yet.
+    /// Returns the number of listed backends that may not be selected yet.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.backends.len() - self.open_count
     }
 
-    /// How many backends are to be open or to have a slot at `now_ms`.
+    /// Returns how many backends should be open or have a slot at `now_ms`.
     ///
-    /// Half of an unconfirmed list may be gone, and a fleet whose gateways all tried all of it would only
-    /// find that out. So a gateway keeps to few backends until then; all of them if that takes ten rounds.
+    /// Half of the backends on an unconfirmed list may be gone, and if every gateway tried all of them, the
+    /// fleet would spend its first connections on finding that out. So a gateway uses few backends until the
+    /// list is confirmed. The number doubles with each round, so that without a confirmation all backends are
+    /// in use after ten rounds.
     fn wanted_count(&self, now_ms: f64, attempts_in_flight: usize) -> usize {
         let until_ms = self.confirmed_ms.unwrap_or(now_ms);
         let rounds = ((until_ms - self.started_ms).max(0.0) / self.round_ms) as u64;
@@ -209,9 +214,9 @@
         by_time.saturating_add(attempts_in_flight / ATTEMPTS_PER_BACKEND).saturating_add(self.failed_attempts)
     }
 
-    /// Gives slots to as many deferred backends as are wanted, those whose slots come first; once the list
-    /// was confirmed, to the whole subset. A backend whose first connection failed does not count: another is
-    /// tried in its place.
+    /// Assigns slots to deferred backends: to the whole subset once the list was confirmed, and to others, in
+    /// the order of their slots, until enough backends are open or pending. A backend whose first connection
+    /// failed does not count, so that another is tried in its place.
     pub fn choose(&mut self, now_ms: f64, attempts_in_flight: usize) {
         let wanted = if self.released { 0 } else { self.wanted_count(now_ms, attempts_in_flight) };
         let subset_degree = self.subset.degree(self.backends.len());
@@ -228,25 +233,25 @@
         }
     }
 
-    /// The first deferred backend of the subset, once the list was confirmed.
+    /// Returns the highest-ranked deferred backend of the subset, once the list was confirmed.
     fn next_of_subset(&self, subset_degree: f64) -> Option<u32> {
         let first = self.deferred_by_rank.first().filter(|_| self.confirmed())?;
         (f64::from_bits(first.rank) < subset_degree).then_some(first.id)
     }
 
-    /// The deferred backend whose slot comes first.
+    /// Returns the deferred backend whose slot comes next.
     fn next_by_slot(&self, now_ms: f64) -> Option<u32> {
-        let present = self.slots_for(0).slot_index_at(now_ms);
-        let later = self.deferred_by_slot.range(SlottedBackend { slot_index: present + 1, id: 0 }..).next();
+        let current = self.slots_for(0).slot_index_at(now_ms);
+        let later = self.deferred_by_slot.range(SlottedBackend { slot_index: current + 1, id: 0 }..).next();
         later.or(self.deferred_by_slot.first()).map(|backend| backend.id)
     }
 
-    /// Opens the deferred backends, once the list was confirmed and all that have a slot were tried or had
-    /// two rounds for it. Returns those that may be selected from now on.
+    /// Opens the deferred backends once the list was confirmed and either no backend is pending any more or
+    /// two rounds have passed since. Returns the backends that may be selected from now on.
     pub fn release(&mut self, now_ms: f64) -> Vec<u32> {
         let Some(confirmed_ms) = self.confirmed_ms else { return Vec::new() };
-        let waited_enough = self.pending_count == 0 || now_ms - confirmed_ms > RELEASE_ROUNDS * self.round_ms;
-        self.released |= waited_enough && !self.backends.is_empty();
+        let may_release = self.pending_count == 0 || now_ms - confirmed_ms > RELEASE_ROUNDS * self.round_ms;
+        self.released |= may_release && !self.backends.is_empty();
         if !self.released {
             return Vec::new();
         }
@@ -260,8 +265,8 @@
         ids
     }
 
-    /// When to look again, Unix time in ms: at the next slot, or when more backends are wanted. None if only
-    /// an update of the list changes anything.
+    /// Returns when to advance the ramp next, Unix time in ms: at the next slot, or when more backends are to
+    /// be opened. `None` if only an update of the list can change anything.
     #[must_use]
     pub fn next_wakeup_ms(&self, now_ms: f64) -> Option<f64> {
         let next_slot_ms = self.queue.first().map(|queued| queued.at_us as f64 / 1_000.0);
@@ -273,8 +278,8 @@
         Some(next_slot_ms.map_or(next_round_ms, |slot_ms| slot_ms.min(next_round_ms)))
     }
 
-    /// A backend to which the first connection is to be opened now;
-    /// [`ConnectionRamp::first_connection_ended`] is to follow. To be called until there is none.
+    /// Returns a backend whose first connection is due, until there is none. The caller opens the connection
+    /// and reports its result with [`ConnectionRamp::first_connection_ended`].
     pub fn due(&mut self, now_ms: f64) -> Option<u32> {
         loop {
             let QueuedBackend { at_us, id } = *self.queue.first()?;
@@ -287,13 +292,14 @@
                 self.backends.get_mut(&id)?.state = ConnectionState::Connecting;
                 return Some(id);
             }
-            // Its next slot lies ahead, so this ends.
+            // The new slot is in the future, so the loop ends.
             self.enqueue(id, now_ms);
         }
     }
 
-    /// The first connection to a backend was opened or has failed; `warming_from_ms` tells to which
-    /// incarnation. Returns whether the backend may be selected from now on.
+    /// Records that the first connection to a backend was opened or has failed; `warming_from_ms` identifies
+    /// the incarnation. Returns whether the backend may be selected from now on; `false` for a result of
+    /// another incarnation.
     pub fn first_connection_ended(
         &mut self,
         now_ms: f64,
@@ -313,15 +319,15 @@
             return true;
         }
         backend.failures = backend.failures.saturating_add(1);
-        // A backend that is gone for good is tried less and less.
+        // A backend that stays unreachable is tried less and less often.
         let doublings = backend.failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff_ms = self.round_ms.max(MIN_BACKOFF_MS) * f64::from(1u32 << doublings);
         self.enqueue(id, now_ms + backoff_ms.min(MAX_BACKOFF_MS.max(self.round_ms)));
         false
     }
 
-    /// Gives a backend this gateway's first slot for it from a moment on. It is called after the moment of
-    /// the last slot, so that no round has two.
+    /// Assigns to a backend this gateway's next slot for it at `from_ms` or later. `from_ms` is later than
+    /// the previous slot, so that no round has two.
     fn enqueue(&mut self, id: u32, from_ms: f64) {
         let Some(key) = self.backends.get(&id).map(|backend| backend.key) else { return };
         let slot = self.slots_for(key).next_slot(from_ms, None);
@@ -336,16 +342,17 @@
         }
     }
 
-    /// Length of a round: time for a first connection of each gateway to one backend.
+    /// Returns the length of a round: the time for one first connection from each gateway to one backend.
     #[must_use]
     pub fn round(&self) -> Duration {
         Duration::from_secs_f64(self.round_ms / 1_000.0)
     }
 
-    /// How long a gateway with backends on its list waits for the first that is open before it is ready: two
-    /// rounds and a response. Before, it would reject every client.
+    /// Returns how long a gateway with listed backends waits for the first open one before it reports that it
+    /// is ready: two rounds and the time for a response. Until a backend is open it would reject every
+    /// request.
     #[must_use]
     pub fn readiness_timeout(&self) -> Duration {
-        Duration::from_secs_f64(2.0 * self.round_ms / 1_000.0) + FIRST_RESPONSE_TIMEOUT
+        Duration::from_secs_f64(2.0 * self.round_ms / 1_000.0) + FIRST_RESPONSE_ALLOWANCE
     }
 }
--- a/crates/cold-start/src/connection_ramp/backend.rs
+++ b/crates/cold-start/src/connection_ramp/backend.rs
@@ -1,11 +1,11 @@
-//! Backends of a ramp, and the orders in which they are chosen.
+//! Backends of a connection ramp, and the sort keys by which they are chosen.
 
-/// Whether a backend has its first connection.
+/// State of a backend's first connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionState {
-    /// It is outside the subset, or was not needed yet.
+    /// No slot is assigned: the backend is outside the subset, or was not needed yet.
     Deferred,
-    /// It has a slot at this moment, Unix time in µs.
+    /// A slot is assigned at this time, Unix time in µs.
     Queued { at_us: u64 },
     /// The first connection is being opened.
     Connecting,
@@ -13,42 +13,43 @@
     Open,
 }
 
-/// A backend that takes work.
+/// A listed backend that accepts requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Backend {
     pub(super) key: u64,
-    /// From when it is warming up, Unix time in ms: tells its incarnations apart.
+    /// When its warm-up started, Unix time in ms; identifies its incarnation.
     pub(super) warming_from_ms: f64,
-    /// Rank among all backends for this gateway: the bits of [`Subset::threshold`], which sort as it does.
+    /// Rank among all backends for this gateway: the bits of [`Subset::threshold`], which sort like the
+    /// number.
     pub(super) rank: u64,
     pub(super) state: ConnectionState,
-    /// First connections in a row that failed.
+    /// Consecutive first connections that failed.
     pub(super) failures: u32,
 }
 
 impl Backend {
-    /// Whether its first connection is to come and none has failed yet.
+    /// Whether its first connection is queued or being opened, and none has failed before.
     pub(super) fn is_pending(&self) -> bool {
-        let has_turn = matches!(self.state, ConnectionState::Queued { .. } | ConnectionState::Connecting);
-        has_turn && self.failures == 0
+        let has_slot = matches!(self.state, ConnectionState::Queued { .. } | ConnectionState::Connecting);
+        has_slot && self.failures == 0
     }
 }
 
-/// A deferred backend, by its rank.
+/// A deferred backend, ordered by its rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankedBackend {
     pub(super) rank: u64,
     pub(super) id: u32,
 }
 
-/// A deferred backend, by the slot that this gateway has for it in a round.
+/// A deferred backend, ordered by this gateway's slot for it in a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SlottedBackend {
     pub(super) slot_index: u32,
     pub(super) id: u32,
 }
 
-/// A backend in the queue, by its moment.
+/// A queued backend, ordered by the time of its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuedBackend {
     pub(super) at_us: u64,
--- a/crates/cold-start/src/connection_ramp/stage.rs
+++ b/crates/cold-start/src/connection_ramp/stage.rs
@@ -1,15 +1,15 @@
-//! How far a gateway has come.
+//! Stages of a gateway's start.
 
 use std::fmt;
 
-/// How far a gateway has come since its start.
+/// Stage of a gateway's start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RampStage {
-    /// It knows no backend that takes work.
+    /// No backend that accepts requests is known.
     Empty,
-    /// It knows backends by a list that was not confirmed since the start.
+    /// Backends are known from a list that was not confirmed since the start.
     Known,
-    /// The list was confirmed; some of its backends are not open.
+    /// The list was confirmed; some of its backends are not open yet.
     Confirmed,
     /// All backends of a confirmed list are open.
     Warm,
--- a/crates/cold-start/src/lib.rs
+++ b/crates/cold-start/src/lib.rs
@@ -1,11 +1,11 @@
-//! What a gateway may do from its start until it is warmed up, as one of a fleet that may start together.
-//! No I/O, no clock.
+//! Limits on what a gateway may do from its start until it is warmed up. They keep a fleet whose gateways
+//! start at the same time from overloading the services and backends that it shares. No I/O, no clock.
 //!
-//! - [`SlotSchedule`]: a slot for each gateway in each round of a clock that all share
-//! - [`AdaptiveShare`]: the part of its rounds that a gateway uses, by what the service does
-//! - [`PollSchedule`]: when the endpoint list is requested, how long a poll waits, and its timeout
+//! - [`SlotSchedule`]: the time slot of each gateway in every round of the shared clock
+//! - [`AdaptiveShare`]: the fraction of its rounds that a gateway uses, adapted to the service's responses
+//! - [`PollSchedule`]: when the endpoint list is polled, how long a poll waits, and its timeout
 //! - [`CallBudget`]: how many counter calls are made in the first seconds
-//! - [`StartBatches`]: turns that the fleet's agent gives to starting gateways, beside their slots
+//! - [`StartBatches`]: turns that the fleet's agent gives to starting gateways, in addition to their slots
 //! - [`ConnectionRamp`]: when each backend gets its first connection, and when it may be selected
 //!
 //! All times are Unix time in ms, from one clock that does not step while a gateway runs.
--- a/crates/cold-start/src/start_batches.rs
+++ b/crates/cold-start/src/start_batches.rs
@@ -1,40 +1,42 @@
-//! Turns for starting gateways, given by an agent that all of them can ask, beside their slots.
+//! Turns that the fleet's agent gives to starting gateways, in addition to their slots.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::{AdaptiveShare, PollOutcome, SlotSchedule};
 
-/// The part of the service's capacity that turns may use. Polls of the other gateways use half of the slots.
+/// Fraction of the service's capacity that turns may use. Polls of the other gateways use half of the slots.
 const CAPACITY_FOR_TURNS: f64 = 0.45;
-/// The part of that with which turns begin: the tenth of the service's capacity that no slot uses.
+/// Fraction of [`CAPACITY_FOR_TURNS`] that turns use at first: about the tenth of the service's capacity that
+/// no slot uses.
 const INITIAL_SHARE: f64 = 0.22;
-/// The least capacity of a service, calls a second.
+/// Minimum capacity of a service, calls a second.
 const MIN_CALLS_PER_S: f64 = 0.001;
-/// Fewer turns a second than this count as this many.
+/// Lower limit on the rate from which the interval between two turns is computed, turns a second.
 const MIN_TURNS_PER_S: f64 = 1e-6;
-/// A turn is given at most this long ahead, ms: the service may begin to reject calls at any time.
+/// Maximum time between the response to a gateway and its turn, ms. It is short because the service may start
+/// to reject calls at any time.
 const MAX_LEAD_MS: f64 = 100.0;
-/// A waiting gateway asks again after this time at the earliest, ms.
+/// Minimum time after which a waiting gateway asks again, ms.
 const MIN_ASK_AGAIN_MS: f64 = 50.0;
-/// A waiting gateway asks again after this time at the latest, ms.
+/// Maximum time after which a waiting gateway asks again, ms.
 const MAX_ASK_AGAIN_MS: f64 = 2_000.0;
-/// A gateway that is this late with asking again, ms, loses its place.
+/// A gateway that asks again later than this after the given time, ms, loses its position in the queue.
 const ASK_AGAIN_GRACE_MS: f64 = 1_000.0;
-/// A list that is older than this, ms, is fetched anew.
+/// Age from which a list is fetched again, ms.
 const LIST_FRESH_MS: f64 = 5_000.0;
-/// Time for one gateway to fetch the list, ms, before another does.
+/// Time that a gateway has to fetch the list, ms, before another one is told to fetch it.
 const FETCH_TIMEOUT_MS: f64 = 5_000.0;
-/// The most gateways that are remembered. Further ones use their slots.
+/// Maximum number of gateways that are tracked. Further ones use their slots.
 const MAX_STARTING_GATEWAYS: usize = 10_000;
 
-/// What a starting gateway is to do.
+/// Instruction to a starting gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StartTurn {
-    /// Make its first call, if its slot does not come before.
+    /// Make the first call, unless the gateway's slot comes earlier.
     Call {
-        /// When, Unix time in ms.
+        /// When to call, Unix time in ms.
         at_ms: f64,
-        /// Whether it is to fetch the whole list and report it.
+        /// Whether to fetch the whole list and report it to the agent.
         fetch: bool,
     },
     /// Ask again.
@@ -42,15 +44,15 @@
         /// After this time, ms.
         after_ms: f64,
     },
-    /// Use its slots.
+    /// Use the gateway's slots.
     UseSlots,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum StartState {
-    /// Waits for its turn at this position of the queue.
+    /// Waits for a turn at this position of the queue.
     Waiting { position: u64 },
-    /// Had its turn, or got a list without one.
+    /// Was given a turn, or finished its first call without one.
     Done,
 }
 
@@ -58,11 +60,11 @@
 struct StartingGateway {
     incarnation: u64,
     state: StartState,
-    /// When it is forgotten, Unix time in µs.
+    /// When the entry is removed, Unix time in µs.
     expires_us: u64,
 }
 
-/// When a gateway is forgotten.
+/// When the entry of a gateway is removed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at_us: u64,
@@ -71,8 +73,8 @@
 
 /// The starting gateways of a fleet, and their queue for turns.
 ///
-/// Slots are laid out for the whole fleet. When a part of it starts and the service is idle, turns are
-/// sooner. They use up to 0.45 of the service's stated capacity on top of the slots.
+/// Slots are sized for a start of the whole fleet. If only a part of it starts while the service is idle,
+/// turns come sooner. They use up to 0.45 of the service's stated capacity in addition to the slots.
 #[derive(Clone, Debug)]
 pub struct StartBatches {
     calls_per_s: f64,
@@ -81,18 +83,19 @@
     queue: BTreeMap<u64, String>,
     expiries: BTreeSet<Expiry>,
     last_position: u64,
-    /// The first moment that no turn has taken, Unix time in ms.
+    /// Earliest time that is not taken by a turn, Unix time in ms.
     free_from_ms: f64,
-    /// Length of a round, ms, in the fleet of the gateway that asked last.
+    /// Length of a round, ms, for the fleet size that the last request stated.
     round_ms: f64,
     /// When a list was last fetched, Unix time in ms.
     list_fetched_ms: Option<f64>,
-    /// Until when a gateway may be fetching the list, Unix time in ms.
+    /// When the gateway that fetches the list times out, Unix time in ms.
     fetch_deadline_ms: Option<f64>,
 }
 
 impl StartBatches {
-    /// For a service that takes `calls_per_s` calls a second from all gateways, at least 0.001.
+    /// Returns an empty queue for a service that handles `calls_per_s` calls a second from all gateways;
+    /// values below 0.001 count as 0.001.
     #[must_use]
     pub fn new(calls_per_s: f64) -> StartBatches {
         StartBatches {
@@ -109,20 +112,21 @@
         }
     }
 
-    /// Turns a second in a fleet of `fleet_size` gateways; 0 if all of them wait.
+    /// Returns the turns a second in a fleet of `fleet_size` gateways; 0 if all of them wait.
     #[must_use]
     pub fn turns_per_s(&self, fleet_size: u32) -> f64 {
-        let waiting_part = self.queue.len() as f64 / f64::from(fleet_size.max(1));
-        CAPACITY_FOR_TURNS * self.calls_per_s * self.share.fraction() * (1.0 - waiting_part).max(0.0)
+        let waiting_fraction = self.queue.len() as f64 / f64::from(fleet_size.max(1));
+        CAPACITY_FOR_TURNS * self.calls_per_s * self.share.fraction() * (1.0 - waiting_fraction).max(0.0)
     }
 
-    /// How many gateways wait for a turn.
+    /// Returns the number of gateways that wait for a turn.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// A gateway of a fleet of `fleet_size` starts, or asks again: its name, and its incarnation.
+    /// Handles a request of a starting or waiting gateway, identified by its name and its incarnation, in a
+    /// fleet of `fleet_size` gateways.
     pub fn request_turn(&mut self, now_ms: f64, name: &str, incarnation: u64, fleet_size: u32) -> StartTurn {
         self.forget_expired(now_ms);
         let slots = SlotSchedule::new(0, fleet_size, self.calls_per_s);
@@ -138,7 +142,7 @@
         if turns_per_s > 0.0 && due_ms <= now_ms + MAX_LEAD_MS {
             self.free_from_ms = free_from_ms + interval_ms;
             self.finish(name, incarnation, now_ms);
-            return StartTurn::Call { at_ms: free_from_ms, fetch: self.is_to_fetch(now_ms) };
+            return StartTurn::Call { at_ms: free_from_ms, fetch: self.claim_fetch(now_ms) };
         }
         let after_ms = (due_ms - now_ms - MAX_LEAD_MS / 2.0).clamp(MIN_ASK_AGAIN_MS, MAX_ASK_AGAIN_MS);
         let expires_ms = now_ms + after_ms + ASK_AGAIN_GRACE_MS;
@@ -146,10 +150,11 @@
         StartTurn::AskAgain { after_ms }
     }
 
-    /// The gateway's position in the queue; a new gateway is put at its end. None if it is to use its slots.
+    /// Returns the gateway's position in the queue, and appends a new gateway. `None` if it is to use its
+    /// slots.
     ///
     /// A gateway that crashed while it waited keeps its position. One that had a turn gets no other for a
-    /// round, so that one that crashes in a loop is not always the next.
+    /// round, so that a gateway in a crash loop is not always the next.
     fn queue_position(&mut self, now_ms: f64, name: &str, incarnation: u64) -> Option<u64> {
         match self.gateways.get(name).map(|gateway| gateway.state) {
             Some(StartState::Done) => None,
@@ -165,10 +170,10 @@
         }
     }
 
-    /// The first call of a starting gateway has ended, `response_ms` after it was made, in its turn or in a
-    /// slot before; `has_list` says whether the gateway reported the whole list.
+    /// Records that the first call of a starting gateway ended `response_ms` after it was made, in its turn
+    /// or in an earlier slot. `has_list` says whether the gateway reported the whole list.
     ///
-    /// Ignored, but for the list, if another incarnation asked for the turn or none did.
+    /// Only `has_list` counts if this incarnation did not request a turn.
     pub fn call_ended(
         &mut self,
         now_ms: f64,
@@ -196,8 +201,8 @@
         self.finish(name, incarnation, now_ms);
     }
 
-    /// Whether the gateway that calls now is to fetch the list for all.
-    fn is_to_fetch(&mut self, now_ms: f64) -> bool {
+    /// Whether the gateway whose turn it is should fetch the list for all. If so, the fetch counts as begun.
+    fn claim_fetch(&mut self, now_ms: f64) -> bool {
         let is_fresh = self.list_fetched_ms.is_some_and(|at_ms| now_ms - at_ms < LIST_FRESH_MS);
         let is_being_fetched = self.fetch_deadline_ms.is_some_and(|deadline_ms| now_ms < deadline_ms);
         if is_fresh || is_being_fetched {
@@ -207,7 +212,7 @@
         true
     }
 
-    /// The gateway gets no other turn for a round.
+    /// Marks a gateway as done: it gets no other turn for a round.
     fn finish(&mut self, name: &str, incarnation: u64, now_ms: f64) {
         if let Some(StartingGateway { state: StartState::Waiting { position }, .. }) = self.gateways.get(name)
         {
@@ -237,7 +242,7 @@
     }
 }
 
-/// Whole µs, which sort and compare exactly.
+/// Converts to whole µs, which compare exactly.
 fn micros(ms: f64) -> u64 {
     (ms.max(0.0) * 1_000.0) as u64
 }
--- a/crates/cold-start/tests/call_budget.rs
+++ b/crates/cold-start/tests/call_budget.rs
@@ -1,89 +1,103 @@
-//! Calls to a counter by fleets of 1 to 1,000 gateways that start together, in simulated time.
+//! Counter calls of fleets of 1 to 1,000 gateways that start at the same time, in simulated time.
 
 use cold_start::CallBudget;
 use proptest::prelude::*;
 
-const BEGIN_MS: f64 = 1_764_000_123_457.0;
-/// Capacity of the counter, calls a second.
-const BEARS: f64 = 200.0;
+const START_MS: f64 = 1_764_000_123_457.0;
+/// Capacity of the counter, calls per second.
+const CAPACITY_PER_S: f64 = 200.0;
 
-/// Calls of a fleet in each second, where each gateway wants `wants` calls a second.
-fn play(n: u32, wants: f64, seconds: usize, begins: impl Fn(u32) -> f64) -> Vec<usize> {
-    let mut by_second = vec![0; seconds];
-    for place in 0..n {
-        let start = begins(place);
-        let mut allowance = CallBudget::new(place, n, BEARS, start);
-        let every = 1_000.0 / wants;
-        let mut at = start + every * f64::from(place % 17) / 17.0;
-        while at < BEGIN_MS + 1_000.0 * seconds as f64 {
-            if allowance.try_take(at) {
-                by_second[((at - BEGIN_MS) / 1_000.0) as usize] += 1;
+/// Returns the calls of a fleet in each second if each gateway attempts `wanted_per_s` calls per second.
+fn simulate(
+    gateways: u32,
+    wanted_per_s: f64,
+    seconds: usize,
+    start_ms_of: impl Fn(u32) -> f64,
+) -> Vec<usize> {
+    let mut calls_per_second = vec![0; seconds];
+    for index in 0..gateways {
+        let start = start_ms_of(index);
+        let mut budget = CallBudget::new(index, gateways, CAPACITY_PER_S, start);
+        let interval_ms = 1_000.0 / wanted_per_s;
+        let mut at_ms = start + interval_ms * f64::from(index % 17) / 17.0;
+        while at_ms < START_MS + 1_000.0 * seconds as f64 {
+            if budget.try_take(at_ms) {
+                calls_per_second[((at_ms - START_MS) / 1_000.0) as usize] += 1;
             }
-            at += every;
+            at_ms += interval_ms;
         }
     }
-    by_second
+    calls_per_second
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Seeds: `PROPTEST_RNG_SEED`. In second `k` a fleet that starts at once makes no more than `2^(k+1)`
-    /// times the counter's capacity, and one call of each gateway.
+    /// In second `k` a fleet that starts at once makes at most `2^(k+1)` times the counter's capacity, and
+    /// one call of each gateway. `PROPTEST_RNG_SEED` sets the seed.
     #[test]
-    fn fleets_of_any_size_begin_within_the_counters_capacity(n in 1u32..=1_000, wants in 1.0..100.0f64) {
-        let by_second = play(n, wants, 4, |_| BEGIN_MS);
+    fn fleets_of_any_size_start_within_counter_capacity(
+        gateways in 1u32..=1_000, wanted_per_s in 1.0..100.0f64
+    ) {
+        let calls_per_second = simulate(gateways, wanted_per_s, 4, |_| START_MS);
         let mut all = 0.0;
-        for (k, calls) in by_second.iter().enumerate() {
-            // Saved calls are part of what is allowed by then.
-            all += 0.9 * BEARS * 2f64.powi(k as i32 + 1);
-            let most = all.min(f64::from(n) * (wants + 1.0)) + 0.9 * BEARS + 2.0;
-            prop_assert!((*calls as f64) <= most, "{} in second {k}, {most} allowed of {by_second:?}", calls);
+        for (k, calls) in calls_per_second.iter().enumerate() {
+            // Calls saved up in earlier seconds may be made in this one.
+            all += 0.9 * CAPACITY_PER_S * 2f64.powi(k as i32 + 1);
+            let most = all.min(f64::from(gateways) * (wanted_per_s + 1.0)) + 0.9 * CAPACITY_PER_S + 2.0;
+            prop_assert!(
+                (*calls as f64) <= most,
+                "{} in second {k}, {most} allowed of {calls_per_second:?}",
+                calls
+            );
         }
-        // The first second: a call of each whose slot lies in it, and what grows from then on.
-        prop_assert!(by_second[0] as f64 <= 3.0 * BEARS, "{by_second:?}");
+        // First second: one call of each gateway whose slot lies in it, and the calls that its growing rate
+        // adds.
+        prop_assert!(calls_per_second[0] as f64 <= 3.0 * CAPACITY_PER_S, "{calls_per_second:?}");
     }
 }
 
 #[test]
 fn budget_ends_after_six_doublings() {
-    let mut allowance = CallBudget::new(7, 300, BEARS, BEGIN_MS);
+    let mut budget = CallBudget::new(7, 300, CAPACITY_PER_S, START_MS);
     let (mut made, mut first) = (0, None);
     for ms in 0..30_000 {
-        let at = BEGIN_MS + f64::from(ms);
-        let taken = allowance.try_take(at);
+        let at_ms = START_MS + f64::from(ms);
+        let taken = budget.try_take(at_ms);
         made += u32::from(taken);
         if taken && first.is_none() {
-            first = Some(at);
+            first = Some(at_ms);
         }
-        assert!(!allowance.is_over(at) || taken, "one of {ms} ms was left out");
+        assert!(!budget.is_over(at_ms) || taken, "a call at {ms} ms was denied after the budget was over");
     }
-    let round = 300.0 / (0.9 * BEARS) * 1_000.0;
-    assert!(first.expect("one is made") < BEGIN_MS + round, "a first call within a round");
-    assert!(allowance.is_over(BEGIN_MS + round + 12_000.0));
+    let round_ms = 300.0 / (0.9 * CAPACITY_PER_S) * 1_000.0;
+    assert!(first.expect("a call was made") < START_MS + round_ms, "no first call within a round");
+    assert!(budget.is_over(START_MS + round_ms + 12_000.0));
     assert!(made > 12_000, "{made}");
 }
 
 #[test]
-fn staggered_starts_each_begin_with_their_part() {
-    // Thirty in a second are a tenth of the fleet: its part is a tenth of the counter's capacity.
-    let by_second = play(300, 50.0, 1, |place| if place < 30 { BEGIN_MS } else { BEGIN_MS + 900_000.0 });
-    assert!(by_second[0] <= 60, "{by_second:?}");
+fn staggered_starts_use_only_their_share() {
+    // 30 gateways that start in one second are a tenth of the fleet: their share is a tenth of the counter's
+    // capacity.
+    let calls_per_second =
+        simulate(300, 50.0, 1, |index| if index < 30 { START_MS } else { START_MS + 900_000.0 });
+    assert!(calls_per_second[0] <= 60, "{calls_per_second:?}");
 }
 
 #[test]
-fn budget_doubles_every_two_seconds_and_saves_two_calls() {
-    // One gateway alone has the counter's whole capacity, and always wants more.
+fn rate_doubles_every_two_seconds_and_two_calls_are_saved() {
+    // A single gateway has the counter's whole capacity, and always attempts more calls.
     let calls = |from: u32, to: u32| {
-        let mut allowance = CallBudget::new(0, 1, BEARS, BEGIN_MS);
+        let mut budget = CallBudget::new(0, 1, CAPACITY_PER_S, START_MS);
         (0..to * 10)
-            .filter(|n| allowance.try_take(BEGIN_MS + f64::from(*n) / 10.0) && *n >= from * 10)
+            .filter(|step| budget.try_take(START_MS + f64::from(*step) / 10.0) && *step >= from * 10)
             .count()
     };
     let (first, later) = (calls(0, 2_000), calls(4_000, 6_000));
     assert!((3.5..4.5).contains(&(later as f64 / first as f64)), "{later} after {first}");
-    let mut idle = CallBudget::new(0, 1, BEARS, BEGIN_MS);
-    assert!(idle.try_take(BEGIN_MS + 100.0));
-    let at_once = (0..100).filter(|_| idle.try_take(BEGIN_MS + 9_000.0)).count();
+    let mut idle = CallBudget::new(0, 1, CAPACITY_PER_S, START_MS);
+    assert!(idle.try_take(START_MS + 100.0));
+    let at_once = (0..100).filter(|_| idle.try_take(START_MS + 9_000.0)).count();
     assert_eq!(at_once, 2);
 }
--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -1,15 +1,16 @@
-//! First connections of fleets of 1 to 1,000 gateways to backends that are healthy, dead or restart, in
-//! simulated time.
+//! First connections of fleets of 1 to 1,000 gateways to backends that are healthy, unreachable or
+//! restarting, in simulated time.
 
 use cold_start::{ConnectionRamp, RampStage};
 use proptest::prelude::*;
 use routing::Subset;
 
-/// Starts at an hour that no round begins with.
-const BEGIN_MS: f64 = 1_764_000_123_457.0;
-/// Capacity of a backend, first connections a second, and the slot that follows from it.
-const PER_S: f64 = 50.0;
-const SLOT_MS: f64 = 1_000.0 / (0.9 * PER_S);
+/// Start of the simulation, which is not the beginning of a round.
+const START_MS: f64 = 1_764_000_123_457.0;
+/// Capacity of a backend, first connections per second.
+const CONNECTIONS_PER_S: f64 = 50.0;
+/// Length of a slot, ms.
+const SLOT_MS: f64 = 1_000.0 / (0.9 * CONNECTIONS_PER_S);
 
 fn key(backend: u32) -> u64 {
     u64::from(backend).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 7
@@ -19,26 +20,27 @@
     SLOT_MS * f64::from(gateways)
 }
 
-/// Subsets as gateways have them by default.
-fn home(place: u32, gateways: u32) -> Subset {
-    Subset::new(place, gateways, 5, 3)
+/// Returns a gateway's subset with the default settings.
+fn subset(index: u32, gateways: u32) -> Subset {
+    Subset::new(index, gateways, 5, 3)
 }
 
-/// A gateway in simulated time, and when it tried each backend.
+/// A gateway in simulated time.
 struct Gateway {
     ramp: ConnectionRamp,
-    tried: Vec<(f64, u32)>,
+    /// Time and backend of each first connection, including failed ones.
+    first_connections: Vec<(f64, u32)>,
     /// Backends that were opened without a first connection.
     released: Vec<u32>,
 }
 
 impl Gateway {
-    fn new(place: u32, gateways: u32, backends: u32, now: f64) -> Gateway {
-        let mut ramp = ConnectionRamp::new(place, gateways, home(place, gateways), PER_S, now);
+    fn new(index: u32, gateways: u32, backends: u32, now: f64) -> Gateway {
+        let mut ramp = ConnectionRamp::new(index, gateways, subset(index, gateways), CONNECTIONS_PER_S, now);
         for id in 0..backends {
-            assert!(!ramp.add(id, key(id), 0.0), "open before its turn");
+            assert!(!ramp.add(id, key(id), 0.0), "open before its slot");
         }
-        Gateway { ramp, tried: Vec::new(), released: Vec::new() }
+        Gateway { ramp, first_connections: Vec::new(), released: Vec::new() }
     }
 
     fn confirmed(mut self, now: f64) -> Gateway {
@@ -46,38 +48,42 @@
         self
     }
 
-    /// Runs until a moment; each timer is late by `late` ms.
-    fn run(&mut self, from: f64, until: f64, late: f64, answers: impl Fn(u32, f64) -> bool) {
+    /// Runs until `until`; each timer is late by `lateness_ms`.
+    fn run(&mut self, from: f64, until: f64, lateness_ms: f64, succeeds: impl Fn(u32, f64) -> bool) {
         let mut now = from;
         loop {
             self.ramp.choose(now, 0);
             self.released.extend(self.ramp.release(now));
-            let Some(next) = self.ramp.next_wakeup_ms(now).map(|at| at.max(now) + late) else { return };
+            let Some(next) = self.ramp.next_wakeup_ms(now).map(|at| at.max(now) + lateness_ms) else {
+                return;
+            };
             if next >= until {
                 return;
             }
             now = next;
             while let Some(id) = self.ramp.due(now) {
-                self.tried.push((now, id));
-                let _ = self.ramp.first_connection_ended(now + 1.0, id, 0.0, answers(id, now));
+                self.first_connections.push((now, id));
+                let _ = self.ramp.first_connection_ended(now + 1.0, id, 0.0, succeeds(id, now));
             }
             now += 0.001;
         }
     }
 }
 
-/// No backend gets more first connections than the slots allow, in spans of several lengths.
-fn slots_hold(gateways: &[Gateway], backends: u32, late: f64) {
+/// Asserts that no backend gets more first connections than the slots allow, in time spans of several
+/// lengths.
+fn assert_one_connection_per_slot(gateways: &[Gateway], backends: u32, lateness_ms: f64) {
     for id in 0..backends {
-        let of =
-            |g: &Gateway| g.tried.iter().filter(|(_, b)| *b == id).map(|(at, _)| *at).collect::<Vec<_>>();
+        let of = |g: &Gateway| {
+            g.first_connections.iter().filter(|(_, b)| *b == id).map(|(at, _)| *at).collect::<Vec<_>>()
+        };
         let mut at: Vec<f64> = gateways.iter().flat_map(of).collect();
         at.sort_by(f64::total_cmp);
         for time in [100.0, 1_000.0, 10_000.0] {
-            let most = (time + late) / SLOT_MS + 2.0;
+            let limit = (time + lateness_ms) / SLOT_MS + 2.0;
             for i in 0..at.len() {
                 let within = at[i..].iter().take_while(|t| **t < at[i] + time).count();
-                assert!(within as f64 <= most, "{within} in {time} ms at backend {id}, {most} are borne");
+                assert!(within as f64 <= limit, "{within} in {time} ms at backend {id}, {limit} are allowed");
             }
         }
     }
@@ -86,190 +92,207 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// Seeds: `PROPTEST_RNG_SEED`. For any starts, crashes and late timers a backend gets one first
-    /// connection a slot, and in the end all backends are open at all gateways.
+    /// For any starts, crashes and late timers, a backend gets one first connection per slot, and finally all
+    /// backends are open at all gateways. `PROPTEST_RNG_SEED` sets the seed.
     #[test]
     fn one_first_connection_per_slot_from_fleets_of_any_size(
-        n in 1u32..=1_000,
+        gateways in 1u32..=1_000,
         backends in 1u32..=20,
         spread_ms in 0.0..20_000.0f64,
-        late in 0.0..90.0f64,
+        lateness_ms in 0.0..90.0f64,
         crashes in 0usize..2,
     ) {
-        let round = round_ms(n).max(200.0);
+        let round = round_ms(gateways).max(200.0);
         let mut fleet = Vec::new();
-        for place in 0..n {
-            let mut now = BEGIN_MS + spread_ms * f64::from(place * 7 % n) / f64::from(n);
+        for index in 0..gateways {
+            let mut now = START_MS + spread_ms * f64::from(index * 7 % gateways) / f64::from(gateways);
             for _ in 0..crashes {
-                // A crashed gateway forgets everything and starts again.
-                let mut gateway = Gateway::new(place, n, backends, now).confirmed(now);
-                gateway.run(now, now + round / 2.0, late, |_, _| true);
+                // A crashed gateway loses its state and starts again.
+                let mut gateway = Gateway::new(index, gateways, backends, now).confirmed(now);
+                gateway.run(now, now + round / 2.0, lateness_ms, |_, _| true);
                 fleet.push(gateway);
                 now += round / 2.0;
             }
-            let mut gateway = Gateway::new(place, n, backends, now).confirmed(now);
-            gateway.run(now, now + 2.0 * round + 200.0, late, |_, _| true);
+            let mut gateway = Gateway::new(index, gateways, backends, now).confirmed(now);
+            gateway.run(now, now + 2.0 * round + 200.0, lateness_ms, |_, _| true);
             prop_assert_eq!(gateway.ramp.stage(), RampStage::Warm);
             prop_assert_eq!(gateway.ramp.open_count(), backends as usize);
-            // It tried its subset in slots, at least four backends.
-            let degree = home(place, n).degree(backends as usize);
-            let of_home = |id: &u32| home(place, n).threshold(key(*id)) < degree;
-            prop_assert!(!gateway.released.iter().any(of_home));
-            prop_assert!(gateway.tried.len() >= backends.min(4) as usize);
+            // It used slots for its subset, which has at least four backends.
+            let degree = subset(index, gateways).degree(backends as usize);
+            let in_subset = |id: &u32| subset(index, gateways).threshold(key(*id)) < degree;
+            prop_assert!(!gateway.released.iter().any(in_subset));
+            prop_assert!(gateway.first_connections.len() >= backends.min(4) as usize);
             fleet.push(gateway);
         }
-        slots_hold(&fleet, backends, late);
+        assert_one_connection_per_slot(&fleet, backends, lateness_ms);
     }
 }
 
 #[test]
-fn unconfirmed_list_tries_few_backends() {
-    let (n, backends) = (300, 40);
-    let half = |id: u32, _| id.is_multiple_of(2);
-    let mut fleet: Vec<Gateway> = (0..n).map(|place| Gateway::new(place, n, backends, BEGIN_MS)).collect();
+fn gateway_with_unconfirmed_list_tries_few_backends() {
+    let (gateways, backends) = (300, 40);
+    let is_alive = |id: u32, _| id.is_multiple_of(2);
+    let mut fleet: Vec<Gateway> =
+        (0..gateways).map(|index| Gateway::new(index, gateways, backends, START_MS)).collect();
     for gateway in &mut fleet {
-        gateway.run(BEGIN_MS, BEGIN_MS + 0.99 * round_ms(n), 0.0, half);
-        // Others follow those that failed, each in a slot of its own.
+        gateway.run(START_MS, START_MS + 0.99 * round_ms(gateways), 0.0, is_alive);
+        // A failed backend is replaced by another one, which has its own slot.
         assert!((1..=4).contains(&gateway.ramp.open_count()), "{}", gateway.ramp.open_count());
         assert_eq!((gateway.ramp.stage(), gateway.released.len()), (RampStage::Known, 0));
     }
-    slots_hold(&fleet, backends, 0.0);
+    assert_one_connection_per_slot(&fleet, backends, 0.0);
     let open: usize = fleet.iter().map(|g| g.ramp.open_count()).sum();
     assert!(open >= 300 * 3, "{open} open at 300 gateways");
-    let at_dead = fleet.iter().flat_map(|g| &g.tried).filter(|(_, id)| id % 2 == 1).count();
-    // All of them would be 300 at each of 20; four that answer are found by about four that do not.
-    assert!(at_dead < 300 * 6, "{at_dead} tries at 20 dead backends");
-    // No gateway keeps few backends for good: a list that is never confirmed is opened by doubling.
+    let to_dead = fleet.iter().flat_map(|g| &g.first_connections).filter(|(_, id)| id % 2 == 1).count();
+    // Trying all would make 300 connections to each of the 20; finding four live ones takes about four
+    // failures.
+    assert!(to_dead < 300 * 6, "{to_dead} connections to 20 unreachable backends");
+    // If the list is never confirmed, the number of open backends doubles until all are open.
     let gateway = &mut fleet[7];
-    let from = BEGIN_MS + round_ms(n);
-    gateway.run(from, from + 8.0 * round_ms(n), 0.0, |_, _| true);
+    let from = START_MS + round_ms(gateways);
+    gateway.run(from, from + 8.0 * round_ms(gateways), 0.0, |_, _| true);
     assert_eq!(gateway.ramp.open_count(), backends as usize);
     assert_eq!(gateway.ramp.stage(), RampStage::Known);
 }
 
 #[test]
 fn load_failures_and_confirmation_open_more_backends() {
-    let n = 300;
-    // How many have a slot or are open.
-    let chosen = |gateway: &mut Gateway, out: usize| {
-        gateway.ramp.choose(BEGIN_MS, out);
-        let mut tried = 0;
+    let gateways = 300;
+    // Returns how many backends get a slot.
+    let chosen = |gateway: &mut Gateway, in_flight: usize| {
+        gateway.ramp.choose(START_MS, in_flight);
+        let mut first_connections = 0;
         let mut ramp = gateway.ramp.clone();
-        let mut now = BEGIN_MS;
-        while let Some(at) = ramp.next_wakeup_ms(now).filter(|at| *at < BEGIN_MS + 0.99 * round_ms(n)) {
+        let mut now = START_MS;
+        while let Some(at) = ramp.next_wakeup_ms(now).filter(|at| *at < START_MS + 0.99 * round_ms(gateways))
+        {
             now = at;
             while ramp.due(now).is_some() {
-                tried += 1;
+                first_connections += 1;
             }
             now += 0.001;
         }
-        tried
+        first_connections
     };
-    let mut gateway = Gateway::new(3, n, 40, BEGIN_MS);
+    let mut gateway = Gateway::new(3, gateways, 40, START_MS);
     let few = chosen(&mut gateway, 1);
     assert!((3..=4).contains(&few), "{few}");
     let busy = chosen(&mut gateway, 8);
-    assert!(busy >= few + 3, "{busy} with 8 attempts out, {few} before");
+    assert!(busy >= few + 3, "{busy} with 8 attempts in flight, {few} before");
     for _ in 0..6 {
         gateway.ramp.record_failure();
     }
     let failing = chosen(&mut gateway, 8);
-    assert!(failing >= busy + 4, "{failing} after 6 that failed, {busy} before");
-    let mut gateway = Gateway::new(3, n, 400, BEGIN_MS).confirmed(BEGIN_MS);
-    let degree = home(3, n).degree(400);
-    let of_home = (0..400).filter(|id| home(3, n).threshold(key(*id)) < degree).count();
+    assert!(failing >= busy + 4, "{failing} after 6 failures, {busy} before");
+    let mut gateway = Gateway::new(3, gateways, 400, START_MS).confirmed(START_MS);
+    let degree = subset(3, gateways).degree(400);
+    let in_subset = (0..400).filter(|id| subset(3, gateways).threshold(key(*id)) < degree).count();
     let all = chosen(&mut gateway, 0);
-    assert!(of_home > 4 && all + 2 >= of_home && all <= of_home, "{all} of a home of {of_home}");
+    assert!(in_subset > 4 && all + 2 >= in_subset && all <= in_subset, "{all} of a subset of {in_subset}");
 }
 
 #[test]
 fn releases_deferred_backends_after_the_subset_or_two_rounds() {
-    let n = 300;
-    let mut gateway = Gateway::new(3, n, 40, BEGIN_MS);
-    gateway.ramp.choose(BEGIN_MS, 0);
-    assert_eq!(gateway.ramp.release(BEGIN_MS + 9.0 * round_ms(n)), [], "told though nobody confirmed it");
-    let mut gateway = gateway.confirmed(BEGIN_MS);
-    gateway.ramp.choose(BEGIN_MS, 0);
-    // Once the list is confirmed no more are chosen as time passes, or one would always be untried.
-    gateway.ramp.choose(BEGIN_MS + 5.0 * round_ms(n), 0);
-    assert_eq!(gateway.ramp.release(BEGIN_MS + 1.9 * round_ms(n)), [], "before the home was tried");
-    let told = gateway.ramp.release(BEGIN_MS + 2.1 * round_ms(n));
-    assert!(told.len() > 25, "{told:?}");
+    let gateways = 300;
+    let mut gateway = Gateway::new(3, gateways, 40, START_MS);
+    gateway.ramp.choose(START_MS, 0);
+    assert_eq!(
+        gateway.ramp.release(START_MS + 9.0 * round_ms(gateways)),
+        [],
+        "released though the list is not confirmed"
+    );
+    let mut gateway = gateway.confirmed(START_MS);
+    gateway.ramp.choose(START_MS, 0);
+    // Once the list is confirmed no more are chosen as time passes, or one would always be pending.
+    gateway.ramp.choose(START_MS + 5.0 * round_ms(gateways), 0);
+    assert_eq!(
+        gateway.ramp.release(START_MS + 1.9 * round_ms(gateways)),
+        [],
+        "released before the subset was tried"
+    );
+    let released_ids = gateway.ramp.release(START_MS + 2.1 * round_ms(gateways));
+    assert!(released_ids.len() > 25, "{released_ids:?}");
     // Removed backends of the subset are not waited for.
-    let mut gone = Gateway::new(3, n, 40, BEGIN_MS).confirmed(BEGIN_MS);
-    gone.ramp.choose(BEGIN_MS, 0);
-    (0..40).filter(|id| !told.contains(id)).for_each(|id| gone.ramp.remove(id));
-    assert_eq!(gone.ramp.release(BEGIN_MS).len(), told.len());
-    // From then on a backend outside the subset waits for nothing.
-    let far = (40..).find(|id| home(3, n).threshold(key(*id)) > 200.0).expect("one of many");
-    assert!(!gateway.ramp.add(far, key(far), 0.0));
-    gateway.ramp.choose(BEGIN_MS, 0);
-    assert_eq!(gateway.ramp.release(BEGIN_MS), [far]);
-    assert!(gateway.ramp.add(far, key(far), 0.0));
+    let mut without_subset = Gateway::new(3, gateways, 40, START_MS).confirmed(START_MS);
+    without_subset.ramp.choose(START_MS, 0);
+    (0..40).filter(|id| !released_ids.contains(id)).for_each(|id| without_subset.ramp.remove(id));
+    assert_eq!(without_subset.ramp.release(START_MS).len(), released_ids.len());
+    // From then on a backend outside the subset is released immediately.
+    let outside = (40..)
+        .find(|id| subset(3, gateways).threshold(key(*id)) > 200.0)
+        .expect("a backend outside the subset");
+    assert!(!gateway.ramp.add(outside, key(outside), 0.0));
+    gateway.ramp.choose(START_MS, 0);
+    assert_eq!(gateway.ramp.release(START_MS), [outside]);
+    assert!(gateway.ramp.add(outside, key(outside), 0.0));
 }
 
 #[test]
-fn backs_off_from_a_dead_backend_and_finds_its_return() {
-    let n = 300;
+fn backs_off_from_an_unreachable_backend_until_it_returns() {
+    let gateways = 300;
     let mut fleet: Vec<Gateway> =
-        (0..n).map(|place| Gateway::new(place, n, 1, BEGIN_MS).confirmed(BEGIN_MS)).collect();
-    let back = BEGIN_MS + 120_000.0;
+        (0..gateways).map(|index| Gateway::new(index, gateways, 1, START_MS).confirmed(START_MS)).collect();
+    let return_ms = START_MS + 120_000.0;
     for gateway in &mut fleet {
-        gateway.run(BEGIN_MS, back + 30_000.0, 0.0, |_, now| now >= back);
+        gateway.run(START_MS, return_ms + 30_000.0, 0.0, |_, now| now >= return_ms);
         assert_eq!(gateway.ramp.open_count(), 1);
-        let last = gateway.tried.last().map_or(0.0, |(at, _)| *at);
-        assert!(last < back + 20_000.0 + 2.0 * round_ms(n), "found {} ms late", last - back);
+        let last = gateway.first_connections.last().map_or(0.0, |(at, _)| *at);
+        assert!(
+            last < return_ms + 20_000.0 + 2.0 * round_ms(gateways),
+            "found after {} ms",
+            last - return_ms
+        );
     }
-    let late = |(at, _): &&(f64, u32)| (back - 60_000.0..back).contains(at);
-    let tries = fleet.iter().flat_map(|g| &g.tried).filter(late).count();
-    assert!(tries <= 60 * 17, "{tries} tries in a minute by 300 gateways");
-    // A fleet of one is not bound by its slots: pauses double up to 20 s.
-    let mut alone = Gateway::new(0, 1, 1, BEGIN_MS).confirmed(BEGIN_MS);
-    alone.run(BEGIN_MS, BEGIN_MS + 60_000.0, 0.0, |_, _| false);
-    assert!((5..=12).contains(&alone.tried.len()), "{:?}", alone.tried);
+    let in_last_minute = |(at, _): &&(f64, u32)| (return_ms - 60_000.0..return_ms).contains(at);
+    let connections = fleet.iter().flat_map(|g| &g.first_connections).filter(in_last_minute).count();
+    assert!(connections <= 60 * 17, "{connections} connections in a minute by 300 gateways");
+    // In a fleet of one, whose round is short, only the backoff applies, which doubles up to 20 s.
+    let mut alone = Gateway::new(0, 1, 1, START_MS).confirmed(START_MS);
+    alone.run(START_MS, START_MS + 60_000.0, 0.0, |_, _| false);
+    assert!((5..=12).contains(&alone.first_connections.len()), "{:?}", alone.first_connections);
 }
 
 #[test]
-fn restart_drain_and_removal_close_a_backend_until_its_slot() {
-    let mut ramp = ConnectionRamp::new(1, 30, home(1, 30), PER_S, BEGIN_MS);
-    ramp.confirm(BEGIN_MS);
-    // Its moment, and its id.
+fn restarted_drained_or_removed_backend_waits_for_a_slot() {
+    let mut ramp = ConnectionRamp::new(1, 30, subset(1, 30), CONNECTIONS_PER_S, START_MS);
+    ramp.confirm(START_MS);
+    // Returns the time of the next slot, and the backend.
     let due = |ramp: &mut ConnectionRamp, from: f64| {
         ramp.choose(from, 0);
-        let at = ramp.next_wakeup_ms(from).expect("it waits");
-        assert_eq!(ramp.due(at - 0.5), None, "before its turn");
+        let at = ramp.next_wakeup_ms(from).expect("a backend has a slot");
+        assert_eq!(ramp.due(at - 0.5), None, "before its slot");
         (at, ramp.due(at))
     };
     assert!(!ramp.add(5, 77, 0.0));
-    let (at, id) = due(&mut ramp, BEGIN_MS);
+    let (at, id) = due(&mut ramp, START_MS);
     assert_eq!((id, ramp.stage()), (Some(5), RampStage::Confirmed));
     assert!(ramp.first_connection_ended(at + 1.0, 5, 0.0, true) && ramp.add(5, 77, 0.0));
     assert_eq!((ramp.release(at), ramp.stage()), (vec![], RampStage::Warm));
-    // It restarts, and once more during its first connection, whose result then counts for nothing.
+    // It restarts, and again during its first connection, whose result is then ignored.
     assert!(!ramp.add(5, 77, 10.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(!ramp.add(5, 77, 20.0), "another life");
-    assert!(!ramp.first_connection_ended(at + 1.0, 5, 10.0, true), "an answer of the life before");
+    assert!(!ramp.add(5, 77, 20.0), "a later incarnation is closed");
+    assert!(!ramp.first_connection_ended(at + 1.0, 5, 10.0, true), "a result for an earlier incarnation");
     assert_eq!((ramp.open_count(), ramp.waiting_count()), (0, 1));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
     assert!(ramp.first_connection_ended(at, 5, 20.0, true));
-    assert!(ramp.add(5, 77, 10.0), "an older line is none of another life");
+    assert!(ramp.add(5, 77, 10.0), "an entry for an earlier incarnation is ignored");
     // The same during the first connection to the later incarnation.
     assert!(!ramp.add(5, 77, 30.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(!ramp.first_connection_ended(at, 5, 20.0, true), "a late answer of the life before");
+    assert!(!ramp.first_connection_ended(at, 5, 20.0, true), "a late result for an earlier incarnation");
     assert!(ramp.first_connection_ended(at, 5, 30.0, true));
-    // Drained and undrained.
+    // It is drained and undrained.
     ramp.remove(5);
     assert_eq!((ramp.stage(), ramp.next_wakeup_ms(at)), (RampStage::Empty, None));
     assert!(!ramp.add(5, 77, 30.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
     assert!(ramp.first_connection_ended(at, 5, 30.0, true));
-    // Missing on a whole list and listed again.
+    // It is missing from a snapshot, and listed again.
     ramp.retain(|id| id != 5);
     assert!(!ramp.add(5, 77, 30.0));
     assert_eq!(ramp.waiting_count(), 1);
@@ -277,15 +300,15 @@
 
 #[test]
 fn resumed_gateways_wait_for_their_next_slots() {
-    let n = 100;
+    let gateways = 100;
     let mut fleet: Vec<Gateway> =
-        (0..n).map(|place| Gateway::new(place, n, 4, BEGIN_MS).confirmed(BEGIN_MS)).collect();
-    // All are stopped before their first slot, for ten rounds.
-    let on = BEGIN_MS + 10.0 * round_ms(n) + 3.0;
+        (0..gateways).map(|index| Gateway::new(index, gateways, 4, START_MS).confirmed(START_MS)).collect();
+    // All gateways are suspended for ten rounds before their first slot.
+    let resumed_ms = START_MS + 10.0 * round_ms(gateways) + 3.0;
     for gateway in &mut fleet {
-        gateway.ramp.choose(BEGIN_MS, 0);
-        gateway.run(on, on + 2.1 * round_ms(n), 0.0, |_, _| true);
+        gateway.ramp.choose(START_MS, 0);
+        gateway.run(resumed_ms, resumed_ms + 2.1 * round_ms(gateways), 0.0, |_, _| true);
         assert_eq!(gateway.ramp.open_count(), 4);
     }
-    slots_hold(&fleet, 4, 100.0);
+    assert_one_connection_per_slot(&fleet, 4, 100.0);
 }
