--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -117,7 +117,7 @@
             gateway.run(now, now + 2.0 * round + 200.0, lateness_ms, |_, _| true);
             prop_assert_eq!(gateway.ramp.stage(), RampStage::Warm);
             prop_assert_eq!(gateway.ramp.open_count(), backends as usize);
-            // It used slots for its subset, which has at least four backends.
+            // It used slots for its subset, which has four backends or more if there are as many.
             let degree = subset(index, gateways).degree(backends as usize);
             let in_subset = |id: &u32| subset(index, gateways).threshold(key(*id)) < degree;
             prop_assert!(!gateway.released.iter().any(in_subset));
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -170,8 +170,11 @@
         for ms in [200.0, 1_000.0, 5_000.0] {
             let most =
                 1.35 * CAPACITY_PER_S * ms / 1_000.0 + 3.0 + (100.0 + STEP_MS) * CAPACITY_PER_S / 1_000.0;
-            let calls = result.max_calls_in(ms);
-            prop_assert!(calls as f64 <= most, "{calls} in {ms} ms, {most}");
+            prop_assert!(
+                result.max_calls_in(ms) as f64 <= most,
+                "{} in {ms} ms, {most}",
+                result.max_calls_in(ms)
+            );
         }
     }
 }
