--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -1,5 +1,5 @@
-//! Failure detection: which members are alive. SWIM as `foca` implements it, with timers, local health and a
-//! comparison of views around it.
+//! Failure detection: which members are alive. Uses the SWIM implementation of `foca` and adds timers, local
+//! health and the comparison of membership views.
 
 mod config;
 mod node;
@@ -18,46 +18,47 @@
 use config::{foca_config, PROBE_PERIOD};
 pub use node::{MemberChange, Node, Packet, PacketError};
 
-/// Time between two comparisons of views, ms.
+/// Period of the comparison of views, ms.
 const COMPARE_PERIOD_MS: u64 = 1_000;
-/// Time between two comparisons after views were found to differ, ms.
+/// Time to the next comparison after views were found to differ, ms.
 const COMPARE_PERIOD_WHILE_DIFFERENT_MS: u64 = 200;
-/// The least time between two requests for another member's view, ms.
+/// Minimum time between two requests for another member's view, ms.
 const VIEW_REQUEST_PERIOD_MS: u64 = 100;
-/// Members that a joining one announces itself to at a time.
+/// Maximum number of members to which a joining member announces itself at a time.
 const JOIN_FANOUT: usize = 3;
-/// A member that was never heard from counts as gone this long after the detector's start, ms.
+/// Time after the detector's start from which a member that was never heard from counts as gone, ms.
 const NEVER_HEARD_TIMEOUT_MS: u64 = 10_000;
 /// The worst local health.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// A timer that is later than this, ms, is a sign that this process itself is slow.
+/// A timer that is late by more than this, ms, indicates that this process itself is slow.
 const LATE_TIMER_MS: u64 = 500;
-/// Local health gets better by one after this time without a sign, ms.
+/// Time without such an indication after which local health improves by one, ms.
 const HEALTH_RECOVERY_MS: u64 = 2 * PROBE_PERIOD.as_millis() as u64;
-/// Changes that are retained until they are taken.
+/// Maximum number of changes that are kept until they are taken. Further ones are dropped.
 const MAX_PENDING_CHANGES: usize = 1_024;
-/// Makes the draws of the detector differ from those of `foca`, which has the same seed ("join").
+/// Makes the detector's random numbers differ from those of `foca`, which has the same seed. ASCII for
+/// "join".
 const SEED_MASK: u64 = 0x6a6f_696e;
 
-/// A member that was heard of.
+/// A member that is known from gossip.
 #[derive(Clone, Debug)]
 struct KnownNode {
     node: Node,
     is_alive: bool,
 }
 
-/// When a timer of `foca` is due; the sequence number tells timers of one moment apart.
+/// When a timer of `foca` is due; the sequence number orders timers that are due at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due_ms: u64,
     sequence: u64,
 }
 
-/// What one member believes of the others.
+/// Failure detector of one member.
 ///
-/// A process that is itself slow or was stopped would take all others for gone. So a timer that is late, or
-/// others that take this one for gone, worsen its local health, by which its probes wait longer (Lifeguard:
-/// Dadgar, Phillips, Currey, 2018). Local health recovers with time.
+/// A process that is slow or was suspended would consider all other members gone. So late timers, and other
+/// members that consider this one gone, worsen its local health, which makes its probes wait longer
+/// (Lifeguard: Dadgar, Phillips, Currey, 2018). Local health recovers over time.
 pub struct Detector {
     foca: Foca<Node, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Node>,
@@ -65,20 +66,21 @@
     last_timer_sequence: u64,
     member_count: u32,
     started_ms: u64,
-    /// By number.
+    /// Known members by number.
     known: BTreeMap<u32, KnownNode>,
     local_health: u32,
-    /// When local health changed last.
+    /// When local health last changed.
     health_changed_ms: u64,
     next_compare_ms: u64,
-    /// No view is requested before.
+    /// No view is requested before this time.
     next_view_request_ms: u64,
     changes: Vec<MemberChange>,
     rng: ChaCha8Rng,
 }
 
 impl Detector {
-    /// A detector of a fleet of so many members that starts at `now_ms`. Each member has a seed of its own.
+    /// Returns a detector that starts at `now_ms` in a fleet of `member_count` members. Each member must have
+    /// a different seed.
     #[must_use]
     pub fn new(identity: Node, member_count: u32, now_ms: u64, seed: u64) -> Detector {
         let member_count = member_count.max(1);
@@ -100,15 +102,15 @@
         }
     }
 
-    /// This member as it announces itself now.
+    /// Returns this member as it currently announces itself.
     #[must_use]
     pub fn identity(&self) -> &Node {
         self.foca.identity()
     }
 
-    /// Announces this member to some of the others. To be repeated while [`Detector::is_alone`].
+    /// Announces this member to some of the others. The caller repeats it while [`Detector::is_alone`].
     ///
-    /// `addresses` are those of all numbers, in order.
+    /// `addresses` are those of all members, in the order of their numbers.
     pub fn join(&mut self, now_ms: u64, addresses: &[SocketAddr]) -> Vec<Packet> {
         let own_number = self.identity().number;
         for _ in 0..JOIN_FANOUT.min(addresses.len().saturating_sub(1)) {
@@ -118,7 +120,7 @@
             }
             let address = addresses[number as usize];
             let unknown = Node { number, address, zone: 0, incarnation: 0, rejoins: 0 };
-            // Fails only where a packet cannot be encoded, and this one can.
+            // Fails only if a packet cannot be encoded, which cannot happen here.
             let _ = self.foca.announce(unknown, &mut self.runtime);
         }
         self.drain_runtime(now_ms)
@@ -130,22 +132,22 @@
         self.foca.num_members() == 0
     }
 
-    /// Handles a packet of another member. Returns the packets that follow from it.
+    /// Handles a packet from another member. Returns the packets to send in response.
     ///
     /// # Errors
-    /// The packet cannot be used; nothing of it was.
+    /// The packet cannot be used; no part of it was.
     pub fn handle_packet(&mut self, now_ms: u64, packet: &[u8]) -> Result<Vec<Packet>, PacketError> {
         let handled = self.foca.handle_data(packet, &mut self.runtime);
-        // Timers that were queued before a failure are still due.
+        // Timers that were set before the error still have to run.
         let packets = self.drain_runtime(now_ms);
         handled.map(|()| packets).map_err(PacketError)
     }
 
-    /// Does what is due: timers, the comparison of views, the recovery of local health.
+    /// Runs what is due: timers, the comparison of views, and the recovery of local health.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Packet> {
         let mut packets = Vec::new();
         while let Some(timer) = self.take_due_timer(now_ms) {
-            // A timer of an earlier state of `foca` is skipped with an error.
+            // `foca` skips an outdated timer and returns an error.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             packets.extend(self.drain_runtime(now_ms));
         }
@@ -169,8 +171,8 @@
         Some(timer)
     }
 
-    /// Sends the digest of this view to a member drawn by chance. Without it two views could differ for good
-    /// once all gossip of a change was lost.
+    /// Sends the digest of this member's view to a random member. Without it, two views could differ
+    /// permanently if all gossip about a change was lost.
     fn send_digest(&mut self) -> Option<Packet> {
         let alive = self.alive_nodes().count();
         let chosen = self.rng.random_range(0..alive.max(1));
@@ -179,7 +181,8 @@
         Some(Packet { to: number, address, payload })
     }
 
-    /// Handles the digest of another member's view. If it differs, that member is asked whom it knows.
+    /// Handles the digest of another member's view. If it differs from this member's, that member's view is
+    /// requested.
     pub fn handle_digest(&mut self, now_ms: u64, from: u32, digest: u64) -> Vec<Packet> {
         let Some(sender) = self.known.get(&from).filter(|known| known.is_alive) else { return Vec::new() };
         if now_ms < self.next_view_request_ms || digest == self.digest() {
@@ -188,12 +191,12 @@
         let sender = sender.node.clone();
         self.next_view_request_ms = now_ms + VIEW_REQUEST_PERIOD_MS;
         self.next_compare_ms = self.next_compare_ms.min(now_ms + COMPARE_PERIOD_WHILE_DIFFERENT_MS);
-        // Fails only where a packet cannot be encoded, and this one can.
+        // Fails only if a packet cannot be encoded, which cannot happen here.
         let _ = self.foca.announce(sender, &mut self.runtime);
         self.drain_runtime(now_ms)
     }
 
-    /// When [`Detector::tick`] is due, ms.
+    /// Returns when [`Detector::tick`] is due, ms.
     #[must_use]
     pub fn next_tick_ms(&self) -> u64 {
         match self.timers.first_key_value() {
@@ -202,43 +205,43 @@
         }
     }
 
-    /// Tells some of the others that this member leaves.
+    /// Announces to some of the other members that this one leaves.
     pub fn leave(&mut self, now_ms: u64) -> Vec<Packet> {
-        // Fails only where nothing can be encoded.
+        // Fails only if a packet cannot be encoded, which cannot happen here.
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(now_ms)
     }
 
-    /// Local health, 0 to 8: 0 is healthy, and with each more probes wait one time longer.
+    /// Returns the local health, 0 to 8. 0 is healthy; at `n`, probes wait `n + 1` times as long.
     #[must_use]
     pub fn local_health(&self) -> u32 {
         self.local_health
     }
 
-    /// Which of the other members are believed to be alive or gone.
+    /// Returns which of the other members are believed to be alive or gone.
     #[must_use]
     pub fn view(&self, now_ms: u64) -> MembershipView {
         let mut view = MembershipView::default();
         let own_number = self.identity().number;
-        let waited_for_all = now_ms.saturating_sub(self.started_ms) >= NEVER_HEARD_TIMEOUT_MS;
+        let never_heard_are_gone = now_ms.saturating_sub(self.started_ms) >= NEVER_HEARD_TIMEOUT_MS;
         for number in (0..self.member_count).filter(|number| *number != own_number) {
             match self.known.get(&number) {
                 Some(known) if known.is_alive => view.alive.push(number),
                 Some(_) => view.gone.push(number),
-                None if waited_for_all => view.gone.push(number),
+                None if never_heard_are_gone => view.gone.push(number),
                 None => {}
             }
         }
         view
     }
 
-    /// The members that are alive, without this one, in the order of their numbers.
+    /// Returns the other members that are alive, in the order of their numbers.
     pub fn alive_nodes(&self) -> impl Iterator<Item = &Node> {
         self.known.values().filter(|known| known.is_alive).map(|known| &known.node)
     }
 
-    /// Digest of the members that are alive and their incarnations, this one's included. Views that agree
-    /// have the same.
+    /// Returns a digest of the live members and their incarnations, including this member. Equal views have
+    /// the same digest.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let others = self.alive_nodes();
@@ -255,7 +258,7 @@
         u64::from_le_bytes(first)
     }
 
-    /// Takes the changes since the last call, oldest first.
+    /// Returns the changes since the last call, oldest first, and removes them.
     pub fn take_changes(&mut self) -> Vec<MemberChange> {
         std::mem::take(&mut self.changes)
     }
@@ -271,7 +274,7 @@
         }
     }
 
-    /// Takes what `foca` wants done. Returns the packets to be sent.
+    /// Applies the timers and notifications that `foca` has queued. Returns the packets to send.
     fn drain_runtime(&mut self, now_ms: u64) -> Vec<Packet> {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.schedule(now_ms, after, timer);
@@ -287,7 +290,8 @@
         packets
     }
 
-    /// A member in bad local health waits longer for answers, and before it takes a suspect for gone.
+    /// Schedules a timer of `foca`. A member in bad local health waits longer for responses, and before it
+    /// considers a suspect gone.
     fn schedule(&mut self, now_ms: u64, after: Duration, timer: Timer<Node>) {
         let factor = match timer {
             Timer::SendIndirectProbe { .. }
--- a/crates/membership/src/detect/config.rs
+++ b/crates/membership/src/detect/config.rs
@@ -7,26 +7,27 @@
 
 use crate::wire::MAX_DATAGRAM_BYTES;
 
-/// Time between two probes of a member.
+/// Time between two probes that a member sends.
 pub(super) const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// How long a probe may go unanswered before other members are asked to probe.
+/// Time without a response to a probe after which other members are asked to probe.
 const PROBE_RTT: Duration = Duration::from_millis(150);
-/// Members that are asked to probe another one.
+/// Number of members that are asked for an indirect probe.
 const INDIRECT_PROBES: usize = 3;
-/// How long a suspect has to refute the suspicion.
+/// Time that a suspect has to refute the suspicion.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Time between two rounds of gossip.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
-/// Members that a round of gossip goes to.
+/// Number of members that receive a round of gossip.
 const GOSSIP_FANOUT: usize = 2;
-/// Time between two announcements to a member that is alive.
+/// Time between two announcements to a live member.
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(30);
-/// Time between two announcements to a member that is gone: it may be back.
+/// Time between two announcements to a gone member, which may have returned.
 const ANNOUNCE_TO_GONE_PERIOD: Duration = Duration::from_secs(10);
-/// The longest packet of `foca`, bytes: version, fleet and checksum of a datagram need the rest.
+/// Maximum length of a packet of `foca`, bytes. The remaining bytes of a datagram hold the version, the fleet
+/// and the checksum.
 const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - 32;
 
-/// The configuration for a fleet of so many members.
+/// Returns the configuration for a fleet of `member_count` members.
 pub(super) fn foca_config(member_count: u32) -> Config {
     let cluster_size = NonZeroU32::new(member_count).unwrap_or(NonZeroU32::MIN);
     let at_least_one = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
--- a/crates/membership/src/detect/node.rs
+++ b/crates/membership/src/detect/node.rs
@@ -1,4 +1,4 @@
-//! Members as the detector knows them, and what it tells of them.
+//! Members as the detector knows them, and the changes and packets that it reports.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 
 use crate::wire::Payload;
 
-/// A member as the others know it. The order of the fields is the wire form.
+/// A member as the others know it. The order of the fields defines the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Node {
-    /// Its number in the fleet, from 0. A number is one member, whatever its incarnation.
+    /// Number of the member in the fleet, from 0, the same for all its incarnations.
     pub number: u32,
-    /// Where it listens.
+    /// Address on which the member listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: u32,
-    /// Grows with each start of its process.
+    /// Increases with each start of the member's process.
     pub incarnation: u64,
-    /// How often it rejoined in this incarnation after others had taken it for gone.
+    /// Number of times that this incarnation rejoined after others had considered it gone.
     pub rejoins: u32,
 }
 
@@ -39,23 +39,23 @@
     }
 }
 
-/// A change of the view.
+/// A change of the membership view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
     /// A member is alive.
     Up(Node),
-    /// A member is gone: it left or does not answer.
+    /// A member is gone: it left or does not respond.
     Down(Node),
-    /// Another incarnation of a member took the place of an earlier one.
+    /// A new incarnation of a member replaced an earlier one.
     Restarted {
         /// The earlier incarnation.
         old: Node,
-        /// The present one.
+        /// The current incarnation.
         new: Node,
     },
-    /// Others took this member for gone, and it rejoined.
+    /// Others considered this member gone, and it rejoined.
     Rejoined,
-    /// No other member is alive any more.
+    /// No other member is alive.
     Alone,
 }
 
@@ -64,13 +64,13 @@
 pub struct Packet {
     /// Number of the receiver.
     pub to: u32,
-    /// The receiver's address, as other members told it.
+    /// Address of the receiver, as known from gossip.
     pub address: SocketAddr,
-    /// What is sent.
+    /// Payload of the datagram.
     pub payload: Payload,
 }
 
-/// A packet that cannot be used, with the reason of `foca`.
+/// Error of a packet that cannot be used, as reported by `foca`.
 #[derive(Debug)]
 pub struct PacketError(pub(super) foca::Error);
 
--- a/crates/membership/src/lease/coordinator.rs
+++ b/crates/membership/src/lease/coordinator.rs
@@ -1,4 +1,4 @@
-//! The lease protocol of one member over time: which requests it sends to whom, and when.
+//! Coordinates the lease protocol of one member: which requests it sends, to which members, and when.
 
 use std::collections::BTreeMap;
 
@@ -7,75 +7,75 @@
 
 use super::{Allocation, Grant, LeaseGrantor, LeaseHolder, LeaseTerms, Member, Message, SLOT_UNITS};
 
-/// Rounds of requests in the length of a lease.
+/// Number of request rounds in the length of a lease.
 const ROUNDS_PER_LEASE: u64 = 3;
-/// A round begins up to this part of its length early, by chance.
+/// A round begins early by a random time of up to its length divided by this.
 const ROUND_JITTER_DIVISOR: u64 = 4;
-/// Members that are asked for a first loan in a round.
+/// Maximum number of new lenders that are asked for a loan in a round.
 const NEW_LENDERS_PER_ROUND: usize = 3;
-/// Slots of members that are gone that are considered in a round.
+/// Number of slots of gone members that are considered for new claims in a round.
 const SLOTS_CONSIDERED_PER_ROUND: usize = 16;
-/// Slots that are claimed anew in a round.
+/// Maximum number of new claims in a round.
 const NEW_CLAIMS_PER_ROUND: usize = 2;
-/// Addresses of silent owners that are probed in a round.
+/// Maximum number of silent owners that are probed in a round.
 const PROBES_PER_ROUND: usize = 8;
-/// What a member leaves itself when it lends, in thousandths of its need.
+/// Units that a member reserves for itself when it lends, in thousandths of its need.
 const RESERVE_PER_MILLE: u64 = 1_050;
 
-/// Something that the caller is to do.
+/// An action for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message.
     Send {
         /// Number of the receiver.
         to: u32,
-        /// Of a response: the incarnation that sent the request. Request ids start anew with each
-        /// incarnation, so a later one must not take the response for its own.
+        /// For a response, the incarnation that sent the request. Request ids restart with each incarnation,
+        /// so a later incarnation must not accept the response as its own.
         incarnation: Option<u64>,
         /// The message.
         message: Message,
     },
-    /// Open a connection to this member's address, and call [`LeaseCoordinator::connection_refused`] if it is
-    /// refused.
+    /// Open a connection to this member's address, and call [`LeaseCoordinator::connection_refused`] if the
+    /// connection is refused.
     Probe(Member),
 }
 
-/// Which other members are believed to be alive or gone.
+/// The other members that are believed to be alive or gone.
 ///
-/// It decides only whom a member asks; what it may use follows from grants alone.
+/// The view determines only which members are sent requests. What a member may use follows from grants alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipView {
-    /// Numbers of members that are alive, without the member itself.
+    /// Numbers of the members that are alive, without the member itself.
     pub alive: Vec<u32>,
-    /// Numbers of members that are gone.
+    /// Numbers of the members that are gone.
     pub gone: Vec<u32>,
 }
 
-/// A loan that is to be asked for.
+/// A planned request for a loan.
 #[derive(Clone, Copy, Debug)]
 struct LoanPlan {
     lender: u32,
     units: u64,
 }
 
-/// One incarnation of a member: grantor, holder, and the schedule of its requests.
+/// One incarnation of a member: its grantor, its holder, and the schedule of its requests.
 #[derive(Debug)]
 pub struct LeaseCoordinator {
     terms: LeaseTerms,
     grantor: LeaseGrantor,
     holder: LeaseHolder,
     next_tick_ms: u64,
-    /// Slots that are claimed, and until when each is asked for though nothing was granted.
+    /// Claimed slots, and when each claim is given up unless something is granted.
     claims: BTreeMap<u32, u64>,
-    /// When each member that is gone was first seen to be.
+    /// When each gone member was first seen as gone.
     gone_since_ms: BTreeMap<u32, u64>,
-    /// Units that the member could use.
+    /// Number of units that the member could use.
     need: u64,
     rng: ChaCha8Rng,
 }
 
 impl LeaseCoordinator {
-    /// A coordinator that starts at `now_ms`. Each member has a seed of its own.
+    /// Returns a coordinator that starts at `now_ms`. Each member must have a different seed.
     #[must_use]
     pub fn new(terms: LeaseTerms, member: Member, now_ms: u64, seed: u64) -> LeaseCoordinator {
         LeaseCoordinator {
@@ -90,25 +90,26 @@
         }
     }
 
-    /// The units that may be used at `now_ms`. To be read again when they may have become fewer.
+    /// Returns the units that may be used at `now_ms`. The caller reads it again when
+    /// [`Allocation::valid_until_ms`] has passed.
     #[must_use]
     pub fn allocation(&self, now_ms: u64) -> Allocation {
         self.holder.allocation(now_ms)
     }
 
-    /// How many slots of others the member has units of.
+    /// Returns the number of other members' slots of which this member has units.
     #[must_use]
     pub fn slots_taken_over(&self, now_ms: u64) -> usize {
         self.holder.slots_taken_over(now_ms)
     }
 
-    /// When [`LeaseCoordinator::tick`] is due, ms.
+    /// Returns when [`LeaseCoordinator::tick`] is due, ms.
     #[must_use]
     pub fn next_tick_ms(&self) -> u64 {
         self.next_tick_ms
     }
 
-    /// Sends the requests that are due. `need` is how many units the member could use now.
+    /// Returns the requests that are due. `need` is the number of units that the member could use now.
     pub fn tick(&mut self, now_ms: u64, need: u64, view: &MembershipView) -> Vec<Output> {
         self.need = need;
         if now_ms < self.next_tick_ms {
@@ -124,7 +125,8 @@
         self.deliver_to_self(now_ms, outputs)
     }
 
-    /// With jitter, so that members that started together do not send together.
+    /// Schedules the next tick with jitter, so that members that started at the same time don't send at the
+    /// same time.
     fn schedule_next_tick(&mut self, now_ms: u64) {
         let round_ms = self.terms.lease_ms / ROUNDS_PER_LEASE;
         let jitter_ms = self.rng.random_range(0..=round_ms / ROUND_JITTER_DIVISOR);
@@ -141,10 +143,11 @@
         outputs.extend(grantors.map(|to| Output::Send { to, incarnation: None, message }));
     }
 
-    /// Claims slots of members that are gone: again those that it has, and new ones while it needs more.
+    /// Claims slots of gone members: repeats the current claims, and adds new ones while more units are
+    /// needed.
     fn claim_slots(&mut self, now_ms: u64, units: u64, view: &MembershipView, outputs: &mut Vec<Output>) {
         self.release_claims(now_ms, units);
-        self.note_gone_members(now_ms, view);
+        self.update_gone_members(now_ms, view);
         if units < self.need && !view.gone.is_empty() {
             self.choose_new_claims(now_ms, view);
         }
@@ -156,20 +159,20 @@
         }
     }
 
-    /// Gives up claims that are needed no more or that were not granted in time, by not repeating them.
+    /// Gives up claims that are no longer needed or were not granted in time, by not repeating them.
     fn release_claims(&mut self, now_ms: u64, units: u64) {
-        let has_a_slot_to_spare = units.saturating_sub(self.reserve()) >= SLOT_UNITS;
+        let has_spare_slot = units.saturating_sub(self.reserve()) >= SLOT_UNITS;
         let holder = &self.holder;
-        self.claims.retain(|slot, asked_until_ms| {
+        self.claims.retain(|slot, claim_until_ms| {
             if holder.claimed_units(now_ms, *slot) > 0 {
-                !has_a_slot_to_spare
+                !has_spare_slot
             } else {
-                *asked_until_ms > now_ms
+                *claim_until_ms > now_ms
             }
         });
     }
 
-    fn note_gone_members(&mut self, now_ms: u64, view: &MembershipView) {
+    fn update_gone_members(&mut self, now_ms: u64, view: &MembershipView) {
         self.gone_since_ms.retain(|member, _| view.gone.contains(member));
         for member in &view.gone {
             self.gone_since_ms.entry(*member).or_insert(now_ms);
@@ -190,20 +193,20 @@
         }
     }
 
-    /// Whether it is this member's turn to claim a slot. If all claimed at once, none would get a majority.
+    /// Whether this member may claim a slot yet. If all members claimed at once, none would get a majority.
     ///
-    /// The members that are alive have an order for each slot. The first may claim at once and one more with
-    /// each lease that passes, as those before may need nothing.
+    /// For each slot the members that are alive have an order. The first may claim immediately, and one more
+    /// after each length of a lease, as the members before it may not need any units.
     fn may_claim(&self, now_ms: u64, slot: u32, view: &MembershipView) -> bool {
         let gone_for_ms =
             self.gone_since_ms.get(&slot).map_or(0, |since_ms| now_ms.saturating_sub(*since_ms));
         let turns = (gone_for_ms / self.terms.lease_ms) as usize;
         let own_rank = claim_rank(slot, self.holder.member().number);
-        let members_before = view.alive.iter().filter(|other| claim_rank(slot, **other) < own_rank);
-        members_before.take(turns + 1).count() <= turns
+        let higher_ranked = view.alive.iter().filter(|other| claim_rank(slot, **other) < own_rank);
+        higher_ranked.take(turns + 1).count() <= turns
     }
 
-    /// Asks lenders to lend again as far as that is needed, and further members while it is not enough.
+    /// Asks the current lenders for new loans as far as needed, and further members while units are missing.
     fn borrow_units(&mut self, now_ms: u64, units: u64, view: &MembershipView, outputs: &mut Vec<Output>) {
         let missing = self.need.saturating_sub(units);
         let mut plans = self.plan_repeated_loans(now_ms, units, missing);
@@ -223,24 +226,25 @@
         }
     }
 
-    /// What to ask of the present lenders: as much as before, less what is not needed, and what is missing.
+    /// Plans the requests to the current lenders: the units already borrowed, less those no longer needed,
+    /// plus the missing ones.
     fn plan_repeated_loans(&self, now_ms: u64, units: u64, missing: u64) -> Vec<LoanPlan> {
         let mut unneeded = units.saturating_sub(self.need);
         let mut plans = Vec::new();
         for loan in self.holder.borrowed(now_ms) {
-            let given_back = unneeded.min(loan.units);
-            unneeded -= given_back;
-            plans.push(LoanPlan { lender: loan.lender, units: loan.units - given_back + missing });
+            let returned = unneeded.min(loan.units);
+            unneeded -= returned;
+            plans.push(LoanPlan { lender: loan.lender, units: loan.units - returned + missing });
         }
         plans
     }
 
-    /// Units that the member leaves itself when it lends or gives up slots.
+    /// Returns the units that the member reserves for itself when it lends or gives up slots.
     fn reserve(&self) -> u64 {
         self.need.saturating_mul(RESERVE_PER_MILLE) / 1_000
     }
 
-    /// Handles a message of another member to this incarnation.
+    /// Handles a message from another member to this incarnation.
     pub fn handle_message(&mut self, now_ms: u64, from: Member, message: Message) -> Vec<Output> {
         match self.respond(now_ms, from, message) {
             Some(message) => {
@@ -250,8 +254,8 @@
         }
     }
 
-    /// The response to a request, or none where it would grant nothing. A renewal always has one: the owner
-    /// learns by it that it was noted.
+    /// Handles a message, and returns the response to a request; `None` if it would grant nothing. A renewal
+    /// always has a response, which tells the owner that it was recorded.
     fn respond(&mut self, now_ms: u64, from: Member, message: Message) -> Option<Message> {
         match message {
             Message::Renew { request_id } => {
@@ -282,13 +286,13 @@
         }
     }
 
-    /// A connection to the address of `owner`, begun after [`Output::Probe`] had named that incarnation, was
-    /// refused.
+    /// Records that a connection to the address of `owner`, opened after [`Output::Probe`] for that
+    /// incarnation, was refused.
     pub fn connection_refused(&mut self, now_ms: u64, owner: Member) {
         self.grantor.owner_unreachable(now_ms, owner);
     }
 
-    /// Handles what the member sends to itself, without the network. Returns the other outputs.
+    /// Handles the messages from the member to itself without the network. Returns the other outputs.
     fn deliver_to_self(&mut self, now_ms: u64, outputs: Vec<Output>) -> Vec<Output> {
         let member = self.holder.member();
         let mut to_others = Vec::with_capacity(outputs.len());
@@ -306,7 +310,7 @@
     }
 }
 
-/// A member's place in the order in which members may claim a slot.
+/// Returns a member's rank in the order in which members may claim a slot.
 fn claim_rank(slot: u32, member: u32) -> u64 {
     let seed = u64::from(slot) << 32 | u64::from(member);
     ChaCha8Rng::seed_from_u64(seed).random::<u64>()
--- a/crates/membership/src/lease/holder.rs
+++ b/crates/membership/src/lease/holder.rs
@@ -1,33 +1,33 @@
-//! The units of a bound that one member may use: leased, borrowed, and less what it has lent.
+//! Units of the bound that one member may use: leased and borrowed units, less the units that it has lent.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::slot_lease::{SlotLease, MAX_PENDING_REQUESTS};
 use super::{Grant, LeaseTerms, Member, KEPT_UNITS};
 
-/// The most slots of others that a member claims.
+/// Maximum number of other members' slots that a member claims.
 const MAX_CLAIMS: usize = 64;
-/// The most members that one borrows from, and the most that it lends to.
+/// Maximum number of members that a member borrows from, and of members that it lends to.
 const MAX_LOANS: usize = 64;
-/// The most loans to one member that are not over.
+/// Maximum number of unexpired loans to one member.
 const MAX_LOANS_PER_BORROWER: usize = 8;
 
-/// The units that may be used now, and until when that holds.
+/// Units that may be used now, and until when this holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Allocation {
-    /// Units, of [`SLOT_UNITS`](super::SLOT_UNITS) for each number of the fleet.
+    /// Units; the fleet's bound has [`SLOT_UNITS`](super::SLOT_UNITS) for each member.
     pub units: u64,
-    /// Time of the member's own clock, ms, from which on it may be less. A process that was stopped has to
-    /// look at its clock before it uses anything.
+    /// Time of the member's own clock, ms, from which on fewer units may be left. A process that was
+    /// suspended must check its clock before it uses any units.
     pub valid_until_ms: u64,
-    /// Units that are left from that time on.
+    /// Units that are left from `valid_until_ms` on.
     pub units_after: u64,
 }
 
-/// Units that were lent to another member.
+/// Response to a request for a loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedLoan {
-    /// Units; 0 if nothing was lent.
+    /// Units lent; 0 if the loan was not granted.
     pub units: u64,
     /// Length of the loan, ms.
     pub duration_ms: u64,
@@ -37,23 +37,23 @@
     const NOTHING: GrantedLoan = GrantedLoan { units: 0, duration_ms: 0 };
 }
 
-/// Units that are borrowed from one member.
+/// Units borrowed from one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BorrowedUnits {
     /// Number of the lender.
     pub lender: u32,
-    /// Units.
+    /// Units borrowed.
     pub units: u64,
 }
 
-/// Units that are lent or borrowed, and until when.
+/// Units lent or borrowed, and when the loan expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Loan {
     units: u64,
     until_ms: u64,
 }
 
-/// A request for a loan whose response still counts.
+/// A pending request for a loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct LoanRequest {
     request_id: u64,
@@ -62,8 +62,8 @@
 
 /// One incarnation of a member in its role as a holder of leases and loans.
 ///
-/// Whatever it was granted runs from the moment of its own request, not of the response, so that a response
-/// that comes late lengthens nothing.
+/// Leases and loans start when the holder's own request was sent, not when the response arrived, so that a
+/// late response does not extend them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     terms: LeaseTerms,
@@ -71,7 +71,7 @@
     started_ms: u64,
     last_request_id: u64,
     own_slot: SlotLease,
-    /// Grantors that noted this incarnation while nobody else had the whole of its slot.
+    /// Grantors that recorded a renewal of this incarnation while no other member had the whole of its slot.
     acknowledged_by: BTreeSet<u32>,
     claims: BTreeMap<u32, SlotLease>,
     loans_given: BTreeMap<Member, Vec<Loan>>,
@@ -80,7 +80,7 @@
 }
 
 impl LeaseHolder {
-    /// A holder that starts at `now_ms` with nothing.
+    /// Returns a holder that starts at `now_ms` with no units.
     #[must_use]
     pub fn new(terms: LeaseTerms, member: Member, now_ms: u64) -> LeaseHolder {
         LeaseHolder {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The member whose holder this is.
+    /// Returns the member that this holder belongs to.
     #[must_use]
     pub fn member(&self) -> Member {
         self.member
@@ -108,15 +108,15 @@
         self.last_request_id
     }
 
-    /// Begins a renewal of the member's own slot. Returns the id of the request, which is to go to all of the
-    /// slot's grantors.
+    /// Begins a renewal of the member's own slot. Returns the id of the request, which the caller sends to
+    /// all grantors of the slot.
     pub fn request_renewal(&mut self, now_ms: u64) -> u64 {
         let request_id = self.next_request_id();
         self.own_slot.add_request(request_id, now_ms);
         request_id
     }
 
-    /// A grantor responded to a renewal: `granted` is what another member has of this one's slot.
+    /// Handles a grantor's response to a renewal: `granted` is what another member has of this member's slot.
     pub fn renewal_answered(&mut self, grantor: u32, request_id: u64, granted: Grant) {
         let majority = self.terms.majority(self.member.number);
         if !self.terms.grantors(self.member.number).contains(&grantor) {
@@ -135,8 +135,9 @@
         }
     }
 
-    /// Begins a claim of another member's slot. Returns the id of the request, which is to go to all of the
-    /// slot's grantors; none if the slot is the member's own or unknown, or too many are claimed.
+    /// Begins a claim of another member's slot. Returns the id of the request, which the caller sends to all
+    /// grantors of the slot. `None` if the slot is the member's own or unknown, or too many slots are
+    /// claimed.
     pub fn request_claim(&mut self, now_ms: u64, slot: u32) -> Option<u64> {
         let has_room = self.has_room_for_claim(now_ms, slot);
         if slot == self.member.number || slot >= self.terms.members || !has_room {
@@ -147,7 +148,7 @@
         Some(request_id)
     }
 
-    /// Whether a slot may be claimed; claims that led to nothing make room.
+    /// Whether a slot may be claimed. If there are too many claims, abandoned ones without units are removed.
     fn has_room_for_claim(&mut self, now_ms: u64, slot: u32) -> bool {
         if self.claims.len() >= MAX_CLAIMS && !self.claims.contains_key(&slot) {
             let lease_ms = self.terms.lease_ms;
@@ -157,7 +158,7 @@
         self.claims.len() < MAX_CLAIMS || self.claims.contains_key(&slot)
     }
 
-    /// A grantor responded to a claim: `grant` is what this member has of the slot by that grantor.
+    /// Handles a grantor's response to a claim: `grant` is what that grantor grants this member of the slot.
     pub fn claim_answered(&mut self, grantor: u32, request_id: u64, slot: u32, grant: Grant) {
         let majority = self.terms.majority(slot);
         if !self.terms.grantors(slot).contains(&grantor) {
@@ -186,42 +187,44 @@
 
     /// Whether this incarnation owns the kept part of its slot.
     ///
-    /// It waits for a lease after its start: what an earlier incarnation lent may be in use for as long.
+    /// It waits for the length of a lease after its start, because units that an earlier incarnation lent may
+    /// be in use for that long.
     #[must_use]
     pub fn owns_kept_units(&self, now_ms: u64) -> bool {
         let since_start_ms = now_ms.saturating_sub(self.started_ms);
-        let earlier_loans_are_over = since_start_ms >= self.terms.grantor_hold_ms(self.terms.lease_ms);
-        earlier_loans_are_over && self.acknowledged_by.len() >= self.terms.majority(self.member.number)
+        let earlier_loans_expired = since_start_ms >= self.terms.grantor_hold_ms(self.terms.lease_ms);
+        earlier_loans_expired && self.acknowledged_by.len() >= self.terms.majority(self.member.number)
     }
 
-    /// Units borrowed at `now_ms`, by lender in ascending order.
+    /// Returns the units borrowed at `now_ms`, by lender in ascending order.
     pub fn borrowed(&self, now_ms: u64) -> impl Iterator<Item = BorrowedUnits> + '_ {
         let current = self.loans_taken.iter().filter(move |(_, loan)| loan.until_ms > now_ms);
         current.map(|(lender, loan)| BorrowedUnits { lender: *lender, units: loan.units })
     }
 
-    /// Units that it has of another member's slot.
+    /// Returns the units that this member has of another member's slot.
     #[must_use]
     pub fn claimed_units(&self, now_ms: u64, slot: u32) -> u64 {
         self.claims.get(&slot).map_or(0, |lease| lease.units_beyond(now_ms))
     }
 
-    /// How many slots of others it has units of.
+    /// Returns the number of other members' slots of which this member has units.
     #[must_use]
     pub fn slots_taken_over(&self, now_ms: u64) -> usize {
         self.claims.values().filter(|lease| lease.units_beyond(now_ms) > 0).count()
     }
 
-    /// Units that it owns or leases at `now_ms` and still has at `until_ms`.
+    /// Returns the units that this member owns or leases at `now_ms` and still has at `until_ms`.
     fn leased_units(&self, now_ms: u64, until_ms: u64) -> u64 {
         let kept = if self.owns_kept_units(now_ms) { KEPT_UNITS } else { 0 };
         let claimed: u64 = self.claims.values().map(|lease| lease.units_beyond(until_ms)).sum();
         kept + self.own_slot.units_beyond(until_ms) + claimed
     }
 
-    /// Units that others may be using by a loan of this member.
+    /// Returns the units that other members may be using through loans from this member.
     ///
-    /// A borrower uses one loan at a time, the new one in place of the one before; so the largest counts.
+    /// A borrower uses one loan at a time, as a new loan replaces the previous one; so only its largest loan
+    /// counts.
     fn lent_units(&self, now_ms: u64) -> u64 {
         let largest = |loans: &Vec<Loan>| {
             loans.iter().filter(|loan| loan.until_ms > now_ms).map(|loan| loan.units).max()
@@ -229,10 +232,10 @@
         self.loans_given.values().filter_map(largest).sum()
     }
 
-    /// Lends up to `units` to another member, of which at most `max_spare` are taken from what is in use
-    /// here. What is lent may not be used here until the loan is over.
+    /// Lends up to `units` to another member. At most `max_spare` units are taken in addition to those
+    /// already lent to it. Lent units may not be used here until the loan has expired.
     pub fn lend(&mut self, now_ms: u64, borrower: Member, units: u64, max_spare: u64) -> GrantedLoan {
-        self.forget_ended_loans(now_ms);
+        self.remove_expired_loans(now_ms);
         if !self.may_lend_to(borrower) {
             return GrantedLoan::NOTHING;
         }
@@ -240,7 +243,7 @@
         let until_ms = now_ms + self.terms.grantor_hold_ms(duration_ms);
         let loans = self.loans_given.get(&borrower).map_or(&[][..], Vec::as_slice);
         let already_lent = loans.iter().map(|loan| loan.units).max().unwrap_or(0);
-        // What this borrower has already is in use by it and may be lent to it again.
+        // Units that this borrower already has may be lent to it again.
         let lent_to_others = self.lent_units(now_ms) - already_lent;
         let available = self
             .leased_units(now_ms, until_ms)
@@ -254,7 +257,7 @@
         GrantedLoan { units, duration_ms }
     }
 
-    fn forget_ended_loans(&mut self, now_ms: u64) {
+    fn remove_expired_loans(&mut self, now_ms: u64) {
         self.loans_given.retain(|_, loans| {
             loans.retain(|loan| loan.until_ms > now_ms);
             !loans.is_empty()
@@ -271,8 +274,8 @@
         }
     }
 
-    /// Begins a request for a loan. Returns its id, which is to go to the lender; none if the lender is the
-    /// member itself or too many were asked.
+    /// Begins a request for a loan. Returns its id, which the caller sends to the lender. `None` if the
+    /// lender is the member itself or there are too many lenders.
     pub fn request_loan(&mut self, now_ms: u64, lender: u32) -> Option<u64> {
         if lender == self.member.number || !self.has_room_for_lender(now_ms, lender) {
             return None;
@@ -286,7 +289,8 @@
         Some(request_id)
     }
 
-    /// Whether a member may be asked for a loan; those that were not asked for a lease make room.
+    /// Whether a member may be asked for a loan. If there are too many lenders, those that were last
+    /// asked longer than a lease ago are removed.
     fn has_room_for_lender(&mut self, now_ms: u64, lender: u32) -> bool {
         if self.loan_requests.len() < MAX_LOANS || self.loan_requests.contains_key(&lender) {
             return true;
@@ -298,35 +302,35 @@
         self.loan_requests.len() < MAX_LOANS
     }
 
-    /// A lender responded: it lends `units` for `duration_ms`.
+    /// Handles a lender's response: it lends `units` for `duration_ms`.
     ///
-    /// Ignored if the request is unknown. A loan is used for no longer than a lease, whatever its length.
+    /// Ignored if the request is unknown. A loan is used for the length of a lease at most.
     pub fn loan_received(&mut self, lender: u32, request_id: u64, units: u64, duration_ms: u64) {
         let Some(requests) = self.loan_requests.get(&lender) else { return };
         let Some(request) = requests.iter().find(|request| request.request_id == request_id) else { return };
         let until_ms = request.sent_ms + self.terms.holder_use_ms(duration_ms.min(self.terms.lease_ms));
-        // One loan of each lender at a time: the one that lasts longer.
+        // Only one loan of each lender is in use: the one that lasts longer.
         if self.loans_taken.get(&lender).is_none_or(|loan| loan.until_ms < until_ms) {
             self.loans_taken.insert(lender, Loan { units, until_ms });
         }
     }
 
-    /// The units that may be used at `now_ms`.
+    /// Returns the units that may be used at `now_ms`.
     #[must_use]
     pub fn allocation(&self, now_ms: u64) -> Allocation {
         let leases = std::iter::once(&self.own_slot).chain(self.claims.values());
-        let lease_ends = leases.flat_map(|lease| [lease.lent_until_ms, lease.whole_until_ms]);
-        let loan_ends = self.loans_taken.values().map(|loan| loan.until_ms);
-        let next_end = lease_ends.chain(loan_ends).filter(|end_ms| *end_ms > now_ms).min();
+        let lease_expiries = leases.flat_map(|lease| [lease.lent_until_ms, lease.whole_until_ms]);
+        let loan_expiries = self.loans_taken.values().map(|loan| loan.until_ms);
+        let next_expiry = lease_expiries.chain(loan_expiries).filter(|expiry_ms| *expiry_ms > now_ms).min();
         Allocation {
             units: self.usable_units(now_ms, now_ms),
-            valid_until_ms: next_end.unwrap_or(u64::MAX),
-            // From then on only what never ends counts, until the next look.
+            valid_until_ms: next_expiry.unwrap_or(u64::MAX),
+            // From then on only units that never expire count, until the allocation is read again.
             units_after: self.usable_units(now_ms, u64::MAX - 1),
         }
     }
 
-    /// Units that may be used at `now_ms` and will not have ended at `until_ms`.
+    /// Returns the units that may be used at `now_ms` and have not expired at `until_ms`.
     fn usable_units(&self, now_ms: u64, until_ms: u64) -> u64 {
         let own = self.leased_units(now_ms, until_ms).saturating_sub(self.lent_units(now_ms));
         let borrowed = self.loans_taken.values().filter(|loan| loan.until_ms > until_ms);
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -1,7 +1,7 @@
 //! Leases on the slots of a fleet's bound.
 //!
-//! A bound is divided into slots, one for each number of the fleet. The gateway with that number owns the
-//! slot; the slot's grantors decide by majority whether another member may use some of it. Members exchange
+//! The bound is divided into slots, one for each member number. The member with that number owns the slot;
+//! the slot's grantors decide by majority whether another member may use a part of it. Members exchange
 //! [`Message`]s.
 
 mod coordinator;
@@ -21,18 +21,18 @@
 /// One incarnation of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its number in the fleet, from 0, which is also the number of its slot.
+    /// Number of the member in the fleet, from 0; also the number of its slot.
     pub number: u32,
-    /// Grows with each start of its process.
+    /// Increases with each start of the member's process.
     pub incarnation: u64,
 }
 
-/// A lease message. Every request carries an id of its sender's choice, which the response repeats.
+/// A lease message. Every request carries an id that its sender chose, and the response repeats it.
 ///
-/// The order of the variants and of their fields is the wire form.
+/// The order of the variants and of their fields defines the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// From an owner to a grantor of its slot: it is alive.
+    /// From an owner to a grantor of its slot: the owner is alive.
     Renew {
         /// Id of the request.
         request_id: u64,
@@ -41,10 +41,10 @@
     Renewed {
         /// Id of the request.
         request_id: u64,
-        /// What the grantor has granted of the slot to a member other than its owner.
+        /// What the grantor has granted of the slot to a member other than the owner.
         granted: Grant,
     },
-    /// To a grantor: the sender asks for a slot that is not its own.
+    /// Request to a grantor for a slot that another member owns.
     Claim {
         /// Id of the request.
         request_id: u64,
@@ -57,28 +57,28 @@
         request_id: u64,
         /// Number of the slot.
         slot: u32,
-        /// What the claimant has of the slot by this grantor.
+        /// What this grantor grants the claimant of the slot.
         grant: Grant,
     },
-    /// To a member that may have more units than it needs.
+    /// Request for a loan, to a member that may have more units than it needs.
     Borrow {
         /// Id of the request.
         request_id: u64,
-        /// The most units that are asked for.
+        /// Maximum number of units requested.
         units: u64,
     },
-    /// Response to [`Message::Borrow`]. The loan runs from the request on.
+    /// Response to [`Message::Borrow`]. The loan starts when the request was sent.
     Loan {
         /// Id of the request.
         request_id: u64,
         /// Units lent.
         units: u64,
-        /// Length of the loan, ms; clock drift is taken off by the borrower, as with a lease.
+        /// Length of the loan, ms; as with a lease, the borrower subtracts the tolerated clock drift.
         duration_ms: u64,
     },
 }
 
-/// How much of a slot a member other than its owner is granted.
+/// How much of a slot is granted to a member other than its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Grant {
     /// Nothing.
--- a/crates/membership/src/lease/slot_lease.rs
+++ b/crates/membership/src/lease/slot_lease.rs
@@ -4,21 +4,22 @@
 
 use super::{LENT_UNITS, SLOT_UNITS};
 
-/// Requests of one kind whose responses still count. A further one displaces the oldest.
+/// Maximum number of pending requests of one kind. A further request replaces the oldest one, whose responses
+/// are then ignored.
 pub const MAX_PENDING_REQUESTS: usize = 4;
 
-/// A request to the grantors of a slot, and who has granted it.
+/// A request to the grantors of a slot, and the grantors that granted it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeaseRequest {
     pub(super) request_id: u64,
     pub(super) sent_ms: u64,
-    /// Grantors of the whole slot.
+    /// Grantors that granted the whole slot.
     pub(super) whole_grantors: BTreeSet<u32>,
-    /// Grantors of the lent part at least.
+    /// Grantors that granted at least the lent part.
     pub(super) lent_grantors: BTreeSet<u32>,
 }
 
-/// The lease on one slot: requests whose responses still count, and until when each part may be used.
+/// Lease on one slot: the pending requests, and until when each part may be used.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct SlotLease {
     requests: VecDeque<LeaseRequest>,
@@ -43,12 +44,12 @@
         self.requests.iter_mut().find(|request| request.request_id == request_id)
     }
 
-    /// Whether the last request is more than `lease_ms` old, or there is none.
+    /// Whether the last request is older than `lease_ms`, or there is none.
     pub(super) fn is_abandoned(&self, now_ms: u64, lease_ms: u64) -> bool {
         self.requests.back().is_none_or(|request| now_ms.saturating_sub(request.sent_ms) > lease_ms)
     }
 
-    /// Units that are leased beyond `until_ms`.
+    /// Returns the units whose lease lasts beyond `until_ms`.
     pub(super) fn units_beyond(&self, until_ms: u64) -> u64 {
         match (self.lent_until_ms > until_ms, self.whole_until_ms > until_ms) {
             (_, true) => SLOT_UNITS,
--- a/crates/membership/src/lease/terms.rs
+++ b/crates/membership/src/lease/terms.rs
@@ -4,50 +4,52 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Units of one slot. A fleet's bound is this many units for each of its numbers.
+/// Units of one slot. A fleet's bound is this many units for each member number.
 pub const SLOT_UNITS: u64 = 1_000_000;
-/// Units of a slot that its owner keeps while its process lives, even when it is cut off from the others.
+/// Units of a slot that its owner keeps while its process is alive, even if it is partitioned from the
+/// others.
 pub const KEPT_UNITS: u64 = 700_000;
-/// Units of a slot that its owner has only while a majority of the slot's grantors hears from it.
+/// Units of a slot that its owner has only while a majority of the slot's grantors receives its renewals.
 pub const LENT_UNITS: u64 = SLOT_UNITS - KEPT_UNITS;
-/// The most grantors of one slot. In a fleet of this size or smaller every member is one.
+/// Maximum number of grantors of one slot. In a fleet of up to this size every member is a grantor.
 pub const MAX_GRANTORS: usize = 7;
 
-/// Unit of [`LeaseTerms::max_drift_per_mille`].
+/// Denominator of [`LeaseTerms::max_drift_per_mille`].
 const PER_MILLE: u64 = 1_000;
 
-/// The terms of a fleet's leases. They have to be the same at every member.
+/// Terms of a fleet's leases, which must be the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// Numbers of the fleet, and so slots of a bound: at least 1.
+    /// Number of members of the fleet, and of slots of its bound: at least 1.
     pub members: u32,
     /// Length of a lease, ms.
     pub lease_ms: u64,
-    /// How much faster or slower than true time a member's clock may run, in thousandths: 0 to 100.
+    /// Maximum deviation of a member's clock rate from true time, in thousandths: 0 to 100.
     pub max_drift_per_mille: u64,
-    /// Whether a refused connection proves that no process is left at an address.
+    /// Whether a refused connection proves that no process is running at an address.
     pub trust_refusals: bool,
 }
 
 impl LeaseTerms {
-    /// How long a grantor waits until something that was granted for `duration_ms` is surely over, ms of its
-    /// own clock, rounded up.
+    /// Returns how long a grantor waits until what it granted for `duration_ms` has certainly expired, ms of
+    /// its own clock, rounded up.
     #[must_use]
     pub fn grantor_hold_ms(&self, duration_ms: u64) -> u64 {
         duration_ms.saturating_mul(PER_MILLE + self.max_drift_per_mille).div_ceil(PER_MILLE)
     }
 
-    /// How long a holder may use what was granted for `duration_ms`, ms of its own clock from its request on,
-    /// rounded down.
+    /// Returns how long after its request a holder may use what was granted for `duration_ms`, ms of its own
+    /// clock, rounded down.
     #[must_use]
     pub fn holder_use_ms(&self, duration_ms: u64) -> u64 {
         duration_ms.saturating_mul(PER_MILLE.saturating_sub(self.max_drift_per_mille)) / PER_MILLE
     }
 
-    /// The grantors of a slot in ascending order, the same at all members.
+    /// Returns the grantors of a slot in ascending order, the same at all members.
     ///
-    /// In a fleet of up to [`MAX_GRANTORS`] they are all members. In a larger one they are drawn from the
-    /// members other than the slot's owner, so that a crash of the owner costs no grant.
+    /// In a fleet of up to [`MAX_GRANTORS`] members all of them are grantors. In a larger one the grantors
+    /// are drawn from the members other than the slot's owner, so that a crash of the owner does not remove a
+    /// grantor.
     #[must_use]
     pub fn grantors(&self, slot: u32) -> Vec<u32> {
         let members = self.members.max(1);
@@ -63,7 +65,7 @@
         grantors
     }
 
-    /// How many of a slot's grantors are a majority.
+    /// Returns the number of a slot's grantors that form a majority.
     #[must_use]
     pub fn majority(&self, slot: u32) -> usize {
         self.grantors(slot).len() / 2 + 1
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateways: version, fleet, payload, checksum.
+//! Encoding of the datagrams between gateways: version, fleet, payload, checksum.
 
 use std::fmt;
 
@@ -6,42 +6,42 @@
 
 use crate::lease::{Member, Message};
 
-/// The longest datagram, bytes.
+/// Maximum length of a datagram, bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// The version of the datagram format.
+/// Version of the datagram format.
 pub const VERSION: u8 = 1;
-/// Length of the checksum at a datagram's end, bytes.
+/// Length of the checksum at the end of a datagram, bytes.
 const CHECKSUM_BYTES: usize = 8;
 
-/// The identity of a fleet in datagrams: a digest of its name.
+/// Identity of a fleet in datagrams: a digest of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetId(u64);
 
 impl FleetId {
-    /// The identity of the fleet of that name.
+    /// Returns the identity of the fleet with that name.
     #[must_use]
     pub fn from_name(name: &str) -> FleetId {
         FleetId(u64::from_le_bytes(checksum(name.as_bytes())))
     }
 }
 
-/// What a datagram carries. The order of the variants and of their fields is the wire form.
+/// Payload of a datagram. The order of the variants and of their fields defines the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     /// A message of the failure detector.
     Gossip(Vec<u8>),
-    /// The digest of the sender's view, to be compared with the receiver's.
+    /// Digest of the sender's membership view, which the receiver compares with its own.
     View {
         /// Number of the sender.
         from: u32,
-        /// Digest of the members that are alive and their incarnations.
+        /// Digest of the live members and their incarnations.
         digest: u64,
     },
     /// A lease message.
     Lease {
         /// The sender.
         from: Member,
-        /// Of a response: the incarnation that sent the request.
+        /// For a response, the incarnation that sent the request.
         incarnation: Option<u64>,
         /// The message.
         message: Message,
@@ -51,15 +51,15 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DropReason {
-    /// It is longer than [`MAX_DATAGRAM_BYTES`], or shorter than any datagram.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`], or too short.
     BadLength,
-    /// Its checksum is wrong, or its payload cannot be decoded.
+    /// The checksum is wrong, or the payload cannot be decoded.
     Corrupt,
-    /// It has an earlier version.
+    /// The datagram has an older version.
     OlderVersion,
-    /// It has a later version.
+    /// The datagram has a newer version.
     NewerVersion,
-    /// It belongs to another fleet.
+    /// The datagram belongs to another fleet.
     OtherFleet,
 }
 
@@ -83,10 +83,10 @@
     first
 }
 
-/// Encodes a payload as a datagram. None if it would be longer than [`MAX_DATAGRAM_BYTES`].
+/// Encodes a payload as a datagram. `None` if it would be longer than [`MAX_DATAGRAM_BYTES`].
 #[must_use]
 pub fn encode(fleet: FleetId, payload: &Payload) -> Option<Vec<u8>> {
-    // The version is the first byte, so that any later version can tell it.
+    // The version is the first byte in every format, so that other versions can recognise it.
     let mut bytes = postcard::to_extend(&(fleet, payload), vec![VERSION]).ok()?;
     bytes.extend(checksum(&bytes));
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
@@ -95,14 +95,14 @@
 /// Decodes the payload of a datagram.
 ///
 /// # Errors
-/// The reason to drop the datagram; nothing of it may be used then.
+/// Returns the reason to drop the datagram. No part of a dropped datagram may be used.
 pub fn decode(fleet: FleetId, datagram: &[u8]) -> Result<Payload, DropReason> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DropReason::BadLength);
     }
-    let (bytes, told) = datagram.split_last_chunk::<CHECKSUM_BYTES>().ok_or(DropReason::BadLength)?;
-    // A flipped bit could otherwise pass for a later incarnation or a larger loan.
-    if checksum(bytes) != *told {
+    let (bytes, expected) = datagram.split_last_chunk::<CHECKSUM_BYTES>().ok_or(DropReason::BadLength)?;
+    // Without a checksum, a flipped bit could turn into a later incarnation or a larger loan.
+    if checksum(bytes) != *expected {
         return Err(DropReason::Corrupt);
     }
     let (version, rest) = bytes.split_first().ok_or(DropReason::BadLength)?;
