--- a/crates/membership/tests/detect.rs
+++ b/crates/membership/tests/detect.rs
@@ -1,5 +1,5 @@
-//! Failure detection in simulated time: crashes, packet loss, partitions, stops, and hundreds of members that
-//! join at once.
+//! Failure detection in simulated time: crashes, packet loss, partitions, suspended processes, and hundreds
+//! of members that join at once.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,23 +10,24 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The longest delay of a packet, ms.
+/// Maximum delay of a packet, ms.
 const MAX_DELAY_MS: u64 = 10;
 
 fn address(number: u32) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10_000 + number as u16))
 }
 
-/// When something happens, at which member, and the packet; none for a tick.
-type Coming = Reverse<(u64, u64, u32, Option<Vec<u8>>)>;
+/// An event: its time, a sequence number that makes it unique, the member, and the packet; none for a tick.
+type QueuedEvent = Reverse<(u64, u64, u32, Option<Vec<u8>>)>;
 
 struct Member {
     detector: Option<Detector>,
     incarnation: u64,
-    stopped: bool,
-    side: bool,
-    /// Packets that came while it was stopped.
-    kept: Vec<Vec<u8>>,
+    suspended: bool,
+    /// Side of the partition that the member is on.
+    first_side: bool,
+    /// Packets that arrived while the member was suspended.
+    queued_packets: Vec<Vec<u8>>,
     bytes: u64,
     packets: u64,
 }
@@ -34,25 +35,26 @@
 struct World {
     now: u64,
     members: Vec<Member>,
-    queue: BinaryHeap<Coming>,
-    number: u64,
+    queue: BinaryHeap<QueuedEvent>,
+    sequence: u64,
     rng: ChaCha8Rng,
-    lost: f64,
+    loss_rate: f64,
     partitioned: bool,
-    /// When each member last took each other one for gone, and how often that was wrong.
+    /// When each member last considered each other member gone, by observer and observed member.
     downs: BTreeMap<(u32, u32), u64>,
+    /// How often a member that was alive was considered gone.
     false_downs: usize,
 }
 
 impl World {
-    fn new(members: u32, lost: f64, seed: u64) -> World {
+    fn new(members: u32, loss_rate: f64, seed: u64) -> World {
         println!("seed {seed}");
         let member = |_| Member {
             detector: None,
             incarnation: 0,
-            stopped: false,
-            side: false,
-            kept: Vec::new(),
+            suspended: false,
+            first_side: false,
+            queued_packets: Vec::new(),
             bytes: 0,
             packets: 0,
         };
@@ -60,9 +62,9 @@
             now: 0,
             members: (0..members).map(member).collect(),
             queue: BinaryHeap::new(),
-            number: 0,
+            sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            lost,
+            loss_rate,
             partitioned: false,
             downs: BTreeMap::new(),
             false_downs: 0,
@@ -72,8 +74,8 @@
     }
 
     fn push(&mut self, at: u64, to: u32, packet: Option<Vec<u8>>) {
-        self.number += 1;
-        self.queue.push(Reverse((at, self.number, to, packet)));
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, to, packet)));
     }
 
     fn start(&mut self, i: u32) {
@@ -86,23 +88,23 @@
         self.push(self.now, i, None);
     }
 
-    fn send_all(&mut self, from: u32, out: Vec<Packet>) {
-        for Packet { to, payload: body, address: at } in out {
+    fn send_all(&mut self, from: u32, outputs: Vec<Packet>) {
+        for Packet { to, payload, address: at } in outputs {
             assert_eq!(at, address(to));
-            let bytes = encode(FleetId::from_name("f"), &body).expect("short");
+            let bytes = encode(FleetId::from_name("f"), &payload).expect("payload fits");
             let member = &mut self.members[from as usize];
             (member.bytes, member.packets) = (member.bytes + bytes.len() as u64, member.packets + 1);
-            let apart =
-                self.partitioned && self.members[from as usize].side != self.members[to as usize].side;
-            if !apart && self.rng.random::<f64>() >= self.lost {
-                let way = 1 + self.rng.random_range(0..MAX_DELAY_MS);
-                self.push(self.now + way, to, Some(bytes));
+            let is_partitioned = self.partitioned
+                && self.members[from as usize].first_side != self.members[to as usize].first_side;
+            if !is_partitioned && self.rng.random::<f64>() >= self.loss_rate {
+                let delay_ms = 1 + self.rng.random_range(0..MAX_DELAY_MS);
+                self.push(self.now + delay_ms, to, Some(bytes));
             }
         }
     }
 
-    /// Runs until a moment.
-    fn until(&mut self, end: u64) {
+    /// Runs the simulation until `end`.
+    fn run_until(&mut self, end: u64) {
         let addresses: Vec<SocketAddr> = (0..self.members.len() as u32).map(address).collect();
         while let Some(Reverse((at, _, i, packet))) = self.queue.pop() {
             if at > end {
@@ -111,33 +113,34 @@
             }
             self.now = at;
             let member = &mut self.members[i as usize];
-            if member.stopped {
-                member.kept.extend(packet);
+            if member.suspended {
+                member.queued_packets.extend(packet);
                 continue;
             }
             let Some(detector) = &mut member.detector else { continue };
-            let ticks = packet.is_none();
-            let body = packet.map(|packet| decode(FleetId::from_name("f"), &packet).expect("whole"));
-            let mut out = match body {
+            let is_tick = packet.is_none();
+            let payload =
+                packet.map(|packet| decode(FleetId::from_name("f"), &packet).expect("a valid datagram"));
+            let mut outputs = match payload {
                 Some(Payload::Gossip(packet)) => detector.handle_packet(at, &packet).unwrap_or_default(),
                 Some(Payload::View { from, digest }) => detector.handle_digest(at, from, digest),
-                Some(Payload::Lease { .. }) => unreachable!("none is sent"),
+                Some(Payload::Lease { .. }) => unreachable!("no lease message is sent"),
                 None if detector.is_alone() => detector.join(at, &addresses),
                 None => Vec::new(),
             };
-            out.extend(detector.tick(at));
+            outputs.extend(detector.tick(at));
             let next = detector.next_tick_ms().min(at + 500).max(at + 1);
             for change in detector.take_changes() {
                 if let MemberChange::Down(node) = change {
                     let other = &self.members[node.number as usize];
-                    let there =
-                        other.detector.is_some() && !other.stopped && other.incarnation == node.incarnation;
-                    self.false_downs += usize::from(there && !self.partitioned);
+                    let is_alive =
+                        other.detector.is_some() && !other.suspended && other.incarnation == node.incarnation;
+                    self.false_downs += usize::from(is_alive && !self.partitioned);
                     self.downs.insert((i, node.number), at);
                 }
             }
-            self.send_all(i, out);
-            if ticks {
+            self.send_all(i, outputs);
+            if is_tick {
                 self.push(next, i, None);
             }
         }
@@ -145,27 +148,29 @@
     }
 
     fn detector(&self, i: u32) -> &Detector {
-        self.members[i as usize].detector.as_ref().expect("it is there")
+        self.members[i as usize].detector.as_ref().expect("the member is running")
     }
 
-    /// How many different views live members have.
-    fn views(&self) -> usize {
-        let all = self.members.iter().filter(|m| !m.stopped).filter_map(|m| m.detector.as_ref());
+    /// Returns the number of different views of the live members.
+    fn count_views(&self) -> usize {
+        let all = self.members.iter().filter(|m| !m.suspended).filter_map(|m| m.detector.as_ref());
         all.map(Detector::digest).collect::<std::collections::BTreeSet<_>>().len()
     }
 
-    fn until_agreed(&mut self, most: u64) -> u64 {
-        let begun = self.now;
-        while self.views() != 1 {
-            assert!(self.now - begun < most, "{} views after {most} ms", self.views());
-            self.until(self.now + 50);
+    /// Runs until all live members have the same view, for at most `limit_ms`. Returns the time that it took,
+    /// ms.
+    fn run_until_views_agree(&mut self, limit_ms: u64) -> u64 {
+        let started_ms = self.now;
+        while self.count_views() != 1 {
+            assert!(self.now - started_ms < limit_ms, "{} views after {limit_ms} ms", self.count_views());
+            self.run_until(self.now + 50);
         }
-        self.now - begun
+        self.now - started_ms
     }
 
-    fn go_on(&mut self, i: u32) {
-        self.members[i as usize].stopped = false;
-        for packet in std::mem::take(&mut self.members[i as usize].kept) {
+    fn resume(&mut self, i: u32) {
+        self.members[i as usize].suspended = false;
+        for packet in std::mem::take(&mut self.members[i as usize].queued_packets) {
             self.push(self.now, i, Some(packet));
         }
         self.push(self.now, i, None);
@@ -176,13 +181,13 @@
 fn hundreds_join_at_once_and_all_detect_a_crash() {
     for (members, seed) in [(10, 1), (100, 2), (300, 3)] {
         let mut world = World::new(members, 0.0, seed);
-        let joined = world.until_agreed(10_000);
+        let joined = world.run_until_views_agree(10_000);
         assert_eq!(world.detector(0).view(world.now).alive.len(), members as usize - 1);
-        world.until(world.now + 10_000);
-        let begun = world.now;
+        world.run_until(world.now + 10_000);
+        let started_ms = world.now;
         let (bytes, packets): (u64, u64) =
             world.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
-        world.until(world.now + 10_000);
+        world.run_until(world.now + 10_000);
         let rate = |before: u64, of: fn(&Member) -> u64| {
             let now: u64 = world.members.iter().map(of).sum();
             (now - before) as f64 / 10.0 / f64::from(members)
@@ -190,75 +195,76 @@
         let (bytes, packets) = (rate(bytes, |m| m.bytes), rate(packets, |m| m.packets));
         world.members[7].detector = None;
         let crashed = world.now;
-        world.until(crashed + 12_000);
-        let mut known: Vec<u64> =
+        world.run_until(crashed + 12_000);
+        let mut detected_ms: Vec<u64> =
             (0..members).filter(|i| *i != 7).map(|i| world.downs[&(i, 7)] - crashed).collect();
-        known.sort_unstable();
-        let (first, last) = (known[0], known[known.len() - 1]);
-        let most = known[known.len() * 99 / 100];
+        detected_ms.sort_unstable();
+        let (first, last) = (detected_ms[0], detected_ms[detected_ms.len() - 1]);
+        let p99_ms = detected_ms[detected_ms.len() * 99 / 100];
         println!(
-            "{members}: joined in {joined} ms; {bytes:.0} B, {packets:.1} packets a second each at rest; a \
-             crash known to the first after {first}, to 99 of 100 after {most}, to all after {last} ms"
+            "{members}: joined in {joined} ms; {bytes:.0} B, {packets:.1} packets per second each in steady \
+             state; a crash detected by the first after {first}, by 99 of 100 after {p99_ms}, by all after \
+             {last} ms"
         );
-        assert!(begun > 0 && bytes < 2_000.0);
-        assert!(most <= 6_500, "{most} ms");
-        assert_eq!(world.views(), 1);
+        assert!(started_ms > 0 && bytes < 2_000.0);
+        assert!(p99_ms <= 6_500, "{p99_ms} ms");
+        assert_eq!(world.count_views(), 1);
         assert_eq!(world.false_downs, 0);
     }
 }
 
 #[test]
 fn packet_loss_causes_no_lasting_suspicion() {
-    for (lost, seed) in [(0.05, 4), (0.2, 5)] {
-        let mut world = World::new(60, lost, seed);
-        world.until_agreed(20_000);
-        world.until(world.now + 120_000);
-        println!("loss {lost}: {} false accusations in 120 s of 60", world.false_downs);
-        assert!(lost > 0.1 || world.false_downs == 0, "{}", world.false_downs);
-        world.until_agreed(60_000);
+    for (loss_rate, seed) in [(0.05, 4), (0.2, 5)] {
+        let mut world = World::new(60, loss_rate, seed);
+        world.run_until_views_agree(20_000);
+        world.run_until(world.now + 120_000);
+        println!("loss {loss_rate}: {} false detections in 120 s among 60", world.false_downs);
+        assert!(loss_rate > 0.1 || world.false_downs == 0, "{}", world.false_downs);
+        world.run_until_views_agree(60_000);
     }
 }
 
 #[test]
-fn detects_partitions_and_recovers_from_them_and_from_stops() {
+fn views_recover_after_a_partition_and_a_suspension() {
     let mut world = World::new(60, 0.01, 6);
-    world.until_agreed(10_000);
-    (0..20).for_each(|i| world.members[i as usize].side = true);
+    world.run_until_views_agree(10_000);
+    (0..20).for_each(|i| world.members[i as usize].first_side = true);
     world.partitioned = true;
-    world.until(world.now + 30_000);
+    world.run_until(world.now + 30_000);
     assert_eq!(world.detector(0).view(world.now).alive.len(), 19);
     assert_eq!(world.detector(30).view(world.now).alive.len(), 39);
     world.partitioned = false;
-    let healed = world.until_agreed(90_000);
-    println!("views agree {healed} ms after a partition of a third");
-    // A member that is stopped for half a minute is taken for gone and rejoins by itself.
-    world.members[3].stopped = true;
-    world.until(world.now + 30_000);
+    let agreed_after_ms = world.run_until_views_agree(90_000);
+    println!("views agree {agreed_after_ms} ms after a partition of a third");
+    // A member that is suspended for 30 s is considered gone and rejoins by itself.
+    world.members[3].suspended = true;
+    world.run_until(world.now + 30_000);
     assert!(world.detector(30).view(world.now).gone.contains(&3));
-    world.go_on(3);
-    let back = world.until_agreed(60_000);
-    println!("one that stood still for 30 s is back after {back} ms");
-    assert!(world.detector(3).local_health() > 0, "its timers came late");
+    world.resume(3);
+    let rejoined_after_ms = world.run_until_views_agree(60_000);
+    println!("a member that was suspended for 30 s has rejoined after {rejoined_after_ms} ms");
+    assert!(world.detector(3).local_health() > 0, "late timers did not worsen its local health");
 }
 
 #[test]
-fn new_incarnation_replaces_old_and_leaving_member_is_gone_at_once() {
+fn new_incarnation_replaces_old_and_leaver_is_gone_at_once() {
     let mut world = World::new(30, 0.0, 8);
-    world.until_agreed(10_000);
+    world.run_until_views_agree(10_000);
     world.members[5].detector = None;
     world.start(5);
-    world.until(world.now + 5_000);
-    world.until_agreed(10_000);
+    world.run_until(world.now + 5_000);
+    world.run_until_views_agree(10_000);
     assert!((0..30)
         .filter(|i| *i != 5)
         .all(|i| world.detector(i).alive_nodes().any(|n| n.number == 5 && n.incarnation == 2)));
     let left = world.now;
-    let out = world.members[9].detector.as_mut().expect("it is there").leave(left);
-    world.send_all(9, out);
+    let outputs = world.members[9].detector.as_mut().expect("the member is running").leave(left);
+    world.send_all(9, outputs);
     world.members[9].detector = None;
-    world.until(left + 4_000);
+    world.run_until(left + 4_000);
     let knows = |i: &u32| world.detector(*i).view(world.now).gone.contains(&9);
-    assert!((0..30).filter(|i| *i != 9).all(|i| knows(&i)), "it told them as it left");
+    assert!((0..30).filter(|i| *i != 9).all(|i| knows(&i)), "a member did not learn that 9 left");
 }
 
 #[test]
@@ -269,18 +275,18 @@
     assert_eq!(detector.view(11_000).gone, [0, 2]);
 }
 
-/// A member that was stopped must not take all others for gone when it goes on.
+/// A member that was suspended must not consider all others gone when it resumes.
 #[test]
 fn late_timers_worsen_local_health_until_it_recovers() {
     let mut world = World::new(3, 0.0, 9);
-    world.until_agreed(10_000);
+    world.run_until_views_agree(10_000);
     assert_eq!(world.detector(1).local_health(), 0);
-    world.members[1].stopped = true;
-    world.until(world.now + 1_500);
-    world.go_on(1);
-    world.until(world.now + 50);
+    world.members[1].suspended = true;
+    world.run_until(world.now + 1_500);
+    world.resume(1);
+    world.run_until(world.now + 50);
     assert!(world.detector(1).local_health() > 0);
-    world.until(world.now + 30_000);
+    world.run_until(world.now + 30_000);
     assert_eq!((world.detector(1).local_health(), world.false_downs), (0, 0));
 }
 
@@ -290,29 +296,29 @@
     let seeds: u64 = std::env::var("DETECT_SEEDS").map_or(10, |s| s.parse().expect("a number"));
     let (mut firsts, mut all) = (Vec::new(), Vec::new());
     let mut world = World::new(300, 0.0, 11);
-    world.until_agreed(20_000);
+    world.run_until_views_agree(20_000);
     for i in 0..seeds {
         let moment = world.now + 1_000 + world.rng.random_range(0..1_000);
-        world.until(moment);
+        world.run_until(moment);
         let victim = (i * 7 % 300) as u32;
         world.members[victim as usize].detector = None;
         let crashed = world.now;
-        world.until(crashed + 15_000);
-        let known: Vec<u64> = (0..300)
+        world.run_until(crashed + 15_000);
+        let detected_ms: Vec<u64> = (0..300)
             .filter(|j| world.members[*j as usize].detector.is_some())
             .filter_map(|j| world.downs.get(&(j, victim)).filter(|at| **at >= crashed))
             .map(|at| at - crashed)
             .collect();
-        firsts.push(*known.iter().min().expect("some"));
-        all.extend(known);
+        firsts.push(*detected_ms.iter().min().expect("some member detected the crash"));
+        all.extend(detected_ms);
         world.start(victim);
-        world.until(world.now + 5_000);
+        world.run_until(world.now + 5_000);
     }
     firsts.sort_unstable();
     all.sort_unstable();
     let at = |v: &[u64], p: usize| v[(v.len() - 1) * p / 100];
     println!(
-        "first known after {} (median), {} (99 of 100); by each {} (median), {} (99 of 100), {} (last)",
+        "first detected after {} (median), {} (99 of 100); by each {} (median), {} (99 of 100), {} (last)",
         at(&firsts, 50),
         at(&firsts, 99),
         at(&all, 50),
@@ -320,15 +326,16 @@
         at(&all, 100)
     );
     let mut world = World::new(300, 0.05, 12);
-    world.until_agreed(60_000);
+    world.run_until_views_agree(60_000);
     let (b, p) = world.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
-    let lasts: u64 = std::env::var("DETECT_S").map_or(600, |s| s.parse().expect("a number"));
-    world.until(world.now + lasts * 1_000);
+    let duration_s: u64 = std::env::var("DETECT_S").map_or(600, |s| s.parse().expect("a number"));
+    world.run_until(world.now + duration_s * 1_000);
     let (b2, p2) = world.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
     println!(
-        "{} false accusations in {lasts} s of 300 at a loss of 0.05; {} B, {:.1} packets a second each",
+        "{} false detections in {duration_s} s among 300 at a loss of 0.05; {} B, {:.1} packets per \
+         second each",
         world.false_downs,
-        (b2 - b) / lasts / 300,
-        (p2 - p) as f64 / lasts as f64 / 300.0
+        (b2 - b) / duration_s / 300,
+        (p2 - p) as f64 / duration_s as f64 / 300.0
     );
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,5 +1,6 @@
-//! Model check: no more than a slot is in use, in every order of events up to a bound. An owner and two
-//! others that claim its slot, all three its grantors, run by the functions that gateways run.
+//! Model check: never more than one slot is in use, for every order of a limited number of events. The model
+//! has an owner and two members that claim its slot, all three of them its grantors, and runs the production
+//! code of grantors and holders.
 
 use std::collections::BTreeMap;
 
@@ -10,42 +11,42 @@
 
 /// Number of the slot, and of its owner.
 const OWNER: u32 = 0;
-/// A step of true time, ms.
-const TICK: u64 = 10;
+/// Step of true time, ms.
+const TICK_MS: u64 = 10;
 const TERMS: LeaseTerms =
     LeaseTerms { members: 3, lease_ms: 20, max_drift_per_mille: 100, trust_refusals: true };
 
-/// A flaw that the check has to find. Each removes one rule or assumption.
+/// A flaw that the check must detect. Each one removes a rule or an assumption.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     None,
-    /// A grantor grants as soon as it starts.
-    ForgetfulGrantor,
-    /// An owner uses its kept part as soon as it is acknowledged.
-    HastyOwner,
+    /// A grantor makes grants immediately after its start.
+    GrantsAfterRestart,
+    /// An owner uses its kept units as soon as it is acknowledged.
+    UsesKeptUnitsEarly,
     /// A connection to a live process is refused.
     FalseRefusal,
-    /// A clock runs at half the speed of true time.
+    /// A clock runs at half the rate of true time.
     SlowClock,
 }
 
-/// How often each event may happen.
+/// How often each event may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Budget {
+struct EventLimits {
     ticks: u64,
     renewals: u8,
     /// By the second and by the third member.
     claims: [u8; 2],
     loans: u8,
-    /// By number.
+    /// By member number.
     crashes: [u8; 3],
-    /// Messages that are delivered duplicates.
+    /// Messages that are delivered more than once.
     duplicates: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    up: bool,
+    running: bool,
     incarnation: u64,
     holder: LeaseHolder,
     grantor: LeaseGrantor,
@@ -55,7 +56,7 @@
 struct Sent {
     from: Member,
     to: u32,
-    /// Of a response, the incarnation that sent the request.
+    /// For a response, the incarnation that sent the request.
     incarnation: Option<u64>,
     message: Message,
 }
@@ -66,7 +67,7 @@
     nodes: Vec<Node>,
     /// Messages in transit, and how many of each.
     in_transit: BTreeMap<Sent, u8>,
-    left: Budget,
+    remaining: EventLimits,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,7 +76,8 @@
     Renew,
     Claim(u32),
     Borrow(u32),
-    /// A message is delivered, and with `true` stays in transit. Whatever is left at the end was lost.
+    /// Delivers a message, which stays in transit if the flag is set. Messages that are never delivered are
+    /// lost.
     Deliver(Sent, bool),
     Crash(u32),
     Start(u32),
@@ -84,19 +86,19 @@
 
 struct World {
     flaw: Flaw,
-    budget: Budget,
-    /// How many ms each clock runs in a tick.
+    limits: EventLimits,
+    /// How far each clock advances in a tick, ms.
     rates: [u64; 3],
 }
 
 impl World {
     fn clock(&self, state: &State, node: u32) -> u64 {
-        // Clocks have different origins, long before.
+        // Clocks have different origins, all in the distant past.
         1_000 * (u64::from(node) + 1) + state.now * self.rates[node as usize]
     }
 
-    fn begun(&self, clock: u64, early: bool) -> u64 {
-        if early {
+    fn start_clock(&self, clock: u64, started_long_ago: bool) -> u64 {
+        if started_long_ago {
             clock - 900
         } else {
             clock
@@ -104,12 +106,13 @@
     }
 
     fn node(&self, number: u32, incarnation: u64, clock: u64) -> Node {
-        let grantor = LeaseGrantor::new(TERMS, self.begun(clock, self.flaw == Flaw::ForgetfulGrantor));
-        let begun = self.begun(clock, self.flaw == Flaw::HastyOwner);
+        let grantor =
+            LeaseGrantor::new(TERMS, self.start_clock(clock, self.flaw == Flaw::GrantsAfterRestart));
+        let start_clock = self.start_clock(clock, self.flaw == Flaw::UsesKeptUnitsEarly);
         Node {
-            up: true,
+            running: true,
             incarnation,
-            holder: LeaseHolder::new(TERMS, Member { number, incarnation }, begun),
+            holder: LeaseHolder::new(TERMS, Member { number, incarnation }, start_clock),
             grantor,
         }
     }
@@ -117,7 +120,7 @@
     fn send(&self, state: &mut State, from: u32, to: u32, incarnation: Option<u64>, message: Message) {
         let from = Member { number: from, incarnation: state.nodes[from as usize].incarnation };
         if from.number == to {
-            // A member that is its own grantor needs no network.
+            // Messages of a member to itself are not sent over the network.
             return self.deliver(state, Sent { from, to, incarnation, message });
         }
         *state.in_transit.entry(Sent { from, to, incarnation, message }).or_default() += 1;
@@ -127,10 +130,10 @@
         let Sent { from, to, incarnation, message } = sent;
         let now = self.clock(state, to);
         let node = &mut state.nodes[to as usize];
-        if !node.up || incarnation.is_some_and(|incarnation| incarnation != node.incarnation) {
+        if !node.running || incarnation.is_some_and(|incarnation| incarnation != node.incarnation) {
             return;
         }
-        let answer = match message {
+        let response = match message {
             Message::Renew { request_id } => {
                 Some(Message::Renewed { request_id, granted: node.grantor.renew(now, from) })
             }
@@ -154,21 +157,21 @@
                 None
             }
         };
-        // A response that grants nothing might as well be lost.
-        let grants_nothing = |answer: &Message| match answer {
+        // Losing a response that grants nothing has the same effect as delivering it.
+        let grants_nothing = |response: &Message| match response {
             Message::Renewed { granted: out, .. } => *out == Grant::Whole,
             Message::Claimed { grant: given, .. } => *given == Grant::Nothing,
             Message::Loan { units, .. } => *units == 0,
             _ => false,
         };
-        if let Some(answer) = answer.filter(|answer| !grants_nothing(answer)) {
-            self.send(state, to, from.number, Some(from.incarnation), answer);
+        if let Some(response) = response.filter(|response| !grants_nothing(response)) {
+            self.send(state, to, from.number, Some(from.incarnation), response);
         }
     }
 
     fn sum(&self, state: &State) -> u64 {
-        let up = (0..).zip(&state.nodes).filter(|(_, node)| node.up);
-        up.map(|(number, node)| node.holder.allocation(self.clock(state, number)).units).sum()
+        let running = (0..).zip(&state.nodes).filter(|(_, node)| node.running);
+        running.map(|(number, node)| node.holder.allocation(self.clock(state, number)).units).sum()
     }
 }
 
@@ -177,8 +180,9 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut state = State { now: 0, nodes: Vec::new(), in_transit: BTreeMap::new(), left: self.budget };
-        // All have run for long, and the owner has just renewed its slot at all grantors.
+        let mut state =
+            State { now: 0, nodes: Vec::new(), in_transit: BTreeMap::new(), remaining: self.limits };
+        // All members started long ago, and the owner has just renewed its slot at all grantors.
         for number in 0..3 {
             let clock = self.clock(&state, number);
             let (mut node, member) = (self.node(number, 1, clock), Member { number, incarnation: 1 });
@@ -194,39 +198,39 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let up = |number: u32| state.nodes[number as usize].up;
-        if state.left.ticks > 0 {
+        let running = |number: u32| state.nodes[number as usize].running;
+        if state.remaining.ticks > 0 {
             actions.push(Action::Tick);
         }
-        if state.left.renewals > 0 && up(OWNER) {
+        if state.remaining.renewals > 0 && running(OWNER) {
             actions.push(Action::Renew);
         }
         for number in 1..3 {
-            if state.left.claims[number as usize - 1] > 0 && up(number) {
+            if state.remaining.claims[number as usize - 1] > 0 && running(number) {
                 actions.push(Action::Claim(number));
             }
         }
-        if state.left.loans > 0 && up(1) {
+        if state.remaining.loans > 0 && running(1) {
             actions.push(Action::Borrow(1));
         }
         for sent in state.in_transit.keys() {
-            // A message to a crashed process is lost, as any may be by never being delivered.
-            if !up(sent.to) {
+            // A message to a crashed process is lost. Any other is lost if it is never delivered.
+            if !running(sent.to) {
                 continue;
             }
             actions.push(Action::Deliver(*sent, false));
-            if state.left.duplicates > 0 {
+            if state.remaining.duplicates > 0 {
                 actions.push(Action::Deliver(*sent, true));
             }
         }
         for number in 0..3 {
-            if !up(number) {
+            if !running(number) {
                 actions.push(Action::Start(number));
-            } else if state.left.crashes[number as usize] > 0 {
+            } else if state.remaining.crashes[number as usize] > 0 {
                 actions.push(Action::Crash(number));
             }
-            let refused = !up(OWNER) || self.flaw == Flaw::FalseRefusal;
-            if number != OWNER && up(number) && refused {
+            let refused = !running(OWNER) || self.flaw == Flaw::FalseRefusal;
+            if number != OWNER && running(number) && refused {
                 actions.push(Action::Refused(number));
             }
         }
@@ -237,10 +241,10 @@
         match action {
             Action::Tick => {
                 state.now += 1;
-                state.left.ticks -= 1;
+                state.remaining.ticks -= 1;
             }
             Action::Renew => {
-                state.left.renewals -= 1;
+                state.remaining.renewals -= 1;
                 let now = self.clock(&state, OWNER);
                 let request_id = state.nodes[OWNER as usize].holder.request_renewal(now);
                 TERMS
@@ -249,35 +253,35 @@
                     .for_each(|to| self.send(&mut state, OWNER, to, None, Message::Renew { request_id }));
             }
             Action::Claim(by) => {
-                state.left.claims[by as usize - 1] -= 1;
+                state.remaining.claims[by as usize - 1] -= 1;
                 let now = self.clock(&state, by);
                 let request_id = state.nodes[by as usize].holder.request_claim(now, OWNER)?;
                 let message = Message::Claim { request_id, slot: OWNER };
                 TERMS.grantors(OWNER).into_iter().for_each(|to| self.send(&mut state, by, to, None, message));
             }
             Action::Borrow(by) => {
-                state.left.loans -= 1;
+                state.remaining.loans -= 1;
                 let now = self.clock(&state, by);
                 let request_id = state.nodes[by as usize].holder.request_loan(now, OWNER)?;
                 self.send(&mut state, by, OWNER, None, Message::Borrow { request_id, units: SLOT_UNITS });
             }
             Action::Deliver(sent, again) => {
                 if again {
-                    state.left.duplicates -= 1;
+                    state.remaining.duplicates -= 1;
                 } else {
-                    let left = state.in_transit.get_mut(&sent)?;
-                    *left -= 1;
-                    if *left == 0 {
+                    let remaining = state.in_transit.get_mut(&sent)?;
+                    *remaining -= 1;
+                    if *remaining == 0 {
                         state.in_transit.remove(&sent);
                     }
                 }
                 self.deliver(&mut state, sent);
             }
             Action::Crash(number) => {
-                state.left.crashes[number as usize] -= 1;
+                state.remaining.crashes[number as usize] -= 1;
                 let incarnation = state.nodes[number as usize].incarnation;
-                state.nodes[number as usize].up = false;
-                // Responses to this incarnation are ignored by any other.
+                state.nodes[number as usize].running = false;
+                // Other incarnations ignore the responses to this one.
                 state.in_transit.retain(|sent, _| sent.to != number || sent.incarnation != Some(incarnation));
             }
             Action::Start(number) => {
@@ -294,7 +298,7 @@
                 }
             }
         }
-        // A response that changes nothing now never will.
+        // A response that has no effect now will never have one.
         let idle = matches!(action, Action::Deliver(sent, _) if sent.incarnation.is_some())
             && state.nodes == last.nodes;
         (state != *last && !idle).then_some(state)
@@ -305,69 +309,76 @@
             Property::always(WITHIN_SLOT, |world: &World, state: &State| world.sum(state) <= SLOT_UNITS),
             Property::sometimes(OWNER_HAS_ALL, |world: &World, state: &State| {
                 let owner = &state.nodes[OWNER as usize];
-                owner.up && owner.holder.allocation(world.clock(state, OWNER)).units == SLOT_UNITS
+                owner.running && owner.holder.allocation(world.clock(state, OWNER)).units == SLOT_UNITS
             }),
             Property::sometimes(ANOTHER_HAS_ALL, |world: &World, state: &State| {
                 let other = &state.nodes[1];
-                other.up && other.holder.allocation(world.clock(state, 1)).units == SLOT_UNITS
+                other.running && other.holder.allocation(world.clock(state, 1)).units == SLOT_UNITS
             }),
         ]
     }
 }
 
-const RATES: [u64; 3] = [TICK, TICK + 1, TICK - 1];
-const NONE: Budget =
-    Budget { ticks: 0, renewals: 0, claims: [0, 0], loans: 0, crashes: [0, 0, 0], duplicates: 0 };
+const RATES: [u64; 3] = [TICK_MS, TICK_MS + 1, TICK_MS - 1];
+const NO_EVENTS: EventLimits =
+    EventLimits { ticks: 0, renewals: 0, claims: [0, 0], loans: 0, crashes: [0, 0, 0], duplicates: 0 };
 
-/// Names of the properties that were discovered among all states within `depth` events.
-fn found(flaw: Flaw, budget: Budget, rates: [u64; 3], depth: usize) -> Vec<&'static str> {
+/// Returns the names of the properties that were discovered among all states within `depth` events.
+fn discovered(flaw: Flaw, limits: EventLimits, rates: [u64; 3], depth: usize) -> Vec<&'static str> {
     let checker =
-        World { flaw, budget, rates }.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
-    let found: Vec<&str> = checker.discoveries().into_keys().collect();
-    println!("{flaw:?}: {} states, depth {}: {found:?}", checker.unique_state_count(), checker.max_depth());
-    found
+        World { flaw, limits, rates }.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
+    let discovered: Vec<&str> = checker.discoveries().into_keys().collect();
+    println!(
+        "{flaw:?}: {} states, depth {}: {discovered:?}",
+        checker.unique_state_count(),
+        checker.max_depth()
+    );
+    discovered
 }
 
-/// Discovered when a state breaks it; the other two when a state shows them.
-const WITHIN_SLOT: &str = "no more than the slot is in use";
-const OWNER_HAS_ALL: &str = "the owner has all of it";
-const ANOTHER_HAS_ALL: &str = "another has all of it";
+/// Discovered if a state violates it; the other two properties are discovered if a state satisfies them.
+const WITHIN_SLOT: &str = "at most one slot is in use";
+const OWNER_HAS_ALL: &str = "the owner has the whole slot";
+const ANOTHER_HAS_ALL: &str = "another member has the whole slot";
 
-/// The owner crashes, another member claims its whole slot, the owner restarts and renews.
-const OWNER_RETURNS: Budget = Budget { ticks: 7, renewals: 1, claims: [1, 0], crashes: [1, 0, 0], ..NONE };
+/// The owner crashes, another member claims its whole slot, and the owner restarts and renews.
+const OWNER_RETURNS: EventLimits =
+    EventLimits { ticks: 7, renewals: 1, claims: [1, 0], crashes: [1, 0, 0], ..NO_EVENTS };
 /// Two members claim after the owner's crash.
-const TWO_CLAIMS: Budget = Budget { ticks: 6, claims: [1, 1], crashes: [1, 0, 0], ..NONE };
+const TWO_CLAIMS: EventLimits = EventLimits { ticks: 6, claims: [1, 1], crashes: [1, 0, 0], ..NO_EVENTS };
 /// Two members claim, and a grantor restarts between the claims.
-const GRANTOR_RESTART: Budget = Budget { ticks: 6, claims: [1, 1], crashes: [0, 1, 0], ..NONE };
+const GRANTOR_RESTART: EventLimits =
+    EventLimits { ticks: 6, claims: [1, 1], crashes: [0, 1, 0], ..NO_EVENTS };
 /// The owner lends, crashes and restarts.
-const LOANS: Budget = Budget { ticks: 6, renewals: 1, loans: 1, crashes: [1, 0, 0], ..NONE };
-/// A claim and a renewal with messages that are delivered duplicates.
-const DUPLICATES: Budget = Budget { ticks: 5, renewals: 1, claims: [1, 0], loans: 1, duplicates: 2, ..NONE };
+const LOANS: EventLimits = EventLimits { ticks: 6, renewals: 1, loans: 1, crashes: [1, 0, 0], ..NO_EVENTS };
+/// A claim and a renewal with duplicated messages.
+const DUPLICATES: EventLimits =
+    EventLimits { ticks: 5, renewals: 1, claims: [1, 0], loans: 1, duplicates: 2, ..NO_EVENTS };
 
 #[test]
-fn owner_returns_while_another_has_its_slot() {
-    let found = found(Flaw::None, OWNER_RETURNS, RATES, 14);
-    assert!(!found.contains(&WITHIN_SLOT), "the sum is passed");
-    assert!(found.contains(&OWNER_HAS_ALL) && found.contains(&ANOTHER_HAS_ALL), "{found:?}");
+fn bound_holds_when_owner_returns_after_takeover() {
+    let discovered = discovered(Flaw::None, OWNER_RETURNS, RATES, 14);
+    assert!(!discovered.contains(&WITHIN_SLOT), "more than one slot is in use");
+    assert!(discovered.contains(&OWNER_HAS_ALL) && discovered.contains(&ANOTHER_HAS_ALL), "{discovered:?}");
 }
 
 #[test]
-fn bound_holds_for_claims_restarts_loans_and_repeated_messages() {
-    for (budget, depth) in [(TWO_CLAIMS, 13), (GRANTOR_RESTART, 14), (LOANS, 14), (DUPLICATES, 10)] {
-        assert!(!found(Flaw::None, budget, RATES, depth).contains(&WITHIN_SLOT), "{budget:?}");
+fn bound_holds_for_claims_restarts_loans_and_duplicates() {
+    for (limits, depth) in [(TWO_CLAIMS, 13), (GRANTOR_RESTART, 14), (LOANS, 14), (DUPLICATES, 10)] {
+        assert!(!discovered(Flaw::None, limits, RATES, depth).contains(&WITHIN_SLOT), "{limits:?}");
     }
 }
 
-/// A check that cannot fail proves nothing.
+/// Guards against a model that cannot detect a violation: each removed rule or assumption must lead to one.
 #[test]
-fn every_removed_rule_or_assumption_breaks_the_bound() {
-    let slow = [TICK / 2, TICK + 1, TICK];
-    for (flaw, budget, rates, depth) in [
-        (Flaw::HastyOwner, LOANS, RATES, 14),
-        (Flaw::ForgetfulGrantor, GRANTOR_RESTART, RATES, 14),
+fn each_removed_rule_or_assumption_breaks_the_bound() {
+    let slow = [TICK_MS / 2, TICK_MS + 1, TICK_MS];
+    for (flaw, limits, rates, depth) in [
+        (Flaw::UsesKeptUnitsEarly, LOANS, RATES, 14),
+        (Flaw::GrantsAfterRestart, GRANTOR_RESTART, RATES, 14),
         (Flaw::FalseRefusal, GRANTOR_RESTART, RATES, 13),
         (Flaw::SlowClock, GRANTOR_RESTART, slow, 14),
     ] {
-        assert!(found(flaw, budget, rates, depth).contains(&WITHIN_SLOT), "{flaw:?} is not found");
+        assert!(discovered(flaw, limits, rates, depth).contains(&WITHIN_SLOT), "{flaw:?} is not detected");
     }
 }
--- a/crates/membership/tests/recorded.rs
+++ b/crates/membership/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Datagrams as released versions write them: recorded bytes are read, and written again to the same.
+//! Checks that the recorded datagrams of released versions are decoded, and encoded to the same bytes.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -8,13 +8,13 @@
 
 const FLEET: &str = "ub-room";
 
-fn data() -> PathBuf {
+fn recorded_path() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/datagrams.hex")
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut all, byte| {
-        write!(all, "{byte:02x}").expect("a string takes all");
+        write!(all, "{byte:02x}").expect("writing to a string succeeds");
         all
     })
 }
@@ -24,12 +24,12 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hex")).collect()
 }
 
-/// Each kind of body and message, with small values and the greatest.
-fn bodies() -> Vec<(&'static str, Payload)> {
+/// Returns each kind of payload and message, with small and with maximum values.
+fn payloads() -> Vec<(&'static str, Payload)> {
     let member = Member { number: 3, incarnation: 1_800_000_000_000 };
     let greatest = Member { number: u32::MAX, incarnation: u64::MAX };
     let lease = |incarnation, message| Payload::Lease { from: member, incarnation, message };
-    let far = |message| Payload::Lease { from: greatest, incarnation: Some(u64::MAX), message };
+    let lease_greatest = |message| Payload::Lease { from: greatest, incarnation: Some(u64::MAX), message };
     let (n, slot) = (300, 65_536);
     vec![
         ("gossip", Payload::Gossip(vec![0, 1, 127, 128, 255])),
@@ -46,43 +46,43 @@
         ("claimed-whole", lease(Some(7), Message::Claimed { request_id: n, slot, grant: Grant::Whole })),
         ("borrow", lease(None, Message::Borrow { request_id: n, units: 0 })),
         ("loan", lease(Some(0), Message::Loan { request_id: n, units: 12, duration_ms: 4_000 })),
-        ("claim-greatest", far(Message::Claim { request_id: u64::MAX, slot: u32::MAX })),
+        ("claim-greatest", lease_greatest(Message::Claim { request_id: u64::MAX, slot: u32::MAX })),
         (
             "loan-greatest",
-            far(Message::Loan { request_id: u64::MAX, units: u64::MAX, duration_ms: u64::MAX }),
+            lease_greatest(Message::Loan { request_id: u64::MAX, units: u64::MAX, duration_ms: u64::MAX }),
         ),
     ]
 }
 
-fn write_all() -> String {
+fn encode_all() -> String {
     let mut text = String::new();
-    for (name, body) in bodies() {
-        let bytes = encode(FleetId::from_name(FLEET), &body).expect("short");
-        writeln!(text, "{name} {}", hex(&bytes)).expect("a string takes all");
+    for (name, payload) in payloads() {
+        let bytes = encode(FleetId::from_name(FLEET), &payload).expect("payload fits");
+        writeln!(text, "{name} {}", hex(&bytes)).expect("writing to a string succeeds");
     }
     text
 }
 
 #[test]
-fn writes_the_recorded_bytes() {
-    assert_eq!(write_all(), std::fs::read_to_string(data()).expect("recorded"));
+fn encodes_to_the_recorded_bytes() {
+    assert_eq!(encode_all(), std::fs::read_to_string(recorded_path()).expect("recorded"));
 }
 
 #[test]
-fn reads_recorded_bytes_and_writes_them_again() {
-    let recorded = std::fs::read_to_string(data()).expect("recorded");
-    assert_eq!(recorded.lines().count(), bodies().len());
-    for (line, (name, body)) in recorded.lines().zip(bodies()) {
+fn recorded_datagrams_decode_and_encode_unchanged() {
+    let recorded = std::fs::read_to_string(recorded_path()).expect("recorded");
+    assert_eq!(recorded.lines().count(), payloads().len());
+    for (line, (name, payload)) in recorded.lines().zip(payloads()) {
         let bytes = unhex(line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')).expect("a name"));
         let parsed = decode(FleetId::from_name(FLEET), &bytes);
-        assert_eq!(parsed, Ok(body.clone()), "{name}");
-        assert_eq!(encode(FleetId::from_name(FLEET), &body), Some(bytes), "{name}");
+        assert_eq!(parsed, Ok(payload.clone()), "{name}");
+        assert_eq!(encode(FleetId::from_name(FLEET), &payload), Some(bytes), "{name}");
     }
 }
 
 #[test]
-fn drop_reasons_have_recorded_texts() {
-    let words = [
+fn drop_reasons_have_the_recorded_texts() {
+    let texts = [
         DropReason::BadLength,
         DropReason::Corrupt,
         DropReason::OlderVersion,
@@ -90,5 +90,5 @@
         DropReason::OtherFleet,
     ]
     .map(|why| why.to_string());
-    assert_eq!(words, ["length", "garbled", "old", "future", "foreign"]);
+    assert_eq!(texts, ["length", "garbled", "old", "future", "foreign"]);
 }
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is read, and what is dropped and why.
+//! Encoding and decoding of datagrams, and the reasons to drop them.
 
 use membership::lease::{Grant, Member, Message};
 use membership::wire::{decode, encode, DropReason, FleetId, Payload, MAX_DATAGRAM_BYTES, VERSION};
@@ -8,7 +8,7 @@
     FleetId::from_name("ub-room")
 }
 
-fn body() -> impl Strategy<Value = Payload> {
+fn payload() -> impl Strategy<Value = Payload> {
     let message = prop_oneof![
         any::<u64>().prop_map(|request_id| Message::Renew { request_id }),
         any::<u64>().prop_map(|request_id| Message::Renewed { request_id, granted: Grant::Lent }),
@@ -41,48 +41,48 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn decodes_what_was_encoded_and_detects_flipped_bits(
-        body in body(), bit in any::<prop::sample::Index>()
+    fn decodes_encoded_payloads_and_detects_flipped_bits(
+        payload in payload(), bit in any::<prop::sample::Index>()
     ) {
-        let mut bytes = encode(fleet(), &body).expect("short");
+        let mut bytes = encode(fleet(), &payload).expect("payload fits");
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        prop_assert_eq!(decode(fleet(), &bytes), Ok(body));
+        prop_assert_eq!(decode(fleet(), &bytes), Ok(payload));
         let bit = bit.index(bytes.len() * 8);
         bytes[bit / 8] ^= 1 << (bit % 8);
         prop_assert_eq!(decode(fleet(), &bytes), Err(DropReason::Corrupt));
     }
 
     #[test]
-    fn rejects_garbage(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
+    fn rejects_random_bytes(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
         prop_assert!(decode(fleet(), &bytes).is_err());
     }
 }
 
-/// A datagram with another first byte, and a checksum that is right.
-fn of_version(version: u8) -> Vec<u8> {
-    let written = encode(fleet(), &Payload::Gossip(vec![1, 2, 3])).expect("short");
-    let mut bytes = written[..written.len() - 8].to_vec();
+/// Returns a datagram with another version and a valid checksum.
+fn datagram_of_version(version: u8) -> Vec<u8> {
+    let encoded = encode(fleet(), &Payload::Gossip(vec![1, 2, 3])).expect("payload fits");
+    let mut bytes = encoded[..encoded.len() - 8].to_vec();
     bytes[0] = version;
-    let sum = blake3::hash(&bytes);
-    bytes.extend(&sum.as_bytes()[..8]);
+    let checksum = blake3::hash(&bytes);
+    bytes.extend(&checksum.as_bytes()[..8]);
     bytes
 }
 
 #[test]
 fn rejects_other_versions_other_fleets_and_bad_lengths() {
-    assert_eq!(decode(fleet(), &of_version(VERSION)), Ok(Payload::Gossip(vec![1, 2, 3])));
-    assert_eq!(decode(fleet(), &of_version(VERSION - 1)), Err(DropReason::OlderVersion));
-    assert_eq!(decode(fleet(), &of_version(VERSION + 1)), Err(DropReason::NewerVersion));
-    let other = encode(FleetId::from_name("ub-hall"), &Payload::Gossip(vec![1])).expect("short");
+    assert_eq!(decode(fleet(), &datagram_of_version(VERSION)), Ok(Payload::Gossip(vec![1, 2, 3])));
+    assert_eq!(decode(fleet(), &datagram_of_version(VERSION - 1)), Err(DropReason::OlderVersion));
+    assert_eq!(decode(fleet(), &datagram_of_version(VERSION + 1)), Err(DropReason::NewerVersion));
+    let other = encode(FleetId::from_name("ub-hall"), &Payload::Gossip(vec![1])).expect("payload fits");
     assert_eq!(decode(fleet(), &other), Err(DropReason::OtherFleet));
     assert_eq!(decode(fleet(), &[0; MAX_DATAGRAM_BYTES + 1]), Err(DropReason::BadLength));
     assert_eq!(decode(fleet(), &[0; 7]), Err(DropReason::BadLength));
     assert_eq!(encode(fleet(), &Payload::Gossip(vec![0; MAX_DATAGRAM_BYTES])), None);
-    // What follows a body is not read over.
-    let mut long = of_version(VERSION);
+    // Bytes after the payload are not ignored.
+    let mut long = datagram_of_version(VERSION);
     long.truncate(long.len() - 8);
     long.push(7);
-    let sum = blake3::hash(&long);
-    long.extend(&sum.as_bytes()[..8]);
+    let checksum = blake3::hash(&long);
+    long.extend(&checksum.as_bytes()[..8]);
     assert_eq!(decode(fleet(), &long), Err(DropReason::Corrupt));
 }
