--- a/crates/cold-start/tests/traces.rs
+++ b/crates/cold-start/tests/traces.rs
@@ -155,7 +155,7 @@
                 }
             }
             StartTurn::AskAgain { after_ms } if i % 11 != 7 => {
-                requests.push((now + after_ms, i, incarnation))
+                requests.push((now + after_ms, i, incarnation));
             }
             _ => {}
         }
