--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -18,8 +18,11 @@
     answered_ms: Option<f64>,
     /// When the gateway asks the agent for a turn next; none if it does not ask again.
     next_request_ms: Option<f64>,
+    /// Time of its turn.
     turn: Option<f64>,
+    /// When it got the list, ms since the start.
     list_ms: Option<f64>,
+    /// Whether its first call has not succeeded yet.
     first_call: bool,
 }
 
--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -207,7 +207,7 @@
 
     /// Announces to some of the other members that this one leaves.
     pub fn leave(&mut self, now_ms: u64) -> Vec<Packet> {
-        // Fails only if a packet cannot be encoded, which cannot happen here.
+        // Fails only if a packet cannot be encoded.
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(now_ms)
     }
