--- a/crates/agent/src/endpoint_list.rs
+++ b/crates/agent/src/endpoint_list.rs
@@ -77,8 +77,8 @@
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let settings = Settings {
             services: services(config)?,
-            bounds: cache_limits(config),
-            shrink_most: config.shrink_most,
+            cache_limits: cache_limits(config),
+            max_shrink: config.shrink_most,
             seed: started.as_nanos() as u64 ^ u64::from(std::process::id()),
         };
         let resolver = Resolver::new(config.resolvers.clone(), Duration::from_millis(config.answer_ms));
@@ -98,8 +98,8 @@
     /// Requests the status of the list. It arrives as soon as an update in progress is done. None if too many
     /// requests wait already.
     pub fn request_status(&self, records: bool) -> Option<oneshot::Receiver<EndpointListStatus>> {
-        let (answer, status) = oneshot::channel();
-        self.status_requests.try_send(StatusRequest { records, answer }).ok()?;
+        let (response, status) = oneshot::channel();
+        self.status_requests.try_send(StatusRequest { include_records: records, response }).ok()?;
         Some(status)
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -123,8 +123,8 @@
     let events = EventSender::new(MAX_WATCHER_LAG);
     let context = SessionContext {
         connector,
-        heartbeat: config.heartbeat(),
-        response_timeout: config.answer(),
+        heartbeat: config.heartbeat_interval(),
+        response_timeout: config.response_timeout(),
         request_permits: Arc::new(Semaphore::new(config.fan_out)),
         connect_permits: Arc::new(Semaphore::new(MAX_CONNECTING)),
         published: receiver,
--- a/crates/endpoint-sources/src/follow.rs
+++ b/crates/endpoint-sources/src/follow.rs
@@ -38,9 +38,9 @@
     /// Services, such as `_till._tcp.ub-room.example.org`.
     pub services: Vec<Name>,
     /// Limits of lifetimes and queries.
-    pub bounds: CacheLimits,
+    pub cache_limits: CacheLimits,
     /// The part of the list that may leave by one answer, 0 to 1.
-    pub shrink_most: f64,
+    pub max_shrink: f64,
     /// Seed for jitter.
     pub seed: u64,
 }
@@ -49,9 +49,9 @@
 #[derive(Debug)]
 pub struct StatusRequest {
     /// Whether each record is wanted too.
-    pub records: bool,
+    pub include_records: bool,
     /// Where the response goes.
-    pub answer: oneshot::Sender<EndpointListStatus>,
+    pub response: oneshot::Sender<EndpointListStatus>,
 }
 
 /// A query that has ended.
@@ -97,8 +97,8 @@
     #[must_use]
     pub fn new(settings: Settings, resolver: Resolver) -> Follower {
         Follower {
-            cache: Cache::new(settings.bounds, settings.seed),
-            catalogue: Catalogue::new(settings.services, settings.shrink_most),
+            cache: Cache::new(settings.cache_limits, settings.seed),
+            catalogue: Catalogue::new(settings.services, settings.max_shrink),
             resolver: Arc::new(resolver),
             started: Instant::now(),
             queries_sent: 0,
@@ -229,9 +229,9 @@
 
     /// The status of the list, with the records that are followed if they are wanted.
     #[must_use]
-    pub fn report(&self, records: bool) -> EndpointListStatus {
+    pub fn status(&self, include_records: bool) -> EndpointListStatus {
         let now_ms = self.now_ms();
-        let max_records = if records { MAX_REPORTED_RECORDS } else { 0 };
+        let max_records = if include_records { MAX_REPORTED_RECORDS } else { 0 };
         let followed = self.cache.followed(now_ms).take(max_records);
         EndpointListStatus {
             list: self.catalogue.list().map(|(name, e)| endpoint_status(now_ms, name, e)).collect(),
@@ -273,7 +273,7 @@
 
     /// Whether no query is in flight and each followed question was answered or has failed.
     #[must_use]
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         let now_ms = self.now_ms();
         let failing: HashSet<&Question> = self.cache.failing().map(|failing| failing.question).collect();
         let has_ended = |question: &Question| {
@@ -341,9 +341,9 @@
     loop {
         let list = tokio::select! {
             list = follower.step(&mut say) => list,
-            Some(StatusRequest { records, answer }) = requests.recv() => {
+            Some(StatusRequest { include_records, response }) = requests.recv() => {
                 // Fails only where nobody waits for it any more.
-                let _ = answer.send(follower.report(records));
+                let _ = response.send(follower.status(include_records));
                 None
             }
         };
--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -35,14 +35,14 @@
 impl Source {
     async fn start(servers: &[&Dns], services: &[&str]) -> Source {
         let name = |s: &&str| Name::from_ascii(s).expect("a name");
-        let bounds = CacheLimits {
+        let cache_limits = CacheLimits {
             min_ttl_ms: 100.0,
             min_retry_ms: 50.0,
             max_retry_ms: 200.0,
             ..CacheLimits::default()
         };
         let services = services.iter().map(name).collect();
-        let settings = Settings { services, bounds, shrink_most: 0.5, seed: 1 };
+        let settings = Settings { services, cache_limits, max_shrink: 0.5, seed: 1 };
         let servers = servers.iter().map(|d| d.address).collect();
         let resolver = Resolver::new(servers, Duration::from_millis(150));
         let (sender, table) = watch::channel(Arc::new(EndpointTable::new(1_000)));
@@ -181,8 +181,8 @@
     dns.switch.set(Fault::Failing);
     source.until_said("ALARM").await;
     sleep(Duration::from_millis(1_300)).await;
-    let (answer, told) = oneshot::channel();
-    source.asks.send(StatusRequest { records: true, answer }).await.expect("it runs");
+    let (response, told) = oneshot::channel();
+    source.asks.send(StatusRequest { include_records: true, response }).await.expect("it runs");
     let report = told.await.expect("told");
     assert_eq!((report.list.len(), report.known), (4, true));
     assert!(report.list.iter().all(|l| l.stale_ms.is_some_and(|ms| ms > 0.0)), "{report:?}");
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -61,9 +61,9 @@
         let (label, address) = (format!("t{i}"), Ipv4Addr::LOCALHOST);
         dns.put(SERVICE, &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address });
     }
-    let bounds =
+    let cache_limits =
         CacheLimits { min_ttl_ms: 100.0, min_retry_ms: 50.0, max_retry_ms: 200.0, ..CacheLimits::default() };
-    let settings = Settings { services: vec![question().name], bounds, shrink_most: 0.5, seed: 1 };
+    let settings = Settings { services: vec![question().name], cache_limits, max_shrink: 0.5, seed: 1 };
     let resolver = Resolver::new(vec![dns.address], EACH);
     let (sender, _table) = watch::channel(Arc::new(EndpointTable::new(0)));
     let said = Arc::<Mutex<Vec<String>>>::default();
--- a/crates/gatewayctl/src/endpoint_list.rs
+++ b/crates/gatewayctl/src/endpoint_list.rs
@@ -43,17 +43,17 @@
     let deadline = Instant::now() + args.deadline;
     let settings = Settings {
         services: args.services.clone(),
-        bounds: CacheLimits::default(),
-        shrink_most: 1.0,
+        cache_limits: CacheLimits::default(),
+        max_shrink: 1.0,
         seed: u64::from(std::process::id()),
     };
     let mut follower = Follower::new(settings, Resolver::new(args.servers.clone(), args.query_timeout));
     let complete = async {
         // The list is made once more after the last answer.
-        while follower.step(&mut drop).await.is_none() || !follower.settled() {}
+        while follower.step(&mut drop).await.is_none() || !follower.is_settled() {}
     };
     let is_complete = timeout_at(deadline, complete).await.is_ok();
-    let status = follower.report(args.records);
+    let status = follower.status(args.records);
     print(&status, output)?;
     if !is_complete {
         return Err(LocalError::UnresolvedNames(status.pending + status.unknown).into());
--- a/crates/gatewayctl/src/plans.rs
+++ b/crates/gatewayctl/src/plans.rs
@@ -42,7 +42,7 @@
 pub fn fault_lines(file: &Path, CatalogueFileError(faults): &CatalogueFileError) -> String {
     let line = |fault: &FileFault| {
         let key = if fault.key.is_empty() { String::new() } else { format!("{}: ", fault.key) };
-        format!("{}:{}: {key}{}", file.display(), fault.line, fault.wanted)
+        format!("{}:{}: {key}{}", file.display(), fault.line, fault.problem)
     };
     faults.iter().map(line).collect::<Vec<_>>().join("\n")
 }
@@ -84,7 +84,7 @@
     catalogue: &Result<Catalogue, CatalogueFileError>,
 ) -> Result<(), LocalError> {
     let faults = catalogue.as_ref().err().map_or(&[][..], |error| &error.0);
-    let fault = |fault: &FileFault| json!({"line": fault.line, "key": fault.key, "problem": fault.wanted});
+    let fault = |fault: &FileFault| json!({"line": fault.line, "key": fault.key, "problem": fault.problem});
     print_json(&json!({
         "file": file.display().to_string(),
         "good": catalogue.is_ok(),
@@ -124,7 +124,7 @@
             }
             Output::Table => {
                 let plan_cells = [format_time(from_ms), plan.name.to_string(), plan.version.to_string()];
-                rows.push(plan_cells.into_iter().chain(limit_cells(timeline.at(from_ms))).collect());
+                rows.push(plan_cells.into_iter().chain(limit_cells(timeline.limits_at(from_ms))).collect());
             }
         }
     }
@@ -220,12 +220,12 @@
     let timeline = catalogue.timeline(customer, PlanLimits::default());
     let late_ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
     let (mut since_ms, mut plan) = (ALWAYS_MS, first);
-    let mut level = level.unwrap_or(timeline.at(ALWAYS_MS).burst);
+    let mut level = level.unwrap_or(timeline.limits_at(ALWAYS_MS).burst);
     let mut changes = Vec::new();
     while let Some(at_ms) = timeline.next_change(since_ms) {
-        let refilled = (level + timeline.refill(since_ms, at_ms)).min(timeline.at(since_ms).burst);
+        let refilled = (level + timeline.refill(since_ms, at_ms)).min(timeline.limits_at(since_ms).burst);
         let level_before = if since_ms == ALWAYS_MS { level } else { refilled };
-        let level_after = timeline.carried(level_before, since_ms, at_ms);
+        let level_after = timeline.carry_level(level_before, since_ms, at_ms);
         let to = catalogue.plan_at(customer, at_ms).unwrap_or(plan);
         changes.push(PlanChange {
             at_ms,
@@ -233,7 +233,11 @@
             to: to.clone(),
             level_before,
             level_after,
-            wait_s: if level_after >= 1.0 { 0.0 } else { (1.0 - level_after) / timeline.at(at_ms).rate },
+            wait_s: if level_after >= 1.0 {
+                0.0
+            } else {
+                (1.0 - level_after) / timeline.limits_at(at_ms).rate
+            },
             late_ms,
             late_error: late_error(&timeline, since_ms, at_ms, late_ms),
         });
@@ -244,7 +248,7 @@
 
 /// Units by which a gateway is off that goes by the old plan for so long after a change.
 fn late_error(timeline: &PlanTimeline, since_ms: u64, at_ms: u64, late_ms: u64) -> f64 {
-    let old = PlanTimeline::always(*timeline.at(since_ms));
-    let new = old.clone().then(at_ms, *timeline.at(at_ms));
-    new.error_of(&old, at_ms, at_ms.saturating_add(late_ms))
+    let old = PlanTimeline::always(*timeline.limits_at(since_ms));
+    let new = old.clone().then(at_ms, *timeline.limits_at(at_ms));
+    new.level_error(&old, at_ms, at_ms.saturating_add(late_ms))
 }
--- a/crates/operator-config/src/agent.rs
+++ b/crates/operator-config/src/agent.rs
@@ -56,13 +56,13 @@
 impl AgentConfig {
     /// [`AgentConfig::heartbeat_ms`] as a duration.
     #[must_use]
-    pub fn heartbeat(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
 
     /// [`AgentConfig::answer_ms`] as a duration.
     #[must_use]
-    pub fn answer(&self) -> Duration {
+    pub fn response_timeout(&self) -> Duration {
         Duration::from_millis(self.answer_ms)
     }
 
--- a/crates/operator-config/tests/file_form.rs
+++ b/crates/operator-config/tests/file_form.rs
@@ -45,8 +45,8 @@
     assert_eq!(agent.log, PathBuf::from("/var/lib/orders.redb"));
     assert_eq!(agent.least_ready, 0.75);
     assert_eq!((agent.heartbeat_ms, agent.answer_ms, agent.fan_out), (1_001, 1_002, 257));
-    assert_eq!(agent.heartbeat(), Duration::from_millis(1_001));
-    assert_eq!(agent.answer(), Duration::from_millis(1_002));
+    assert_eq!(agent.heartbeat_interval(), Duration::from_millis(1_001));
+    assert_eq!(agent.response_timeout(), Duration::from_millis(1_002));
     assert_eq!(agent.tls, tls("/etc/agent.pem", "/etc/agent.key", "/etc/gateways-ca.pem"));
 
     let sources = file.sources.expect("sources");
--- a/crates/plans/src/catalogue_file.rs
+++ b/crates/plans/src/catalogue_file.rs
@@ -63,8 +63,8 @@
     pub line: usize,
     /// Key, such as `customer.from`; empty if there is none.
     pub key: String,
-    /// What is wrong and what is wanted.
-    pub wanted: String,
+    /// What is wrong and what is expected.
+    pub problem: String,
 }
 
 /// A file that is no catalogue: all its faults, in the order of their lines.
@@ -73,11 +73,11 @@
 
 impl fmt::Display for CatalogueFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, FileFault { line, key, wanted }) in self.0.iter().enumerate() {
+        for (i, FileFault { line, key, problem }) in self.0.iter().enumerate() {
             let separator = if i == 0 { "" } else { "\n" };
             match key.as_str() {
-                "" => write!(f, "{separator}line {line}: {wanted}")?,
-                key => write!(f, "{separator}line {line}: {key}: {wanted}")?,
+                "" => write!(f, "{separator}line {line}: {problem}")?,
+                key => write!(f, "{separator}line {line}: {key}: {problem}")?,
             }
         }
         Ok(())
@@ -99,9 +99,9 @@
         1 + before.iter().filter(|byte| **byte == b'\n').count()
     }
 
-    fn add(&mut self, span: &Range<usize>, key: &str, wanted: impl Into<String>) {
+    fn add(&mut self, span: &Range<usize>, key: &str, problem: impl Into<String>) {
         let line = self.line_of(span);
-        self.faults.push(FileFault { line, key: key.to_string(), wanted: wanted.into() });
+        self.faults.push(FileFault { line, key: key.to_string(), problem: problem.into() });
     }
 
     /// A number, which has to be finite and 0 or more.
@@ -130,16 +130,16 @@
     let mut collector = FaultCollector { text, faults: Vec::new() };
     let file: File = toml::from_str(text).map_err(|error| {
         let line = error.span().map_or(0, |span| collector.line_of(&span));
-        let wanted = error.message().to_string();
-        CatalogueFileError(vec![FileFault { line, key: String::new(), wanted }])
+        let problem = error.message().to_string();
+        CatalogueFileError(vec![FileFault { line, key: String::new(), problem }])
     })?;
     let plans: Vec<(Plan, PlanLimits)> =
         file.plans.iter().map(|entry| read_plan(entry.get_ref(), &mut collector)).collect();
     let assignments: Vec<SpannedAssignment> =
         file.customers.iter().filter_map(|entry| read_assignment(entry, &plans, &mut collector)).collect();
     if file.revision == 0 {
-        let wanted = "a number from 1, which grows with each change, is wanted";
-        collector.add(&WHOLE_FILE, "revision", wanted);
+        let problem = "a number from 1, which grows with each change, is wanted";
+        collector.add(&WHOLE_FILE, "revision", problem);
     }
     if !collector.faults.is_empty() {
         collector.faults.sort_by_key(|fault| fault.line);
@@ -193,8 +193,8 @@
 fn read_plan(entry: &PlanLine, collector: &mut FaultCollector<'_>) -> (Plan, PlanLimits) {
     let name = entry.name.get_ref();
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
-        let wanted = format!("1 to {MAX_NAME_BYTES} bytes are wanted");
-        collector.add(&entry.name.span(), "plan.name", wanted);
+        let problem = format!("1 to {MAX_NAME_BYTES} bytes are wanted");
+        collector.add(&entry.name.span(), "plan.name", problem);
     }
     let plan = Plan { name: name.as_str().into(), version: *entry.version.get_ref() };
     (plan, read_limits(entry, collector))
@@ -213,8 +213,8 @@
         collector.add(&span, "plan.ceiling_rate", format!("the rate, {rate}, or more is wanted"));
     }
     if ceiling_rate.is_some() != ceiling_burst.is_some() {
-        let wanted = "ceiling_rate and ceiling_burst go together";
-        collector.add(&entry.name.span(), "plan.ceiling_rate", wanted);
+        let problem = "ceiling_rate and ceiling_burst go together";
+        collector.add(&entry.name.span(), "plan.ceiling_rate", problem);
     }
     PlanLimits {
         rate,
@@ -250,8 +250,8 @@
     let number = u64::from_str_radix(digits, 16).ok();
     let customer = number.filter(|number| is_hex && *number < CUSTOMER_LIMIT);
     if customer.is_none() {
-        let wanted = "16 hex digits, a number below 2^33, are wanted";
-        collector.add(&id.span(), "customer.id", wanted);
+        let problem = "16 hex digits, a number below 2^33, are wanted";
+        collector.add(&id.span(), "customer.id", problem);
     }
     customer
 }
@@ -264,8 +264,8 @@
     let of_name = plans.iter().map(|(plan, _)| plan).filter(|plan| *plan.name == **name.get_ref());
     let newest = of_name.map(|plan| plan.version).max();
     if newest.is_none() {
-        let wanted = format!("{:?} is no plan of this file", name.get_ref());
-        collector.add(&name.span(), "customer.plan", wanted);
+        let problem = format!("{:?} is no plan of this file", name.get_ref());
+        collector.add(&name.span(), "customer.plan", problem);
     }
     newest
 }
@@ -275,8 +275,8 @@
     let instant: Option<Timestamp> = from.get_ref().parse().ok();
     let instant_ms = instant.and_then(|instant| u64::try_from(instant.as_millisecond()).ok());
     if instant_ms.is_none() {
-        let wanted = "a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
-        collector.add(&from.span(), "customer.from", wanted);
+        let problem = "a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
+        collector.add(&from.span(), "customer.from", problem);
     }
     instant_ms
 }
--- a/crates/plans/src/reservations/capacity.rs
+++ b/crates/plans/src/reservations/capacity.rs
@@ -41,7 +41,7 @@
     for from_ms in begins.chain([request.from_ms]) {
         for to_ms in ends.iter().copied().chain([request.to_ms]) {
             let reserved = reserved_within(reservations, Span { from_ms, to_ms });
-            available = available.min(limits.most_between(from_ms, to_ms) - reserved);
+            available = available.min(limits.max_reservable(from_ms, to_ms) - reserved);
         }
     }
     available
@@ -54,7 +54,7 @@
     begins.sort_unstable();
     ends.sort_unstable();
     let is_overfull = |span: &Span| {
-        let allowed = limits.most_between(span.from_ms, span.to_ms);
+        let allowed = limits.max_reservable(span.from_ms, span.to_ms);
         reserved_within(reservations, *span) > allowed * (1.0 + ROUNDING) + ROUNDING
     };
     let spans = begins
--- a/crates/plans/src/timeline.rs
+++ b/crates/plans/src/timeline.rs
@@ -83,7 +83,7 @@
 
     /// The limits in force at an instant, Unix time in ms.
     #[must_use]
-    pub fn at(&self, at_ms: u64) -> &PlanLimits {
+    pub fn limits_at(&self, at_ms: u64) -> &PlanLimits {
         &self.steps[self.step_at(at_ms)].limits
     }
 
@@ -124,26 +124,26 @@
     /// It may be below 0 after a plan was lowered: nothing is admitted until that is made good.
     #[must_use]
     pub fn level(&self, total: f64, window_ms: u64, now_ms: u64) -> f64 {
-        self.at(now_ms).burst + self.refill(window_ms, now_ms) - total
+        self.limits_at(now_ms).burst + self.refill(window_ms, now_ms) - total
     }
 
     /// A level at `from_ms` by the limits at `to_ms`, without refill: the debt is the same.
     #[must_use]
-    pub fn carried(&self, level: f64, from_ms: u64, to_ms: u64) -> f64 {
-        level + self.at(to_ms).burst - self.at(from_ms).burst
+    pub fn carry_level(&self, level: f64, from_ms: u64, to_ms: u64) -> f64 {
+        level + self.limits_at(to_ms).burst - self.limits_at(from_ms).burst
     }
 
     /// How far off a level is, units, at a gateway that goes by `known`, an older timeline, at `now_ms` in a
     /// window that began at `window_ms`. Above 0 that gateway may admit as much too much.
     #[must_use]
-    pub fn error_of(&self, known: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
+    pub fn level_error(&self, known: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
         known.level(0.0, window_ms, now_ms) - self.level(0.0, window_ms, now_ms)
     }
 
     /// The most units that may be reserved between two instants, Unix time in ms. Across a change the smaller
     /// burst counts.
     #[must_use]
-    pub fn most_between(&self, from_ms: u64, to_ms: u64) -> f64 {
+    pub fn max_reservable(&self, from_ms: u64, to_ms: u64) -> f64 {
         let (mut burst, mut refill) = (f64::MAX, 0.0);
         for span in self.spans(from_ms, to_ms.max(from_ms)) {
             let curve = span.limits.reservable();
--- a/crates/plans/tests/catalogue.rs
+++ b/crates/plans/tests/catalogue.rs
@@ -42,12 +42,12 @@
     let version = |at| all.plan_at(customer, at).map(|plan| plan.version);
     assert_eq!((version(0), version(change - 1), version(change)), (Some(1), Some(1), Some(2)));
     assert_eq!(all.plan_at(1, change), None);
-    let line = all.timeline(customer, PlanLimits::default());
-    assert_eq!((line.at(change - 1).burst, line.at(change).ceiling_rate), (10.0, 12.0));
-    assert_eq!(line.next_change(1), Some(change));
+    let timeline = all.timeline(customer, PlanLimits::default());
+    assert_eq!((timeline.limits_at(change - 1).burst, timeline.limits_at(change).ceiling_rate), (10.0, 12.0));
+    assert_eq!(timeline.next_change(1), Some(change));
     // Whom it does not name goes by what the request says.
     let default = PlanLimits { rate: 1.0, ..PlanLimits::default() };
-    assert_eq!(all.timeline(1, default).at(change), &default);
+    assert_eq!(all.timeline(1, default).limits_at(change), &default);
 }
 
 #[test]
--- a/crates/plans/tests/reservations.rs
+++ b/crates/plans/tests/reservations.rs
@@ -209,7 +209,7 @@
                     let (from, to) = (r.request.from_ms, other.request.to_ms.max(r.request.to_ms));
                     let inside = of.iter().filter(|x| from <= x.request.from_ms && x.request.to_ms <= to);
                     let units: f64 = inside.map(|x| x.request.units).sum();
-                    prop_assert!(units <= terms.most_between(from, to) + 1e-6, "{units} in {from} to {to}");
+                    prop_assert!(units <= terms.max_reservable(from, to) + 1e-6, "{units} in {from} to {to}");
                 }
             }
         }
--- a/crates/plans/tests/timeline.rs
+++ b/crates/plans/tests/timeline.rs
@@ -31,7 +31,7 @@
     let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
     let steady = PlanTimeline::always(large);
     // There and back in one instant is no change at all.
-    assert_eq!(steady.clone().then(2_000, small).then(2_000, large).at(3_000), &large);
+    assert_eq!(steady.clone().then(2_000, small).then(2_000, large).limits_at(3_000), &large);
     let instant = steady.clone().then(2_000, small).then(2_000, large);
     assert!((instant.level(20.0, 0, 5_000) - steady.level(20.0, 0, 5_000)).abs() < 1e-9);
     // There and back within a second costs what the lower rate gave less, and no more.
@@ -50,13 +50,13 @@
     let (old, new) = (PlanTimeline::always(large), PlanTimeline::always(large).then(2_000, small));
     // Before the instant it errs by nothing; a second after by the difference of the bursts, and of the
     // rates.
-    assert!(new.error_of(&old, 0, 1_999).abs() < 1e-9);
-    assert!((new.error_of(&old, 0, 3_000) - (30.0 + 8.0)).abs() < 1e-9);
+    assert!(new.level_error(&old, 0, 1_999).abs() < 1e-9);
+    assert!((new.level_error(&old, 0, 3_000) - (30.0 + 8.0)).abs() < 1e-9);
     // Two gateways a second apart in when they hear read one level again as soon as both have.
-    assert!(new.error_of(&new.clone(), 0, 3_000).abs() < 1e-9);
+    assert!(new.level_error(&new.clone(), 0, 3_000).abs() < 1e-9);
     // A raised plan not heard of refuses what fits, and passes nothing beyond.
     let raised = PlanTimeline::always(small).then(2_000, large);
-    assert!(raised.error_of(&PlanTimeline::always(small), 0, 3_000) < 0.0);
+    assert!(raised.level_error(&PlanTimeline::always(small), 0, 3_000) < 0.0);
 }
 
 fn any_terms() -> impl Strategy<Value = PlanLimits> {
@@ -85,9 +85,9 @@
         line in any_line(), total in 0.0f64..100.0, a in 0u64..20_000, more in 0u64..20_000,
     ) {
         let (then, now) = (line.level(total, 0, a), line.level(total, 0, a + more));
-        prop_assert!((line.carried(then, a, a + more) + line.refill(a, a + more) - now).abs() < 1e-6);
+        prop_assert!((line.carry_level(then, a, a + more) + line.refill(a, a + more) - now).abs() < 1e-6);
         // Nobody has more than full: a store that owes nothing is at the burst in force.
-        prop_assert!(line.carried(line.at(a).burst, a, a + more) <= line.at(a + more).burst + 1e-9);
+        prop_assert!(line.carry_level(line.limits_at(a).burst, a, a + more) <= line.limits_at(a + more).burst + 1e-9);
     }
 
     #[test]
@@ -97,7 +97,7 @@
         let (old, new) = (PlanTimeline::always(before), PlanTimeline::always(before).then(at, after));
         let rates = (before.rate - after.rate).abs() * late as f64 / 1000.0;
         let bound = (before.burst - after.burst).abs() + rates;
-        prop_assert!(new.error_of(&old, 0, at + late).abs() <= bound + 1e-6);
-        prop_assert!(new.error_of(&old, 0, at - 1).abs() < 1e-9);
+        prop_assert!(new.level_error(&old, 0, at + late).abs() <= bound + 1e-6);
+        prop_assert!(new.level_error(&old, 0, at - 1).abs() < 1e-9);
     }
 }
