--- a/crates/dns-sd/src/answer.rs
+++ b/crates/dns-sd/src/answer.rs
@@ -1,4 +1,4 @@
-//! Encodes queries and decodes answers. The wire format is hickory-proto's.
+//! Encodes queries and decodes answers. hickory-proto implements the wire format.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -6,14 +6,15 @@
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 
-/// The largest answer over UDP that a query asks for, bytes (RFC 6891): it passes most paths unfragmented.
-pub const PAYLOAD: u16 = 1_232;
-/// The most aliases that are followed: a chain may lead back to itself.
+/// UDP payload size that queries advertise, bytes (RFC 6891). Answers of this size pass most paths
+/// unfragmented.
+pub const MAX_UDP_PAYLOAD: u16 = 1_232;
+/// Maximum number of CNAME records that are followed. A chain of them may be a loop.
 pub const MAX_ALIAS_CHAIN: usize = 8;
-/// The longest TTL, s; a greater one counts as 0 (RFC 2181, section 8).
+/// Maximum TTL, s. A greater one counts as 0 (RFC 2181, section 8).
 const MAX_TTL_SECONDS: u32 = i32::MAX as u32;
 
-/// Type of a query.
+/// Record type of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QueryType {
     /// Instances of a service.
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The data of a record if it is of this type.
+    /// Returns the data of a record if the record has this type.
     fn data_of(self, data: &RData) -> Option<RecordData> {
         Some(match (self, data) {
             (QueryType::Ptr, RData::PTR(to)) => RecordData::Ptr(to.0.clone()),
@@ -63,12 +64,12 @@
     }
 }
 
-/// A question in class IN. Names are compared without case (RFC 4343).
+/// A question in class IN. Names are compared case-insensitively (RFC 4343).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Question {
-    /// The fully qualified name.
+    /// Fully qualified domain name.
     pub name: Name,
-    /// The type.
+    /// Record type.
     pub kind: QueryType,
 }
 
@@ -81,30 +82,30 @@
 /// The data of an SRV record (RFC 2782).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SrvRecord {
-    /// The least is used first.
+    /// Priority; the lowest value is preferred.
     pub priority: u16,
     /// Weight among records of the same priority.
     pub weight: u16,
-    /// Its port.
+    /// Port of the service.
     pub port: u16,
-    /// The name of its host.
+    /// Host name of the service.
     pub target: Name,
 }
 
 /// Data of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordData {
-    /// Of a PTR record.
+    /// Domain name of a PTR record.
     Ptr(Name),
-    /// Of an SRV record.
+    /// Data of an SRV record.
     Srv(SrvRecord),
-    /// The strings of a TXT record.
+    /// Strings of a TXT record.
     Txt(Vec<Box<[u8]>>),
-    /// Of an A or AAAA record.
+    /// Address of an A or AAAA record.
     Address(IpAddr),
 }
 
-/// In which sense there is no record.
+/// Kind of a negative answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NegativeAnswer {
     /// The name does not exist: NXDOMAIN.
@@ -116,87 +117,90 @@
 /// A decoded answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// There are such records.
+    /// Records of the queried type.
     Records {
-        /// Their data, sorted and without duplicates; not empty.
+        /// Data of the records, sorted and without duplicates; not empty.
         records: Vec<RecordData>,
-        /// The least TTL of the records and of the aliases that led to them, s.
+        /// Lowest TTL of the records and of the CNAME records that lead to them, s.
         ttl_s: u32,
     },
-    /// An authority says that there are none.
-    None {
-        /// In which sense.
-        why: NegativeAnswer,
-        /// Lifetime of the negative answer, s (RFC 2308, section 5); 0 if it has none.
+    /// An authoritative server states that there are no such records.
+    Negative {
+        /// Whether the name or only the record type does not exist.
+        kind: NegativeAnswer,
+        /// TTL of the negative answer, s (RFC 2308, section 5); 0 if the answer has no SOA record.
         ttl_s: u32,
     },
-    /// It did not fit: the question is to be asked over TCP.
+    /// The answer did not fit into a datagram; the query has to be repeated over TCP.
     Truncated,
 }
 
-/// Why bytes are no answer. No instance may leave the list because of them.
+/// Reason for which bytes are not a usable answer. No instance may be removed from the list because of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerError {
-    /// They are no DNS message, with the reason of the library.
-    Garbled(String),
-    /// The transaction id differs: it may be forged (RFC 5452), and the true answer may follow.
-    OtherId,
-    /// The question differs; the true answer may follow.
-    OtherQuestion,
-    /// The message is no response to a query.
-    NoAnswer,
-    /// The resolver failed or refused, with its response code.
-    Code(String),
-    /// It refers to other servers, which is no answer of an authority.
+    /// The bytes are not a valid DNS message; contains the decoder's error text.
+    Malformed(String),
+    /// The transaction id differs. The message may be forged (RFC 5452), and the genuine answer may follow.
+    IdMismatch,
+    /// The question differs. The genuine answer may follow.
+    QuestionMismatch,
+    /// The message is not a response to a query.
+    NotAResponse,
+    /// The resolver failed or refused; contains its response code.
+    ResponseCode(String),
+    /// The answer only refers to other servers and is not authoritative.
     Referral,
-    /// There are more than [`MAX_ALIAS_CHAIN`] aliases, or a loop of them.
-    Chain,
+    /// The answer has more than [`MAX_ALIAS_CHAIN`] CNAME records in a chain, or a loop of them.
+    AliasChain,
 }
 
 impl AnswerError {
-    /// Whether it is not meant for the query and is to be ignored: the true answer may follow.
+    /// Returns whether the message does not belong to the query and must be ignored, as the genuine answer
+    /// may follow.
     #[must_use]
     pub fn is_unrelated(&self) -> bool {
-        matches!(self, AnswerError::OtherId | AnswerError::OtherQuestion | AnswerError::NoAnswer)
+        matches!(self, AnswerError::IdMismatch | AnswerError::QuestionMismatch | AnswerError::NotAResponse)
     }
 }
 
 impl fmt::Display for AnswerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AnswerError::Garbled(why) => write!(f, "no DNS message: {why}"),
-            AnswerError::OtherId => write!(f, "an answer with another id"),
-            AnswerError::OtherQuestion => write!(f, "an answer to another question"),
-            AnswerError::NoAnswer => write!(f, "no answer to a query"),
-            AnswerError::Code(code) => write!(f, "the resolver says {code}"),
+            AnswerError::Malformed(reason) => write!(f, "no DNS message: {reason}"),
+            AnswerError::IdMismatch => write!(f, "an answer with another id"),
+            AnswerError::QuestionMismatch => write!(f, "an answer to another question"),
+            AnswerError::NotAResponse => write!(f, "no answer to a query"),
+            AnswerError::ResponseCode(code) => write!(f, "the resolver says {code}"),
             AnswerError::Referral => write!(f, "a referral, and no answer"),
-            AnswerError::Chain => write!(f, "more than {MAX_ALIAS_CHAIN} aliases, or a loop of them"),
+            AnswerError::AliasChain => write!(f, "more than {MAX_ALIAS_CHAIN} aliases, or a loop of them"),
         }
     }
 }
 
 impl std::error::Error for AnswerError {}
 
-/// Encodes a query with that transaction id, with EDNS0 (RFC 6891).
+/// Encodes a query with the transaction id `id` and an EDNS0 record (RFC 6891).
 ///
 /// # Errors
-/// [`AnswerError::Garbled`] if the library cannot encode it.
+/// [`AnswerError::Malformed`] if the encoder fails.
 pub fn encode_query(id: u16, question: &Question) -> Result<Vec<u8>, AnswerError> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(question.name.clone(), question.kind.record_type()));
     let mut edns = Edns::new();
-    edns.set_max_payload(PAYLOAD);
+    edns.set_max_payload(MAX_UDP_PAYLOAD);
     message.set_edns(edns);
-    message.to_vec().map_err(|e| AnswerError::Garbled(e.to_string()))
+    message.to_vec().map_err(|e| AnswerError::Malformed(e.to_string()))
 }
 
-/// Decodes the answer to a query with that transaction id. Records that do not match it are ignored.
+/// Decodes the answer to a query with the transaction id `id`. Records that do not match the question are
+/// ignored.
 ///
 /// # Errors
-/// An [`AnswerError`]; an [unrelated](AnswerError::is_unrelated) one is to be ignored.
+/// An [`AnswerError`]. The caller has to ignore [unrelated](AnswerError::is_unrelated) ones and go on
+/// reading.
 pub fn decode_answer(bytes: &[u8], id: u16, question: &Question) -> Result<Answer, AnswerError> {
-    let message = Message::from_vec(bytes).map_err(|e| AnswerError::Garbled(e.to_string()))?;
+    let message = Message::from_vec(bytes).map_err(|e| AnswerError::Malformed(e.to_string()))?;
     check_related(&message, id, question)?;
     if message.metadata.truncation {
         return Ok(Answer::Truncated);
@@ -204,9 +208,9 @@
     let no_such_name = match message.metadata.response_code {
         ResponseCode::NoError => false,
         ResponseCode::NXDomain => true,
-        code => return Err(AnswerError::Code(code.to_string())),
+        code => return Err(AnswerError::ResponseCode(code.to_string())),
     };
-    let Alias { name, ttl_s } = follow_aliases(&message.answers, &question.name)?;
+    let AliasTarget { name, ttl_s } = follow_aliases(&message.answers, &question.name)?;
     let matching = message
         .answers
         .iter()
@@ -214,33 +218,33 @@
         .filter_map(|record| Some((question.kind.data_of(&record.data)?, valid_ttl_s(record.ttl))));
     let (mut records, ttls): (Vec<RecordData>, Vec<u32>) = matching.unzip();
     if records.is_empty() {
-        return negative_answer(&message, name, no_such_name);
+        return decode_negative_answer(&message, name, no_such_name);
     }
     if no_such_name {
-        return Err(AnswerError::Garbled("NXDOMAIN, and records of the name".to_string()));
+        return Err(AnswerError::Malformed("NXDOMAIN, and records of the name".to_string()));
     }
     records.sort_unstable();
     records.dedup();
     Ok(Answer::Records { records, ttl_s: ttls.into_iter().fold(ttl_s, u32::min) })
 }
 
-/// Checks that a message is the response to a query.
+/// Checks that a message is the response to the query.
 fn check_related(message: &Message, id: u16, question: &Question) -> Result<(), AnswerError> {
     let header = &message.metadata;
     if header.id != id {
-        return Err(AnswerError::OtherId);
+        return Err(AnswerError::IdMismatch);
     }
     if header.message_type != MessageType::Response || header.op_code != OpCode::Query {
-        return Err(AnswerError::NoAnswer);
+        return Err(AnswerError::NotAResponse);
     }
-    let is_ours = |query: &Query| {
+    let matches_question = |query: &Query| {
         query.name == question.name
             && query.query_type == question.kind.record_type()
             && query.query_class == DNSClass::IN
     };
     match &message.queries[..] {
-        [query] if is_ours(query) => Ok(()),
-        _ => Err(AnswerError::OtherQuestion),
+        [query] if matches_question(query) => Ok(()),
+        _ => Err(AnswerError::QuestionMismatch),
     }
 }
 
@@ -252,38 +256,38 @@
     }
 }
 
-/// The name that aliases lead to, and the least of their TTLs.
-struct Alias<'a> {
+/// Name that a CNAME chain leads to, and the lowest TTL in the chain.
+struct AliasTarget<'a> {
     name: &'a Name,
     ttl_s: u32,
 }
 
-fn follow_aliases<'a>(answers: &'a [Record], from: &'a Name) -> Result<Alias<'a>, AnswerError> {
-    let mut alias = Alias { name: from, ttl_s: MAX_TTL_SECONDS };
+fn follow_aliases<'a>(answers: &'a [Record], from: &'a Name) -> Result<AliasTarget<'a>, AnswerError> {
+    let mut alias = AliasTarget { name: from, ttl_s: MAX_TTL_SECONDS };
     for _ in 0..=MAX_ALIAS_CHAIN {
         let next = answers.iter().find_map(|record| match &record.data {
             RData::CNAME(to) if record.name == *alias.name && record.dns_class == DNSClass::IN => {
-                Some(Alias { name: &to.0, ttl_s: valid_ttl_s(record.ttl) })
+                Some(AliasTarget { name: &to.0, ttl_s: valid_ttl_s(record.ttl) })
             }
             _ => None,
         });
         let Some(next) = next else { return Ok(alias) };
-        alias = Alias { name: next.name, ttl_s: alias.ttl_s.min(next.ttl_s) };
+        alias = AliasTarget { name: next.name, ttl_s: alias.ttl_s.min(next.ttl_s) };
     }
-    Err(AnswerError::Chain)
+    Err(AnswerError::AliasChain)
 }
 
-/// An answer without records. One that only refers to other servers is none: its server knows nothing of the
-/// name.
-fn negative_answer(message: &Message, name: &Name, no_such_name: bool) -> Result<Answer, AnswerError> {
+/// Decodes an answer without matching records. A referral is an error: its server is not authoritative for
+/// the name.
+fn decode_negative_answer(message: &Message, name: &Name, no_such_name: bool) -> Result<Answer, AnswerError> {
     let soa_ttl_s = message.authorities.iter().find_map(|record| match &record.data {
         RData::SOA(soa) if record.name.zone_of(name) => Some(valid_ttl_s(record.ttl).min(soa.minimum)),
         _ => None,
     });
-    let refers = message.authorities.iter().any(|record| matches!(record.data, RData::NS(_)));
-    if soa_ttl_s.is_none() && refers && !no_such_name {
+    let is_referral = message.authorities.iter().any(|record| matches!(record.data, RData::NS(_)));
+    if soa_ttl_s.is_none() && is_referral && !no_such_name {
         return Err(AnswerError::Referral);
     }
-    let why = if no_such_name { NegativeAnswer::NoSuchName } else { NegativeAnswer::NoData };
-    Ok(Answer::None { why, ttl_s: soa_ttl_s.unwrap_or(0) })
+    let kind = if no_such_name { NegativeAnswer::NoSuchName } else { NegativeAnswer::NoData };
+    Ok(Answer::Negative { kind, ttl_s: soa_ttl_s.unwrap_or(0) })
 }
--- a/crates/dns-sd/src/cache.rs
+++ b/crates/dns-sd/src/cache.rs
@@ -1,37 +1,36 @@
-//! Lifetimes of answers: until when each holds, when its question is asked again, and what is served stale
-//! (RFC 8767).
+//! Cache of answers with their lifetimes and refresh schedule. Records may be served stale (RFC 8767).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::answer::{Answer, NegativeAnswer, Question, RecordData};
 
-/// Part of its lifetime after which an answer is refreshed, before jitter: early enough for the resolver to
-/// be asked once or twice more before it ends.
-const REFRESH_PART: f64 = 0.8;
-/// Up to this part of a time is taken off by chance. Without it, thousands of records of one answer would be
-/// asked for in the same millisecond for good.
-const JITTER_PART: f64 = 0.25;
-/// The longest reason of a failure that is retained, characters.
+/// Fraction of an answer's lifetime after which it is refreshed, before jitter. It leaves time for one or two
+/// retries before the lifetime ends.
+const REFRESH_FRACTION: f64 = 0.8;
+/// Maximum fraction of a delay that jitter subtracts. Without jitter, thousands of records that one answer
+/// named would stay synchronized and be queried in the same millisecond each time.
+const JITTER_FRACTION: f64 = 0.25;
+/// Maximum length of a stored failure reason, characters.
 const MAX_REASON_CHARS: usize = 200;
 
-/// Limits of times, all in ms, and of queries.
+/// Limits on lifetimes, backoff and queries in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CacheLimits {
-    /// The shortest lifetime of an answer: a TTL of 0 must not lead to queries without a pause.
+    /// Minimum lifetime of an answer, ms. A TTL of 0 must not lead to continuous queries.
     pub min_ttl_ms: f64,
-    /// The longest lifetime of records.
+    /// Maximum lifetime of records, ms.
     pub max_ttl_ms: f64,
-    /// The longest lifetime of a negative answer (RFC 2308 asks for 3 hours at most).
+    /// Maximum lifetime of a negative answer, ms (RFC 2308 recommends at most 3 hours).
     pub max_negative_ttl_ms: f64,
-    /// How long after its lifetime a record is still served while no answer can be had (RFC 8767 proposes 1
-    /// to 3 days). After that it is unknown, which removes nothing from a list.
+    /// How long records are served stale after their lifetime while queries fail, ms (RFC 8767 suggests 1 to
+    /// 3 days). After that they are unknown, which removes no instance from the list.
     pub max_stale_ms: f64,
-    /// The first backoff after a failure. It doubles with each failure in a row.
+    /// Backoff after the first failure, ms. It doubles with each consecutive failure.
     pub min_retry_ms: f64,
-    /// The longest backoff.
+    /// Maximum backoff, ms.
     pub max_retry_ms: f64,
-    /// The most queries in flight.
+    /// Maximum number of queries in flight.
     pub max_queries_in_flight: usize,
 }
 
@@ -54,81 +53,81 @@
 pub enum CachedAnswer {
     /// Records, shared with the cache; not empty.
     Records(Arc<[RecordData]>),
-    /// An authority says that there are none.
-    None(NegativeAnswer),
+    /// An authoritative server states that there are none.
+    Negative(NegativeAnswer),
 }
 
-/// What the cache says of a question now.
+/// Cache lookup result for a question.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CacheState {
     /// An answer within its lifetime.
     Fresh(CachedAnswer),
-    /// The last answer, whose lifetime has ended while no other can be had.
+    /// Records whose lifetime has ended without a newer answer.
     Stale {
-        /// The answer.
-        known: CachedAnswer,
+        /// The last answer.
+        answer: CachedAnswer,
         /// When its lifetime ended, ms of the caller's clock.
-        since: f64,
+        since_ms: f64,
     },
-    /// There was no answer, or none for so long that the last one counts no more.
+    /// There is no answer, or the last one is too old to be served stale.
     Unknown,
 }
 
 impl CacheState {
-    /// The answer, fresh or stale.
+    /// Returns the answer, fresh or stale.
     #[must_use]
-    pub fn known(&self) -> Option<&CachedAnswer> {
+    pub fn answer(&self) -> Option<&CachedAnswer> {
         match self {
-            CacheState::Fresh(known) | CacheState::Stale { known, .. } => Some(known),
+            CacheState::Fresh(answer) | CacheState::Stale { answer, .. } => Some(answer),
             CacheState::Unknown => None,
         }
     }
 
-    /// Since when the answer is stale, ms of the caller's clock; none if it is not.
+    /// Returns when the answer became stale, ms of the caller's clock; `None` if it is not stale.
     #[must_use]
-    pub fn stale_since(&self) -> Option<f64> {
+    pub fn stale_since_ms(&self) -> Option<f64> {
         match self {
-            CacheState::Stale { since, .. } => Some(*since),
+            CacheState::Stale { since_ms, .. } => Some(*since_ms),
             CacheState::Fresh(_) | CacheState::Unknown => None,
         }
     }
 }
 
-/// A query that is to be sent now.
+/// A query that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueQuery {
     /// The question.
     pub question: Question,
-    /// Whether its last answer is doubted: another resolver is to be asked before the one that gave it.
-    pub doubted: bool,
+    /// Whether the last answer needs confirmation: other resolvers are asked before the one that gave it.
+    pub needs_confirmation: bool,
 }
 
-/// A question without an answer at present.
+/// A question whose queries are failing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailingQuery<'a> {
     /// The question.
     pub question: &'a Question,
     /// When its queries began to fail, ms of the caller's clock.
     pub since_ms: f64,
-    /// Why the last one failed.
+    /// Reason of the last failure.
     pub reason: &'a str,
 }
 
-/// A followed question, and how long its answer holds.
+/// A followed question and the remaining lifetime of its answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowedQuery<'a> {
     /// The question.
     pub question: &'a Question,
-    /// Lifetime that is left, ms: negative if the answer is stale, none if there is no answer.
+    /// Remaining lifetime, ms: negative if it has ended, `None` if there is no answer.
     pub remaining_ms: Option<f64>,
 }
 
-/// How many questions a cache follows.
+/// Size of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheSize {
-    /// Questions that are followed.
+    /// Number of followed questions.
     pub followed: usize,
-    /// Those of them whose queries are in flight.
+    /// Number of queries in flight.
     pub in_flight: usize,
 }
 
@@ -143,20 +142,20 @@
     answer: Option<CachedAnswer>,
     /// When the lifetime of the answer ends, ms.
     fresh_until_ms: f64,
-    /// When the question is asked next, ms.
+    /// When the next query is due, ms.
     next_query_ms: f64,
     in_flight: bool,
     failure: Option<Failure>,
     backoff_ms: f64,
-    /// How many answers there were.
+    /// Number of answers received.
     answer_count: u64,
-    doubted: bool,
+    needs_confirmation: bool,
 }
 
-/// A question that is to be asked, by its time.
+/// Entry of the timer queue, ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerEntry {
-    /// Bits of the time, which sort as it does.
+    /// Due time by [`time_bits`].
     time_bits: u64,
     question: Question,
 }
@@ -167,24 +166,24 @@
     }
 }
 
-/// Bits that sort as times do, which are not negative.
+/// Maps a time to bits with the same order. A negative time counts as 0.
 fn time_bits(at_ms: f64) -> u64 {
     at_ms.max(0.0).to_bits()
 }
 
-/// Answers to the questions that are followed.
+/// Cache of the answers to the followed questions.
 #[derive(Debug)]
 pub struct Cache {
     limits: CacheLimits,
     entries: BTreeMap<Question, Entry>,
-    /// Questions that are to be asked; none of them is in flight.
+    /// Questions by the time of their next query, without those in flight.
     timer_queue: BTreeSet<TimerEntry>,
     in_flight: usize,
     jitter_state: u64,
 }
 
 impl Cache {
-    /// A cache that follows nothing. The seed is for jitter.
+    /// Creates a cache that follows no questions. `seed` is for jitter.
     #[must_use]
     pub fn new(limits: CacheLimits, seed: u64) -> Cache {
         Cache {
@@ -196,8 +195,8 @@
         }
     }
 
-    /// Follows these questions from now on and no others. New ones are due at once; answers to the others
-    /// stay.
+    /// Sets the followed questions. New ones are due at once, those followed before keep their answers, and
+    /// all others are forgotten.
     pub fn follow(&mut self, now_ms: f64, followed: &BTreeSet<Question>) {
         let unfollowed: Vec<Question> =
             self.entries.keys().filter(|question| !followed.contains(*question)).cloned().collect();
@@ -216,40 +215,41 @@
         }
     }
 
-    /// Takes the queries that are due, as many as may be in flight. [`Cache::answered`] or [`Cache::failed`]
-    /// has to follow for each.
-    pub fn due(&mut self, now_ms: f64) -> Vec<DueQuery> {
+    /// Takes the queries that are due, up to the limit of queries in flight. The caller has to end each with
+    /// [`Cache::record_answer`] or [`Cache::record_failure`].
+    pub fn take_due(&mut self, now_ms: f64) -> Vec<DueQuery> {
         let now_bits = time_bits(now_ms);
         let mut due = Vec::new();
         while self.in_flight < self.limits.max_queries_in_flight
-            && self.timer_queue.first().is_some_and(|item| item.time_bits <= now_bits)
+            && self.timer_queue.first().is_some_and(|timer| timer.time_bits <= now_bits)
         {
             let Some(TimerEntry { question, .. }) = self.timer_queue.pop_first() else { break };
             let Some(entry) = self.entries.get_mut(&question) else { continue };
             entry.in_flight = true;
             self.in_flight += 1;
-            due.push(DueQuery { question, doubted: entry.doubted });
+            due.push(DueQuery { question, needs_confirmation: entry.needs_confirmation });
         }
         due
     }
 
-    /// When the next query is due, ms; none if there is none or as many as may be are in flight.
+    /// Returns when the next query is due, ms; `None` if there is none or the limit of queries in flight is
+    /// reached.
     #[must_use]
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_due_ms(&self) -> Option<f64> {
         if self.in_flight >= self.limits.max_queries_in_flight {
             return None;
         }
-        self.timer_queue.first().map(|item| f64::from_bits(item.time_bits))
+        self.timer_queue.first().map(|timer| f64::from_bits(timer.time_bits))
     }
 
-    /// Has a question asked again at once, of another resolver. Ignored if its query is in flight or its
-    /// queries fail: these keep to their backoff.
-    pub fn doubt(&mut self, now_ms: f64, question: &Question) {
+    /// Makes a question due at once, to be asked of another resolver. Ignored while its query is in flight or
+    /// its queries are failing, as those keep their backoff.
+    pub fn request_confirmation(&mut self, now_ms: f64, question: &Question) {
         let Some(entry) = self.entries.get_mut(question) else { return };
         if entry.in_flight || entry.failure.is_some() {
             return;
         }
-        entry.doubted = true;
+        entry.needs_confirmation = true;
         if entry.next_query_ms > now_ms {
             self.schedule(question, now_ms);
         }
@@ -262,17 +262,17 @@
         self.timer_queue.insert(TimerEntry::new(at_ms, question));
     }
 
-    /// A time less up to [`JITTER_PART`] of it, by SplitMix64 (Steele, Lea and Flood, 2014).
+    /// Subtracts up to [`JITTER_FRACTION`] of a delay at random, by SplitMix64 (Steele, Lea and Flood, 2014).
     fn with_jitter(&mut self, time_ms: f64) -> f64 {
         self.jitter_state = self.jitter_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.jitter_state;
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         x ^= x >> 31;
-        time_ms * (1.0 - JITTER_PART * (x >> 11) as f64 / (1u64 << 53) as f64)
+        time_ms * (1.0 - JITTER_FRACTION * (x >> 11) as f64 / (1u64 << 53) as f64)
     }
 
-    /// The entry of a question whose query has ended.
+    /// Marks the query of a question as ended and returns its entry.
     fn end_query(&mut self, question: &Question) -> Option<&mut Entry> {
         let entry = self.entries.get_mut(question)?;
         if entry.in_flight {
@@ -282,37 +282,39 @@
         Some(entry)
     }
 
-    /// Takes an answer. A truncated one counts as a failure: whoever asked is to ask again over TCP. Returns
-    /// whether the answer differs from the last one.
-    pub fn answered(&mut self, now_ms: f64, question: &Question, answer: Answer) -> bool {
+    /// Stores the answer to a query. A truncated one counts as a failure, as the caller has to repeat the
+    /// query over TCP. Returns whether the answer differs from the previous one.
+    pub fn record_answer(&mut self, now_ms: f64, question: &Question, answer: Answer) -> bool {
         let limits = self.limits;
         let (answer, ttl_s, max_ttl_ms) = match answer {
             Answer::Records { records, ttl_s } => {
                 (CachedAnswer::Records(records.into()), ttl_s, limits.max_ttl_ms)
             }
-            Answer::None { why, ttl_s } => (CachedAnswer::None(why), ttl_s, limits.max_negative_ttl_ms),
+            Answer::Negative { kind, ttl_s } => {
+                (CachedAnswer::Negative(kind), ttl_s, limits.max_negative_ttl_ms)
+            }
             Answer::Truncated => {
-                self.failed(now_ms, question, "truncated");
+                self.record_failure(now_ms, question, "truncated");
                 return false;
             }
         };
         let max_ttl_ms = max_ttl_ms.max(limits.min_ttl_ms);
         let ttl_ms = (f64::from(ttl_s) * 1_000.0).clamp(limits.min_ttl_ms, max_ttl_ms);
-        let refresh_ms = self.with_jitter(ttl_ms * REFRESH_PART);
+        let refresh_ms = self.with_jitter(ttl_ms * REFRESH_FRACTION);
         let Some(entry) = self.end_query(question) else { return false };
         let changed = entry.answer.as_ref() != Some(&answer);
         entry.answer = Some(answer);
         entry.fresh_until_ms = now_ms + ttl_ms;
         entry.failure = None;
         entry.backoff_ms = 0.0;
-        entry.doubted = false;
+        entry.needs_confirmation = false;
         entry.answer_count += 1;
         self.schedule(question, now_ms + refresh_ms);
         changed
     }
 
-    /// Notes that a query failed: there was no answer in time, garbage, or word of a failure.
-    pub fn failed(&mut self, now_ms: f64, question: &Question, reason: &str) {
+    /// Records that a query failed: it timed out, or the answer was malformed or an error response.
+    pub fn record_failure(&mut self, now_ms: f64, question: &Question, reason: &str) {
         let limits = self.limits;
         let Some(entry) = self.end_query(question) else { return };
         let since_ms = entry.failure.take().map_or(now_ms, |failure| failure.since_ms);
@@ -324,9 +326,9 @@
         self.schedule(question, retry_ms);
     }
 
-    /// What may be said of a question.
+    /// Looks up the answer to a question.
     ///
-    /// A negative answer is never stale: beyond its lifetime it would keep off what is there by now.
+    /// A negative answer is never served stale: after its lifetime it could hide records that exist by now.
     #[must_use]
     pub fn get(&self, now_ms: f64, question: &Question) -> CacheState {
         let Some(entry) = self.entries.get(question) else { return CacheState::Unknown };
@@ -337,35 +339,35 @@
         let may_be_stale = now_ms < entry.fresh_until_ms + self.limits.max_stale_ms;
         match answer {
             CachedAnswer::Records(_) if may_be_stale => {
-                CacheState::Stale { known: answer.clone(), since: entry.fresh_until_ms }
+                CacheState::Stale { answer: answer.clone(), since_ms: entry.fresh_until_ms }
             }
-            CachedAnswer::Records(_) | CachedAnswer::None(_) => CacheState::Unknown,
+            CachedAnswer::Records(_) | CachedAnswer::Negative(_) => CacheState::Unknown,
         }
     }
 
-    /// How many answers to a question there were; 0 if it is not followed.
+    /// Returns the number of answers received for a question; 0 if it is not followed.
     #[must_use]
-    pub fn answers(&self, question: &Question) -> u64 {
+    pub fn answer_count(&self, question: &Question) -> u64 {
         self.entries.get(question).map_or(0, |entry| entry.answer_count)
     }
 
-    /// The questions whose queries fail, in order.
-    pub fn failing(&self) -> impl Iterator<Item = FailingQuery<'_>> {
+    /// Returns the questions whose queries are failing, in order.
+    pub fn failing_queries(&self) -> impl Iterator<Item = FailingQuery<'_>> {
         self.entries.iter().filter_map(|(question, entry)| {
             let failure = entry.failure.as_ref()?;
             Some(FailingQuery { question, since_ms: failure.since_ms, reason: &failure.reason })
         })
     }
 
-    /// All questions that are followed, in order.
-    pub fn followed(&self, now_ms: f64) -> impl Iterator<Item = FollowedQuery<'_>> {
+    /// Returns all followed questions, in order.
+    pub fn followed_queries(&self, now_ms: f64) -> impl Iterator<Item = FollowedQuery<'_>> {
         self.entries.iter().map(move |(question, entry)| {
             let remaining_ms = entry.answer.as_ref().map(|_| entry.fresh_until_ms - now_ms);
             FollowedQuery { question, remaining_ms }
         })
     }
 
-    /// How many questions are followed and in flight.
+    /// Returns the number of followed questions and of queries in flight.
     #[must_use]
     pub fn size(&self) -> CacheSize {
         CacheSize { followed: self.entries.len(), in_flight: self.in_flight }
--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! The list: from services to instances to addresses, and who leaves it.
+//! The endpoint list: resolves services to instances and instances to endpoints, and decides which instances
+//! are removed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -8,19 +9,20 @@
 use crate::answer::{QueryType, Question, RecordData};
 use crate::cache::{Cache, CachedAnswer};
 use crate::drop_reason::{DropReason, DroppedInstance};
-use crate::instance::{follow_instance, instance_name, Departure, Endpoint, InstanceReader, Unlisted};
+use crate::instance::{add_instance_questions, instance_name, Endpoint, InstanceReader, Removal, Unlisted};
 
-/// The most instances of a list: an answer must not fill the memory. Further ones are dropped.
+/// Maximum number of instances on the list; further ones are dropped. It bounds the memory that answers can
+/// make the process use.
 pub const MAX_INSTANCES: usize = 20_000;
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The instance of this name joined.
+    /// The instance with this name was added.
     Joined(String),
-    /// The instance of this name changed.
+    /// The endpoint of the instance with this name changed.
     Changed(String),
-    /// The instance of this name left by the answer to this question.
+    /// The instance with this name was removed because of the answer to this question.
     Left(String, Question),
 }
 
@@ -34,40 +36,42 @@
     }
 }
 
-/// Result of [`Catalogue::read`].
+/// Result of [`Catalogue::update`].
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueUpdate {
-    /// Questions that are to be followed from now on.
+    /// Questions that the cache has to follow from now on.
     pub followed: BTreeSet<Question>,
-    /// Questions that are to be asked again at once, as too large a part of the list depends on them.
-    pub confirm: BTreeSet<Question>,
-    /// What changed.
+    /// Questions whose answers would remove too large a part of the list and need confirmation by a second
+    /// answer.
+    pub to_confirm: BTreeSet<Question>,
+    /// Changes of the list.
     pub changes: Vec<Change>,
-    /// Which instances are not on the list, and why.
+    /// Instances whose records are not used, with the reasons.
     pub dropped: Vec<DroppedInstance>,
-    /// How many instances would leave by the present answers, and are listed until another one confirms it.
+    /// Number of instances that the current answers would remove and that stay listed until a second answer
+    /// confirms it.
     pub awaiting_confirmation: usize,
-    /// How many instances have records that are not known.
-    pub pending: usize,
-    /// How many services are not known.
-    pub unknown: usize,
+    /// Number of instances with an unknown record.
+    pub pending_instances: usize,
+    /// Number of services whose instances are unknown.
+    pub unknown_services: usize,
 }
 
 #[derive(Debug)]
 struct ListedInstance {
     endpoint: Endpoint,
-    doubt: Option<Doubt>,
+    pending_removal: Option<PendingRemoval>,
 }
 
-/// An answer that would take an instance off the list and is to be confirmed.
+/// An answer that would remove an instance and needs confirmation by another one.
 #[derive(Debug)]
-struct Doubt {
+struct PendingRemoval {
     question: Question,
-    /// How many answers to the question there were when it was doubted.
-    answers_seen: u64,
+    /// Number of answers to the question when the removal was deferred.
+    answer_count: u64,
 }
 
-/// The list of some services.
+/// The endpoint list of a set of services.
 #[derive(Debug)]
 pub struct Catalogue {
     services: Vec<Name>,
@@ -76,8 +80,8 @@
 }
 
 impl Catalogue {
-    /// An empty list of these services. If more than `max_shrink` of the list, 0 to 1, would leave at once,
-    /// each instance leaves only by a second answer.
+    /// Creates an empty list of these services. If more than the fraction `max_shrink` of the list, 0 to 1,
+    /// would be removed at once, each of these removals needs a second answer.
     #[must_use]
     pub fn new(services: Vec<Name>, max_shrink: f64) -> Catalogue {
         let fully_qualified = |mut name: Name| {
@@ -88,50 +92,50 @@
         Catalogue { services, max_shrink, listed: BTreeMap::new() }
     }
 
-    /// The list, in the order of the instances' names.
+    /// Returns the list, ordered by instance name.
     pub fn list(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         self.listed.iter().map(|(name, listed)| (name.as_str(), &listed.endpoint))
     }
 
-    /// Brings the list up to date with the cache.
-    pub fn read(&mut self, now_ms: f64, cache: &Cache) -> CatalogueUpdate {
+    /// Updates the list from the cache.
+    pub fn update(&mut self, now_ms: f64, cache: &Cache) -> CatalogueUpdate {
         let mut pass = Pass::new(now_ms, cache, &self.listed);
         for service in &self.services {
             pass.read_service(service);
         }
-        pass.find_unnamed();
+        pass.find_unreferenced();
         let Pass { mut update, present, removed, .. } = pass;
-        self.remove_departed(cache, removed, &mut update);
-        self.add_present(present, &mut update.changes);
+        self.remove_instances(cache, removed, &mut update);
+        self.add_or_update_instances(present, &mut update.changes);
         update
     }
 
-    /// Takes instances that are gone off the list.
+    /// Removes instances from the list.
     ///
-    /// A resolver may serve an old or an empty zone. So if too many would leave at once, each waits for
-    /// another answer. A true loss of most of a service is believed one answer later; until then gateways
-    /// find by themselves which backends do not answer.
-    fn remove_departed(
+    /// A resolver may serve an outdated or empty zone. If too many instances would be removed at once, each
+    /// removal therefore needs a second answer. A genuine loss of most of a service takes effect one answer
+    /// later; until then gateways detect by themselves which backends do not respond.
+    fn remove_instances(
         &mut self,
         cache: &Cache,
         removed: BTreeMap<String, Question>,
         update: &mut CatalogueUpdate,
     ) {
-        let leaving: BTreeMap<String, Question> =
+        let removals: BTreeMap<String, Question> =
             removed.into_iter().filter(|(name, _)| self.listed.contains_key(name)).collect();
-        let too_many = leaving.len() as f64 > self.listed.len() as f64 * self.max_shrink;
+        let too_many = removals.len() as f64 > self.listed.len() as f64 * self.max_shrink;
         for (name, listed) in &mut self.listed {
-            if !leaving.contains_key(name) {
-                listed.doubt = None;
+            if !removals.contains_key(name) {
+                listed.pending_removal = None;
             }
         }
-        for (name, question) in leaving {
+        for (name, question) in removals {
             let Some(listed) = self.listed.get_mut(&name) else { continue };
-            if too_many && !is_confirmed(listed, &question, cache.answers(&question)) {
+            if too_many && !confirm_or_defer(listed, &question, cache.answer_count(&question)) {
                 update.awaiting_confirmation += 1;
-                // The cache is not to forget it while the instance is listed.
+                // The cache must keep the answer while the instance is listed.
                 update.followed.insert(question.clone());
-                update.confirm.insert(question);
+                update.to_confirm.insert(question);
             } else {
                 self.listed.remove(&name);
                 update.changes.push(Change::Left(name, question));
@@ -139,14 +143,14 @@
         }
     }
 
-    fn add_present(&mut self, present: BTreeMap<String, Endpoint>, changes: &mut Vec<Change>) {
+    fn add_or_update_instances(&mut self, present: BTreeMap<String, Endpoint>, changes: &mut Vec<Change>) {
         for (name, endpoint) in present {
             let Some(listed) = self.listed.get_mut(&name) else {
                 changes.push(Change::Joined(name.clone()));
-                self.listed.insert(name, ListedInstance { endpoint, doubt: None });
+                self.listed.insert(name, ListedInstance { endpoint, pending_removal: None });
                 continue;
             };
-            if !listed.endpoint.is_listed_as(&endpoint) {
+            if !listed.endpoint.equals_ignoring_staleness(&endpoint) {
                 changes.push(Change::Changed(name));
             }
             listed.endpoint = endpoint;
@@ -154,29 +158,31 @@
     }
 }
 
-/// Whether a question was answered again since it was first doubted; if not, the doubt is noted.
-fn is_confirmed(listed: &mut ListedInstance, question: &Question, answers: u64) -> bool {
-    match &listed.doubt {
-        Some(doubt) if doubt.question == *question => answers > doubt.answers_seen,
+/// Returns `true` if the question was answered again since the removal was deferred. Otherwise the removal
+/// stays deferred, or is deferred from now on.
+fn confirm_or_defer(listed: &mut ListedInstance, question: &Question, answer_count: u64) -> bool {
+    match &listed.pending_removal {
+        Some(pending) if pending.question == *question => answer_count > pending.answer_count,
         _ => {
-            listed.doubt = Some(Doubt { question: question.clone(), answers_seen: answers });
+            listed.pending_removal = Some(PendingRemoval { question: question.clone(), answer_count });
             false
         }
     }
 }
 
-/// One pass over all services.
+/// State of one pass over all services.
 struct Pass<'a> {
     now_ms: f64,
     cache: &'a Cache,
     listed: &'a BTreeMap<String, ListedInstance>,
     update: CatalogueUpdate,
-    /// Instances with an endpoint.
+    /// Instances with a valid endpoint.
     present: BTreeMap<String, Endpoint>,
-    /// Instances that are removed, each with the question whose answer says so.
+    /// Instances to remove, each with the question whose answer is the reason.
     removed: BTreeMap<String, Question>,
-    /// Instances that a service names, or would if it were known.
-    named: BTreeSet<String>,
+    /// Names of instances that a service's PTR records reference. Those of an unknown service count as
+    /// referenced.
+    referenced: BTreeSet<String>,
 }
 
 impl<'a> Pass<'a> {
@@ -188,7 +194,7 @@
             update: CatalogueUpdate::default(),
             present: BTreeMap::new(),
             removed: BTreeMap::new(),
-            named: BTreeSet::new(),
+            referenced: BTreeSet::new(),
         }
     }
 
@@ -196,47 +202,48 @@
         let question = Question { name: service.clone(), kind: QueryType::Ptr };
         let state = self.cache.get(self.now_ms, &question);
         self.update.followed.insert(question);
-        match state.known() {
+        match state.answer() {
             None => self.keep_instances_of(service),
-            Some(CachedAnswer::None(_)) => {}
+            Some(CachedAnswer::Negative(_)) => {}
             Some(CachedAnswer::Records(records)) => {
                 for record in records.iter() {
                     if let RecordData::Ptr(instance) = record {
-                        self.read_instance(service, instance, state.stale_since());
+                        self.read_instance(service, instance, state.stale_since_ms());
                     }
                 }
             }
         }
     }
 
-    /// The service is unknown: that says nothing of its listed instances, which are followed on.
+    /// Keeps the listed instances of a service whose instances are unknown, and follows their records
+    /// further.
     fn keep_instances_of(&mut self, service: &Name) {
-        self.update.unknown += 1;
+        self.update.unknown_services += 1;
         let instances = self.listed.values().map(|listed| &listed.endpoint.instance);
         for instance in instances.filter(|instance| instance.base_name() == *service) {
             if let Ok(name) = instance_name(instance) {
-                self.named.insert(name);
+                self.referenced.insert(name);
             }
-            follow_instance(instance, self.now_ms, self.cache, &mut self.update.followed);
+            add_instance_questions(instance, self.now_ms, self.cache, &mut self.update.followed);
         }
     }
 
-    fn read_instance(&mut self, service: &Name, instance: &Name, stale_since: Option<f64>) {
-        let name = match self.accept_name(service, instance) {
+    fn read_instance(&mut self, service: &Name, instance: &Name, stale_since_ms: Option<f64>) {
+        let name = match self.validate_name(service, instance) {
             Ok(name) => name,
             Err(reason) => return self.drop_instance(instance, reason),
         };
-        follow_instance(instance, self.now_ms, self.cache, &mut self.update.followed);
-        self.named.insert(name.clone());
+        add_instance_questions(instance, self.now_ms, self.cache, &mut self.update.followed);
+        self.referenced.insert(name.clone());
         let last_address = self.listed.get(&name).map(|listed| listed.endpoint.address);
-        let reader = InstanceReader { now_ms: self.now_ms, cache: self.cache, instance, stale_since };
+        let reader = InstanceReader { now_ms: self.now_ms, cache: self.cache, instance, stale_since_ms };
         match reader.read(last_address) {
             Ok(endpoint) => {
                 self.present.insert(name, endpoint);
             }
-            Err(Unlisted::Pending) => self.update.pending += 1,
-            Err(Unlisted::Removed(departure)) => {
-                let Departure { question, reason } = *departure;
+            Err(Unlisted::Pending) => self.update.pending_instances += 1,
+            Err(Unlisted::Removed(removal)) => {
+                let Removal { question, reason } = *removal;
                 if let Some(reason) = reason {
                     self.drop_instance(instance, reason);
                 }
@@ -245,15 +252,15 @@
         }
     }
 
-    fn accept_name(&self, service: &Name, instance: &Name) -> Result<String, DropReason> {
+    fn validate_name(&self, service: &Name, instance: &Name) -> Result<String, DropReason> {
         let name = instance_name(instance)?;
         if instance.base_name() != *service {
             return Err(DropReason::NotOfService(service.clone()));
         }
-        if self.named.contains(&name) {
+        if self.referenced.contains(&name) {
             return Err(DropReason::DuplicateName);
         }
-        if self.named.len() >= MAX_INSTANCES && !self.listed.contains_key(&name) {
+        if self.referenced.len() >= MAX_INSTANCES && !self.listed.contains_key(&name) {
             return Err(DropReason::TooManyInstances);
         }
         Ok(name)
@@ -263,10 +270,10 @@
         self.update.dropped.push(DroppedInstance { instance: instance.clone(), reason });
     }
 
-    /// Listed instances that no service names are gone.
-    fn find_unnamed(&mut self) {
+    /// Marks listed instances that no service references as removed.
+    fn find_unreferenced(&mut self) {
         for (name, listed) in self.listed {
-            if !self.named.contains(name) {
+            if !self.referenced.contains(name) {
                 let service = listed.endpoint.instance.base_name();
                 self.removed.insert(name.clone(), Question { name: service, kind: QueryType::Ptr });
             }
--- a/crates/dns-sd/src/drop_reason.rs
+++ b/crates/dns-sd/src/drop_reason.rs
@@ -1,4 +1,4 @@
-//! Why an instance is not on the list.
+//! Reasons for which an instance is left out of the list.
 
 use std::fmt;
 
@@ -7,28 +7,28 @@
 use crate::catalogue::MAX_INSTANCES;
 use crate::metadata::TxtError;
 
-/// Why an instance is not on the list, or not by what it says now.
+/// Reason for which the records of an instance are not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// Its name is not under the service that points to it.
+    /// Its name is not a subdomain of the service whose PTR record names it.
     NotOfService(Name),
-    /// Its name has no label, or a label that is too long.
+    /// Its name has no first label, or one that is too long.
     NoName,
-    /// Its name is not UTF-8.
+    /// Its first label is not valid UTF-8.
     NameNotUtf8,
-    /// Its name has control characters.
+    /// Its first label contains control characters.
     NameHasControls,
-    /// Another instance has its name.
+    /// Another instance has the same name.
     DuplicateName,
-    /// There are [`MAX_INSTANCES`] already.
+    /// The list already has [`MAX_INSTANCES`] instances.
     TooManyInstances,
-    /// Its SRV target is the root (RFC 2782).
+    /// Its SRV target is the root: the service is not available (RFC 2782).
     TargetIsRoot,
     /// Its SRV port is 0.
     PortIsZero,
-    /// A value of its TXT record is not allowed.
+    /// A value of its TXT record is invalid.
     Txt(TxtError),
-    /// Its SRV target has no address.
+    /// Its SRV target has neither an A nor an AAAA record.
     NoAddress(Name),
 }
 
@@ -54,8 +54,8 @@
 /// An instance that was dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DroppedInstance {
-    /// Its name.
+    /// Domain name of the instance.
     pub instance: Name,
-    /// Why.
+    /// Reason for the drop.
     pub reason: DropReason,
 }
--- a/crates/dns-sd/src/lib.rs
+++ b/crates/dns-sd/src/lib.rs
@@ -1,14 +1,14 @@
-//! Endpoint lists from DNS-SD records (RFC 6763). No I/O, no clock; chance comes from a seed.
+//! Endpoint lists from DNS-SD records (RFC 6763). No I/O and no clock; jitter comes from a seeded generator.
 //!
 //! - `answer`: encodes queries and decodes answers
-//! - `cache`: lifetimes of answers, when each question is asked again, and what is stale
-//! - `catalogue`: the list of instances that PTR records name, and who leaves it
-//! - `instance`: the endpoint of an instance by its SRV, TXT, A and AAAA records
+//! - `cache`: lifetimes of answers, the refresh schedule, and stale records
+//! - `catalogue`: the list of instances that PTR records name, and when an instance is removed from it
+//! - `instance`: the endpoint of an instance, from its SRV, TXT, A and AAAA records
 //! - `metadata`: the keys of TXT records
 //!
-//! An instance leaves the list only by an answer of an authority: one that says NXDOMAIN or NODATA, or that
-//! lacks it. A resolver that is silent, refuses, fails or sends garbage changes only the age of the list. All
-//! times are ms of the caller's clock, which never runs backwards.
+//! An instance is removed from the list only because of an authoritative answer: NXDOMAIN, NODATA, or records
+//! that do not include it. A resolver that times out, refuses, fails or sends malformed messages only makes
+//! the list stale. All times are ms of the caller's clock, which must be monotonic.
 
 mod answer;
 mod cache;
@@ -19,7 +19,7 @@
 
 pub use answer::{
     decode_answer, encode_query, Answer, AnswerError, NegativeAnswer, QueryType, Question, RecordData,
-    SrvRecord, MAX_ALIAS_CHAIN, PAYLOAD,
+    SrvRecord, MAX_ALIAS_CHAIN, MAX_UDP_PAYLOAD,
 };
 pub use cache::{
     Cache, CacheLimits, CacheSize, CacheState, CachedAnswer, DueQuery, FailingQuery, FollowedQuery,
--- a/crates/dns-sd/tests/fuzz.rs
+++ b/crates/dns-sd/tests/fuzz.rs
@@ -1,10 +1,10 @@
-//! Bytes of chance, and answers that chance has changed: read or refused, never a panic.
+//! Random bytes and randomly modified answers are decoded or rejected, and never cause a panic.
 
 use dns_sd::{decode_answer, encode_query, Answer, InstanceMetadata, Name, QueryType, Question};
 use proptest::prelude::*;
 
 fn question() -> Question {
-    Question { name: Name::from_ascii("_till._tcp.example.org.").expect("a name"), kind: QueryType::Ptr }
+    Question { name: Name::from_ascii("_till._tcp.example.org.").expect("valid name"), kind: QueryType::Ptr }
 }
 
 proptest! {
@@ -16,12 +16,12 @@
     }
 
     #[test]
-    fn decodes_or_rejects_changed_answers(
+    fn decodes_or_rejects_modified_answers(
         labels in prop::collection::vec("[a-z]{1,20}", 1..8),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
-        let mut bytes = encode_query(7, &question()).expect("it can be written");
-        // An answer, with its answers between the question and what follows it.
+        let mut bytes = encode_query(7, &question()).expect("encodes");
+        // Turns the query into a response, with its records between the question and the OPT record.
         bytes[2] |= 0x80;
         bytes[7] = labels.len() as u8;
         let mut records = Vec::new();
@@ -32,10 +32,11 @@
         }
         let end = bytes.len() - 11;
         bytes.splice(end..end, records);
-        let good = decode_answer(&bytes, 7, &question());
-        let many = labels.iter().collect::<std::collections::BTreeSet<_>>().len();
-        let all = matches!(&good, Ok(Answer::Records { records, .. }) if records.len() == many);
-        prop_assert!(all, "{good:?}");
+        let answer = decode_answer(&bytes, 7, &question());
+        let unique_labels = labels.iter().collect::<std::collections::BTreeSet<_>>().len();
+        let has_all =
+            matches!(&answer, Ok(Answer::Records { records, .. }) if records.len() == unique_labels);
+        prop_assert!(has_all, "{answer:?}");
         for (at, value) in changes {
             let at = at.index(bytes.len());
             bytes[at] = value;
@@ -48,28 +49,28 @@
         strings in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6),
     ) {
         let strings: Vec<Box<[u8]>> = strings.into_iter().map(Into::into).collect();
-        if let Ok(traits) = InstanceMetadata::read(&strings) {
-            prop_assert!(traits.zone.chars().count() <= 64 && !traits.zone.chars().any(char::is_control));
+        if let Ok(metadata) = InstanceMetadata::read(&strings) {
+            prop_assert!(metadata.zone.chars().count() <= 64 && !metadata.zone.chars().any(char::is_control));
         }
     }
 }
 
 #[test]
 fn reads_txt_keys_by_rfc_6763() {
-    let read = |all: &[&str]| {
-        let all: Vec<Box<[u8]>> = all.iter().map(|s| s.as_bytes().into()).collect();
-        InstanceMetadata::read(&all)
+    let read = |strings: &[&str]| {
+        let strings: Vec<Box<[u8]>> = strings.iter().map(|s| s.as_bytes().into()).collect();
+        InstanceMetadata::read(&strings)
     };
-    let good =
+    let metadata =
         read(&["ZONE=room", "type=m", "group=3", "status=Draining", "since=5", "zone=hall", "x=1", "=y"]);
-    let good = good.expect("good");
+    let metadata = metadata.expect("valid");
     assert_eq!(
-        (good.zone.as_str(), good.instance_type.as_str(), good.group, good.since_ms),
+        (metadata.zone.as_str(), metadata.instance_type.as_str(), metadata.group, metadata.since_ms),
         ("room", "m", 3, 5.0)
     );
-    assert_eq!(good.status, dns_sd::Status::Draining);
+    assert_eq!(metadata.status, dns_sd::Status::Draining);
     assert_eq!(read(&[""]), Ok(InstanceMetadata::default()));
-    for (bad, key) in [
+    for (invalid, key) in [
         ("group=-1", "group"),
         ("group=4294967296", "group"),
         ("group", "group"),
@@ -77,6 +78,6 @@
         ("since=1e9", "since"),
         ("zone=a\u{7}", "zone"),
     ] {
-        assert_eq!(read(&[bad]).expect_err(bad).key, key);
+        assert_eq!(read(&[invalid]).expect_err(invalid).key, key);
     }
 }
--- a/crates/dns-sd/tests/metadata.rs
+++ b/crates/dns-sd/tests/metadata.rs
@@ -1,50 +1,50 @@
-//! The keys of a TXT record: which are read, and the exact text of what is wrong.
+//! The keys of a TXT record and the exact error texts for invalid values.
 
 use dns_sd::{InstanceMetadata, Status};
 
 fn read(strings: &[&[u8]]) -> Result<InstanceMetadata, String> {
     let strings: Vec<Box<[u8]>> = strings.iter().map(|s| Box::from(*s)).collect();
-    InstanceMetadata::read(&strings).map_err(|bad| bad.to_string())
+    InstanceMetadata::read(&strings).map_err(|error| error.to_string())
 }
 
 #[test]
 fn reads_each_key() {
-    let all: [&[u8]; 5] =
+    let strings: [&[u8]; 5] =
         [b"zone=room-1", b"type=m5", b"group=4294967295", b"status=draining", b"since=9007199254740991"];
-    let wanted = InstanceMetadata {
+    let expected = InstanceMetadata {
         zone: "room-1".to_string(),
         instance_type: "m5".to_string(),
         group: u32::MAX,
         status: Status::Draining,
         since_ms: 9_007_199_254_740_991.0,
     };
-    assert_eq!(read(&all), Ok(wanted));
-    let none = InstanceMetadata {
+    assert_eq!(read(&strings), Ok(expected));
+    let defaults = InstanceMetadata {
         zone: String::new(),
         instance_type: String::new(),
         group: 0,
         status: Status::Serving,
         since_ms: 0.0,
     };
-    assert_eq!(read(&[]), Ok(none.clone()));
-    // Unknown keys, keys that only look alike, strings without a key, and an empty one.
-    assert_eq!(read(&[b"weight=5", b" zone=a", b"zone =a", b"=zone", b"", b"name=x"]), Ok(none));
+    assert_eq!(read(&[]), Ok(defaults.clone()));
+    // Unknown keys, keys with extra spaces, a string without a key, and an empty string.
+    assert_eq!(read(&[b"weight=5", b" zone=a", b"zone =a", b"=zone", b"", b"name=x"]), Ok(defaults));
 }
 
 #[test]
-fn reads_keys_in_any_case_and_the_first_of_several() {
-    let read = read(&[b"ZONE=a=b", b"zone=c", b"Group=007", b"STATUS=Serving", b"status=odd", b"Type"])
-        .expect("sound");
+fn keys_are_case_insensitive_and_the_first_occurrence_counts() {
+    let metadata = read(&[b"ZONE=a=b", b"zone=c", b"Group=007", b"STATUS=Serving", b"status=odd", b"Type"])
+        .expect("valid");
     assert_eq!(
-        (&read.zone[..], read.group, read.status, &read.instance_type[..]),
+        (&metadata.zone[..], metadata.group, metadata.status, &metadata.instance_type[..]),
         ("a=b", 7, Status::Serving, "")
     );
 }
 
 #[test]
-fn reads_values_of_64_characters_whatever_their_bytes() {
+fn length_limit_of_values_counts_characters() {
     let long = format!("zone={}", "ä".repeat(64));
-    assert_eq!(read(&[long.as_bytes()]).expect("sound").zone.chars().count(), 64);
+    assert_eq!(read(&[long.as_bytes()]).expect("valid").zone.chars().count(), 64);
 }
 
 #[test]
@@ -78,6 +78,6 @@
     for (string, text) in cases {
         assert_eq!(read(&[string]).as_ref(), Err(text), "{:?}", String::from_utf8_lossy(string));
     }
-    // The first one that does not fit is told, in the order of the strings.
+    // The error is that of the first invalid value, in the order of the strings.
     assert_eq!(read(&[b"zone=a", b"since=x", b"group=x"]), Err(since));
 }
--- a/crates/dns-sd/tests/support/mod.rs
+++ b/crates/dns-sd/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A zone in memory, and what follows it, on a clock of the test's.
+//! An in-memory zone with a cache and a catalogue that follow it on a simulated clock.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -12,103 +12,105 @@
 pub const SERVICE: &str = "_till._tcp.example.org.";
 
 pub fn name(text: &str) -> Name {
-    Name::from_ascii(text).expect("a name")
+    Name::from_ascii(text).expect("valid name")
 }
 
 pub fn instance(label: &str) -> Name {
     name(&format!("{label}.{SERVICE}"))
 }
 
-pub fn of(name: Name, kind: QueryType) -> Question {
+pub fn question(name: Name, kind: QueryType) -> Question {
     Question { name, kind }
 }
 
-pub struct World {
+pub struct Harness {
     pub cache: Cache,
     pub catalogue: Catalogue,
-    /// What is asked for and not in it has no record.
+    /// Records by question. A question that is missing is answered with NODATA.
     pub zone: BTreeMap<Question, Vec<RecordData>>,
     pub ttl_s: u32,
     pub now: f64,
-    /// What the resolver says in place of an answer.
-    pub broken: Option<&'static str>,
-    pub asked: u64,
-    pub doubted: u64,
+    /// Failure reason of all queries while set.
+    pub resolver_error: Option<&'static str>,
+    pub queries: u64,
+    pub confirmation_queries: u64,
 }
 
-impl World {
-    pub fn new(bounds: CacheLimits, shrink_most: f64) -> World {
-        World {
-            cache: Cache::new(bounds, 7),
-            catalogue: Catalogue::new(vec![name(SERVICE)], shrink_most),
+impl Harness {
+    pub fn new(limits: CacheLimits, max_shrink: f64) -> Harness {
+        Harness {
+            cache: Cache::new(limits, 7),
+            catalogue: Catalogue::new(vec![name(SERVICE)], max_shrink),
             zone: BTreeMap::new(),
             ttl_s: 60,
             now: 0.0,
-            broken: None,
-            asked: 0,
-            doubted: 0,
+            resolver_error: None,
+            queries: 0,
+            confirmation_queries: 0,
         }
     }
 
-    pub fn put(&mut self, label: &str, priority: u16, port: u16, text: &[&str]) {
+    /// Adds all records of an instance.
+    pub fn add_instance(&mut self, label: &str, priority: u16, port: u16, txt: &[&str]) {
         let target = name(&format!("{label}.hosts.example.org."));
-        let service = SrvRecord { priority, weight: 1, port, target: target.clone() };
-        self.zone.insert(of(instance(label), QueryType::Srv), vec![RecordData::Srv(service)]);
-        let text = text.iter().map(|s| s.as_bytes().into()).collect();
-        self.zone.insert(of(instance(label), QueryType::Txt), vec![RecordData::Txt(text)]);
+        let srv = SrvRecord { priority, weight: 1, port, target: target.clone() };
+        self.zone.insert(question(instance(label), QueryType::Srv), vec![RecordData::Srv(srv)]);
+        let txt = txt.iter().map(|s| s.as_bytes().into()).collect();
+        self.zone.insert(question(instance(label), QueryType::Txt), vec![RecordData::Txt(txt)]);
         let address = IpAddr::from([127, 0, 0, 1]);
-        self.zone.insert(of(target, QueryType::A), vec![RecordData::Address(address)]);
-        self.point(label);
+        self.zone.insert(question(target, QueryType::A), vec![RecordData::Address(address)]);
+        self.add_pointer(label);
     }
 
-    pub fn point(&mut self, label: &str) {
-        let all = self.zone.entry(of(name(SERVICE), QueryType::Ptr)).or_default();
-        all.push(RecordData::Ptr(instance(label)));
-        all.sort();
-        all.dedup();
+    /// Adds a PTR record for an instance.
+    pub fn add_pointer(&mut self, label: &str) {
+        let pointers = self.zone.entry(question(name(SERVICE), QueryType::Ptr)).or_default();
+        pointers.push(RecordData::Ptr(instance(label)));
+        pointers.sort();
+        pointers.dedup();
     }
 
-    /// Takes an instance's pointer away.
-    pub fn unpoint(&mut self, label: &str) {
-        let all = self.zone.entry(of(name(SERVICE), QueryType::Ptr)).or_default();
-        all.retain(|data| *data != RecordData::Ptr(instance(label)));
+    /// Removes the PTR record of an instance.
+    pub fn remove_pointer(&mut self, label: &str) {
+        let pointers = self.zone.entry(question(name(SERVICE), QueryType::Ptr)).or_default();
+        pointers.retain(|data| *data != RecordData::Ptr(instance(label)));
     }
 
-    /// Asks what is due now and reads the list, until nothing is due.
+    /// Answers the due queries and updates the list until no query is due.
     pub fn settle(&mut self) -> (Vec<Change>, CatalogueUpdate) {
         let mut changes = Vec::new();
         loop {
-            let mut reading = self.catalogue.read(self.now, &self.cache);
-            changes.append(&mut reading.changes);
-            self.cache.follow(self.now, &reading.followed);
-            reading.confirm.iter().for_each(|q| self.cache.doubt(self.now, q));
-            let due = self.cache.due(self.now);
+            let mut update = self.catalogue.update(self.now, &self.cache);
+            changes.append(&mut update.changes);
+            self.cache.follow(self.now, &update.followed);
+            update.to_confirm.iter().for_each(|q| self.cache.request_confirmation(self.now, q));
+            let due = self.cache.take_due(self.now);
             if due.is_empty() {
-                return (changes, reading);
+                return (changes, update);
             }
             for due in due {
-                self.asked += 1;
-                self.doubted += u64::from(due.doubted);
-                if let Some(why) = self.broken {
-                    self.cache.failed(self.now, &due.question, why);
+                self.queries += 1;
+                self.confirmation_queries += u64::from(due.needs_confirmation);
+                if let Some(reason) = self.resolver_error {
+                    self.cache.record_failure(self.now, &due.question, reason);
                     continue;
                 }
                 let records = self.zone.get(&due.question).cloned().unwrap_or_default();
                 let ttl_s = self.ttl_s;
                 let answer = if records.is_empty() {
-                    Answer::None { why: NegativeAnswer::NoData, ttl_s }
+                    Answer::Negative { kind: NegativeAnswer::NoData, ttl_s }
                 } else {
                     Answer::Records { records, ttl_s }
                 };
-                self.cache.answered(self.now, &due.question, answer);
+                self.cache.record_answer(self.now, &due.question, answer);
             }
         }
     }
 
-    /// Lets time pass, asking as it falls due.
-    pub fn pass(&mut self, ms: f64) -> Vec<Change> {
+    /// Advances the clock and answers queries as they become due.
+    pub fn advance(&mut self, ms: f64) -> Vec<Change> {
         let (until, mut changes) = (self.now + ms, Vec::new());
-        while let Some(next) = self.cache.next().filter(|at| *at <= until) {
+        while let Some(next) = self.cache.next_due_ms().filter(|due_ms| *due_ms <= until) {
             self.now = self.now.max(next);
             changes.extend(self.settle().0);
         }
--- a/crates/endpoint-sources/src/lib.rs
+++ b/crates/endpoint-sources/src/lib.rs
@@ -1,13 +1,13 @@
-//! Sources of the endpoint list, and the list as gateways poll it.
+//! Follows the sources of the endpoint list and serves the list to gateways.
 //!
-//! - `resolver`: queries over UDP and TCP to several resolvers
+//! - `resolver`: DNS queries over UDP and TCP to several resolvers
 //! - `follow`: keeps a `dns_sd` cache and catalogue up to date
-//! - `table`: the list with versions
-//! - `serve`: `GET /discovery/hosts`, by which gateways poll the list
+//! - `table`: the versioned list
+//! - `serve`: `GET /discovery/hosts`, which gateways poll for the list
 //!
-//! A gateway needs no change to use it: its configuration names [`serve`]'s address as its discovery. Until a
-//! source knows its whole list nothing is served, so that gateways go on with their cached list; an unknown
-//! list must not look like an empty one.
+//! A gateway uses it by naming the address of [`serve`] as `discovery` in its configuration. Nothing is
+//! served until all services are known, so that an unknown list is never mistaken for an empty one; gateways
+//! keep their cached list until then.
 
 mod follow;
 mod resolver;
@@ -15,6 +15,6 @@
 mod table;
 
 pub use follow::{follow, Follower, Settings, StatusRequest};
-pub use resolver::{FailedTry, QueryAnswer, QueryFailure, Resolver, TryError};
+pub use resolver::{AttemptError, FailedAttempt, QueryAnswer, QueryFailure, Resolver};
 pub use serve::serve;
 pub use table::{EndpointTable, ListedEndpoint, ListedStatus, MAX_TOMBSTONES};
--- a/crates/endpoint-sources/src/resolver.rs
+++ b/crates/endpoint-sources/src/resolver.rs
@@ -1,4 +1,4 @@
-//! DNS queries over UDP and TCP, to several resolvers in turn.
+//! DNS queries over UDP and TCP to several resolvers, one after another.
 
 use std::fmt;
 use std::io;
@@ -13,100 +13,99 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{timeout_at, Instant};
 
-/// The most datagrams of a query that are ignored as unrelated: a flood of forged ones must not keep it
-/// reading.
+/// Maximum number of unrelated datagrams that a query ignores, so that a flood of forged ones ends it.
 const MAX_UNRELATED_DATAGRAMS: usize = 64;
 
-/// An answer, and how it was obtained.
+/// An answer and how it was obtained.
 #[derive(Debug)]
 pub struct QueryAnswer {
-    /// The answer; never a truncated one.
+    /// The answer; never [`Answer::Truncated`].
     pub answer: Answer,
     /// The resolver that gave it.
     pub server: SocketAddr,
-    /// Whether it was too long for a datagram.
+    /// Whether the answer came over TCP, as it was too long for a datagram.
     pub over_tcp: bool,
-    /// Time since the first resolver was asked.
+    /// Duration of the query, from the first attempt on.
     pub took: Duration,
-    /// The resolvers that were asked before.
-    pub tries: Vec<FailedTry>,
+    /// Failed attempts before the answer.
+    pub attempts: Vec<FailedAttempt>,
 }
 
-/// A resolver that gave no answer.
+/// An attempt at one resolver that failed.
 #[derive(Debug)]
-pub struct FailedTry {
+pub struct FailedAttempt {
     /// The resolver.
     pub server: SocketAddr,
-    /// Why.
-    pub error: TryError,
+    /// The error.
+    pub error: AttemptError,
 }
 
-/// Why a resolver gave no answer.
+/// Reason for which an attempt failed.
 #[derive(Debug)]
-pub enum TryError {
-    /// There was no answer in time.
+pub enum AttemptError {
+    /// The attempt timed out.
     TimedOut,
-    /// There was none in time over TCP, after a truncated one.
+    /// The attempt timed out over TCP, after a truncated answer over UDP.
     TimedOutOverTcp,
-    /// The socket failed.
+    /// A socket operation failed.
     Io(io::Error),
     /// The query cannot be encoded, or the answer cannot be used.
     Answer(AnswerError),
-    /// Too many datagrams were not meant for the query; the last one for this reason.
+    /// Too many unrelated datagrams arrived; contains the error of the last one.
     Unrelated(Option<AnswerError>),
     /// The query is too long for TCP.
     QueryLength(TryFromIntError),
-    /// The answer was truncated.
+    /// The answer over TCP was truncated.
     Truncated,
-    /// It failed over TCP, after a truncated answer.
-    OverTcp(Box<TryError>),
+    /// The attempt failed over TCP, after a truncated answer over UDP.
+    OverTcp(Box<AttemptError>),
 }
 
-impl fmt::Display for TryError {
+impl fmt::Display for AttemptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TryError::TimedOut => f.write_str("no answer in time"),
-            TryError::TimedOutOverTcp => f.write_str("no answer in time, over TCP"),
-            TryError::Io(error) => error.fmt(f),
-            TryError::Answer(error) => error.fmt(f),
-            TryError::Unrelated(last) => {
+            AttemptError::TimedOut => f.write_str("no answer in time"),
+            AttemptError::TimedOutOverTcp => f.write_str("no answer in time, over TCP"),
+            AttemptError::Io(error) => error.fmt(f),
+            AttemptError::Answer(error) => error.fmt(f),
+            AttemptError::Unrelated(last) => {
                 write!(f, "{MAX_UNRELATED_DATAGRAMS} datagrams that were not meant for it; ")?;
                 last.as_ref().map_or(Ok(()), |last| write!(f, "the last: {last}"))
             }
-            TryError::QueryLength(error) => error.fmt(f),
-            TryError::Truncated => f.write_str("truncated as well"),
-            TryError::OverTcp(error) => write!(f, "over TCP: {error}"),
+            AttemptError::QueryLength(error) => error.fmt(f),
+            AttemptError::Truncated => f.write_str("truncated as well"),
+            AttemptError::OverTcp(error) => write!(f, "over TCP: {error}"),
         }
     }
 }
 
-impl std::error::Error for TryError {}
+impl std::error::Error for AttemptError {}
 
-impl From<io::Error> for TryError {
-    fn from(error: io::Error) -> TryError {
-        TryError::Io(error)
+impl From<io::Error> for AttemptError {
+    fn from(error: io::Error) -> AttemptError {
+        AttemptError::Io(error)
     }
 }
 
-impl From<AnswerError> for TryError {
-    fn from(error: AnswerError) -> TryError {
-        TryError::Answer(error)
+impl From<AnswerError> for AttemptError {
+    fn from(error: AnswerError) -> AttemptError {
+        AttemptError::Answer(error)
     }
 }
 
-/// No resolver gave an answer.
+/// Failure of a query at all resolvers.
 #[derive(Debug)]
 pub struct QueryFailure {
-    /// The resolvers that were asked.
-    pub tries: Vec<FailedTry>,
+    /// The attempts, in order. Empty if no resolver is configured.
+    pub attempts: Vec<FailedAttempt>,
 }
 
 impl fmt::Display for QueryFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.tries.is_empty() {
+        if self.attempts.is_empty() {
             return f.write_str("no resolver is configured");
         }
-        for (i, FailedTry { server, error }) in self.tries.iter().enumerate() {
+        for (i, FailedAttempt { server, error }) in self.attempts.iter().enumerate() {
             let separator = if i == 0 { "" } else { "; " };
             write!(f, "{separator}{server}: {error}")?;
         }
@@ -116,94 +115,95 @@
 
 impl std::error::Error for QueryFailure {}
 
-/// Resolvers, each of which answers for all.
+/// A client of several equivalent resolvers.
 #[derive(Debug)]
 pub struct Resolver {
     servers: Vec<SocketAddr>,
     timeout: Duration,
-    /// Index of the one that answered last. It is asked first.
+    /// Index of the server that answered last, which is asked first.
     first: AtomicUsize,
 }
 
 impl Resolver {
-    /// A resolver of these servers, with a timeout for each.
+    /// Creates a client of these servers with a timeout for each attempt.
     #[must_use]
     pub fn new(servers: Vec<SocketAddr>, timeout: Duration) -> Resolver {
         Resolver { servers, timeout, first: AtomicUsize::new(0) }
     }
 
-    /// Asks the servers one after another, each once, until one answers. With `doubted`, the others come
-    /// before the one that answered last. Cancelling leaves nothing behind.
+    /// Asks the servers one after another, each once, until one answers. With `prefer_others`, the server
+    /// that answered last is asked last. Cancelling the future closes its sockets.
     ///
     /// # Errors
-    /// [`QueryFailure`], with what each server did.
-    pub async fn query(&self, question: &Question, doubted: bool) -> Result<QueryAnswer, QueryFailure> {
-        let begun = Instant::now();
-        let mut tries = Vec::new();
-        let first = self.first.load(Ordering::Relaxed) + usize::from(doubted);
-        for turn in 0..self.servers.len() {
-            let index = (first + turn) % self.servers.len();
+    /// A [`QueryFailure`] with the error of each server.
+    pub async fn query(&self, question: &Question, prefer_others: bool) -> Result<QueryAnswer, QueryFailure> {
+        let start = Instant::now();
+        let mut attempts = Vec::new();
+        let first = self.first.load(Ordering::Relaxed) + usize::from(prefer_others);
+        for offset in 0..self.servers.len() {
+            let index = (first + offset) % self.servers.len();
             let server = self.servers[index];
             match self.query_server(server, question).await {
                 Ok((answer, over_tcp)) => {
-                    // One doubt makes no other server the first.
-                    if !doubted {
+                    // A confirmation query does not change which server is asked first.
+                    if !prefer_others {
                         self.first.store(index, Ordering::Relaxed);
                     }
-                    return Ok(QueryAnswer { answer, server, over_tcp, took: begun.elapsed(), tries });
+                    return Ok(QueryAnswer { answer, server, over_tcp, took: start.elapsed(), attempts });
                 }
-                Err(error) => tries.push(FailedTry { server, error }),
+                Err(error) => attempts.push(FailedAttempt { server, error }),
             }
         }
-        Err(QueryFailure { tries })
+        Err(QueryFailure { attempts })
     }
 
-    /// The answer, and whether it came over TCP.
+    /// Asks one server. Returns the answer and whether it came over TCP.
     async fn query_server(
         &self,
         server: SocketAddr,
         question: &Question,
-    ) -> Result<(Answer, bool), TryError> {
+    ) -> Result<(Answer, bool), AttemptError> {
         let deadline = Instant::now() + self.timeout;
-        // The library draws an id that cannot be guessed (RFC 5452), the system the port.
+        // The library chooses an unpredictable id and the operating system the source port (RFC 5452).
         let id = Message::query().metadata.id;
         let query = encode_query(id, question)?;
         let over_udp = timeout_at(deadline, query_by_udp(server, id, &query, question)).await;
-        let answer = over_udp.map_err(|_| TryError::TimedOut)??;
+        let answer = over_udp.map_err(|_| AttemptError::TimedOut)??;
         if answer != Answer::Truncated {
             return Ok((answer, false));
         }
         let over_tcp = timeout_at(deadline, query_by_tcp(server, id, &query, question)).await;
-        match over_tcp.map_err(|_| TryError::TimedOutOverTcp)? {
-            Ok(Answer::Truncated) => Err(TryError::OverTcp(Box::new(TryError::Truncated))),
+        match over_tcp.map_err(|_| AttemptError::TimedOutOverTcp)? {
+            Ok(Answer::Truncated) => Err(AttemptError::OverTcp(Box::new(AttemptError::Truncated))),
             Ok(answer) => Ok((answer, true)),
-            Err(error) => Err(TryError::OverTcp(Box::new(error))),
+            Err(error) => Err(AttemptError::OverTcp(Box::new(error))),
         }
     }
 }
 
-/// Asks from a socket of its own that takes nothing from any other address.
+/// Queries over a new UDP socket that is connected to the server, so that it receives from no other address.
 async fn query_by_udp(
     server: SocketAddr,
     id: u16,
     query: &[u8],
     question: &Question,
-) -> Result<Answer, TryError> {
+) -> Result<Answer, AttemptError> {
     let socket = UdpSocket::bind((local_address_for(server), 0)).await?;
     socket.connect(server).await?;
     socket.send(query).await?;
     let mut buffer = vec![0; usize::from(u16::MAX)];
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..MAX_UNRELATED_DATAGRAMS {
         let length = socket.recv(&mut buffer).await?;
         match decode_answer(&buffer[..length], id, question) {
-            Err(error) if error.is_unrelated() => last = Some(error),
+            Err(error) if error.is_unrelated() => last_error = Some(error),
             decoded => return Ok(decoded?),
         }
     }
-    Err(TryError::Unrelated(last))
+    Err(AttemptError::Unrelated(last_error))
 }
 
+/// Returns the address to bind a socket for `server` to.
 fn local_address_for(server: SocketAddr) -> IpAddr {
     match server.ip() {
         IpAddr::V4(ip) if ip.is_loopback() => Ipv4Addr::LOCALHOST.into(),
@@ -213,14 +213,15 @@
     }
 }
 
+/// Queries over a new TCP connection.
 async fn query_by_tcp(
     server: SocketAddr,
     id: u16,
     query: &[u8],
     question: &Question,
-) -> Result<Answer, TryError> {
+) -> Result<Answer, AttemptError> {
     let mut stream = TcpStream::connect(server).await?;
-    let length = u16::try_from(query.len()).map_err(TryError::QueryLength)?;
+    let length = u16::try_from(query.len()).map_err(AttemptError::QueryLength)?;
     let message = [&length.to_be_bytes(), query].concat();
     stream.write_all(&message).await?;
     let length = stream.read_u16().await?;
--- a/crates/endpoint-sources/src/serve.rs
+++ b/crates/endpoint-sources/src/serve.rs
@@ -1,4 +1,4 @@
-//! `GET /discovery/hosts`: the endpoint list, whole or as what changed, for gateways.
+//! `GET /discovery/hosts`: the endpoint list for gateways, as a snapshot or a delta.
 
 use std::convert::Infallible;
 use std::num::ParseIntError;
@@ -20,16 +20,17 @@
 use crate::table::EndpointTable;
 
 const PATH: &str = "/discovery/hosts";
-/// Connections at once: one of each gateway and some more. Further ones wait in the listener's queue.
+/// Maximum number of connections: one for each gateway and some more. Further ones wait in the listen
+/// backlog.
 const MAX_CONNECTIONS: usize = 12_000;
-/// The longest watch, ms.
+/// Maximum duration of a long poll, ms.
 const MAX_WAIT_MS: u64 = 60_000;
-/// Timeout of a request's header, and of an idle connection.
+/// Timeout for a request's header, which also closes idle connections.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(75);
-/// Pause after a connection could not be accepted: with no descriptor left, accepting fails at once.
+/// Pause after a failed `accept`. Without file descriptors it fails at once, and the loop would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves the list until the task ends. Cancelling closes the listener; responses in progress go on.
+/// Serves the list until it is cancelled. Cancelling closes the listener; open connections are still served.
 pub async fn serve(listener: TcpListener, table: watch::Receiver<Arc<EndpointTable>>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -52,16 +53,16 @@
     let service = service_fn(|request| respond(request, table.clone()));
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
-    // Whatever ends the connection, nobody is left to be told.
+    // An error ends the connection, and there is no peer left to report it to.
     let _ = http.serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// The parameters of a poll.
+/// Query parameters of a poll.
 #[derive(Clone, Copy, Debug)]
 struct PollQuery {
-    /// The version that the gateway has.
+    /// Version that the gateway has.
     after: Option<u64>,
-    /// How long to wait for a later version.
+    /// Maximum time to wait for a later version.
     wait_ms: Option<u64>,
 }
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// The first value of a query parameter. Unknown parameters are ignored.
+/// Parses the first value of a query parameter. Unknown parameters are ignored.
 fn parameter(query: &str, key: &str) -> Result<Option<u64>, ParseIntError> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let value = pairs.find(|(name, _)| *name == key).map(|(_, value)| value);
@@ -83,18 +84,18 @@
     mut table: watch::Receiver<Arc<EndpointTable>>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if request.uri().path() != PATH {
-        return Ok(plain(StatusCode::NOT_FOUND, "GET /discovery/hosts is served here"));
+        return Ok(text_response(StatusCode::NOT_FOUND, "GET /discovery/hosts is served here"));
     }
     if request.method() != Method::GET {
-        return Ok(plain(StatusCode::METHOD_NOT_ALLOWED, "GET is wanted"));
+        return Ok(text_response(StatusCode::METHOD_NOT_ALLOWED, "GET is wanted"));
     }
     let Ok(poll) = PollQuery::parse(request.uri().query().unwrap_or_default()) else {
-        return Ok(plain(StatusCode::BAD_REQUEST, "after and wait_ms are whole numbers"));
+        return Ok(text_response(StatusCode::BAD_REQUEST, "after and wait_ms are whole numbers"));
     };
     if let Some(after) = poll.after {
         let wait = Duration::from_millis(poll.wait_ms.unwrap_or(0).min(MAX_WAIT_MS));
-        let updated = table.wait_for(|table| table.known() && !table.current(after));
-        // A poll that times out gets an update without endpoints.
+        let updated = table.wait_for(|table| table.is_known() && !table.is_current(after));
+        // After a timeout the response is a delta without endpoints.
         let _ = timeout(wait, updated).await;
     }
     let table = Arc::clone(&table.borrow());
@@ -102,18 +103,18 @@
 }
 
 fn list_response(table: &EndpointTable, after: Option<u64>) -> Response<Full<Bytes>> {
-    if !table.known() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "no source has told its list yet");
+    if !table.is_known() {
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "no source has told its list yet");
     }
     let Ok(body) = serde_json::to_vec(&table.updates_after(after)) else {
-        return plain(StatusCode::INTERNAL_SERVER_ERROR, "the list can't be written");
+        return text_response(StatusCode::INTERNAL_SERVER_ERROR, "the list cannot be encoded");
     };
     let mut response = Response::new(Full::new(Bytes::from(body)));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/crates/endpoint-sources/src/table.rs
+++ b/crates/endpoint-sources/src/table.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with versions: the whole of it, or what changed since one. No I/O, no clock.
+//! The versioned endpoint list: snapshots, and deltas since a version. No I/O, no clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,19 +8,19 @@
 #[cfg(test)]
 mod tests;
 
-/// The most removed endpoints that are remembered. A reader from before the oldest of them gets the whole
-/// list.
+/// Maximum number of tombstones of removed endpoints. A reader whose version is older than the oldest one
+/// gets a snapshot.
 pub const MAX_TOMBSTONES: usize = 10_000;
 
-/// What an endpoint takes.
+/// Status of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListedStatus {
-    /// Requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// No further requests: it finishes what it has.
+    /// The endpoint accepts no new requests and finishes those in flight.
     Draining,
-    /// Nothing: it is no longer on the list.
+    /// The endpoint was removed from the list.
     Deleted,
 }
 
@@ -29,44 +29,44 @@
 pub struct ListedEndpoint {
     /// Name of the backend.
     pub name: String,
-    /// Where it takes work.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Zone.
     pub zone: String,
-    /// Hardware or build.
+    /// Instance type (hardware or build).
     #[serde(rename = "type")]
     pub instance_type: String,
     /// Cell.
     pub group: u32,
-    /// What it takes.
+    /// Status.
     pub status: ListedStatus,
     /// Weight among endpoints of the same priority.
     pub weight: f64,
-    /// Priority: the least is used first. Gateways of versions without priorities ignore it.
+    /// Priority; the lowest value is preferred. Gateway versions without support for priorities ignore it.
     pub priority: u16,
-    /// Start of the instance, Unix time in ms; 0 for long ago.
+    /// Start time of the instance, Unix time in ms; 0 means long ago.
     pub since_ms: f64,
 }
 
 /// A response of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TableUpdate<'a> {
-    /// The version.
+    /// Version of the list.
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether it is a snapshot.
     pub snapshot: bool,
-    /// The endpoints, in the order of their names.
+    /// The endpoints, ordered by name.
     pub endpoints: Vec<&'a ListedEndpoint>,
 }
 
-/// An endpoint, and the version that changed it last.
+/// An endpoint and the version that changed it last.
 #[derive(Clone, Debug)]
 struct VersionedEndpoint {
     version: u64,
     endpoint: ListedEndpoint,
 }
 
-/// A removed endpoint, by the version that removed it.
+/// A removed endpoint, ordered by the version that removed it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Tombstone {
     version: u64,
@@ -78,33 +78,33 @@
 pub struct EndpointTable {
     index: u64,
     known: bool,
-    /// Up to this version, removed endpoints may have been forgotten.
-    horizon: u64,
-    /// By name, removed ones included.
+    /// Tombstones of versions up to this one may have been discarded.
+    oldest_delta_base: u64,
+    /// Endpoints by name, including tombstones.
     entries: BTreeMap<String, VersionedEndpoint>,
 }
 
 impl EndpointTable {
-    /// An empty table that is not known yet. Versions begin above `index`, which has to grow with each start
-    /// of the agent: readers wait for a version above theirs.
+    /// Creates a table whose list is not known yet. Versions begin above `index`, which must increase with
+    /// each start of the agent, as readers wait for a version above theirs.
     #[must_use]
     pub fn new(index: u64) -> EndpointTable {
-        EndpointTable { index, horizon: index, ..EndpointTable::default() }
+        EndpointTable { index, oldest_delta_base: index, ..EndpointTable::default() }
     }
 
-    /// The version.
+    /// Returns the version of the list.
     #[must_use]
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Whether the list is known, so that it may be served.
+    /// Returns whether the list is known, so that it may be served.
     #[must_use]
-    pub fn known(&self) -> bool {
+    pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Whether a list differs from that of the table, or the table's is not known.
+    /// Returns whether `list` differs from the table's list, or the table's list is not known.
     #[must_use]
     pub fn differs(&self, list: &BTreeMap<String, ListedEndpoint>) -> bool {
         let endpoints = self.entries.values().map(|entry| &entry.endpoint);
@@ -112,7 +112,7 @@
         !self.known || !present.eq(list.values())
     }
 
-    /// Takes the whole list as it is now. Returns whether anything changed; all changes have one version.
+    /// Replaces the whole list. Returns whether anything changed; all changes get the same version.
     pub fn replace(&mut self, list: BTreeMap<String, ListedEndpoint>) -> bool {
         let version = self.index + 1;
         let mut changed = !self.known;
@@ -133,11 +133,11 @@
         if changed {
             self.index = version;
         }
-        self.forget_oldest_tombstones();
+        self.discard_oldest_tombstones();
         changed
     }
 
-    fn forget_oldest_tombstones(&mut self) {
+    fn discard_oldest_tombstones(&mut self) {
         let removed = self.entries.iter().filter(|(_, entry)| entry.endpoint.status == ListedStatus::Deleted);
         let mut tombstones: Vec<Tombstone> =
             removed.map(|(name, entry)| Tombstone { version: entry.version, name: name.clone() }).collect();
@@ -147,29 +147,29 @@
         tombstones.sort_unstable();
         tombstones.truncate(tombstones.len() - MAX_TOMBSTONES);
         for Tombstone { version, name } in tombstones {
-            self.horizon = self.horizon.max(version);
+            self.oldest_delta_base = self.oldest_delta_base.max(version);
             self.entries.remove(&name);
         }
     }
 
-    /// The response to a reader that has version `after`, or none yet.
+    /// Returns the update for a reader that has version `after`, or no version yet.
     ///
-    /// It is the whole list where `after` is of another start of the agent, or from before what is
-    /// remembered.
+    /// It is a snapshot if `after` comes from another start of the agent or is older than the discarded
+    /// tombstones.
     #[must_use]
     pub fn updates_after(&self, after: Option<u64>) -> TableUpdate<'_> {
-        let after = after.filter(|after| (self.horizon..=self.index).contains(after));
-        let is_wanted = |entry: &&VersionedEndpoint| match after {
+        let after = after.filter(|after| (self.oldest_delta_base..=self.index).contains(after));
+        let is_included = |entry: &&VersionedEndpoint| match after {
             Some(after) => entry.version > after,
             None => entry.endpoint.status != ListedStatus::Deleted,
         };
-        let endpoints = self.entries.values().filter(is_wanted).map(|entry| &entry.endpoint);
+        let endpoints = self.entries.values().filter(is_included).map(|entry| &entry.endpoint);
         TableUpdate { index: self.index, snapshot: after.is_none(), endpoints: endpoints.collect() }
     }
 
-    /// Whether a reader that has version `after` is up to date.
+    /// Returns whether a reader that has version `after` is up to date.
     #[must_use]
-    pub fn current(&self, after: u64) -> bool {
+    pub fn is_current(&self, after: u64) -> bool {
         after == self.index
     }
 }
--- a/crates/endpoint-sources/src/table/tests.rs
+++ b/crates/endpoint-sources/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! Versions, changes and removals of the endpoint list.
+//! Versions, deltas and tombstones of the endpoint list.
 
 use super::*;
 
@@ -17,7 +17,7 @@
     (name.to_string(), endpoint)
 }
 
-fn status_word(status: ListedStatus) -> &'static str {
+fn status_name(status: ListedStatus) -> &'static str {
     match status {
         ListedStatus::Serving => "SERVING",
         ListedStatus::Draining => "DRAINING",
@@ -25,18 +25,19 @@
     }
 }
 
-fn told(table: &EndpointTable, after: Option<u64>) -> (bool, Vec<String>) {
+/// Returns whether the update is a snapshot, and its endpoints as `NAME:STATUS`.
+fn update_after(table: &EndpointTable, after: Option<u64>) -> (bool, Vec<String>) {
     let update = table.updates_after(after);
     (
         update.snapshot,
-        update.endpoints.iter().map(|e| format!("{}:{}", e.name, status_word(e.status))).collect(),
+        update.endpoints.iter().map(|e| format!("{}:{}", e.name, status_name(e.status))).collect(),
     )
 }
 
 #[test]
-fn readers_get_changes_and_removals_since_their_version() {
+fn readers_get_the_delta_since_their_version() {
     let mut table = EndpointTable::new(100);
-    assert!(!table.known());
+    assert!(!table.is_known());
     assert!(table.replace([listed("a", 1), listed("b", 2)].into()));
     let first = table.index();
     assert!(!table.differs(&[listed("a", 1), listed("b", 2)].into()));
@@ -44,22 +45,22 @@
     assert!(
         table.differs(&[listed("a", 1)].into()) && table.differs(&[listed("a", 1), listed("b", 3)].into())
     );
-    assert!(table.current(first));
+    assert!(table.is_current(first));
     assert!(table.replace([listed("b", 3), listed("c", 4)].into()));
-    let delta = |all: &[&str]| (false, all.iter().map(ToString::to_string).collect::<Vec<_>>());
-    assert_eq!(told(&table, Some(first)), delta(&["a:DELETED", "b:SERVING", "c:SERVING"]));
-    assert_eq!(told(&table, Some(table.index())), delta(&[]));
-    assert_eq!(told(&table, None), (true, vec!["b:SERVING".to_string(), "c:SERVING".to_string()]));
-    // Of another incarnation of the agent, older or newer.
-    assert!(told(&table, Some(7)).0 && told(&table, Some(table.index() + 1)).0);
+    let delta = |endpoints: &[&str]| (false, endpoints.iter().map(ToString::to_string).collect::<Vec<_>>());
+    assert_eq!(update_after(&table, Some(first)), delta(&["a:DELETED", "b:SERVING", "c:SERVING"]));
+    assert_eq!(update_after(&table, Some(table.index())), delta(&[]));
+    assert_eq!(update_after(&table, None), (true, vec!["b:SERVING".to_string(), "c:SERVING".to_string()]));
+    // Versions of another start of the agent, older or newer.
+    assert!(update_after(&table, Some(7)).0 && update_after(&table, Some(table.index() + 1)).0);
     assert!(table.replace([listed("a", 1), listed("b", 3), listed("c", 4)].into()));
-    assert_eq!(told(&table, Some(table.index() - 1)), delta(&["a:SERVING"]));
+    assert_eq!(update_after(&table, Some(table.index() - 1)), delta(&["a:SERVING"]));
 }
 
 #[test]
 fn empty_list_is_known_once_replaced() {
     let mut table = EndpointTable::new(0);
-    assert!(table.replace(BTreeMap::new()) && table.known());
+    assert!(table.replace(BTreeMap::new()) && table.is_known());
     assert!(!table.replace(BTreeMap::new()));
 }
 
--- a/crates/endpoint-sources/tests/recorded.rs
+++ b/crates/endpoint-sources/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Answers to `GET /discovery/hosts` as gateways of released versions read them, byte for byte.
+//! Responses to `GET /discovery/hosts` that gateways of released versions read, compared byte by byte.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,27 +13,27 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn data() -> PathBuf {
+fn recorded_file() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/answers.txt")
 }
 
-/// What a server answers, but for the header that tells the time.
-async fn ask(address: SocketAddr, head: &str) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
-    let request = format!("{head} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    stream.write_all(request.as_bytes()).await.expect("room");
+/// Sends a request and returns the response without its `date` header.
+async fn send_request(address: SocketAddr, request_line: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("connected");
+    let request = format!("{request_line} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    stream.write_all(request.as_bytes()).await.expect("sent");
     let mut text = String::new();
-    timeout(PATIENCE, stream.read_to_string(&mut text)).await.expect("in time").expect("an answer");
+    timeout(TIMEOUT, stream.read_to_string(&mut text)).await.expect("in time").expect("a response");
     let lines = text.split("\r\n").filter(|line| !line.starts_with("date: "));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-fn entry(name: &str, address: &str) -> ListedEndpoint {
+fn endpoint(name: &str, address: &str) -> ListedEndpoint {
     ListedEndpoint {
         name: name.to_string(),
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("valid address"),
         zone: String::new(),
         instance_type: String::new(),
         group: 0,
@@ -44,11 +44,12 @@
     }
 }
 
-fn list(entries: impl IntoIterator<Item = ListedEndpoint>) -> BTreeMap<String, ListedEndpoint> {
-    entries.into_iter().map(|entry| (entry.name.clone(), entry)).collect()
+fn list(endpoints: impl IntoIterator<Item = ListedEndpoint>) -> BTreeMap<String, ListedEndpoint> {
+    endpoints.into_iter().map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
 }
 
-/// A list with each field set and unset, and one that follows it: changed, gone, new.
+/// Two consecutive lists. The first has endpoints with all and with no optional fields set; the second
+/// changes, removes and adds endpoints.
 fn lists() -> [BTreeMap<String, ListedEndpoint>; 2] {
     let full = ListedEndpoint {
         zone: "room \"1\"".to_string(),
@@ -58,42 +59,43 @@
         weight: 0.25,
         priority: u16::MAX,
         since_ms: 1_800_000_000_000.0,
-        ..entry("b", "[::1]:65535")
+        ..endpoint("b", "[::1]:65535")
     };
-    let plain = entry("a", "127.0.0.1:9000");
+    let plain = endpoint("a", "127.0.0.1:9000");
     let changed = ListedEndpoint { weight: 65_535.0, since_ms: 0.5, ..plain.clone() };
     [
-        list([full, plain, entry("c", "10.0.0.3:1")]),
-        list([changed, entry("c", "10.0.0.3:1"), entry("d", "10.0.0.4:1")]),
+        list([full, plain, endpoint("c", "10.0.0.3:1")]),
+        list([changed, endpoint("c", "10.0.0.3:1"), endpoint("d", "10.0.0.4:1")]),
     ]
 }
 
-async fn answers() -> String {
+async fn responses() -> String {
     let (sender, table) = watch::channel(Arc::new(EndpointTable::new(1_000)));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("listening");
     let address = listener.local_addr().expect("bound");
     let serving = tokio::spawn(serve(listener, table));
     let mut all = String::new();
-    let mut note =
-        |head: &str, answer: String| writeln!(all, "> {head}\n{answer}\n").expect("a string takes all");
-    let unknown = "GET /discovery/hosts";
-    note(unknown, ask(address, unknown).await);
+    let mut record = |request_line: &str, response: String| {
+        writeln!(all, "> {request_line}\n{response}\n").expect("written to a string")
+    };
+    let unknown_list = "GET /discovery/hosts";
+    record(unknown_list, send_request(address, unknown_list).await);
     let [first, second] = lists();
     let mut table = EndpointTable::new(1_000);
     for list in [first, second] {
         assert!(table.replace(list));
-        sender.send(Arc::new(table.clone())).expect("it is served");
-        for head in [
+        sender.send(Arc::new(table.clone())).expect("a receiver");
+        for request_line in [
             "GET /discovery/hosts",
             "GET /discovery/hosts?after=1000",
             "GET /discovery/hosts?after=1001",
             "GET /discovery/hosts?after=1002&wait_ms=1",
             "GET /discovery/hosts?wait_ms=1&after=7&other=x",
         ] {
-            note(head, ask(address, head).await);
+            record(request_line, send_request(address, request_line).await);
         }
     }
-    for head in [
+    for request_line in [
         "GET /",
         "GET /discovery/hosts/",
         "POST /discovery/hosts",
@@ -101,18 +103,18 @@
         "GET /discovery/hosts?after=",
         "GET /discovery/hosts?after=1&wait_ms=-1",
     ] {
-        note(head, ask(address, head).await);
+        record(request_line, send_request(address, request_line).await);
     }
     table.replace(BTreeMap::new());
-    sender.send(Arc::new(table)).expect("it is served");
-    for head in ["GET /discovery/hosts", "GET /discovery/hosts?after=1002"] {
-        note(head, ask(address, head).await);
+    sender.send(Arc::new(table)).expect("a receiver");
+    for request_line in ["GET /discovery/hosts", "GET /discovery/hosts?after=1002"] {
+        record(request_line, send_request(address, request_line).await);
     }
     serving.abort();
     all
 }
 
 #[tokio::test]
-async fn responses_are_the_recorded_ones() {
-    assert_eq!(answers().await, std::fs::read_to_string(data()).expect("recorded"));
+async fn responses_match_the_recorded_file() {
+    assert_eq!(responses().await, std::fs::read_to_string(recorded_file()).expect("recorded"));
 }
--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -1,4 +1,4 @@
-//! A source from resolvers to the list as gateways read it, over loopback sockets.
+//! A DNS-SD source from its resolvers to the list that gateways poll, over loopback sockets.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -16,13 +16,13 @@
 use tokio::time::{sleep, timeout};
 
 const SERVICE: &str = "_till._tcp.ub-room.test";
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Source {
     address: SocketAddr,
     table: watch::Receiver<Arc<EndpointTable>>,
-    said: Arc<Mutex<Vec<String>>>,
-    asks: mpsc::Sender<StatusRequest>,
+    lines: Arc<Mutex<Vec<String>>>,
+    status_requests: mpsc::Sender<StatusRequest>,
     tasks: [JoinHandle<()>; 2],
 }
 
@@ -34,7 +34,7 @@
 
 impl Source {
     async fn start(servers: &[&Dns], services: &[&str]) -> Source {
-        let name = |s: &&str| Name::from_ascii(s).expect("a name");
+        let name = |s: &&str| Name::from_ascii(s).expect("valid name");
         let cache_limits = CacheLimits {
             min_ttl_ms: 100.0,
             min_retry_ms: 50.0,
@@ -46,47 +46,47 @@
         let servers = servers.iter().map(|d| d.address).collect();
         let resolver = Resolver::new(servers, Duration::from_millis(150));
         let (sender, table) = watch::channel(Arc::new(EndpointTable::new(1_000)));
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("listening");
         let address = listener.local_addr().expect("bound");
-        let said = Arc::<Mutex<Vec<String>>>::default();
-        let lines = Arc::clone(&said);
-        let say = move |line: String| lines.lock().expect("whole").push(line);
-        let (asks, asked) = mpsc::channel(1);
-        let following = tokio::spawn(follow(settings, resolver, sender, asked, say));
+        let lines = Arc::<Mutex<Vec<String>>>::default();
+        let log_lines = Arc::clone(&lines);
+        let log = move |line: String| log_lines.lock().expect("not poisoned").push(line);
+        let (status_requests, receiver) = mpsc::channel(1);
+        let following = tokio::spawn(follow(settings, resolver, sender, receiver, log));
         let tasks = [following, tokio::spawn(serve(listener, table.clone()))];
-        Source { address, table, said, asks, tasks }
+        Source { address, table, lines, status_requests, tasks }
     }
 
     fn names(&self) -> Vec<String> {
         self.table.borrow().updates_after(None).endpoints.iter().map(|l| l.name.clone()).collect()
     }
 
-    fn said(&self, what: &str) -> bool {
-        self.said.lock().expect("whole").iter().any(|line| line.contains(what))
+    fn has_logged(&self, text: &str) -> bool {
+        self.lines.lock().expect("not poisoned").iter().any(|line| line.contains(text))
     }
 
-    /// Waits until the list holds.
-    async fn until(&mut self, what: &str, holds: impl Fn(&EndpointTable) -> bool) {
-        let held = timeout(PATIENCE, self.table.wait_for(|t| t.known() && holds(t))).await;
-        assert!(held.is_ok(), "not in time: {what}; {:?}", self.said);
+    /// Waits until the list satisfies a condition.
+    async fn until(&mut self, condition: &str, holds: impl Fn(&EndpointTable) -> bool) {
+        let result = timeout(TIMEOUT, self.table.wait_for(|t| t.is_known() && holds(t))).await;
+        assert!(result.is_ok(), "timed out: {condition}; {:?}", self.lines);
     }
 
-    async fn until_said(&self, what: &str) {
+    async fn until_logged(&self, text: &str) {
         let waiting = async {
-            while !self.said(what) {
+            while !self.has_logged(text) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        assert!(timeout(PATIENCE, waiting).await.is_ok(), "not in time: {what}; {:?}", self.said);
+        assert!(timeout(TIMEOUT, waiting).await.is_ok(), "timed out: {text}; {:?}", self.lines);
     }
 
-    /// Asks as a gateway does; gives status and body.
+    /// Sends a request as a gateway does. Returns the status and the body.
     async fn get(&self, path: &str) -> (u16, Value) {
-        let mut stream = TcpStream::connect(self.address).await.expect("it listens");
+        let mut stream = TcpStream::connect(self.address).await.expect("connected");
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-        stream.write_all(request.as_bytes()).await.expect("room");
+        stream.write_all(request.as_bytes()).await.expect("sent");
         let mut text = String::new();
-        timeout(PATIENCE, stream.read_to_string(&mut text)).await.expect("in time").expect("an answer");
+        timeout(TIMEOUT, stream.read_to_string(&mut text)).await.expect("in time").expect("a response");
         let status = text.split(' ').nth(1).expect("a status").parse().expect("a number");
         let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or(Value::Null))
@@ -99,7 +99,7 @@
 }
 
 async fn zone(instances: u16) -> Dns {
-    let dns = Dns::start(1, 1).await.expect("a port");
+    let dns = Dns::start(1, 1).await.expect("listening");
     (0..instances).for_each(|i| dns.put(SERVICE, &instance(i)));
     dns
 }
@@ -108,41 +108,42 @@
 async fn gateways_poll_a_snapshot_and_then_changes() {
     let dns = zone(3).await;
     let mut source = Source::start(&[&dns], &[SERVICE]).await;
-    source.until("three", |t| t.updates_after(None).endpoints.len() == 3).await;
-    let (status, whole) = source.get("/discovery/hosts").await;
-    assert_eq!((status, whole["snapshot"].as_bool()), (200, Some(true)));
-    let first = &whole["endpoints"][1];
+    source.until("three endpoints", |t| t.updates_after(None).endpoints.len() == 3).await;
+    let (status, snapshot) = source.get("/discovery/hosts").await;
+    assert_eq!((status, snapshot["snapshot"].as_bool()), (200, Some(true)));
+    let first = &snapshot["endpoints"][1];
     for (key, value) in
         [("name", "t1"), ("address", "127.0.0.1:9001"), ("zone", "room"), ("status", "SERVING")]
     {
         assert_eq!(first[key], value, "{first}");
     }
     assert_eq!((first["group"].as_u64(), first["priority"].as_u64()), (Some(4), Some(1)));
-    let index = whole["index"].as_u64().expect("a number");
+    let index = snapshot["index"].as_u64().expect("a number");
     let path = format!("/discovery/hosts?after={index}&wait_ms=20000");
-    let (waited, ()) = tokio::join!(source.get(&path), async {
+    let (delta, ()) = tokio::join!(source.get(&path), async {
         sleep(Duration::from_millis(50)).await;
         dns.put(SERVICE, &instance(7));
         dns.unpoint(SERVICE, "t0");
     });
-    let names = |news: &Value| -> Vec<String> {
-        let all = news["endpoints"].as_array().expect("lines").iter();
-        all.map(|e| format!("{} {}", e["name"].as_str().unwrap_or(""), e["status"].as_str().unwrap_or("")))
+    let names = |update: &Value| -> Vec<String> {
+        let endpoints = update["endpoints"].as_array().expect("an array").iter();
+        endpoints
+            .map(|e| format!("{} {}", e["name"].as_str().unwrap_or(""), e["status"].as_str().unwrap_or("")))
             .collect()
     };
-    assert_eq!(waited.1["snapshot"].as_bool(), Some(false));
-    assert!(names(&waited.1).iter().all(|n| n == "t0 DELETED" || n == "t7 SERVING"), "{}", waited.1);
+    assert_eq!(delta.1["snapshot"].as_bool(), Some(false));
+    assert!(names(&delta.1).iter().all(|n| n == "t0 DELETED" || n == "t7 SERVING"), "{}", delta.1);
     source
-        .until("the change", |t| {
+        .until("the changed list", |t| {
             t.updates_after(None).endpoints.iter().map(|l| &l.name[..]).eq(["t1", "t2", "t7"])
         })
         .await;
     assert_eq!(source.get("/discovery/hosts?after=x").await.0, 400);
     assert_eq!(source.get("/").await.0, 404);
-    // One that has all waits for as long as it says, and hears that nothing changed.
+    // A reader that is up to date waits as long as it asked for and gets an empty delta.
     let index = source.table.borrow().index();
-    let (status, same) = source.get(&format!("/discovery/hosts?after={index}&wait_ms=1")).await;
-    assert_eq!((status, same["endpoints"].as_array().map(Vec::len)), (200, Some(0)));
+    let (status, unchanged) = source.get(&format!("/discovery/hosts?after={index}&wait_ms=1")).await;
+    assert_eq!((status, unchanged["endpoints"].as_array().map(Vec::len)), (200, Some(0)));
 }
 
 #[tokio::test]
@@ -150,57 +151,61 @@
     let (dns, silent) = (zone(3).await, zone(0).await);
     silent.switch.set(Fault::Silent);
     let source = Source::start(&[&silent], &[SERVICE]).await;
-    source.until_said("ALARM").await;
+    source.until_logged("ALARM").await;
     assert_eq!(source.get("/discovery/hosts").await.0, 503);
-    // Two services, of which one goes unanswered: the half is no list.
+    // Of two services one is not answered: an incomplete list is not served.
     let mut source = Source::start(&[&dns], &[SERVICE, "_till._tcp.hall.test"]).await;
     dns.switch.set(Fault::Failing);
-    source.until_said("ALARM").await;
+    source.until_logged("ALARM").await;
     assert_eq!(source.get("/discovery/hosts").await.0, 503);
     dns.switch.set(Fault::Well);
     source.until("the list", |t| t.updates_after(None).endpoints.len() == 3).await;
-    assert!(source.said("answered again"));
+    assert!(source.has_logged("answered again"));
 }
 
 #[tokio::test]
 async fn failing_resolvers_remove_nothing_and_raise_an_alarm() {
     let dns = zone(4).await;
     let mut source = Source::start(&[&dns], &[SERVICE]).await;
-    source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
+    source.until("four endpoints", |t| t.updates_after(None).endpoints.len() == 4).await;
     for fault in [Fault::Silent, Fault::Failing, Fault::Refusing, Fault::Garbled] {
-        source.said.lock().expect("whole").clear();
+        source.lines.lock().expect("not poisoned").clear();
         dns.switch.set(fault);
-        source.until_said("ALARM").await;
-        // Longer than any record lives.
+        source.until_logged("ALARM").await;
+        // Longer than the lifetime of any record.
         sleep(Duration::from_millis(1_300)).await;
         assert_eq!(source.names(), ["t0", "t1", "t2", "t3"], "{fault:?}");
         dns.switch.set(Fault::Well);
-        source.until_said("answered again").await;
+        source.until_logged("answered again").await;
     }
-    assert!(!source.said.lock().expect("whole").iter().any(|line| line.starts_with('-')));
+    assert!(!source.lines.lock().expect("not poisoned").iter().any(|line| line.starts_with('-')));
     dns.switch.set(Fault::Failing);
-    source.until_said("ALARM").await;
+    source.until_logged("ALARM").await;
     sleep(Duration::from_millis(1_300)).await;
-    let (response, told) = oneshot::channel();
-    source.asks.send(StatusRequest { include_records: true, response }).await.expect("it runs");
-    let report = told.await.expect("told");
-    assert_eq!((report.list.len(), report.known), (4, true));
-    assert!(report.list.iter().all(|l| l.stale_ms.is_some_and(|ms| ms > 0.0)), "{report:?}");
-    assert!(report.unanswered.iter().any(|u| u.reason.contains("Server Failure")), "{report:?}");
-    // A pointer; a service, a text and two kinds of address for each.
-    assert_eq!(report.records.len(), 1 + 4 * 4);
+    let (response, status) = oneshot::channel();
+    source
+        .status_requests
+        .send(StatusRequest { include_records: true, response })
+        .await
+        .expect("a running follower");
+    let status = status.await.expect("a status");
+    assert_eq!((status.list.len(), status.known), (4, true));
+    assert!(status.list.iter().all(|l| l.stale_ms.is_some_and(|ms| ms > 0.0)), "{status:?}");
+    assert!(status.unanswered.iter().any(|u| u.reason.contains("Server Failure")), "{status:?}");
+    // One PTR question, and an SRV, a TXT, an A and an AAAA question for each instance.
+    assert_eq!(status.records.len(), 1 + 4 * 4);
 }
 
 #[tokio::test]
-async fn empty_zone_of_one_resolver_is_not_believed() {
-    let (old, good) = (zone(4).await, zone(4).await);
-    let mut source = Source::start(&[&old, &good], &[SERVICE]).await;
-    source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
-    old.lie(Lie::Empty);
-    source.until_said("ALARM 4 instances would leave at once").await;
-    source.until_said("no instance is held any more").await;
+async fn empty_zone_of_one_resolver_removes_nothing() {
+    let (outdated, healthy) = (zone(4).await, zone(4).await);
+    let mut source = Source::start(&[&outdated, &healthy], &[SERVICE]).await;
+    source.until("four endpoints", |t| t.updates_after(None).endpoints.len() == 4).await;
+    outdated.lie(Lie::Empty);
+    source.until_logged("ALARM 4 instances would leave at once").await;
+    source.until_logged("no instance is held any more").await;
     assert_eq!(source.names(), ["t0", "t1", "t2", "t3"]);
-    // Where both say so, it is so.
-    good.lie(Lie::Empty);
-    source.until("nobody", |t| t.updates_after(None).endpoints.is_empty()).await;
+    // If both resolvers agree, the instances are removed.
+    healthy.lie(Lie::Empty);
+    source.until("an empty list", |t| t.updates_after(None).endpoints.is_empty()).await;
 }
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -1,4 +1,4 @@
-//! Lines that a source says, and why a question went unanswered, as logs and tools show them.
+//! Texts in logs and tools: lines that the follower logs and errors of failed queries.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -13,50 +13,52 @@
 use tokio::time::{sleep, timeout};
 
 const SERVICE: &str = "_till._tcp.ub-room.test";
-const PATIENCE: Duration = Duration::from_secs(20);
-const EACH: Duration = Duration::from_millis(150);
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of each attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 
 fn question() -> Question {
-    Question { name: Name::from_ascii(SERVICE).expect("a name"), kind: QueryType::Ptr }
+    Question { name: Name::from_ascii(SERVICE).expect("valid name"), kind: QueryType::Ptr }
 }
 
-async fn why_unanswered(servers: Vec<SocketAddr>) -> String {
-    let answered = Resolver::new(servers, EACH).query(&question(), false).await;
-    answered.map(|a| a.over_tcp).expect_err("nobody answers").to_string()
+/// Error text of a query that fails at all servers.
+async fn failure_text(servers: Vec<SocketAddr>) -> String {
+    let result = Resolver::new(servers, ATTEMPT_TIMEOUT).query(&question(), false).await;
+    result.map(|a| a.over_tcp).expect_err("no server answers").to_string()
 }
 
 #[tokio::test]
 async fn query_failures_have_recorded_texts() {
-    assert_eq!(why_unanswered(vec![]).await, "no resolver is configured");
-    let silent = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+    assert_eq!(failure_text(vec![]).await, "no resolver is configured");
+    let silent = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let first = silent.local_addr().expect("bound");
-    assert_eq!(why_unanswered(vec![first]).await, format!("{first}: no answer in time"));
-    let garbling = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    let second = garbling.local_addr().expect("bound");
+    assert_eq!(failure_text(vec![first]).await, format!("{first}: no answer in time"));
+    let server = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
+    let second = server.local_addr().expect("bound");
     let answering = async {
         let mut query = [0; 512];
-        let (_, from) = garbling.recv_from(&mut query).await.expect("a query");
-        garbling.send_to(b"\0", from).await.expect("room");
+        let (_, from) = server.recv_from(&mut query).await.expect("a query");
+        server.send_to(b"\0", from).await.expect("sent");
     };
-    let (why, ()) = tokio::join!(why_unanswered(vec![first, second]), answering);
+    let (text, ()) = tokio::join!(failure_text(vec![first, second]), answering);
     let start = format!("{first}: no answer in time; {second}: no DNS message: ");
-    assert!(why.starts_with(&start), "{why}");
-    let strange = async {
+    assert!(text.starts_with(&start), "{text}");
+    let forging = async {
         let mut query = [0; 512];
-        let (length, from) = garbling.recv_from(&mut query).await.expect("a query");
+        let (length, from) = server.recv_from(&mut query).await.expect("a query");
         query[0] ^= 1;
         for _ in 0..64 {
-            garbling.send_to(&query[..length], from).await.expect("room");
+            server.send_to(&query[..length], from).await.expect("sent");
         }
     };
-    let (why, ()) = tokio::join!(why_unanswered(vec![second]), strange);
-    let wanted = "64 datagrams that were not meant for it; the last: an answer with another id";
-    assert_eq!(why, format!("{second}: {wanted}"));
+    let (text, ()) = tokio::join!(failure_text(vec![second]), forging);
+    let expected = "64 datagrams that were not meant for it; the last: an answer with another id";
+    assert_eq!(text, format!("{second}: {expected}"));
 }
 
 #[tokio::test]
-async fn follower_says_recorded_lines() {
-    let dns = Dns::start(1, 1).await.expect("a port");
+async fn follower_logs_recorded_lines() {
+    let dns = Dns::start(1, 1).await.expect("a socket");
     for i in 0..3 {
         let (label, address) = (format!("t{i}"), Ipv4Addr::LOCALHOST);
         dns.put(SERVICE, &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address });
@@ -64,32 +66,32 @@
     let cache_limits =
         CacheLimits { min_ttl_ms: 100.0, min_retry_ms: 50.0, max_retry_ms: 200.0, ..CacheLimits::default() };
     let settings = Settings { services: vec![question().name], cache_limits, max_shrink: 0.5, seed: 1 };
-    let resolver = Resolver::new(vec![dns.address], EACH);
+    let resolver = Resolver::new(vec![dns.address], ATTEMPT_TIMEOUT);
     let (sender, _table) = watch::channel(Arc::new(EndpointTable::new(0)));
-    let said = Arc::<Mutex<Vec<String>>>::default();
-    let lines = Arc::clone(&said);
-    let (_asks, asked) = mpsc::channel(1);
-    let say = move |line: String| lines.lock().expect("whole").push(line);
-    let following = tokio::spawn(follow(settings, resolver, sender, asked, say));
-    let until = async |part: &str| {
+    let logged = Arc::<Mutex<Vec<String>>>::default();
+    let lines = Arc::clone(&logged);
+    let (_status_requests, receiver) = mpsc::channel(1);
+    let log = move |line: String| lines.lock().expect("not poisoned").push(line);
+    let following = tokio::spawn(follow(settings, resolver, sender, receiver, log));
+    let until_logged = async |part: &str| {
         let waiting = async {
-            while !said.lock().expect("whole").iter().any(|line| line.contains(part)) {
+            while !logged.lock().expect("not poisoned").iter().any(|line| line.contains(part)) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        assert!(timeout(PATIENCE, waiting).await.is_ok(), "not in time: {part}; {said:?}");
+        assert!(timeout(TIMEOUT, waiting).await.is_ok(), "timed out: {part}; {logged:?}");
     };
-    until("the list is known: 3 instances").await;
+    until_logged("the list is known: 3 instances").await;
     dns.unpoint(SERVICE, "t0");
-    until("- t0 by _till._tcp.ub-room.test. PTR").await;
+    until_logged("- t0 by _till._tcp.ub-room.test. PTR").await;
     dns.switch.set(Fault::Silent);
-    until("ALARM").await;
+    until_logged("ALARM").await;
     dns.switch.set(Fault::Well);
-    until("all questions are answered again").await;
-    let mut lines = said.lock().expect("whole").clone();
+    until_logged("all questions are answered again").await;
+    let mut lines = logged.lock().expect("not poisoned").clone();
     lines[..3].sort();
     assert_eq!(lines[..3], ["+ t0", "+ t1", "+ t2"]);
-    let alarm = lines.iter().find(|line| line.starts_with("ALARM")).expect("one");
+    let alarm = lines.iter().find(|line| line.starts_with("ALARM")).expect("an alarm");
     let words: Vec<&str> = alarm.splitn(9, ' ').collect();
     assert_eq!((words[0], words[2], words[3]), ("ALARM", "questions", "unanswered,"), "{alarm}");
     assert_eq!(
