--- a/crates/operator-config/src/address.rs
+++ b/crates/operator-config/src/address.rs
@@ -1,4 +1,4 @@
-//! Where an admin listener or an agent listens.
+//! Listen addresses of admin listeners and agents.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,33 +7,33 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Stands for a gateway's name in the path of its socket.
-pub const NAME_MARK: &str = "{name}";
+/// Placeholder for a gateway's name in the path of its socket.
+pub const NAME_PLACEHOLDER: &str = "{name}";
 
 /// A Unix socket, `unix:PATH`, or an address with a port, `tcp:ADDRESS:PORT`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Address {
-    /// A socket in the file system, which only its owner can connect to.
+    /// A Unix socket, which only its owner can connect to.
     Unix(PathBuf),
-    /// TCP, with certificates of both sides.
+    /// TCP with mutual TLS.
     Tcp(SocketAddr),
 }
 
 impl Address {
-    /// Whether it is TCP.
+    /// Returns whether it is a TCP address.
     #[must_use]
     pub fn is_tcp(&self) -> bool {
         matches!(self, Address::Tcp(_))
     }
 
-    /// The address of a gateway of this name. A slash in the name becomes an underscore, so that the path
-    /// can't lead elsewhere.
+    /// Returns the address of the gateway `name`. Slashes and null characters in the name become underscores,
+    /// so that the name cannot change the directory.
     #[must_use]
     pub fn for_gateway(&self, name: &str) -> Address {
         match self {
             Address::Unix(path) => {
-                let path = path.to_string_lossy().replace(NAME_MARK, &name.replace(['/', '\0'], "_"));
+                let path = path.to_string_lossy().replace(NAME_PLACEHOLDER, &name.replace(['/', '\0'], "_"));
                 Address::Unix(path.into())
             }
             Address::Tcp(address) => Address::Tcp(*address),
@@ -41,7 +41,7 @@
     }
 }
 
-/// The error for a text that is no address.
+/// Error for a text that is not a valid address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidAddress;
 
--- a/crates/operator-config/src/agent.rs
+++ b/crates/operator-config/src/agent.rs
@@ -1,4 +1,4 @@
-//! `[agent]` and `[[gateway]]`: the agent, and the gateways that it oversees from its start.
+//! `[agent]` and `[[gateway]]`: the agent and the gateways that it manages from its start on.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -9,31 +9,32 @@
 use crate::problems::Problems;
 use crate::{Address, TlsConfig, MAX_GATEWAYS};
 
-/// The agent.
+/// Settings of the agent.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Agent", expecting = "struct Agent")]
 pub struct AgentConfig {
-    /// Where it listens for tools: a Unix socket.
+    /// Listen address for tools; a Unix socket.
     pub listen: Address,
-    /// Where gateways register, and can do nothing else. Over TCP only with `tls`. None: they can't.
+    /// Listen address for registrations of gateways, and for nothing else. TCP requires `tls`. `None`:
+    /// gateways cannot register.
     pub register: Option<Address>,
-    /// Its log of orders, a file of its own.
+    /// File of the log of orders, which must not be used for anything else.
     pub log: PathBuf,
-    /// The part of the serving backends, and of the gateways that answer, that an order has to leave ready
-    /// unless it is forced: 0 to 1.
+    /// Minimum fraction of the serving backends, and of the gateways that respond, that an order has to leave
+    /// ready unless it is forced: 0 to 1.
     #[serde(default = "default_least_ready")]
     pub least_ready: f64,
-    /// How often each gateway is polled for its state, ms: 50 to 60,000.
+    /// Interval at which each gateway is polled for its state, ms: 50 to 60,000.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// How long a gateway may take to connect and to respond, ms: 10 to 60,000.
+    /// Timeout for connecting to a gateway and for its response, ms: 10 to 60,000.
     #[serde(default = "default_answer_ms")]
     pub answer_ms: u64,
-    /// Requests to gateways that may be in flight at once: 1 to 4,096.
+    /// Maximum number of requests to gateways in flight: 1 to 4,096.
     #[serde(default = "default_fan_out")]
     pub fan_out: usize,
-    /// Certificates, for gateways whose admin listener is on TCP.
+    /// Certificates for TCP connections with gateways.
     pub tls: Option<TlsConfig>,
 }
 
@@ -54,13 +55,13 @@
 }
 
 impl AgentConfig {
-    /// [`AgentConfig::heartbeat_ms`] as a duration.
+    /// Returns [`AgentConfig::heartbeat_ms`] as a duration.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// [`AgentConfig::answer_ms`] as a duration.
+    /// Returns [`AgentConfig::answer_ms`] as a duration.
     #[must_use]
     pub fn response_timeout(&self) -> Duration {
         Duration::from_millis(self.answer_ms)
@@ -80,18 +81,18 @@
     }
 }
 
-/// A gateway that the agent oversees.
+/// A gateway that the agent manages.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Gateway", expecting = "struct Gateway")]
 pub struct GatewayConfig {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Its admin listener.
+    /// Address of its admin listener.
     pub admin: Address,
 }
 
-/// `has_tls` tells whether the agent has certificates.
+/// Checks the list of gateways. `has_tls` states whether the agent has certificates.
 pub(crate) fn validate_gateways(gateways: &[GatewayConfig], has_tls: bool, problems: &mut Problems) {
     if gateways.len() > MAX_GATEWAYS {
         problems.add("gateway", format!("too many; {MAX_GATEWAYS} at most"));
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,16 +1,16 @@
-//! Why an operator's file can't be used.
+//! Errors of reading the operator's file.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// Why an operator's file can't be used.
+/// Error of reading the operator's file.
 #[derive(Debug)]
 pub enum OperatorConfigError {
-    /// It can't be read.
+    /// The file cannot be read.
     Unreadable(PathBuf, std::io::Error),
-    /// It is not TOML, or a key is unknown, missing or of the wrong type: the text names line and key.
+    /// The file is not TOML, or a key is unknown, missing or of the wrong type. The text names line and key.
     Toml(PathBuf, String),
-    /// Values that don't fit: key and what is wanted, for each.
+    /// Values are invalid; contains the key of each and a description of the problem.
     Values(PathBuf, Vec<(String, String)>),
 }
 
@@ -23,7 +23,7 @@
             }
             OperatorConfigError::Values(path, problems) => {
                 let path = path.display();
-                let line = |(key, wanted): &(String, String)| format!("{path}: {key}: {wanted}");
+                let line = |(key, problem): &(String, String)| format!("{path}: {key}: {problem}");
                 f.write_str(&problems.iter().map(line).collect::<Vec<_>>().join("\n"))
             }
         }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operator's file, `operator.toml`: read and validated. Errors name the file, and line and key.
+//! Reads and validates the operator's file, `operator.toml`. Errors name the file, and the line or the key.
 //!
-//! The platform's own configuration says nothing of what is in here, and a gateway that is given no such
-//! file opens no admin listener.
+//! These settings are independent of the platform's own configuration. A gateway without such a file opens no
+//! admin listener.
 
 mod address;
 mod admin;
@@ -18,7 +18,7 @@
 
 use problems::Problems;
 
-pub use address::{Address, InvalidAddress, NAME_MARK};
+pub use address::{Address, InvalidAddress, NAME_PLACEHOLDER};
 pub use admin::{AdminConfig, TlsConfig};
 pub use agent::{AgentConfig, GatewayConfig};
 pub use error::OperatorConfigError;
@@ -26,26 +26,26 @@
 pub use sources::SourcesConfig;
 pub use start::StartConfig;
 
-/// The most gateways that an agent oversees.
+/// Maximum number of gateways that an agent manages.
 pub const MAX_GATEWAYS: usize = 10_000;
 
-/// The operator's file.
+/// Content of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Operator", expecting = "struct Operator")]
 pub struct OperatorConfig {
-    /// The admin listener of each gateway. None: there is none.
+    /// Admin listener of each gateway. `None`: gateways have no admin listener.
     pub admin: Option<AdminConfig>,
-    /// How many backends each gateway considers.
+    /// Number of backends that each gateway considers.
     #[serde(default)]
     pub routing: RoutingConfig,
-    /// How gateways start as a fleet. None: each one starts as if it were alone.
+    /// Coordinated start of the gateways of a fleet. `None`: each gateway starts independently.
     pub start: Option<StartConfig>,
-    /// The agent.
+    /// Settings of the agent.
     pub agent: Option<AgentConfig>,
-    /// The sources of the endpoint list that the agent serves. None: it serves no list.
+    /// Sources of the endpoint list that the agent serves. `None`: it serves no list.
     pub sources: Option<SourcesConfig>,
-    /// The gateways that the agent oversees from its start.
+    /// Gateways that the agent manages from its start on.
     #[serde(default, rename = "gateway")]
     pub gateways: Vec<GatewayConfig>,
 }
@@ -54,17 +54,17 @@
     /// Reads and validates a file.
     ///
     /// # Errors
-    /// An [`OperatorConfigError`].
+    /// An [`OperatorConfigError`] if the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| OperatorConfigError::Unreadable(path.to_path_buf(), error))?;
         OperatorConfig::parse(path, &text)
     }
 
-    /// Parses and validates the text of a file; `path` is only named in errors.
+    /// Parses and validates the text of a file; `path` only appears in errors.
     ///
     /// # Errors
-    /// An [`OperatorConfigError`].
+    /// An [`OperatorConfigError`] if the text is invalid.
     pub fn parse(path: &Path, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
         let config: OperatorConfig = toml::from_str(text)
             .map_err(|error| OperatorConfigError::Toml(path.to_path_buf(), error.to_string()))?;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What does not fit: key and what is wanted, for each.
+    /// Returns the invalid values, each as its key and a description of the problem.
     fn validate(&self) -> Vec<(String, String)> {
         let mut problems = Problems::default();
         if let Some(admin) = &self.admin {
@@ -97,7 +97,8 @@
         problems.into_vec()
     }
 
-    /// Whether gateways know an agent; in a file of the agent alone, whether there is one.
+    /// Returns whether gateways have the address of an agent. In a file without `[admin]`, which is for the
+    /// agent alone, returns whether there is an agent.
     fn has_agent(&self) -> bool {
         match &self.admin {
             Some(admin) => admin.agent.is_some(),
--- a/crates/operator-config/src/problems.rs
+++ b/crates/operator-config/src/problems.rs
@@ -1,22 +1,22 @@
-//! Values that don't fit.
+//! Collects invalid values.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Collects the problems of a file, in the order of its checks.
+/// Problems found in a file, in the order of the checks.
 #[derive(Debug, Default)]
 pub(crate) struct Problems {
-    /// Key, such as `agent.fan_out`, and what is wanted.
+    /// Key, such as `agent.fan_out`, and a description of the problem, for each.
     found: Vec<(String, String)>,
 }
 
 impl Problems {
     /// Adds a problem.
-    pub(crate) fn add(&mut self, key: impl Into<String>, wanted: impl Into<String>) {
-        self.found.push((key.into(), wanted.into()));
+    pub(crate) fn add(&mut self, key: impl Into<String>, problem: impl Into<String>) {
+        self.found.push((key.into(), problem.into()));
     }
 
-    /// Adds a problem unless the value is within a range.
+    /// Adds a problem if the value is outside a range.
     pub(crate) fn check_range<T: PartialOrd + fmt::Display>(
         &mut self,
         key: &str,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// All problems found, each as key and what is wanted.
+    /// Returns all problems, each as a key and a description.
     pub(crate) fn into_vec(self) -> Vec<(String, String)> {
         self.found
     }
--- a/crates/operator-config/src/routing.rs
+++ b/crates/operator-config/src/routing.rs
@@ -1,22 +1,23 @@
-//! `[routing]`: how many backends a gateway considers.
+//! `[routing]`: the number of backends that a gateway considers.
 
 use serde::Deserialize;
 
 use crate::problems::Problems;
 
-/// How many backends a gateway considers. All gateways of a fleet are to have the same values.
+/// Number of backends that a gateway considers. All gateways of a fleet must have the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[serde(rename = "Routing", expecting = "struct Routing")]
 pub struct RoutingConfig {
-    /// Endpoint lists of up to so many backends are considered whole for each request: 0 to 1,000.
+    /// For endpoint lists of up to this size, all backends are considered for each request: 0 to 1,000.
     pub whole: usize,
-    /// So many are drawn and considered where there are more: 1 to 64.
+    /// Number of backends drawn and considered for each request if the list is longer than `whole`: 1 to 64.
     pub choices: usize,
-    /// Backends in a gateway's subset, in addition to its part of those that `coverage` calls for: 1 to
-    /// 100,000.
+    /// Number of backends in a gateway's subset, in addition to its share of those that `coverage` requires:
+    /// 1 to 100,000.
     pub subset: u32,
-    /// Gateways that have each backend in their subset, where there are as many: 1 to 10,000.
+    /// Minimum number of gateways that have each backend in their subset, if there are that many gateways: 1
+    /// to 10,000.
     pub coverage: u32,
 }
 
--- a/crates/operator-config/src/sources.rs
+++ b/crates/operator-config/src/sources.rs
@@ -6,44 +6,45 @@
 
 use crate::problems::Problems;
 
-/// The most services that are followed.
+/// Maximum number of services.
 const MAX_SERVICES: usize = 64;
-/// The most resolvers that are asked.
+/// Maximum number of resolvers.
 const MAX_RESOLVERS: usize = 16;
-/// The longest time to live, s.
+/// Maximum lifetime of an answer, s.
 const MAX_TTL_S: u32 = 86_400;
-/// The longest label of a domain name, and the longest domain name, bytes (RFC 1035, section 2.3.4).
+/// Maximum lengths of a label and of a domain name, bytes (RFC 1035, section 2.3.4).
 const MAX_LABEL_BYTES: usize = 63;
 const MAX_DOMAIN_NAME_BYTES: usize = 253;
 
-/// The endpoint list that the agent serves to gateways by the discovery protocol, from DNS-SD (RFC 6763).
+/// Settings of the endpoint list that the agent builds from DNS-SD (RFC 6763) and serves to gateways by the
+/// discovery protocol.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Sources", expecting = "struct Sources")]
 pub struct SourcesConfig {
-    /// Where gateways fetch it: their configurations name this as `discovery`.
+    /// Listen address. The configurations of gateways name it as `discovery`.
     pub listen: SocketAddr,
     /// Services, such as `_till._tcp.ub-room.example.org`: 1 to 64.
     pub services: Vec<String>,
-    /// Resolvers, each of which answers for all services: 1 to 16.
+    /// Resolvers, each of which can answer queries for all services: 1 to 16.
     pub resolvers: Vec<SocketAddr>,
-    /// How long each resolver may take for a query, ms: 10 to 60,000.
+    /// Timeout of a query at each resolver, ms: 10 to 60,000.
     #[serde(default = "default_answer_ms")]
     pub answer_ms: u64,
-    /// The part of the list that one answer may remove, 0 to 1. More is removed once a second answer confirms
-    /// it.
+    /// Maximum fraction of the list that is removed at once without a second answer, 0 to 1.
     #[serde(default = "default_shrink_most")]
     pub shrink_most: f64,
-    /// The least time for which an answer is valid, s, whatever it says: 1 to 86,400.
+    /// Lower limit of the lifetime of an answer, s, whatever its TTL: 1 to 86,400.
     #[serde(default = "default_ttl_least_s")]
     pub ttl_least_s: u32,
-    /// The longest time for which an answer is valid, s, whatever it says: `ttl_least_s` to 86,400.
+    /// Upper limit of the lifetime of an answer, s, whatever its TTL: `ttl_least_s` to 86,400.
     #[serde(default = "default_ttl_most_s")]
     pub ttl_most_s: u32,
-    /// For how long records count as stale, and not as unknown, while no resolver answers, s: 1 to 604,800.
+    /// How long records are used as stale records, before they count as unknown, while no resolver answers,
+    /// s: 1 to 604,800.
     #[serde(default = "default_stale_most_s")]
     pub stale_most_s: u32,
-    /// Queries that may be in flight at once: 1 to 1,024.
+    /// Maximum number of queries in flight: 1 to 1,024.
     #[serde(default = "default_questions")]
     pub questions: usize,
 }
@@ -79,13 +80,13 @@
         }
         for (index, service) in self.services.iter().enumerate() {
             if !is_service(service) {
-                let wanted = "a service is wanted, as in _till._tcp.ub-room.example.org";
-                problems.add(format!("sources.services[{index}]"), wanted);
+                let problem = "a service is wanted, as in _till._tcp.ub-room.example.org";
+                problems.add(format!("sources.services[{index}]"), problem);
             }
         }
         if !(1..=MAX_RESOLVERS).contains(&self.resolvers.len()) {
-            let wanted = format!("1 to {MAX_RESOLVERS} are wanted, as in 127.0.0.1:53");
-            problems.add("sources.resolvers", wanted);
+            let problem = format!("1 to {MAX_RESOLVERS} are wanted, as in 127.0.0.1:53");
+            problems.add("sources.resolvers", problem);
         }
         problems.check_range("sources.answer_ms", self.answer_ms, 10..=60_000);
         problems.check_range("sources.shrink_most", self.shrink_most, 0.0..=1.0);
@@ -98,7 +99,8 @@
     }
 }
 
-/// Whether a name has the form of a service: two labels with an underscore, and a domain.
+/// Returns whether a name has the form of a DNS-SD service: two labels that begin with an underscore, and a
+/// domain.
 fn is_service(name: &str) -> bool {
     let labels: Vec<&str> = name.trim_end_matches('.').split('.').collect();
     let is_domain_name = name.len() <= MAX_DOMAIN_NAME_BYTES
--- a/crates/operator-config/tests/file_form.rs
+++ b/crates/operator-config/tests/file_form.rs
@@ -1,13 +1,13 @@
-//! The operator's file as recorded: each key is read to its place, each default is the recorded one, and each
-//! wrong file is refused in the recorded words.
+//! Pins the format of the operator's file: where each key is read to, the defaults, and the error texts of
+//! invalid files.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use operator_config::{Address, OperatorConfig, StartConfig, TlsConfig};
 
-/// Cases between lines of `=====`: the file's text, a line of `-----`, and what is said of it.
-const WRONG_FILES: &str = include_str!("data/wrong-files.txt");
+/// Cases separated by lines of `=====`: the text of the file, a line of `-----`, and the error text.
+const INVALID_FILES: &str = include_str!("data/wrong-files.txt");
 
 fn parse(text: &str) -> Result<OperatorConfig, String> {
     OperatorConfig::parse(Path::new("operator.toml"), text).map_err(|e| e.to_string())
@@ -18,12 +18,12 @@
 }
 
 fn address(text: &str) -> Address {
-    text.parse().expect("an address")
+    text.parse().expect("valid address")
 }
 
 #[test]
-fn reads_every_key_to_its_place() {
-    let file = parse(include_str!("data/full.toml")).expect("a good file");
+fn reads_every_key_into_its_field() {
+    let file = parse(include_str!("data/full.toml")).expect("valid file");
 
     let admin = file.admin.expect("admin");
     assert_eq!(admin.listen, Address::Unix(PathBuf::from("/run/{name}.sock")));
@@ -69,7 +69,7 @@
     let text = "[start]\nlist_calls_per_s = 1\n[routing]\n[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"\n\
                 [sources]\nlisten = \"127.0.0.1:1\"\nservices = [\"_a._tcp.b\"]\n\
                 resolvers = [\"127.0.0.1:53\"]";
-    let file = parse(text).expect("a good file");
+    let file = parse(text).expect("valid file");
     let routing = file.routing;
     assert_eq!((routing.whole, routing.choices, routing.subset, routing.coverage), (16, 8, 5, 3));
     let start = StartConfig {
@@ -89,38 +89,38 @@
 }
 
 #[test]
-fn errors_of_wrong_files_are_as_recorded() {
-    let cases: Vec<&str> = WRONG_FILES.split("=====\n").filter(|case| !case.is_empty()).collect();
+fn invalid_files_have_recorded_errors() {
+    let cases: Vec<&str> = INVALID_FILES.split("=====\n").filter(|case| !case.is_empty()).collect();
     assert_eq!(cases.len(), 71);
     for case in cases {
-        let (text, said) = case.split_once("-----\n").expect("a text and what is said of it");
-        assert_eq!(parse(text).expect_err(text), said.trim_end_matches('\n'), "{text}");
+        let (text, error) = case.split_once("-----\n").expect("a text and its error");
+        assert_eq!(parse(text).expect_err(text), error.trim_end_matches('\n'), "{text}");
     }
 }
 
 #[test]
 fn error_names_an_unreadable_file() {
-    let said =
+    let error =
         OperatorConfig::read(Path::new("/nonexistent/operator.toml")).expect_err("no such file").to_string();
-    assert_eq!(said, "/nonexistent/operator.toml: No such file or directory (os error 2)");
+    assert_eq!(error, "/nonexistent/operator.toml: No such file or directory (os error 2)");
 }
 
 #[test]
-fn inserts_names_into_addresses_as_recorded() {
-    let marked = address("unix:/run/{name}/{name}.sock");
-    assert_eq!(marked.for_gateway("n1").to_string(), "unix:/run/n1/n1.sock");
-    assert_eq!(marked.for_gateway("a/b\0c").to_string(), "unix:/run/a_b_c/a_b_c.sock");
+fn inserts_the_gateway_name_into_addresses() {
+    let with_placeholder = address("unix:/run/{name}/{name}.sock");
+    assert_eq!(with_placeholder.for_gateway("n1").to_string(), "unix:/run/n1/n1.sock");
+    assert_eq!(with_placeholder.for_gateway("a/b\0c").to_string(), "unix:/run/a_b_c/a_b_c.sock");
     assert_eq!(address("tcp:[::1]:7").for_gateway("n1").to_string(), "tcp:[::1]:7");
     for text in ["", "unix:", "/a", "tcp:localhost:1", "udp:127.0.0.1:1"] {
-        let said = text.parse::<Address>().expect_err(text).to_string();
-        assert_eq!(said, "unix:PATH or tcp:ADDRESS:PORT is wanted");
+        let error = text.parse::<Address>().expect_err(text).to_string();
+        assert_eq!(error, "unix:PATH or tcp:ADDRESS:PORT is wanted");
     }
 }
 
 #[test]
-fn rejects_more_gateways_than_recorded() {
+fn rejects_too_many_gateways() {
     let gateways: String =
         (0..10_001).map(|i| format!("[[gateway]]\nname = \"n{i}\"\nadmin = \"unix:/a\"\n")).collect();
-    let said = parse(&gateways).expect_err("too many");
-    assert_eq!(said, "operator.toml: gateway: too many; 10000 at most");
+    let error = parse(&gateways).expect_err("too many");
+    assert_eq!(error, "operator.toml: gateway: too many; 10000 at most");
 }
--- a/crates/operator-config/tests/read.rs
+++ b/crates/operator-config/tests/read.rs
@@ -1,4 +1,4 @@
-//! The shipped file, defaults, and what is said of wrong files.
+//! The shipped file, defaults, and errors of invalid files.
 
 use std::path::Path;
 
@@ -11,14 +11,14 @@
 #[test]
 fn shipped_file_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/operator.toml");
-    let file = OperatorConfig::read(&path).expect("good");
+    let file = OperatorConfig::read(&path).expect("valid file");
     assert!(file.admin.is_some() && file.agent.is_some());
 }
 
 #[test]
 fn fills_in_defaults_and_enables_nothing_without_sections() {
     assert_eq!(parse(""), Ok(OperatorConfig::default()));
-    let file = parse("[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"").expect("good");
+    let file = parse("[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"").expect("valid file");
     assert_eq!(file.agent.expect("an agent").heartbeat_ms, 1_000);
 }
 
@@ -67,10 +67,10 @@
         ("[sources]\nlisten = \"here\"", "line 2"),
         ("[adm", "line 1"),
     ];
-    for (text, said) in cases {
+    for (text, expected) in cases {
         let error = parse(text).expect_err(text);
-        assert!(error.contains(said) && error.starts_with("operator.toml"), "{text}: {error}");
+        assert!(error.contains(expected) && error.starts_with("operator.toml"), "{text}: {error}");
     }
-    let twice = "[[gateway]]\nname = \"a\"\nadmin = \"unix:/a\"\n";
-    assert!(parse(&twice.repeat(2)).expect_err("twice").contains("gateway[1].name"));
+    let gateway = "[[gateway]]\nname = \"a\"\nadmin = \"unix:/a\"\n";
+    assert!(parse(&gateway.repeat(2)).expect_err("duplicate name").contains("gateway[1].name"));
 }
