--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -1,13 +1,13 @@
-//! Plans with versions, and which customer has which plan from when on.
+//! Versioned plans and the assignments of plans to customers.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::timeline::{PlanLimits, PlanTimeline};
 
-/// The most versions of plans in a catalogue.
+/// Maximum number of plan versions in a catalogue.
 pub const MAX_PLANS: usize = 10_000;
-/// The most assignments of plans to customers in a catalogue.
+/// Maximum number of assignments of plans to customers in a catalogue.
 pub const MAX_CUSTOMERS: usize = 1_000_000;
 
 /// A version of a plan.
@@ -15,7 +15,7 @@
 pub struct Plan {
     /// Name of the plan, 1 to 64 bytes.
     pub name: Box<str>,
-    /// From 1. The limits of a version never change.
+    /// Version, from 1. The limits of a version never change.
     pub version: u32,
 }
 
@@ -25,41 +25,41 @@
     }
 }
 
-/// A customer's plan from an instant on.
+/// Assignment of a plan to a customer from an instant on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// Unix time in ms; 0: always.
+    /// Start, Unix time in ms; 0 means since always.
     pub from_ms: u64,
-    /// The plan.
+    /// The plan version.
     pub plan: Plan,
 }
 
-/// Why there is no such catalogue.
+/// Reason for which a catalogue is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CatalogueError {
-    /// The limits of a version are not finite numbers of 0 or more.
+    /// A limit of this plan version is negative or not finite.
     InvalidLimits(Plan),
-    /// A version is 0 or stands there twice.
+    /// The version is 0, or the catalogue has it twice.
     InvalidVersion(Plan),
-    /// A customer has a plan that is not in the catalogue.
+    /// A customer is assigned a plan version that is not in the catalogue.
     UnknownPlan {
         /// The customer.
         customer: u64,
         /// The plan.
         plan: Plan,
     },
-    /// A customer has two plans from one instant on.
+    /// A customer is assigned two plans from the same instant on.
     TwoPlans {
         /// The customer.
         customer: u64,
         /// The instant, Unix time in ms.
         from_ms: u64,
     },
-    /// There are too many of something.
+    /// The catalogue has too many entries.
     TooMany {
-        /// Of what.
+        /// Kind of the entries.
         what: &'static str,
-        /// The most that there may be.
+        /// Maximum number of them.
         max: usize,
     },
 }
@@ -86,20 +86,20 @@
 
 impl std::error::Error for CatalogueError {}
 
-/// All plans and which customer has which. Every catalogue is valid as a whole.
+/// All plans and their assignments to customers. A catalogue is always valid.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
     revision: u64,
     plans: BTreeMap<Plan, PlanLimits>,
-    /// By customer, in the order of their instants.
+    /// Assignments by customer, ordered by start.
     assignments: BTreeMap<u64, Vec<Assignment>>,
 }
 
 impl Catalogue {
-    /// Makes a catalogue.
+    /// Creates a catalogue from plans and assignments.
     ///
     /// # Errors
-    /// A [`CatalogueError`] for the first thing that is wrong.
+    /// A [`CatalogueError`] for the first invalid entry.
     pub fn new(
         revision: u64,
         plans: impl IntoIterator<Item = (Plan, PlanLimits)>,
@@ -137,42 +137,42 @@
             return Err(CatalogueError::UnknownPlan { customer, plan: assignment.plan });
         }
         let from_ms = assignment.from_ms;
-        let of_customer = self.assignments.entry(customer).or_default();
-        let index = of_customer.partition_point(|other| other.from_ms < from_ms);
-        if of_customer.get(index).is_some_and(|other| other.from_ms == from_ms) {
+        let customer_assignments = self.assignments.entry(customer).or_default();
+        let index = customer_assignments.partition_point(|other| other.from_ms < from_ms);
+        if customer_assignments.get(index).is_some_and(|other| other.from_ms == from_ms) {
             return Err(CatalogueError::TwoPlans { customer, from_ms });
         }
-        of_customer.insert(index, assignment);
+        customer_assignments.insert(index, assignment);
         Ok(())
     }
 
-    /// Grows with each change.
+    /// Returns the revision, which increases with each change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All versions of plans with their limits, in order.
+    /// Returns all plan versions with their limits, in order.
     pub fn plans(&self) -> impl Iterator<Item = (&Plan, &PlanLimits)> {
         self.plans.iter()
     }
 
-    /// How many customers have a plan.
+    /// Returns the number of customers with an assigned plan.
     #[must_use]
     pub fn customers(&self) -> usize {
         self.assignments.len()
     }
 
-    /// The plan of a customer at an instant, Unix time in ms; none if the catalogue gives it none by then.
+    /// Returns the plan of a customer at an instant, Unix time in ms; `None` if no plan is assigned by then.
     #[must_use]
     pub fn plan_at(&self, customer: u64, at_ms: u64) -> Option<&Plan> {
-        let of_customer = self.assignments.get(&customer)?;
-        let started = of_customer.partition_point(|assignment| assignment.from_ms <= at_ms);
-        started.checked_sub(1).map(|last| &of_customer[last].plan)
+        let customer_assignments = self.assignments.get(&customer)?;
+        let started = customer_assignments.partition_point(|assignment| assignment.from_ms <= at_ms);
+        started.checked_sub(1).map(|last| &customer_assignments[last].plan)
     }
 
-    /// A customer's limits over time. Before the first plan that the catalogue gives it they are `default`,
-    /// as the request itself names them.
+    /// Returns a customer's limits over time. Before the first assignment they are `default`, the limits that
+    /// the request itself states.
     #[must_use]
     pub fn timeline(&self, customer: u64, default: PlanLimits) -> PlanTimeline {
         let mut timeline = PlanTimeline::always(default);
--- a/crates/plans/src/catalogue_file.rs
+++ b/crates/plans/src/catalogue_file.rs
@@ -1,5 +1,5 @@
-//! The catalogue's file, in TOML as operators write it. It is read whole or not at all, with all faults by
-//! line and key.
+//! The catalogue file, which operators write in TOML. It is read completely or rejected; the error lists all
+//! faults with line and key.
 
 use std::fmt;
 use std::ops::Range;
@@ -11,16 +11,16 @@
 use crate::catalogue::{Assignment, Catalogue, CatalogueError, Plan};
 use crate::timeline::PlanLimits;
 
-/// The longest name of a plan, bytes.
+/// Maximum length of a plan name, bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Hex digits of a customer's id.
+/// Number of hex digits of a customer id.
 const CUSTOMER_ID_DIGITS: usize = 16;
-/// Customers are numbers below this.
+/// Upper bound of customer ids (exclusive).
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// A fault of the whole file has this place.
+/// Span of a fault that concerns the whole file.
 const WHOLE_FILE: Range<usize> = 0..0;
 
-// The names of these structs stand in texts of the parser, which operators read.
+// The names of these structs appear in error texts of the parser, which operators read.
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -56,18 +56,18 @@
     from: Option<Spanned<String>>,
 }
 
-/// Something that is wrong.
+/// A fault in a catalogue file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileFault {
-    /// Line of the file, from 1; 0 if the parser names no place.
+    /// Line, from 1; 0 if the parser reports no position.
     pub line: usize,
-    /// Key, such as `customer.from`; empty if there is none.
+    /// Key, such as `customer.from`; empty if the fault has none.
     pub key: String,
-    /// What is wrong and what is expected.
+    /// Description of the fault or of the valid values.
     pub problem: String,
 }
 
-/// A file that is no catalogue: all its faults, in the order of their lines.
+/// Error for an invalid catalogue file; contains all faults, ordered by line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogueFileError(pub Vec<FileFault>);
 
@@ -93,7 +93,7 @@
 }
 
 impl FaultCollector<'_> {
-    /// The line that a span begins in.
+    /// Returns the line in which a span begins.
     fn line_of(&self, span: &Range<usize>) -> usize {
         let before = self.text.as_bytes().get(..span.start).unwrap_or_default();
         1 + before.iter().filter(|byte| **byte == b'\n').count()
@@ -104,7 +104,7 @@
         self.faults.push(FileFault { line, key: key.to_string(), problem: problem.into() });
     }
 
-    /// A number, which has to be finite and 0 or more.
+    /// Returns a number. Adds a fault if it is negative or not finite.
     fn check_number(&mut self, value: &Spanned<f64>, key: &str) -> f64 {
         let number = *value.get_ref();
         if !(number.is_finite() && number >= 0.0) {
@@ -114,18 +114,18 @@
     }
 }
 
-/// A customer's plan, and its place in the file.
+/// An assignment and its span in the file.
 struct SpannedAssignment {
     customer: u64,
     assignment: Assignment,
     span: Range<usize>,
 }
 
-/// Reads a catalogue.
+/// Parses a catalogue file.
 ///
 /// # Errors
-/// A [`CatalogueFileError`] with all values that are not allowed. Of unknown, missing and mistyped keys it
-/// has the first alone, as the rest cannot be read past it.
+/// A [`CatalogueFileError`] with all invalid values. For unknown, missing and mistyped keys it only contains
+/// the first fault, as the parser stops there.
 pub fn read_catalogue(text: &str) -> Result<Catalogue, CatalogueFileError> {
     let mut collector = FaultCollector { text, faults: Vec::new() };
     let file: File = toml::from_str(text).map_err(|error| {
@@ -153,7 +153,7 @@
     })
 }
 
-/// Span and key of what is wrong with a catalogue: the last entry that it can be.
+/// Returns the span and key of a catalogue error: those of the last entry that matches it.
 fn span_of(
     error: &CatalogueError,
     plans: &[Spanned<PlanLine>],
@@ -175,16 +175,16 @@
             (last_plan(plan), "plan.version")
         }
         CatalogueError::UnknownPlan { customer, plan } => {
-            let is_it = |assigned: &SpannedAssignment| {
+            let is_match = |assigned: &SpannedAssignment| {
                 assigned.customer == *customer && assigned.assignment.plan == *plan
             };
-            (last_assignment(&is_it), "customer.plan")
+            (last_assignment(&is_match), "customer.plan")
         }
         CatalogueError::TwoPlans { customer, from_ms } => {
-            let is_it = |assigned: &SpannedAssignment| {
+            let is_match = |assigned: &SpannedAssignment| {
                 assigned.customer == *customer && assigned.assignment.from_ms == *from_ms
             };
-            (last_assignment(&is_it), "customer.from")
+            (last_assignment(&is_match), "customer.from")
         }
         CatalogueError::TooMany { .. } => (WHOLE_FILE, ""),
     }
@@ -207,7 +207,7 @@
     let ceiling_burst = optional(&entry.ceiling_burst, "plan.ceiling_burst");
     let rate = collector.check_number(&entry.rate, "plan.rate");
     let burst = collector.check_number(&entry.burst, "plan.burst");
-    // A ceiling below the quota would reject what was sold.
+    // A ceiling below the quota would reject requests that the quota admits.
     if ceiling_rate.is_some_and(|ceiling| ceiling < rate) {
         let span = entry.ceiling_rate.as_ref().map_or(WHOLE_FILE, Spanned::span);
         collector.add(&span, "plan.ceiling_rate", format!("the rate, {rate}, or more is wanted"));
@@ -224,7 +224,7 @@
     }
 }
 
-/// Reads a customer's entry. Without a version it has the newest version of its plan.
+/// Reads a customer's entry. Without a version it refers to the newest version of its plan.
 fn read_assignment(
     entry: &Spanned<CustomerLine>,
     plans: &[(Plan, PlanLimits)],
@@ -261,8 +261,8 @@
     plans: &[(Plan, PlanLimits)],
     collector: &mut FaultCollector<'_>,
 ) -> Option<u32> {
-    let of_name = plans.iter().map(|(plan, _)| plan).filter(|plan| *plan.name == **name.get_ref());
-    let newest = of_name.map(|plan| plan.version).max();
+    let versions = plans.iter().map(|(plan, _)| plan).filter(|plan| *plan.name == **name.get_ref());
+    let newest = versions.map(|plan| plan.version).max();
     if newest.is_none() {
         let problem = format!("{:?} is no plan of this file", name.get_ref());
         collector.add(&name.span(), "customer.plan", problem);
@@ -270,7 +270,7 @@
     newest
 }
 
-/// An instant from 1970 on, Unix time in ms.
+/// Parses an instant from 1970 on to Unix time in ms.
 fn read_instant(from: &Spanned<String>, collector: &mut FaultCollector<'_>) -> Option<u64> {
     let instant: Option<Timestamp> = from.get_ref().parse().ok();
     let instant_ms = instant.and_then(|instant| u64::try_from(instant.as_millisecond()).ok());
--- a/crates/plans/src/fence.rs
+++ b/crates/plans/src/fence.rs
@@ -1,49 +1,49 @@
-//! The catalogue that a gateway uses: the newest it was given, in whatever order they came.
+//! The catalogue that a gateway uses: the newest one it received, whatever the order of arrival.
 
 use crate::catalogue::Catalogue;
 
-/// What became of a catalogue.
+/// Outcome of [`CatalogueFence::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceOutcome {
-    /// It is in force now.
+    /// The catalogue is in force now.
     New,
-    /// It was in force already: a repeated order.
+    /// The same catalogue was in force already: a repeated order.
     Same,
-    /// A newer one is in force: a late order, which changes nothing.
+    /// A newer catalogue is in force: a late order, which changes nothing.
     Stale {
-        /// The revision in force.
-        holds: u64,
+        /// Revision of the catalogue in force.
+        current_revision: u64,
     },
-    /// Another one with the same revision is in force: from two agents that do not know of each other, or a
-    /// file that was changed without a new revision. Nothing changes.
+    /// A different catalogue with the same revision is in force, because two agents work independently or the
+    /// file was changed without a new revision. Nothing changes.
     Conflict,
 }
 
-/// Holds the newest catalogue.
+/// Retains the newest catalogue and rejects older ones.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueFence {
-    held: Option<Catalogue>,
+    current: Option<Catalogue>,
 }
 
 impl CatalogueFence {
-    /// Takes a catalogue if it is newer.
+    /// Puts a catalogue in force if it is newer than the current one.
     pub fn take(&mut self, catalogue: Catalogue) -> FenceOutcome {
-        match &self.held {
-            Some(held) if held.revision() > catalogue.revision() => {
-                FenceOutcome::Stale { holds: held.revision() }
+        match &self.current {
+            Some(current) if current.revision() > catalogue.revision() => {
+                FenceOutcome::Stale { current_revision: current.revision() }
             }
-            Some(held) if *held == catalogue => FenceOutcome::Same,
-            Some(held) if held.revision() == catalogue.revision() => FenceOutcome::Conflict,
+            Some(current) if *current == catalogue => FenceOutcome::Same,
+            Some(current) if current.revision() == catalogue.revision() => FenceOutcome::Conflict,
             _ => {
-                self.held = Some(catalogue);
+                self.current = Some(catalogue);
                 FenceOutcome::New
             }
         }
     }
 
-    /// The catalogue in force; none before the first.
+    /// Returns the catalogue in force; `None` before the first.
     #[must_use]
-    pub fn held(&self) -> Option<&Catalogue> {
-        self.held.as_ref()
+    pub fn current(&self) -> Option<&Catalogue> {
+        self.current.as_ref()
     }
 }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,12 +1,11 @@
-//! Plans in service: which limits a customer has at an instant, what a change of plan within a window does to
-//! what was counted, and reservations of allowance. No I/O, no clock: times are Unix time in ms, given by the
-//! caller.
+//! Plans of customers: the limits of a customer at an instant, the effect of a change of plan on token bucket
+//! levels, and reservations of units. No I/O, no clock: the caller passes all times, as Unix time in ms.
 //!
-//! - [`read_catalogue`]: the catalogue's file, as operators write it
-//! - [`Catalogue`]: plans, their versions, and which customer has which plan from when on
-//! - [`CatalogueFence`]: the newest revision that a gateway was given
-//! - [`PlanTimeline`]: a customer's limits over time; refill and levels of token buckets across changes
-//! - [`ReservationLedger`]: reservations with fencing tokens, within what the ceiling allows
+//! - [`read_catalogue`]: parses the catalogue file that operators write
+//! - [`Catalogue`]: plans, their versions, and the assignments of plans to customers
+//! - [`CatalogueFence`]: retains the newest revision that a gateway received
+//! - [`PlanTimeline`]: a customer's limits over time, with refill and token bucket levels across changes
+//! - [`ReservationLedger`]: reservations with leases and fencing tokens, limited by the ceiling
 
 mod catalogue;
 mod catalogue_file;
--- a/crates/plans/src/reservations.rs
+++ b/crates/plans/src/reservations.rs
@@ -1,9 +1,9 @@
-//! Reservations of allowance: leases with fencing tokens, within what the ceiling allows.
+//! Reservations of units: leases with fencing tokens, limited by the ceiling.
 //!
-//! A reservation holds units of a customer for a time to come. They are charged ahead to the customer's one
-//! token bucket: the holder's gateway charges them when the time begins and gives back at its end what was
-//! not used. The ceiling bounds what may be reserved as an arrival curve (RFC 2212's token bucket: burst, and
-//! rate times time, over every span): within any span no more is reserved than the ceiling admits in it.
+//! A reservation sets aside units of a customer for a future period. The holder's gateway charges them to the
+//! customer's token bucket when the period begins and returns unused ones at its end. The ceiling limits
+//! reservations as an arrival curve (RFC 2212's token bucket: burst plus rate times duration): within any
+//! span of time, no more units are reserved than the ceiling admits in that span.
 
 mod capacity;
 mod error;
@@ -19,21 +19,22 @@
 use request::{validate, MAX_LEASE_MS};
 pub use request::{InvalidRequest, ReservationRequest};
 
-/// The most open reservations of all customers.
+/// Maximum number of open reservations of all customers.
 pub const MAX_RESERVATIONS: usize = 100_000;
-/// The most open reservations of one customer.
+/// Maximum number of open reservations of one customer.
 pub const MAX_RESERVATIONS_PER_CUSTOMER: usize = 32;
-/// The most ended reservations that are remembered, so that a repeat is told how it ended.
+/// Maximum number of ended reservations that are remembered. A repeated request gets the end reason from
+/// them.
 pub const MAX_ENDED_RESERVATIONS: usize = 10_000;
 
-/// A fencing token. It grows with each reservation and each takeover; an older one is rejected.
+/// A fencing token. Each reservation and each takeover gets a greater one; replaced tokens are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
 /// State of an open reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReservationState {
-    /// Requested.
+    /// Requested, not confirmed yet.
     Pending,
     /// Confirmed by its holder.
     Confirmed,
@@ -42,9 +43,9 @@
 /// An open reservation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// What was requested.
+    /// The request.
     pub request: ReservationRequest,
-    /// The token that its holder has to show.
+    /// Token that the holder has to present.
     pub token: FencingToken,
     /// Its state.
     pub state: ReservationState,
@@ -53,44 +54,44 @@
 }
 
 impl Reservation {
-    /// When it ends without the holder's doing, Unix time in ms.
+    /// Returns when it ends without an action of the holder, Unix time in ms.
     fn due_ms(&self) -> u64 {
         self.lease_end_ms.min(self.request.to_ms)
     }
 }
 
-/// How a reservation ended.
+/// Reason for the end of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its holder released it.
+    /// The holder released it.
     Released,
-    /// Its time is over.
+    /// Its period is over.
     PeriodOver,
-    /// Its holder did not extend the lease in time.
+    /// The holder did not extend the lease in time.
     LeaseExpired,
-    /// The plan was lowered and leaves no room for it.
+    /// The customer's plan was lowered and no longer allows it.
     PlanLowered,
 }
 
 /// A reservation that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedReservation {
-    /// The reservation as it was last.
+    /// The last state of the reservation.
     pub reservation: Reservation,
-    /// How it ended.
+    /// Reason for its end.
     pub end: EndReason,
-    /// When it ended, Unix time in ms.
+    /// Time of its end, Unix time in ms.
     pub at_ms: u64,
 }
 
-/// When an open reservation ends without its holder's doing.
+/// Timer entry for the end of an open reservation without an action of its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueReservation {
     at_ms: u64,
     token: FencingToken,
 }
 
-/// All reservations. Only its owner changes it.
+/// All open reservations, and the latest ended ones.
 #[derive(Debug, Default)]
 pub struct ReservationLedger {
     last_token: u64,
@@ -98,29 +99,29 @@
     due: BTreeSet<DueReservation>,
     by_order: HashMap<String, FencingToken>,
     by_customer: HashMap<u64, Vec<FencingToken>>,
-    /// Tokens that a takeover made old, each with the one that took its place while that one is open.
+    /// Tokens that a takeover replaced, each with its replacement, while the replacement is open.
     fenced: HashMap<FencingToken, FencingToken>,
-    /// The same the other way round.
+    /// The inverse of `fenced`.
     fenced_by: HashMap<FencingToken, FencingToken>,
     ended: VecDeque<EndedReservation>,
 }
 
 impl ReservationLedger {
-    /// Open reservations, in the order of their tokens.
+    /// Returns the open reservations, ordered by token.
     pub fn open(&self) -> impl Iterator<Item = &Reservation> {
         self.open.values()
     }
 
-    /// Open reservations of a customer, oldest first.
+    /// Returns the open reservations of a customer, oldest first.
     pub fn of_customer(&self, customer: u64) -> impl Iterator<Item = &Reservation> {
         let tokens = self.by_customer.get(&customer).into_iter().flatten();
         tokens.filter_map(|token| self.open.get(token))
     }
 
-    /// Reserves, or finds what the same order reserved before.
+    /// Makes a reservation, or returns the one that the same order made before.
     ///
     /// # Errors
-    /// A [`ReservationError`]; nothing is changed.
+    /// A [`ReservationError`]. Nothing is changed.
     pub fn reserve(
         &mut self,
         now_ms: u64,
@@ -129,7 +130,7 @@
     ) -> Result<&Reservation, ReservationError> {
         validate(now_ms, &request)?;
         if let Some(token) = self.by_order.get(&request.order).copied() {
-            return self.repeat(now_ms, token, request);
+            return self.repeat_order(now_ms, token, request);
         }
         let ended = self.ended.iter().rev().find(|ended| ended.reservation.request.order == request.order);
         if let Some(ended) = ended {
@@ -163,25 +164,25 @@
         Ok(())
     }
 
-    /// An order that was given before: the same reservation, taken over if another holder gives it.
+    /// Handles an order that was given before: returns its reservation, which another holder takes over.
     ///
-    /// A takeover has a new token, so that a holder that was taken for dead cannot act on it any more.
-    fn repeat(
+    /// A takeover issues a new token, so that the previous holder can no longer act on the reservation.
+    fn repeat_order(
         &mut self,
         now_ms: u64,
         token: FencingToken,
         request: ReservationRequest,
     ) -> Result<&Reservation, ReservationError> {
-        let known = self.open.get(&token).ok_or(ReservationError::Unknown)?;
-        let as_known = ReservationRequest {
-            holder: known.request.holder.clone(),
-            lease_ms: known.request.lease_ms,
+        let existing = self.open.get(&token).ok_or(ReservationError::Unknown)?;
+        let as_existing = ReservationRequest {
+            holder: existing.request.holder.clone(),
+            lease_ms: existing.request.lease_ms,
             ..request.clone()
         };
-        if as_known != known.request {
+        if as_existing != existing.request {
             return Err(ReservationError::DifferentRequest);
         }
-        if request.holder == known.request.holder {
+        if request.holder == existing.request.holder {
             return self.open.get(&token).ok_or(ReservationError::Unknown);
         }
         let new_token = self.next_token();
@@ -200,7 +201,7 @@
         FencingToken(self.last_token)
     }
 
-    /// The holder confirms; a repeat changes nothing.
+    /// Confirms a reservation. A repeated call changes nothing.
     ///
     /// # Errors
     /// A [`ReservationError`] if the token is not that of an open reservation.
@@ -210,11 +211,11 @@
         Ok(reservation)
     }
 
-    /// The holder extends the lease: it ends `lease_ms` from now, if that is later than it did. So an old
-    /// repeat shortens nothing.
+    /// Extends a lease to `lease_ms` from now, unless it ends later already, so that a delayed repeat does
+    /// not shorten it.
     ///
     /// # Errors
-    /// A [`ReservationError`] if the lease is not allowed or the token is not that of an open reservation.
+    /// A [`ReservationError`] if the lease is invalid or the token is not that of an open reservation.
     pub fn extend(
         &mut self,
         now_ms: u64,
@@ -233,7 +234,7 @@
         self.open.get(&token).ok_or(ReservationError::Unknown)
     }
 
-    /// The holder releases; a repeat is told that it did.
+    /// Releases a reservation. A repeated call gets an error with [`EndReason::Released`].
     ///
     /// # Errors
     /// A [`ReservationError`] if the token is not that of an open reservation.
@@ -246,7 +247,8 @@
         self.end(now_ms, token, EndReason::Released).ok_or(ReservationError::Unknown)
     }
 
-    /// Ends the reservations whose time is over or whose lease has expired. The work grows with those alone.
+    /// Ends the reservations whose period is over or whose lease has expired. The cost depends only on their
+    /// number.
     pub fn expire(&mut self, now_ms: u64) -> Vec<EndedReservation> {
         let mut ended = Vec::new();
         while let Some(due) = self.due.first().copied().filter(|due| due.at_ms <= now_ms) {
@@ -259,10 +261,10 @@
         ended
     }
 
-    /// Ends reservations of a customer that its new limits leave no room for.
+    /// Ends reservations of a customer that exceed its new limits.
     ///
-    /// They are chosen within a span that has too much: pending ones before confirmed ones, of each the
-    /// newest first. The holder is told with its next request.
+    /// They are chosen within a span that exceeds the limits: pending before confirmed ones, and the newest
+    /// first among these. The holder learns of it from the response to its next request.
     pub fn plan_lowered(
         &mut self,
         now_ms: u64,
@@ -276,7 +278,7 @@
         ended
     }
 
-    /// The reservation that is to end first as some span has too much.
+    /// Returns the reservation to end first if a span exceeds the limits.
     fn excess_reservation(&self, customer: u64, limits: &PlanTimeline) -> Option<FencingToken> {
         let of_customer: Vec<&Reservation> = self.of_customer(customer).collect();
         let span = overfull_span(&of_customer, limits)?;
@@ -285,7 +287,7 @@
         first.map(|reservation| reservation.token)
     }
 
-    /// The open reservation with that token, or why there is none.
+    /// Returns the open reservation with a token, or the reason why there is none.
     fn open_mut(&mut self, token: FencingToken) -> Result<&mut Reservation, ReservationError> {
         if let Some(reservation) = self.open.get_mut(&token) {
             return Ok(reservation);
@@ -319,7 +321,7 @@
         Some(reservation)
     }
 
-    /// The token that this one made old is unknown from now on.
+    /// Forgets the token that `token` replaced.
     fn forget_fenced_by(&mut self, token: FencingToken) {
         if let Some(old_token) = self.fenced_by.remove(&token) {
             self.fenced.remove(&old_token);
--- a/crates/plans/src/reservations/capacity.rs
+++ b/crates/plans/src/reservations/capacity.rs
@@ -1,10 +1,10 @@
-//! What the ceiling leaves for reservations, over every span of time.
+//! Units available for reservations under the ceiling, over every span of time.
 
 use super::{Reservation, ReservationRequest};
 use crate::timeline::PlanTimeline;
 
-/// What rounding may make of sums that fit exactly, in units and as a part of them.
-const ROUNDING: f64 = 1e-9;
+/// Absolute (units) and relative tolerance for rounding errors of sums that fit exactly.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// A span of time, Unix time in ms.
 #[derive(Clone, Copy, Debug)]
@@ -14,20 +14,21 @@
 }
 
 impl Reservation {
-    /// Whether its time lies within a span.
+    /// Returns whether its period lies within a span.
     pub(super) fn is_within(&self, span: Span) -> bool {
         span.from_ms <= self.request.from_ms && self.request.to_ms <= span.to_ms
     }
 }
 
-/// Units that are reserved within a span.
+/// Returns the units reserved within a span.
 fn reserved_within(reservations: &[&Reservation], span: Span) -> f64 {
     let within = reservations.iter().filter(|reservation| reservation.is_within(span));
     within.map(|reservation| reservation.request.units).sum()
 }
 
-/// The units that may still be reserved for a request's time: the least that any span around it leaves. Only
-/// spans that begin and end where a reservation does matter; there are at most 33 of each.
+/// Returns the units that can still be reserved for a request's period: the minimum over all spans that
+/// contain it. Only spans that begin and end where a reservation or the request does matter, which are at
+/// most 33 begins and 33 ends.
 pub(super) fn available_units(
     reservations: &[&Reservation],
     request: &ReservationRequest,
@@ -47,7 +48,8 @@
     available
 }
 
-/// A span within which more is reserved than the limits allow: of those that begin first the shortest.
+/// Returns a span within which more is reserved than the limits allow: the shortest of those that begin
+/// first.
 pub(super) fn overfull_span(reservations: &[&Reservation], limits: &PlanTimeline) -> Option<Span> {
     let mut begins: Vec<u64> = reservations.iter().map(|reservation| reservation.request.from_ms).collect();
     let mut ends: Vec<u64> = reservations.iter().map(|reservation| reservation.request.to_ms).collect();
@@ -55,7 +57,7 @@
     ends.sort_unstable();
     let is_overfull = |span: &Span| {
         let allowed = limits.max_reservable(span.from_ms, span.to_ms);
-        reserved_within(reservations, *span) > allowed * (1.0 + ROUNDING) + ROUNDING
+        reserved_within(reservations, *span) > allowed * (1.0 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE
     };
     let spans = begins
         .iter()
--- a/crates/plans/src/reservations/error.rs
+++ b/crates/plans/src/reservations/error.rs
@@ -1,26 +1,26 @@
-//! Why a reservation is rejected.
+//! Errors of the reservation ledger.
 
 use std::fmt;
 
 use super::request::InvalidRequest;
 use super::EndReason;
 
-/// Why something is rejected.
+/// Reason for which a call is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReservationError {
-    /// No reservation has that token, and none that is remembered had it.
+    /// No open or remembered reservation has the token.
     Unknown,
-    /// Another holder took the reservation over, and has a later token.
+    /// Another holder took the reservation over and has a newer token.
     Fenced,
-    /// It has ended.
+    /// The reservation has ended.
     Ended(EndReason),
-    /// The order was given before with another request.
+    /// The same order was given before with a different request.
     DifferentRequest,
-    /// The ceiling allows no more than these units for that time.
+    /// The request exceeds the ceiling; contains the units available for its period.
     ExceedsCeiling(f64),
-    /// There are as many open reservations as there may be.
+    /// The maximum number of open reservations is reached; contains that maximum.
     TooMany(usize),
-    /// The request is not allowed.
+    /// The request is invalid.
     Invalid(InvalidRequest),
 }
 
--- a/crates/plans/src/reservations/request.rs
+++ b/crates/plans/src/reservations/request.rs
@@ -2,46 +2,46 @@
 
 use std::fmt;
 
-/// The longest lease, ms: a holder that crashed holds nothing for longer.
+/// Maximum lease, ms. It limits how long the reservation of a crashed holder stays open.
 pub(super) const MAX_LEASE_MS: u64 = 3_600_000;
-/// The longest name of an order or a holder, bytes.
+/// Maximum length of the name of an order or a holder, bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A request for a reservation. The same `order` is the same reservation, however often it comes.
+/// A request for a reservation. Requests with the same `order` refer to the same reservation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReservationRequest {
     /// Name of the order, 1 to 64 bytes, chosen by the requester.
     pub order: String,
-    /// The holder, 1 to 64 bytes. Another holder that repeats the order takes the reservation over.
+    /// Name of the holder, 1 to 64 bytes. Another holder that repeats the order takes the reservation over.
     pub holder: String,
     /// The customer.
     pub customer: u64,
     /// Units, above 0.
     pub units: f64,
-    /// Begin, Unix time in ms.
+    /// Begin of the period, Unix time in ms.
     pub from_ms: u64,
-    /// End, Unix time in ms, after the begin.
+    /// End of the period, Unix time in ms; after its begin.
     pub to_ms: u64,
-    /// The holder has to extend the lease within this time, 1 to 3,600,000 ms.
+    /// Duration of the lease, within which the holder has to extend it, ms: 1 to 3,600,000.
     pub lease_ms: u64,
 }
 
-/// What is not allowed about a request.
+/// Reason for which a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// The order's name.
+    /// The name of the order is empty, too long or has control characters.
     Order,
-    /// The holder's name.
+    /// The name of the holder is empty, too long or has control characters.
     Holder,
-    /// The units.
+    /// The units are not a finite number above 0.
     Units,
-    /// The end is not after the begin.
+    /// The period does not end after its begin.
     Period,
-    /// The time is over already.
+    /// The period is over already.
     PeriodOver,
-    /// The length of the lease.
+    /// The duration of the lease is out of range.
     Lease,
-    /// The present time, to which no lease can be added.
+    /// The present time is so great that adding a lease would overflow.
     PresentTime,
 }
 
--- a/crates/plans/src/timeline.rs
+++ b/crates/plans/src/timeline.rs
@@ -1,37 +1,37 @@
-//! A customer's limits over time, and what a change of them does to what was counted.
+//! A customer's limits over time, and the effect of a change of limits on token bucket levels.
 //!
-//! What was counted stays counted: the state of a token bucket is its debt, the units that it lacks of full,
-//! and a change leaves the debt as it is. So a level moves by the difference of the bursts at the instant of
-//! the change, and two gateways that read one total read one level, without further calls
-//! (`docs/design/plans.md` has the alternatives).
+//! The state of a token bucket is its debt: the units missing to a full bucket. A change of limits keeps the
+//! debt. The level therefore changes by the difference of the bursts at that instant, and two gateways that
+//! read the same total compute the same level without further calls (`docs/design/plans.md` discusses the
+//! alternatives).
 
-/// The limits of a version of a plan. Units are those that requests are charged.
+/// Limits of a plan version. Units are those that requests are charged.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlanLimits {
-    /// Refill of the quota's token bucket, units a second, 0 or more.
+    /// Refill of the quota's token bucket, units per second, 0 or more.
     pub rate: f64,
     /// Size of the quota's token bucket, units, 0 or more.
     pub burst: f64,
-    /// Refill of the ceiling's token bucket, units a second; 0: there is no ceiling.
+    /// Refill of the ceiling's token bucket, units per second; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// Size of the ceiling's token bucket, units.
     pub ceiling_burst: f64,
 }
 
-/// A bound of the units in any span of time: a burst, and a rate.
+/// An arrival curve: in a span of `t` s at most `burst + rate * t` units.
 struct ArrivalCurve {
     rate: f64,
     burst: f64,
 }
 
 impl PlanLimits {
-    /// Whether all limits are finite numbers of 0 or more.
+    /// Returns whether all limits are finite and not negative.
     pub(crate) fn is_valid(&self) -> bool {
         let numbers = [self.rate, self.burst, self.ceiling_rate, self.ceiling_burst];
         numbers.iter().all(|number| number.is_finite() && *number >= 0.0)
     }
 
-    /// What reservations may not exceed: the ceiling, or the quota if there is no ceiling.
+    /// Returns the limit for reservations: the ceiling, or the quota if there is no ceiling.
     fn reservable(&self) -> ArrivalCurve {
         if self.ceiling_rate > 0.0 {
             ArrivalCurve { rate: self.ceiling_rate, burst: self.ceiling_burst }
@@ -49,7 +49,7 @@
     limits: PlanLimits,
 }
 
-/// Limits that are in force for a time.
+/// Limits that are in force for a duration.
 struct TimelineSpan<'a> {
     duration_ms: f64,
     limits: &'a PlanLimits,
@@ -58,19 +58,19 @@
 /// A customer's limits over time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanTimeline {
-    /// In order, at least one. The first is in force before its instant too.
+    /// At least one, ordered by time. The first one is also in force before its instant.
     steps: Vec<TimelineStep>,
 }
 
 impl PlanTimeline {
-    /// Limits that never change.
+    /// Creates a timeline of limits that never change.
     #[must_use]
     pub fn always(limits: PlanLimits) -> PlanTimeline {
         PlanTimeline { steps: vec![TimelineStep { from_ms: 0, limits }] }
     }
 
-    /// Adds limits from an instant on, Unix time in ms. They replace others from the same instant, so that a
-    /// change and its reversal in one instant are no change.
+    /// Adds a change of limits at an instant, Unix time in ms. It replaces another change at the same
+    /// instant, so that a change and its reversal at one instant have no effect.
     #[must_use]
     pub fn then(mut self, from_ms: u64, limits: PlanLimits) -> PlanTimeline {
         let index = self.steps.partition_point(|step| step.from_ms < from_ms);
@@ -81,7 +81,7 @@
         self
     }
 
-    /// The limits in force at an instant, Unix time in ms.
+    /// Returns the limits in force at an instant, Unix time in ms.
     #[must_use]
     pub fn limits_at(&self, at_ms: u64) -> &PlanLimits {
         &self.steps[self.step_at(at_ms)].limits
@@ -91,14 +91,14 @@
         self.steps.partition_point(|step| step.from_ms <= at_ms).saturating_sub(1)
     }
 
-    /// The next instant after this one at which limits change, Unix time in ms.
+    /// Returns the first instant after `after_ms` at which the limits change, Unix time in ms.
     #[must_use]
     pub fn next_change(&self, after_ms: u64) -> Option<u64> {
-        // The first step is in force before its instant, so it is no change.
+        // The first step is in force before its instant too, so it is not a change.
         self.steps[1..].iter().map(|step| step.from_ms).find(|from_ms| *from_ms > after_ms)
     }
 
-    /// The limits between two instants, in order.
+    /// Returns the limits in force between two instants, in order.
     fn spans(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = TimelineSpan<'_>> {
         let (first, last) = (self.step_at(from_ms), self.step_at(to_ms));
         (first..=last).map(move |i| {
@@ -109,7 +109,8 @@
         })
     }
 
-    /// Units that the quota's rate gives between two instants, Unix time in ms; 0 if the second is not later.
+    /// Returns the units that the quota's rate refills between two instants, Unix time in ms; 0 if the second
+    /// is not later.
     #[must_use]
     pub fn refill(&self, from_ms: u64, to_ms: u64) -> f64 {
         if to_ms <= from_ms {
@@ -118,30 +119,32 @@
         self.spans(from_ms, to_ms).map(|span| span.limits.rate * span.duration_ms / 1000.0).sum()
     }
 
-    /// The level of the quota's token bucket at `now_ms`. `total` has, since the window began, all charges
-    /// and all refill that overflowed.
+    /// Returns the level of the quota's token bucket at `now_ms`. `total` is the sum of all charges and of
+    /// all overflowed refill since the window began.
     ///
-    /// It may be below 0 after a plan was lowered: nothing is admitted until that is made good.
+    /// The level may be below 0 after a plan was lowered; nothing is admitted until refill has made up for
+    /// it.
     #[must_use]
     pub fn level(&self, total: f64, window_ms: u64, now_ms: u64) -> f64 {
         self.limits_at(now_ms).burst + self.refill(window_ms, now_ms) - total
     }
 
-    /// A level at `from_ms` by the limits at `to_ms`, without refill: the debt is the same.
+    /// Converts a level at `from_ms` to the limits at `to_ms` with the same debt and without refill.
     #[must_use]
     pub fn carry_level(&self, level: f64, from_ms: u64, to_ms: u64) -> f64 {
         level + self.limits_at(to_ms).burst - self.limits_at(from_ms).burst
     }
 
-    /// How far off a level is, units, at a gateway that goes by `known`, an older timeline, at `now_ms` in a
-    /// window that began at `window_ms`. Above 0 that gateway may admit as much too much.
+    /// Returns the error of the level, units, at a gateway that still uses an older timeline `known`, at
+    /// `now_ms` in a window that began at `window_ms`. If it is above 0, that gateway may admit this many
+    /// units too much.
     #[must_use]
     pub fn level_error(&self, known: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
         known.level(0.0, window_ms, now_ms) - self.level(0.0, window_ms, now_ms)
     }
 
-    /// The most units that may be reserved between two instants, Unix time in ms. Across a change the smaller
-    /// burst counts.
+    /// Returns the maximum number of units that may be reserved between two instants, Unix time in ms. Across
+    /// a change of limits the smaller burst applies.
     #[must_use]
     pub fn max_reservable(&self, from_ms: u64, to_ms: u64) -> f64 {
         let (mut burst, mut refill) = (f64::MAX, 0.0);
--- a/crates/plans/tests/catalogue.rs
+++ b/crates/plans/tests/catalogue.rs
@@ -1,8 +1,8 @@
-//! The catalogue's file, and the fence.
+//! The catalogue file and the catalogue fence.
 
 use plans::{read_catalogue, Catalogue, CatalogueFence, FenceOutcome, PlanLimits};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 revision = 7
 
 [[plan]]
@@ -31,23 +31,23 @@
 "#;
 
 fn revision(revision: u64) -> Catalogue {
-    read_catalogue(&GOOD.replace("revision = 7", &format!("revision = {revision}"))).expect("sound")
+    read_catalogue(&VALID.replace("revision = 7", &format!("revision = {revision}"))).expect("valid")
 }
 
 #[test]
-fn customer_has_its_plan_from_its_instant_on() {
-    let all = read_catalogue(GOOD).expect("sound");
+fn assignment_takes_effect_at_its_instant() {
+    let catalogue = read_catalogue(VALID).expect("valid");
     let (customer, change) = (0xb4d6_5521, 1_798_135_200_000);
-    assert_eq!((all.revision(), all.customers(), all.plans().count()), (7, 1, 2));
-    let version = |at| all.plan_at(customer, at).map(|plan| plan.version);
+    assert_eq!((catalogue.revision(), catalogue.customers(), catalogue.plans().count()), (7, 1, 2));
+    let version = |at| catalogue.plan_at(customer, at).map(|plan| plan.version);
     assert_eq!((version(0), version(change - 1), version(change)), (Some(1), Some(1), Some(2)));
-    assert_eq!(all.plan_at(1, change), None);
-    let timeline = all.timeline(customer, PlanLimits::default());
+    assert_eq!(catalogue.plan_at(1, change), None);
+    let timeline = catalogue.timeline(customer, PlanLimits::default());
     assert_eq!((timeline.limits_at(change - 1).burst, timeline.limits_at(change).ceiling_rate), (10.0, 12.0));
     assert_eq!(timeline.next_change(1), Some(change));
-    // Whom it does not name goes by what the request says.
+    // A customer without an assignment has the default limits, those of the request.
     let default = PlanLimits { rate: 1.0, ..PlanLimits::default() };
-    assert_eq!(all.timeline(1, default).limits_at(change), &default);
+    assert_eq!(catalogue.timeline(1, default).limits_at(change), &default);
 }
 
 #[test]
@@ -68,34 +68,34 @@
         ("from = \"2026-12-24T18:00:00Z\"", "", 23, "customer.from"),
         ("revision = 7", "revision = 0", 1, "revision"),
     ] {
-        let text = GOOD.replacen(from, to, 1);
-        // Where a line was taken out, both of the customer's plans hold since ever.
-        let bad = read_catalogue(&text).map(|all| all.revision()).expect_err(to);
-        let found = bad.0.iter().any(|fault| fault.line == line && fault.key == key);
-        assert!(found, "{to:?}: {bad}");
+        let text = VALID.replacen(from, to, 1);
+        // Without its `from` line an assignment is in force since always, like the customer's other one.
+        let error = read_catalogue(&text).map(|catalogue| catalogue.revision()).expect_err(to);
+        let found = error.0.iter().any(|fault| fault.line == line && fault.key == key);
+        assert!(found, "{to:?}: {error}");
     }
-    let both = GOOD.replace("rate = 4.0", "rate = -4.0").replace("2026-12-24T18:00:00Z", "soon");
-    assert_eq!(read_catalogue(&both).expect_err("two faults").0.len(), 2);
+    let two_faults = VALID.replace("rate = 4.0", "rate = -4.0").replace("2026-12-24T18:00:00Z", "soon");
+    assert_eq!(read_catalogue(&two_faults).expect_err("two faults").0.len(), 2);
     for (from, to, line) in [
         ("rate = 4.0", "rates = 4.0", 7),
         ("rate = 4.0", "rate = \"much\"", 7),
         ("[[customer]]", "[[customer]", 18),
     ] {
-        let bad = read_catalogue(&GOOD.replacen(from, to, 1)).expect_err(to);
-        assert_eq!((bad.0.len(), bad.0[0].line), (1, line), "{to:?}: {bad}");
+        let error = read_catalogue(&VALID.replacen(from, to, 1)).expect_err(to);
+        assert_eq!((error.0.len(), error.0[0].line), (1, line), "{to:?}: {error}");
     }
 }
 
 #[test]
-fn newest_revision_wins_in_any_order() {
+fn newest_revision_stays_in_force_in_any_order() {
     let mut fence = CatalogueFence::default();
-    assert!(fence.held().is_none());
+    assert!(fence.current().is_none());
     assert_eq!(fence.take(revision(8)), FenceOutcome::New);
     assert_eq!(fence.take(revision(8)), FenceOutcome::Same);
-    assert_eq!(fence.take(revision(7)), FenceOutcome::Stale { holds: 8 });
+    assert_eq!(fence.take(revision(7)), FenceOutcome::Stale { current_revision: 8 });
     let other =
-        read_catalogue(&GOOD.replace("revision = 7", "revision = 8").replace("rate = 4.0", "rate = 5.0"));
-    assert_eq!(fence.take(other.expect("sound")), FenceOutcome::Conflict);
-    assert_eq!(fence.held(), Some(&revision(8)));
+        read_catalogue(&VALID.replace("revision = 7", "revision = 8").replace("rate = 4.0", "rate = 5.0"));
+    assert_eq!(fence.take(other.expect("valid")), FenceOutcome::Conflict);
+    assert_eq!(fence.current(), Some(&revision(8)));
     assert_eq!(fence.take(revision(9)), FenceOutcome::New);
 }
--- a/crates/plans/tests/recorded.rs
+++ b/crates/plans/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! The catalogue's file as operators write it: a whole one, value by value, and wrong ones with the text of
-//! what is wrong.
+//! Pins the format of the catalogue file: each value of a complete file, and the error texts of invalid
+//! files.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -8,8 +8,8 @@
 
 const SAMPLE: &str = include_str!("data/catalogue.toml");
 
-/// Wrong files: what is replaced in the sample, at its first place, by what.
-const WRONG: &[(&str, &str)] = &[
+/// Invalid files: the first occurrence of the left text in the sample is replaced by the right text.
+const INVALID: &[(&str, &str)] = &[
     ("revision = 42", ""),
     ("revision = 42", "revision = 0"),
     ("revision = 42", "revision = -1"),
@@ -51,7 +51,7 @@
     ("[[customer]]", "[[client]]"),
 ];
 
-fn data(name: &str) -> PathBuf {
+fn data_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
@@ -59,25 +59,26 @@
     Plan { name: name.into(), version }
 }
 
-fn terms(rate: f64, burst: f64, ceiling_rate: f64, ceiling_burst: f64) -> PlanLimits {
+fn limits(rate: f64, burst: f64, ceiling_rate: f64, ceiling_burst: f64) -> PlanLimits {
     PlanLimits { rate, burst, ceiling_rate, ceiling_burst }
 }
 
 #[test]
-fn reads_each_value_of_a_whole_file() {
-    let all = read_catalogue(SAMPLE).expect("sound");
-    assert_eq!((all.revision(), all.customers()), (42, 2));
-    let plans: Vec<(Plan, PlanLimits)> = all.plans().map(|(plan, terms)| (plan.clone(), *terms)).collect();
+fn reads_each_value_of_a_complete_file() {
+    let catalogue = read_catalogue(SAMPLE).expect("valid");
+    assert_eq!((catalogue.revision(), catalogue.customers()), (42, 2));
+    let plans: Vec<(Plan, PlanLimits)> =
+        catalogue.plans().map(|(plan, limits)| (plan.clone(), *limits)).collect();
     let spaces = "größe, with spaces";
-    let wanted = [
-        (plan(spaces, u32::MAX), terms(0.0, 0.0, 0.0, 0.0)),
-        (plan("standard", 1), terms(4.0, 10.0, 0.0, 0.0)),
-        (plan("standard", 2), terms(6.5, 15.25, 12.0, 30.0)),
+    let expected = [
+        (plan(spaces, u32::MAX), limits(0.0, 0.0, 0.0, 0.0)),
+        (plan("standard", 1), limits(4.0, 10.0, 0.0, 0.0)),
+        (plan("standard", 2), limits(6.5, 15.25, 12.0, 30.0)),
     ];
-    assert_eq!(plans, wanted);
+    assert_eq!(plans, expected);
     let (first, second) = (0xb4d6_5521, 0x1_ffff_ffff);
     let (eve, day) = (1_798_135_200_000, 1_798_153_200_500);
-    for (customer, at_ms, wanted) in [
+    for (customer, at_ms, expected) in [
         (first, 0, Some(plan("standard", 1))),
         (first, eve - 1, Some(plan("standard", 1))),
         (first, eve, Some(plan("standard", 2))),
@@ -88,34 +89,34 @@
         (second, 1, Some(plan("standard", 2))),
         (1, day, None),
     ] {
-        assert_eq!(all.plan_at(customer, at_ms), wanted.as_ref(), "customer {customer:x} at {at_ms}");
+        assert_eq!(catalogue.plan_at(customer, at_ms), expected.as_ref(), "customer {customer:x} at {at_ms}");
     }
 }
 
-fn texts() -> String {
+fn error_texts() -> String {
     let mut all = String::new();
-    for (from, to) in WRONG {
+    for (from, to) in INVALID {
         assert!(SAMPLE.contains(from), "{from:?}");
         let text = match read_catalogue(&SAMPLE.replacen(from, to, 1)) {
             Ok(_) => "read".to_string(),
-            Err(bad) => bad.to_string(),
+            Err(error) => error.to_string(),
         };
-        writeln!(all, "{from:?} -> {to:?}\n{text}\n").expect("a string takes all");
+        writeln!(all, "{from:?} -> {to:?}\n{text}\n").expect("written to a string");
     }
     all
 }
 
 #[test]
-fn wrong_files_have_recorded_texts() {
-    assert_eq!(texts(), std::fs::read_to_string(data("wrong.txt")).expect("recorded"));
+fn invalid_files_have_recorded_errors() {
+    assert_eq!(error_texts(), std::fs::read_to_string(data_file("wrong.txt")).expect("recorded"));
 }
 
 #[test]
-fn faults_are_in_the_order_of_their_lines() {
-    let both = SAMPLE.replace("rate = 6.5", "rate = -6.5").replace("2026-12-24T18:00:00Z", "soon");
-    let wanted = "line 13: plan.rate: -6.5 is no finite number of 0 or more\n\
+fn faults_are_ordered_by_line() {
+    let two_faults = SAMPLE.replace("rate = 6.5", "rate = -6.5").replace("2026-12-24T18:00:00Z", "soon");
+    let expected = "line 13: plan.rate: -6.5 is no finite number of 0 or more\n\
         line 34: customer.from: a time from 1970 on is wanted, as in 2026-12-24T18:00:00Z";
-    assert_eq!(read_catalogue(&both).expect_err("two faults").to_string(), wanted);
+    assert_eq!(read_catalogue(&two_faults).expect_err("two faults").to_string(), expected);
 }
 
 #[test]
@@ -125,7 +126,7 @@
         Catalogue::new(1, many, []).expect_err("too many").to_string(),
         "more than 10000 versions of plans"
     );
-    for (wrong, text) in [
+    for (error, text) in [
         (CatalogueError::InvalidLimits(plan("a", 1)), "a version 1: finite numbers of 0 or more are wanted"),
         (
             CatalogueError::InvalidVersion(plan("a", 0)),
@@ -141,12 +142,12 @@
         ),
         (CatalogueError::TooMany { what: "customers' plans", max: 3 }, "more than 3 customers' plans"),
     ] {
-        assert_eq!(wrong.to_string(), text);
+        assert_eq!(error.to_string(), text);
     }
 }
 
 #[test]
-fn files_of_another_shape_have_recorded_texts() {
+fn files_of_another_structure_have_recorded_errors() {
     let mut all = String::new();
     for text in [
         "",
@@ -160,8 +161,9 @@
         "revision = 1\ncustomer = [\"x\"]",
         "revision = []",
     ] {
-        let read = read_catalogue(text).map(|all| all.revision()).map_err(|bad| bad.to_string());
-        writeln!(all, "{text:?}\n{read:?}\n").expect("a string takes all");
+        let read =
+            read_catalogue(text).map(|catalogue| catalogue.revision()).map_err(|error| error.to_string());
+        writeln!(all, "{text:?}\n{read:?}\n").expect("written to a string");
     }
-    assert_eq!(all, std::fs::read_to_string(data("shapes.txt")).expect("recorded"));
+    assert_eq!(all, std::fs::read_to_string(data_file("shapes.txt")).expect("recorded"));
 }
--- a/crates/plans/tests/timeline.rs
+++ b/crates/plans/tests/timeline.rs
@@ -1,9 +1,9 @@
-//! Changes of terms in the middle of a window.
+//! Changes of limits within a window.
 
 use plans::{PlanLimits, PlanTimeline};
 use proptest::prelude::*;
 
-fn terms(rate: f64, burst: f64) -> PlanLimits {
+fn limits(rate: f64, burst: f64) -> PlanLimits {
     PlanLimits { rate, burst, ..PlanLimits::default() }
 }
 
@@ -12,87 +12,93 @@
 
 #[test]
 fn changes_of_plan_take_effect_at_once() {
-    let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
-    // A window from 0; 18 units charged by 2 s: the small plan is empty.
+    let (small, large) = (limits(SMALL.0, SMALL.1), limits(LARGE.0, LARGE.1));
+    // In a window from 0, 18 units charged by 2 s empty the bucket of the small plan.
     let raised = PlanTimeline::always(small).then(2_000, large);
     assert!((raised.level(18.0, 0, 1_999) - 0.0).abs() < 0.01);
     assert!((raised.level(18.0, 0, 2_000) - 30.0).abs() < 0.01);
-    // The same on the way down: 30 of 40 are there, 10 are owed, and the small plan holds 10.
+    // Lowered: 30 of 40 units are left, so the debt is 10, which is the burst of the small plan.
     let lowered = PlanTimeline::always(large).then(2_000, small);
     assert!((lowered.level(34.0, 0, 1_999) - 30.0).abs() < 0.02);
     assert!((lowered.level(34.0, 0, 2_000) - 0.0).abs() < 0.02);
-    // One who owes more waits until it is made good: no level is made up.
+    // A greater debt gives a negative level, which refill has to make up for.
     assert!((lowered.level(44.0, 0, 2_000) + 10.0).abs() < 0.02);
     assert!((lowered.level(44.0, 0, 4_500) - 0.0).abs() < 0.02);
 }
 
 #[test]
-fn quick_changes_leave_what_was_counted() {
-    let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
+fn short_changes_keep_the_debt() {
+    let (small, large) = (limits(SMALL.0, SMALL.1), limits(LARGE.0, LARGE.1));
     let steady = PlanTimeline::always(large);
-    // There and back in one instant is no change at all.
+    // A change and its reversal at one instant have no effect.
     assert_eq!(steady.clone().then(2_000, small).then(2_000, large).limits_at(3_000), &large);
-    let instant = steady.clone().then(2_000, small).then(2_000, large);
-    assert!((instant.level(20.0, 0, 5_000) - steady.level(20.0, 0, 5_000)).abs() < 1e-9);
-    // There and back within a second costs what the lower rate gave less, and no more.
-    let back = steady.clone().then(2_000, small).then(2_700, large);
-    let less = (large.rate - small.rate) * 0.7;
-    assert!((steady.level(20.0, 0, 5_000) - back.level(20.0, 0, 5_000) - less).abs() < 1e-9);
+    let reverted = steady.clone().then(2_000, small).then(2_000, large);
+    assert!((reverted.level(20.0, 0, 5_000) - steady.level(20.0, 0, 5_000)).abs() < 1e-9);
+    // A change that is reversed within a second costs only the difference of the refill.
+    let reversed = steady.clone().then(2_000, small).then(2_700, large);
+    let lost_refill = (large.rate - small.rate) * 0.7;
+    assert!((steady.level(20.0, 0, 5_000) - reversed.level(20.0, 0, 5_000) - lost_refill).abs() < 1e-9);
     assert_eq!(
-        (back.next_change(0), back.next_change(2_000), back.next_change(2_700)),
+        (reversed.next_change(0), reversed.next_change(2_000), reversed.next_change(2_700)),
         (Some(2_000), Some(2_700), None)
     );
 }
 
 #[test]
-fn late_gateway_errs_by_bursts_and_rates() {
-    let (small, large) = (terms(SMALL.0, SMALL.1), terms(LARGE.0, LARGE.1));
+fn error_of_a_late_gateway_is_that_of_bursts_and_rates() {
+    let (small, large) = (limits(SMALL.0, SMALL.1), limits(LARGE.0, LARGE.1));
     let (old, new) = (PlanTimeline::always(large), PlanTimeline::always(large).then(2_000, small));
-    // Before the instant it errs by nothing; a second after by the difference of the bursts, and of the
-    // rates.
+    // The error is 0 before the change; 1 s after it is the difference of the bursts plus that of the rates.
     assert!(new.level_error(&old, 0, 1_999).abs() < 1e-9);
     assert!((new.level_error(&old, 0, 3_000) - (30.0 + 8.0)).abs() < 1e-9);
-    // Two gateways a second apart in when they hear read one level again as soon as both have.
+    // Once both gateways know the change, they compute the same level again.
     assert!(new.level_error(&new.clone(), 0, 3_000).abs() < 1e-9);
-    // A raised plan not heard of refuses what fits, and passes nothing beyond.
+    // A gateway that does not know of a raised plan admits less, never more.
     let raised = PlanTimeline::always(small).then(2_000, large);
     assert!(raised.level_error(&PlanTimeline::always(small), 0, 3_000) < 0.0);
 }
 
-fn any_terms() -> impl Strategy<Value = PlanLimits> {
-    (0.0f64..50.0, 0.0f64..200.0).prop_map(|(rate, burst)| terms(rate, burst))
+fn any_limits() -> impl Strategy<Value = PlanLimits> {
+    (0.0f64..50.0, 0.0f64..200.0).prop_map(|(rate, burst)| limits(rate, burst))
 }
 
-fn any_line() -> impl Strategy<Value = PlanTimeline> {
-    (any_terms(), proptest::collection::vec((1u64..20_000, any_terms()), 0..6)).prop_map(|(first, steps)| {
-        steps.into_iter().fold(PlanTimeline::always(first), |line, (at, terms)| line.then(at, terms))
-    })
+fn any_timeline() -> impl Strategy<Value = PlanTimeline> {
+    (any_limits(), proptest::collection::vec((1u64..20_000, any_limits()), 0..6)).prop_map(
+        |(first, steps)| {
+            steps
+                .into_iter()
+                .fold(PlanTimeline::always(first), |timeline, (at, limits)| timeline.then(at, limits))
+        },
+    )
 }
 
 proptest! {
     #[test]
     fn refill_is_additive_over_time(
-        line in any_line(), a in 0u64..20_000, b in 0u64..20_000, c in 0u64..20_000,
+        timeline in any_timeline(), a in 0u64..20_000, b in 0u64..20_000, c in 0u64..20_000,
     ) {
         let mut cut = [a, b, c];
         cut.sort_unstable();
-        let whole = line.refill(cut[0], cut[2]);
-        prop_assert!((whole - line.refill(cut[0], cut[1]) - line.refill(cut[1], cut[2])).abs() < 1e-6);
+        let whole = timeline.refill(cut[0], cut[2]);
+        let (first, second) = (timeline.refill(cut[0], cut[1]), timeline.refill(cut[1], cut[2]));
+        prop_assert!((whole - first - second).abs() < 1e-6);
     }
 
     #[test]
     fn carried_level_equals_the_level_of_the_total(
-        line in any_line(), total in 0.0f64..100.0, a in 0u64..20_000, more in 0u64..20_000,
+        timeline in any_timeline(), total in 0.0f64..100.0, a in 0u64..20_000, more in 0u64..20_000,
     ) {
-        let (then, now) = (line.level(total, 0, a), line.level(total, 0, a + more));
-        prop_assert!((line.carry_level(then, a, a + more) + line.refill(a, a + more) - now).abs() < 1e-6);
-        // Nobody has more than full: a store that owes nothing is at the burst in force.
-        prop_assert!(line.carry_level(line.limits_at(a).burst, a, a + more) <= line.limits_at(a + more).burst + 1e-9);
+        let (then, now) = (timeline.level(total, 0, a), timeline.level(total, 0, a + more));
+        let carried = timeline.carry_level(then, a, a + more);
+        prop_assert!((carried + timeline.refill(a, a + more) - now).abs() < 1e-6);
+        // A full bucket stays at most full: without debt the level is the burst in force.
+        let (burst, burst_after) = (timeline.limits_at(a).burst, timeline.limits_at(a + more).burst);
+        prop_assert!(timeline.carry_level(burst, a, a + more) <= burst_after + 1e-9);
     }
 
     #[test]
     fn error_of_a_late_gateway_is_bounded(
-        before in any_terms(), after in any_terms(), at in 1u64..10_000, late in 0u64..10_000,
+        before in any_limits(), after in any_limits(), at in 1u64..10_000, late in 0u64..10_000,
     ) {
         let (old, new) = (PlanTimeline::always(before), PlanTimeline::always(before).then(at, after));
         let rates = (before.rate - after.rate).abs() * late as f64 / 1000.0;
