--- a/crates/spool/src/fault.rs
+++ b/crates/spool/src/fault.rs
@@ -1,33 +1,34 @@
-//! What is wrong with the segments on the disk.
+//! Faults of segments on the disk.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// A fault that was found at the start. No record that can be read is removed because of it.
+/// A fault that was found when the spool was opened. Readable records are never removed because of a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpoolFault {
-    /// The last segment ends within a frame: a write was cut short. It is continued after its last record.
+    /// The last segment ends within a frame, as a write was interrupted. That frame is removed.
     Truncated {
         /// File of the segment.
         path: PathBuf,
-        /// Records before.
+        /// Number of valid records before the fault.
         records: usize,
     },
-    /// A segment is not what was written.
+    /// A segment has a corrupt frame, or one that is truncated although it is not the last segment.
     Corrupt {
         /// File of the segment.
         path: PathBuf,
-        /// Records before.
+        /// Number of valid records before the fault.
         records: usize,
     },
-    /// A segment does not follow the one before: that one was cut short, replaced or is missing.
+    /// A segment does not continue the hash chain of the previous one, which was truncated, replaced or is
+    /// missing.
     BrokenChain {
         /// File of the segment.
         path: PathBuf,
     },
-    /// The header of a segment is not valid. The file is renamed to `.spoilt` and left out.
+    /// The header of a segment is invalid. The file is renamed to `.spoilt` and ignored.
     Unreadable {
-        /// File of the segment, before it was renamed.
+        /// File of the segment before it was renamed.
         path: PathBuf,
     },
 }
--- a/crates/spool/src/store.rs
+++ b/crates/spool/src/store.rs
@@ -1,4 +1,4 @@
-//! The segments of a spool.
+//! The spool and its segments.
 
 use std::collections::VecDeque;
 use std::fs::{self, File, OpenOptions};
@@ -9,54 +9,56 @@
 
 use crate::fault::SpoolFault;
 
-/// A segment's file is named by its number, with leading zeros, and this.
-const SUFFIX: &str = ".use";
-/// Extension of a file that is left out, as its header is not valid.
+/// Suffix of segment files; the number of the segment with leading zeros precedes it.
+const SEGMENT_SUFFIX: &str = ".use";
+/// Extension of segment files that are ignored because their header is invalid.
 const UNREADABLE_EXTENSION: &str = "spoilt";
 
-/// When records are flushed to the disk.
+/// Policy for flushing records to the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FsyncPolicy {
-    /// With each record. A crash of the machine loses none.
+    /// After each record. A crash of the machine loses no record.
     EveryRecord,
-    /// With each such number of records, and with each full segment. A crash of the machine loses as many.
+    /// After this many records and after each full segment. A crash of the machine loses at most this many
+    /// records.
     EveryRecords(u32),
-    /// With each full segment. A kill of the process loses none, a crash of the machine what was not flushed.
+    /// After each full segment. A crash of the machine loses the records that were not flushed; a kill of the
+    /// process loses none.
     EverySegment,
 }
 
-/// How much is retained, and how surely.
+/// Size limits and flush policy of a spool.
 #[derive(Clone, Copy, Debug)]
 pub struct SpoolLimits {
-    /// A segment is full at this size, bytes.
+    /// Size at which a segment is full, bytes.
     pub segment_bytes: u64,
-    /// Limit of all segments together, bytes. Beyond it the newest records are dropped, so that those
-    /// retained have no gap.
+    /// Size limit of all segments together, bytes. Beyond it new records are dropped, so that the retained
+    /// ones have no gap.
     pub total_bytes: u64,
-    /// When records are flushed to the disk.
+    /// Policy for flushing records to the disk.
     pub fsync: FsyncPolicy,
 }
 
-/// What became of a record.
+/// Outcome of [`Spool::append`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// It is in the spool.
+    /// The record is in the spool.
     Stored,
-    /// There was no room for it, by the limits or on the disk.
+    /// The record was dropped for lack of space, by the limits or on the disk.
     Dropped,
 }
 
 /// Unacknowledged records of one segment, oldest first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnsentRecords {
-    /// Who recorded them.
+    /// Source of the records.
     pub source: Source,
     /// Number of the segment.
     pub segment: u64,
     /// The records.
     pub records: Vec<Record>,
-    /// Sequence numbers before or between them that no segment has: they were dropped or are corrupt, and
-    /// lost for good.
+    /// Missing sequence numbers before or between the records: these records were dropped or are corrupt, and
+    /// are lost for good.
     pub lost: Vec<SequenceRange>,
 }
 
@@ -65,7 +67,7 @@
     number: u64,
     path: PathBuf,
     bytes: u64,
-    /// The last sequence number in it; 0 if it has none.
+    /// Last sequence number in the segment; 0 if it has no records.
     last_sequence: u64,
     source: Source,
 }
@@ -77,7 +79,7 @@
     writer: SegmentWriter,
 }
 
-/// A file with the name of a segment.
+/// A file whose name is that of a segment.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SegmentFile {
     number: u64,
@@ -92,22 +94,23 @@
     source: Source,
     segments: VecDeque<Segment>,
     open: Option<OpenSegment>,
-    /// The chain at the end of the last segment.
+    /// Chain at the end of the last segment.
     chain: HashChain,
     next_number: u64,
     bytes: u64,
-    /// Records that were not flushed yet.
+    /// Number of records that are not flushed yet.
     unflushed: u32,
     last_sequence: u64,
     dropped: u64,
 }
 
 impl Spool {
-    /// Opens the spool in a directory for a new incarnation of a gateway, with what earlier ones left. A
-    /// truncated frame at the end is removed; all other faults are reported and left.
+    /// Opens the spool in a directory for a new incarnation of a gateway, with the segments that earlier ones
+    /// left. A truncated frame at the end of the last segment is removed, and a segment with an invalid header
+    /// is renamed; other faults are only reported.
     ///
     /// # Errors
-    /// The directory or a segment cannot be read, created or written.
+    /// An error if the directory or a segment cannot be read, created or written.
     pub fn open(
         directory: &Path,
         limits: SpoolLimits,
@@ -148,9 +151,10 @@
             faults.push(SpoolFault::Unreadable { path });
             return Ok(());
         };
-        // The chain of the first segment may begin anywhere: those before were acknowledged.
-        let follows = self.segments.is_empty() || header.previous == self.chain;
-        if header.number != number || !follows {
+        // The first segment may continue any chain, as the segments before it may have been acknowledged and
+        // removed.
+        let continues_chain = self.segments.is_empty() || header.previous == self.chain;
+        if header.number != number || !continues_chain {
             faults.push(SpoolFault::BrokenChain { path: path.clone() });
         }
         let mut length = bytes.len() as u64;
@@ -179,29 +183,29 @@
         Ok(())
     }
 
-    /// The last sequence number that was given, dropped records included.
+    /// Returns the last sequence number that was assigned, including those of dropped records.
     #[must_use]
     pub fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Records that this incarnation dropped for want of room.
+    /// Returns the number of records that this incarnation dropped for lack of space.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Size of all segments, bytes.
+    /// Returns the size of all segments, bytes.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Appends a record with the next sequence number. A dropped record takes a number too, so that its loss
-    /// shows in the sequence.
+    /// Appends a record with the next sequence number. A dropped record also uses up a number, so that the
+    /// gap shows the loss.
     ///
     /// # Errors
-    /// The disk failed other than for want of room: the record may be stored or not.
+    /// An error of the disk other than lack of space; the record may or may not be stored.
     pub fn append(&mut self, mut record: Record) -> io::Result<AppendOutcome> {
         self.last_sequence += 1;
         record.sequence = self.last_sequence;
@@ -222,9 +226,9 @@
         let Some(OpenSegment { file, writer }) = &mut self.open else { return Ok(AppendOutcome::Dropped) };
         let chain_before = writer.chain();
         let Some(bytes) = writer.record(record) else { return Ok(AppendOutcome::Dropped) };
-        let segment = self.segments.back_mut().ok_or_else(|| io::Error::other("no segment"))?;
+        let segment = self.segments.back_mut().ok_or_else(|| io::Error::other("the spool has no segment"))?;
         if let Err(error) = file.write_all(&bytes) {
-            // No frame may follow half a frame.
+            // Removes a partially written frame, as no frame may follow it.
             *writer = SegmentWriter::resume(chain_before);
             file.set_len(segment.bytes)?;
             file.seek(SeekFrom::Start(segment.bytes))?;
@@ -242,7 +246,7 @@
         Ok(AppendOutcome::Stored)
     }
 
-    /// Counts a record that was written, and flushes if it is time for it.
+    /// Counts a written record and flushes the segment if the policy requires it.
     fn flush_if_due(&mut self, segment_is_full: bool) -> io::Result<()> {
         self.unflushed += 1;
         let is_due = match self.limits.fsync {
@@ -257,7 +261,7 @@
         Ok(())
     }
 
-    /// Begins a segment if none is open. Returns `false` if its header is too long for a frame.
+    /// Begins a segment if none is open. Returns `false` if the header is too long for a frame.
     fn ensure_open_segment(&mut self) -> io::Result<bool> {
         if self.open.is_some() {
             return Ok(true);
@@ -266,7 +270,7 @@
         let source = self.source.clone();
         let header = SegmentHeader { format: FORMAT, number, source: source.clone(), previous: self.chain };
         let Some((writer, header_bytes)) = SegmentWriter::begin(&header) else { return Ok(false) };
-        let path = self.directory.join(format!("{number:020}{SUFFIX}"));
+        let path = self.directory.join(format!("{number:020}{SEGMENT_SUFFIX}"));
         let file = self.create_segment_file(&path, &header_bytes)?;
         let bytes = header_bytes.len() as u64;
         self.segments.push_back(Segment { number, path, bytes, last_sequence: 0, source });
@@ -277,8 +281,8 @@
         Ok(true)
     }
 
-    /// Creates a file with the header of a segment; a file of another owner of the directory is never
-    /// overwritten.
+    /// Creates the file of a segment with its header. Fails if the file exists, so that a file of another
+    /// process in the directory is never overwritten.
     fn create_segment_file(&self, path: &Path, header: &[u8]) -> io::Result<File> {
         let mut file = OpenOptions::new().write(true).create_new(true).open(path)?;
         let written = file.write_all(header).and_then(|()| file.sync_all());
@@ -290,11 +294,11 @@
         Ok(file)
     }
 
-    /// The unacknowledged records of the oldest segment that has some; none if there are none.
-    /// `acknowledged_upto` tells the last sequence number of each source that is acknowledged.
+    /// Returns the unacknowledged records of the oldest segment that has any, or `None`. `acknowledged_upto`
+    /// returns the last acknowledged sequence number of a source.
     ///
     /// # Errors
-    /// A segment cannot be read.
+    /// An error if a segment cannot be read.
     pub fn unsent(&self, acknowledged_upto: impl Fn(&Source) -> u64) -> io::Result<Option<UnsentRecords>> {
         for segment in &self.segments {
             let acknowledged = acknowledged_upto(&segment.source);
@@ -312,11 +316,11 @@
         Ok(None)
     }
 
-    /// Removes segments whose records are all acknowledged, oldest first and without a gap, so that the
-    /// others are a chain. The open one stays.
+    /// Removes the oldest segments up to the first one with unacknowledged records, so that the remaining
+    /// ones form a chain. The open segment is kept.
     ///
     /// # Errors
-    /// A segment cannot be removed; it is offered again.
+    /// An error if a segment cannot be removed; the next call tries again.
     pub fn acknowledge(&mut self, acknowledged_upto: impl Fn(&Source) -> u64) -> io::Result<()> {
         while let Some(oldest) = self.segments.front() {
             let is_open = self.open.is_some() && self.segments.len() == 1;
@@ -331,13 +335,14 @@
     }
 }
 
-/// The files in a directory that are named as segments, in the order of their numbers.
+/// Returns the files in a directory that have the name of a segment, ordered by number.
 fn segment_files(directory: &Path) -> io::Result<Vec<SegmentFile>> {
     let mut files = Vec::new();
     for entry in fs::read_dir(directory)? {
         let path = entry?.path();
         let name = path.file_name().and_then(|name| name.to_str());
-        let number = name.and_then(|name| name.strip_suffix(SUFFIX)).and_then(|stem| stem.parse().ok());
+        let number =
+            name.and_then(|name| name.strip_suffix(SEGMENT_SUFFIX)).and_then(|stem| stem.parse().ok());
         if let Some(number) = number {
             files.push(SegmentFile { number, path });
         }
@@ -352,7 +357,7 @@
     file.sync_all()
 }
 
-/// Sequence numbers after `acknowledged` that are missing before or between the records.
+/// Returns the sequence numbers after `acknowledged` that are missing before or between the records.
 fn gaps(acknowledged: u64, records: &[Record]) -> Vec<SequenceRange> {
     let before = std::iter::once(acknowledged).chain(records.iter().map(|record| record.sequence));
     let gap = |(before, record): (u64, &Record)| {
--- a/crates/spool/tests/recorded.rs
+++ b/crates/spool/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Segments as released versions wrote them: recorded files are read whole, and the same records give
-//! the same bytes again.
+//! Pins the segment format of released versions: recorded files are read completely, and the same records
+//! produce the same bytes.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,10 +8,10 @@
 use spool::{AppendOutcome, FsyncPolicy, Spool, SpoolLimits};
 use usage::{scan, Record, ScanEnd, Source, Units, FORMAT};
 
-const POLICY: SpoolLimits =
+const LIMITS: SpoolLimits =
     SpoolLimits { segment_bytes: 220, total_bytes: 1 << 20, fsync: FsyncPolicy::EverySegment };
 
-fn data() -> PathBuf {
+fn recorded_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/segments")
 }
 
@@ -22,7 +22,7 @@
     ]
 }
 
-/// Records with the least and the greatest value of each field.
+/// Records with the minimum and the maximum value of each field.
 fn records() -> Vec<Record> {
     let record = |at_ms, customer, plan: &str, version, class, units: f64| Record {
         sequence: 0,
@@ -44,69 +44,69 @@
     ]
 }
 
-/// Two starts of gateways in one folder, each with all records.
-fn write(folder: &Path) {
+/// Writes all records for each of two sources to one directory.
+fn write_segments(directory: &Path) {
     for source in sources() {
-        let (mut spool, faults) = Spool::open(folder, POLICY, source).expect("a folder");
+        let (mut spool, faults) = Spool::open(directory, LIMITS, source).expect("opened");
         assert_eq!(faults, []);
         for record in records() {
-            assert_eq!(spool.append(record).expect("disk"), AppendOutcome::Stored);
+            assert_eq!(spool.append(record).expect("no I/O error"), AppendOutcome::Stored);
         }
     }
 }
 
-fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+fn files(directory: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(directory).expect("read").map(|entry| entry.expect("an entry").path());
     let name = |path: &Path| path.file_name().and_then(|n| n.to_str()).expect("a name").to_string();
     entries.map(|path| (name(&path), fs::read(&path).expect("a file"))).collect()
 }
 
 #[test]
 fn reads_every_record_of_recorded_segments() {
-    let folder = tempfile::tempdir().expect("a folder");
-    for (name, bytes) in files(&data()) {
-        fs::write(folder.path().join(name), bytes).expect("disk");
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    for (name, bytes) in files(&recorded_directory()) {
+        fs::write(directory.path().join(name), bytes).expect("no I/O error");
     }
     let new = Source { gateway: "n0".into(), incarnation: 8 };
-    let (mut spool, faults) = Spool::open(folder.path(), POLICY, new).expect("a folder");
+    let (mut spool, faults) = Spool::open(directory.path(), LIMITS, new).expect("opened");
     assert_eq!(faults, []);
     let mut read: BTreeMap<Source, Vec<Record>> = BTreeMap::new();
     let upto = |read: &BTreeMap<Source, Vec<Record>>, source: &Source| {
         read.get(source).and_then(|records| records.last()).map_or(0, |record| record.sequence)
     };
-    while let Some(found) = spool.unsent(|source| upto(&read, source)).expect("disk") {
-        assert_eq!(found.lost, []);
-        read.entry(found.source).or_default().extend(found.records);
+    while let Some(unsent) = spool.unsent(|source| upto(&read, source)).expect("no I/O error") {
+        assert_eq!(unsent.lost, []);
+        read.entry(unsent.source).or_default().extend(unsent.records);
     }
     let numbered = |(record, sequence): (Record, u64)| Record { sequence, ..record };
     let all: Vec<Record> = records().into_iter().zip(1..).map(numbered).collect();
     for source in sources() {
         assert_eq!(read.get(&source), Some(&all), "{source:?}");
     }
-    spool.acknowledge(|source| upto(&read, source)).expect("disk");
-    assert_eq!((spool.bytes(), files(folder.path()).len()), (0, 0));
+    spool.acknowledge(|source| upto(&read, source)).expect("no I/O error");
+    assert_eq!((spool.bytes(), files(directory.path()).len()), (0, 0));
 }
 
 #[test]
 fn writes_the_recorded_bytes() {
-    let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path());
-    let (written, recorded) = (files(folder.path()), files(&data()));
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    write_segments(directory.path());
+    let (written, recorded) = (files(directory.path()), files(&recorded_directory()));
     assert_eq!(written.keys().collect::<Vec<_>>(), recorded.keys().collect::<Vec<_>>());
     assert_eq!(written, recorded);
 }
 
 #[test]
-fn recorded_segments_are_a_chain_of_numbered_headers() {
+fn recorded_segments_have_chained_numbered_headers() {
     let mut previous = None;
-    for (number, (name, bytes)) in (1..).zip(files(&data())) {
+    for (number, (name, bytes)) in (1..).zip(files(&recorded_directory())) {
         assert_eq!(name, format!("{number:020}.use"));
-        let found = scan(&bytes);
-        let header = found.header.expect("a header");
-        assert_eq!((found.end, found.valid_bytes), (ScanEnd::Complete, bytes.len()));
+        let scanned = scan(&bytes);
+        let header = scanned.header.expect("a header");
+        assert_eq!((scanned.end, scanned.valid_bytes), (ScanEnd::Complete, bytes.len()));
         assert_eq!((FORMAT, header.format, header.number), (1, 1, number));
         assert_eq!(header.previous, previous.unwrap_or_default());
-        previous = Some(found.chain);
+        previous = Some(scanned.chain);
     }
     assert!(previous.is_some());
 }
--- a/crates/spool/tests/spool.rs
+++ b/crates/spool/tests/spool.rs
@@ -1,4 +1,4 @@
-//! The spool on a disk: kills at any byte, spoilt and replaced segments, a bound that is met.
+//! The spool on a disk: writes interrupted at any byte, corrupt and replaced segments, and the size limit.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,11 +6,11 @@
 use spool::{AppendOutcome, FsyncPolicy, Spool, SpoolFault, SpoolLimits};
 use usage::{Ledger, Record, RecordOutcome, Settings, Source, Units};
 
-const POLICY: SpoolLimits =
+const LIMITS: SpoolLimits =
     SpoolLimits { segment_bytes: 200, total_bytes: 1 << 20, fsync: FsyncPolicy::EveryRecords(8) };
 
-fn life(life: u64) -> Source {
-    Source { gateway: "n0".into(), incarnation: life }
+fn source(incarnation: u64) -> Source {
+    Source { gateway: "n0".into(), incarnation }
 }
 
 fn record(at_ms: u64) -> Record {
@@ -18,35 +18,37 @@
     Record { sequence: 0, at_ms, customer: at_ms % 7, plan, version: 1, class: 0, units }
 }
 
-fn open(folder: &Path, number: u64) -> (Spool, Vec<SpoolFault>) {
-    Spool::open(folder, POLICY, life(number)).expect("a folder")
+fn open(directory: &Path, incarnation: u64) -> (Spool, Vec<SpoolFault>) {
+    Spool::open(directory, LIMITS, source(incarnation)).expect("opened")
 }
 
-fn fill(folder: &Path, number: u64, records: u64) -> Spool {
-    let (mut spool, _) = open(folder, number);
+fn fill(directory: &Path, incarnation: u64, records: u64) -> Spool {
+    let (mut spool, _) = open(directory, incarnation);
     for at in 0..records {
-        assert_eq!(spool.append(record(at)).expect("a disk"), AppendOutcome::Stored);
+        assert_eq!(spool.append(record(at)).expect("no I/O error"), AppendOutcome::Stored);
     }
     spool
 }
 
-fn segments(folder: &Path) -> Vec<PathBuf> {
-    let mut all: Vec<PathBuf> =
-        fs::read_dir(folder).expect("there").map(|e| e.expect("one").path()).collect();
-    all.sort();
-    all
+fn segments(directory: &Path) -> Vec<PathBuf> {
+    let mut paths: Vec<PathBuf> =
+        fs::read_dir(directory).expect("read").map(|e| e.expect("an entry").path()).collect();
+    paths.sort();
+    paths
 }
 
-/// Sends all that is there to a ledger and acknowledges it; gives how many were new.
+/// Sends all unsent records to a ledger and acknowledges them. Returns how many of them the ledger counted.
 fn send(spool: &mut Spool, ledger: &mut Ledger) -> usize {
-    let mut new = 0;
-    while let Some(found) = spool.unsent(|source| ledger.counted_upto(source)).expect("read") {
-        let taken = found.records.iter().map(|r| ledger.record(&found.source, r));
-        new += taken.filter(|t| matches!(t, RecordOutcome::Counted | RecordOutcome::CountedLate)).count();
-        assert!(found.lost.iter().all(|lost| ledger.record_lost(&found.source, *lost)));
+    let mut counted = 0;
+    while let Some(unsent) = spool.unsent(|source| ledger.counted_upto(source)).expect("read") {
+        let outcomes = unsent.records.iter().map(|r| ledger.record(&unsent.source, r));
+        counted += outcomes
+            .filter(|outcome| matches!(outcome, RecordOutcome::Counted | RecordOutcome::CountedLate))
+            .count();
+        assert!(unsent.lost.iter().all(|lost| ledger.record_lost(&unsent.source, *lost)));
         spool.acknowledge(|source| ledger.counted_upto(source)).expect("removed");
     }
-    new
+    counted
 }
 
 fn ledger() -> Ledger {
@@ -55,112 +57,118 @@
 
 #[test]
 fn records_of_earlier_incarnations_are_sent_once_and_removed() {
-    let folder = tempfile::tempdir().expect("a folder");
-    drop(fill(folder.path(), 1, 25));
-    assert!(segments(folder.path()).len() > 2);
-    let (mut spool, faults) = open(folder.path(), 2);
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    drop(fill(directory.path(), 1, 25));
+    assert!(segments(directory.path()).len() > 2);
+    let (mut spool, faults) = open(directory.path(), 2);
     assert_eq!(faults, []);
-    (0..10).for_each(|at| assert_eq!(spool.append(record(at)).expect("a disk"), AppendOutcome::Stored));
+    (0..10).for_each(|at| assert_eq!(spool.append(record(at)).expect("no I/O error"), AppendOutcome::Stored));
     let mut ledger = ledger();
     assert_eq!(send(&mut spool, &mut ledger), 35);
-    assert_eq!((ledger.counted_upto(&life(1)), ledger.counted_upto(&life(2))), (25, 10));
-    // The one that is written to is left.
-    assert!(segments(folder.path()).len() <= 1);
+    assert_eq!((ledger.counted_upto(&source(1)), ledger.counted_upto(&source(2))), (25, 10));
+    // Only the open segment is left.
+    assert!(segments(directory.path()).len() <= 1);
     assert_eq!(send(&mut spool, &mut ledger), 0);
-    // Killed before the acknowledgement, all is offered again and counted once.
-    drop(fill(folder.path(), 3, 12));
-    let (mut spool, _) = open(folder.path(), 4);
-    let found = spool.unsent(|s| ledger.counted_upto(s)).expect("read").expect("there");
-    found.records.iter().for_each(|r| assert_eq!(ledger.record(&found.source, r), RecordOutcome::Counted));
+    // After a kill before the acknowledgement all records are returned again and counted once.
+    drop(fill(directory.path(), 3, 12));
+    let (mut spool, _) = open(directory.path(), 4);
+    let unsent = spool.unsent(|s| ledger.counted_upto(s)).expect("read").expect("there");
+    unsent.records.iter().for_each(|r| assert_eq!(ledger.record(&unsent.source, r), RecordOutcome::Counted));
     drop(spool);
-    (spool, _) = open(folder.path(), 5);
-    assert_eq!(send(&mut spool, &mut ledger), 12 - found.records.len());
-    assert_eq!(ledger.counted_upto(&life(3)), 12);
+    (spool, _) = open(directory.path(), 5);
+    assert_eq!(send(&mut spool, &mut ledger), 12 - unsent.records.len());
+    assert_eq!(ledger.counted_upto(&source(3)), 12);
 }
 
-/// A kill in the middle of a write: the records before it are there, and the chain goes on.
+/// After a kill during a write, the records before it are kept and the chain continues.
 #[test]
-fn last_segment_cut_at_any_byte_is_continued() {
-    let whole = tempfile::tempdir().expect("a folder");
-    drop(fill(whole.path(), 1, 10));
-    let all = segments(whole.path());
-    let (last, before) = all.split_last().expect("some");
+fn chain_continues_after_truncation_at_any_byte() {
+    let complete = tempfile::tempdir().expect("a temporary directory");
+    drop(fill(complete.path(), 1, 10));
+    let paths = segments(complete.path());
+    let (last, before) = paths.split_last().expect("segments");
     let bytes = fs::read(last).expect("read");
     for cut in 0..=bytes.len() {
-        let folder = tempfile::tempdir().expect("a folder");
+        let directory = tempfile::tempdir().expect("a temporary directory");
         for path in before {
-            fs::copy(path, folder.path().join(path.file_name().expect("a name"))).expect("copied");
+            fs::copy(path, directory.path().join(path.file_name().expect("a name"))).expect("copied");
         }
-        let cut_path = folder.path().join(last.file_name().expect("a name"));
+        let cut_path = directory.path().join(last.file_name().expect("a name"));
         fs::write(&cut_path, &bytes[..cut]).expect("written");
-        let (mut spool, faults) = open(folder.path(), 2);
-        (0..6).for_each(|at| assert_eq!(spool.append(record(at)).expect("a disk"), AppendOutcome::Stored));
+        let (mut spool, faults) = open(directory.path(), 2);
+        (0..6).for_each(|at| {
+            assert_eq!(spool.append(record(at)).expect("no I/O error"), AppendOutcome::Stored)
+        });
         drop(spool);
-        let (mut spool, again) = open(folder.path(), 3);
+        let (mut spool, later_faults) = open(directory.path(), 3);
         let mut ledger = ledger();
         send(&mut spool, &mut ledger);
-        assert_eq!(ledger.counted_upto(&life(2)), 6, "cut at {cut}: {faults:?}");
-        assert!(ledger.counted_upto(&life(1)) <= 10);
-        // It is told once, and the chain goes on.
-        assert!(faults.len() <= 1 && again.is_empty(), "cut at {cut}: {faults:?} then {again:?}");
+        assert_eq!(ledger.counted_upto(&source(2)), 6, "cut at {cut}: {faults:?}");
+        assert!(ledger.counted_upto(&source(1)) <= 10);
+        // The fault is reported once, and the chain continues.
+        assert!(
+            faults.len() <= 1 && later_faults.is_empty(),
+            "cut at {cut}: {faults:?} then {later_faults:?}"
+        );
     }
 }
 
 #[test]
 fn corrupt_and_replaced_segments_are_reported_and_the_rest_is_sent() {
-    let folder = tempfile::tempdir().expect("a folder");
-    drop(fill(folder.path(), 1, 15));
-    let second = segments(folder.path())[1].clone();
-    let older = fs::read(&second).expect("read");
-    drop(fill(folder.path(), 2, 10));
-    // A bit in the middle of the second.
-    let mut odd = older.clone();
-    let middle = odd.len() / 2;
-    odd[middle] ^= 4;
-    fs::write(&second, &odd).expect("written");
-    let (mut spool, faults) = open(folder.path(), 3);
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    drop(fill(directory.path(), 1, 15));
+    let second = segments(directory.path())[1].clone();
+    let second_bytes = fs::read(&second).expect("read");
+    drop(fill(directory.path(), 2, 10));
+    // Flips a bit in the middle of the second segment.
+    let mut corrupt = second_bytes.clone();
+    let middle = corrupt.len() / 2;
+    corrupt[middle] ^= 4;
+    fs::write(&second, &corrupt).expect("written");
+    let (mut spool, faults) = open(directory.path(), 3);
     assert!(
         faults.iter().any(|f| matches!(f, SpoolFault::Corrupt { path, .. } if *path == second)),
         "{faults:?}"
     );
     assert!(faults.iter().any(|f| matches!(f, SpoolFault::BrokenChain { .. })), "{faults:?}");
-    let mut books = ledger();
-    let sent = send(&mut spool, &mut books);
-    assert_eq!((books.counted_upto(&life(1)), books.counted_upto(&life(2))), (15, 10));
-    books.report_progress(10_000, &life(2), 10_000);
-    let lost = books.close_periods(10_000).expect("a batch").lost;
-    assert!(lost > 0 && sent as u64 + lost == 25, "{sent} went out, {lost} are lost");
-    // A sound one in its place, but cut after a whole record: the next one does not follow on it.
-    let folder = tempfile::tempdir().expect("a folder");
-    drop(fill(folder.path(), 1, 15));
-    let second = segments(folder.path())[1].clone();
-    let one = usage::scan(&older);
-    let mut cut = older.len();
-    while usage::scan(&older[..cut]).records.len() == one.records.len() {
+    let mut usage_ledger = ledger();
+    let sent = send(&mut spool, &mut usage_ledger);
+    assert_eq!((usage_ledger.counted_upto(&source(1)), usage_ledger.counted_upto(&source(2))), (15, 10));
+    usage_ledger.report_progress(10_000, &source(2), 10_000);
+    let lost = usage_ledger.close_periods(10_000).expect("a batch").lost;
+    assert!(lost > 0 && sent as u64 + lost == 25, "{sent} sent, {lost} lost");
+    // A valid segment in its place that is truncated after a complete record breaks the chain of the next
+    // one.
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    drop(fill(directory.path(), 1, 15));
+    let second = segments(directory.path())[1].clone();
+    let complete = usage::scan(&second_bytes);
+    let mut cut = second_bytes.len();
+    while usage::scan(&second_bytes[..cut]).records.len() == complete.records.len() {
         cut -= 1;
     }
-    let good = usage::scan(&older[..cut]).valid_bytes;
-    fs::write(&second, &older[..good]).expect("written");
-    let (_, faults) = open(folder.path(), 2);
+    let valid_bytes = usage::scan(&second_bytes[..cut]).valid_bytes;
+    fs::write(&second, &second_bytes[..valid_bytes]).expect("written");
+    let (_, faults) = open(directory.path(), 2);
     assert!(faults.iter().any(|f| matches!(f, SpoolFault::BrokenChain { .. })), "{faults:?}");
 }
 
 #[test]
 fn full_spool_drops_and_counts_the_newest_records() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let policy = SpoolLimits { total_bytes: 1_000, ..POLICY };
-    let (mut spool, _) = Spool::open(folder.path(), policy, life(1)).expect("a folder");
-    let kept = (0..100)
-        .filter(|at| spool.append(record(*at)).expect("a disk") == AppendOutcome::Stored)
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let limits = SpoolLimits { total_bytes: 1_000, ..LIMITS };
+    let (mut spool, _) = Spool::open(directory.path(), limits, source(1)).expect("opened");
+    let stored = (0..100)
+        .filter(|at| spool.append(record(*at)).expect("no I/O error") == AppendOutcome::Stored)
         .count() as u64;
-    assert!((10..60).contains(&kept) && spool.dropped() == 100 - kept && spool.bytes() < 1_100);
+    assert!((10..60).contains(&stored) && spool.dropped() == 100 - stored && spool.bytes() < 1_100);
     assert_eq!(spool.last_sequence(), 100);
-    let mut books = ledger();
-    assert_eq!(send(&mut spool, &mut books) as u64, kept);
-    assert_eq!(spool.append(record(1)).expect("a disk"), AppendOutcome::Stored);
-    // What was dropped is told as lost, and holds nothing up.
-    send(&mut spool, &mut books);
-    assert_eq!((books.counted_upto(&life(1)), spool.last_sequence()), (101, 101));
-    books.report_progress(10_000, &life(1), 10_000);
-    assert_eq!(books.close_periods(10_000).expect("a batch").lost, 100 - kept);
+    let mut usage_ledger = ledger();
+    assert_eq!(send(&mut spool, &mut usage_ledger) as u64, stored);
+    assert_eq!(spool.append(record(1)).expect("no I/O error"), AppendOutcome::Stored);
+    // Dropped records are reported as lost and do not hold up later ones.
+    send(&mut spool, &mut usage_ledger);
+    assert_eq!((usage_ledger.counted_upto(&source(1)), spool.last_sequence()), (101, 101));
+    usage_ledger.report_progress(10_000, &source(1), 10_000);
+    assert_eq!(usage_ledger.close_periods(10_000).expect("a batch").lost, 100 - stored);
 }
--- a/crates/spool/tests/texts.rs
+++ b/crates/spool/tests/texts.rs
@@ -1,4 +1,4 @@
-//! What is logged of faults on the disk, and how units are written.
+//! Texts in logs: faults on the disk, and units.
 
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn units_are_shown_to_the_thousandth() {
+fn units_are_displayed_in_thousandths() {
     for (units, text) in [(0.0, "0.000"), (-0.0005, "-0.001"), (2.5, "2.500"), (-12.0404, "-12.040")] {
         assert_eq!(Units::from_f64(units).expect("fits").to_string(), text);
     }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,33 +1,33 @@
 //! A ledger of usage: each record counts once, in exactly one batch.
 //!
-//! Records of a source may come late, repeatedly and in any order; they are known by gateway, incarnation and
-//! sequence number. A period closes when the watermark has passed its end: each source reports up to when it
-//! has sent everything, and the watermark is the least of these. A source that is silent for too long no
-//! longer holds it back. A record of a closed period is an adjustment in a later batch; a batch never changes
-//! once it went out.
+//! Records of a source may arrive late, repeatedly and in any order; gateway, incarnation and sequence number
+//! identify them. Each source reports the time up to which it has sent all records, and the watermark is the
+//! minimum of these times. A period closes when the watermark has passed its end. A source that is silent for
+//! too long no longer holds the watermark back. A record of a closed period becomes an adjustment in a later
+//! batch; a batch never changes after it was issued.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Record, Source, Units};
 use crate::sequences::{SequenceRange, SequenceSet};
 
-/// The most sources that are known.
+/// Maximum number of sources.
 pub const MAX_SOURCES: usize = 100_000;
-/// The most ranges of sequence numbers beyond a gap that are remembered of a source.
+/// Maximum number of ranges of sequence numbers after a gap that are stored for a source.
 pub const MAX_GAPS: usize = 10_000;
-/// Sequence numbers are below this: arithmetic on numbers from outside must not overflow.
+/// Upper bound of sequence numbers (exclusive), so that arithmetic on external numbers cannot overflow.
 const SEQUENCE_LIMIT: u64 = 1 << 53;
 
-/// Length of periods, and when they close.
+/// Settings of a [`Ledger`].
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Length of a period, ms, above 0. Periods begin at multiples of it in Unix time.
     pub period_ms: u64,
-    /// A source that was not heard from for this long, ms, holds no period open.
+    /// A source that has not reported for longer than this, ms, no longer keeps periods open.
     pub max_silence_ms: u64,
 }
 
-/// What is counted separately.
+/// Key by which usage is summed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageKey {
     /// Begin of the period, Unix time in ms.
@@ -42,12 +42,12 @@
     pub class: u16,
 }
 
-/// Sums of records.
+/// Sum of records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// How many records.
+    /// Number of records.
     pub records: u64,
-    /// Their units.
+    /// Units of the records.
     pub units: Units,
 }
 
@@ -61,69 +61,69 @@
 /// A line of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchLine {
-    /// What it counts.
+    /// Key of the records.
     pub key: UsageKey,
-    /// The sums.
+    /// Sum of the records.
     pub totals: Totals,
-    /// Whether its period went out in an earlier batch and this is added to it.
+    /// Whether the line is added to a period that was closed in an earlier batch.
     pub is_adjustment: bool,
 }
 
-/// Usage that goes out at once.
+/// Usage that is issued together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// From 1, without gaps.
+    /// Number of the batch, from 1, without gaps.
     pub number: u64,
-    /// All periods up to here are closed, Unix time in ms.
+    /// All periods up to this time are closed, Unix time in ms.
     pub until_ms: u64,
-    /// Adjustments, then the others, each in the order of their keys.
+    /// Adjustments, then the other lines, each ordered by key.
     pub lines: Vec<BatchLine>,
-    /// Records that sources reported as lost since the last batch: usage that nobody can count.
+    /// Number of records that sources reported as lost since the last batch; their usage is unknown.
     pub lost: u64,
 }
 
-/// What became of a record.
+/// Outcome of [`Ledger::record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// It counts in its period.
+    /// The record counts in its period.
     Counted,
-    /// It counts as an adjustment, as its period is closed.
+    /// The record counts as an adjustment, as its period is closed.
     CountedLate,
-    /// It was counted before.
+    /// The record was counted, or reported as lost, before.
     Duplicate,
-    /// No source gives such a sequence number.
+    /// The sequence number is out of range.
     InvalidSequence,
-    /// There are too many sources or gaps; it is to be sent again later.
+    /// There are too many sources or gaps; the record has to be sent again later.
     NoRoom,
 }
 
-/// What is known of a source.
+/// State of a source.
 #[derive(Clone, Debug, Default)]
 struct SourceState {
     counted: SequenceSet,
-    /// It has sent everything up to this time, Unix time in ms.
+    /// The source has sent all records up to this time, Unix time in ms.
     sent_upto_ms: u64,
-    /// When it reported last, Unix time in ms.
+    /// Time of its last report, Unix time in ms.
     last_report_ms: u64,
     has_ended: bool,
 }
 
-/// The ledger.
+/// Counts each usage record once and issues batches of closed periods.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     settings: Settings,
     sources: BTreeMap<Source, SourceState>,
     open: BTreeMap<UsageKey, Totals>,
     adjustments: BTreeMap<UsageKey, Totals>,
-    /// All periods up to here are closed, Unix time in ms.
+    /// All periods up to this time are closed, Unix time in ms.
     closed_until_ms: u64,
     last_batch: u64,
-    /// Records that were lost since the last batch.
+    /// Number of records reported as lost since the last batch.
     lost: u64,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new(settings: Settings) -> Ledger {
         let settings = Settings { period_ms: settings.period_ms.max(1), ..settings };
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The state of a source, which is added if it is new; none if there are [`MAX_SOURCES`] already.
+    /// Returns the state of a source and adds it if it is new; `None` if there are [`MAX_SOURCES`] already.
     fn source_mut(&mut self, source: &Source) -> Option<&mut SourceState> {
         if !self.sources.contains_key(source) {
             if self.sources.len() >= MAX_SOURCES {
@@ -149,7 +149,7 @@
         self.sources.get_mut(source)
     }
 
-    /// Counts a record unless it was counted before.
+    /// Counts a record, unless its sequence number was counted or reported as lost before.
     pub fn record(&mut self, source: &Source, record: &Record) -> RecordOutcome {
         let Some(state) = self.source_mut(source) else { return RecordOutcome::NoRoom };
         let sequence = record.sequence;
@@ -182,25 +182,26 @@
         }
     }
 
-    /// A source reports that these records are lost for good: it dropped them, or its disk failed. Those that
-    /// were counted stay counted. Returns `false` if there is no room to note all of it.
+    /// Handles the report of a source that it lost these records for good: it dropped them, or its disk
+    /// failed. Records that were counted stay counted. Returns `false` if there is no room to store the whole
+    /// range.
     pub fn record_lost(&mut self, source: &Source, lost: SequenceRange) -> bool {
         let Some(state) = self.source_mut(source) else { return false };
         let valid = SequenceRange { first: lost.first.max(1), last: lost.last.min(SEQUENCE_LIMIT - 1) };
-        let (mut newly_lost, mut all_noted) = (0, true);
+        let (mut newly_lost, mut all_stored) = (0, true);
         for range in state.counted.missing(valid) {
-            all_noted = all_noted && state.counted.insert(range, MAX_GAPS);
-            if all_noted {
+            all_stored = all_stored && state.counted.insert(range, MAX_GAPS);
+            if all_stored {
                 newly_lost += range.count();
             }
         }
         self.lost += newly_lost;
-        all_noted
+        all_stored
     }
 
-    /// A source reports, at `now_ms`, that it has sent everything up to `sent_upto_ms`, both Unix time. What
-    /// it reported before stands, also if its clock went back. Returns `false` if there is no room for
-    /// another source.
+    /// Handles the report of a source, at `now_ms`, that it has sent all records up to `sent_upto_ms`, both
+    /// Unix time in ms. Reports with earlier times than before have no effect, as the source's clock may have
+    /// stepped back. Returns `false` if there is no room for another source.
     pub fn report_progress(&mut self, now_ms: u64, source: &Source, sent_upto_ms: u64) -> bool {
         let Some(state) = self.source_mut(source) else { return false };
         state.sent_upto_ms = state.sent_upto_ms.max(sent_upto_ms);
@@ -208,30 +209,31 @@
         true
     }
 
-    /// A source has ended and sent everything: it holds no period open any more. Records that still come from
-    /// it are counted as before.
+    /// Marks a source as ended with all records sent: it no longer keeps periods open. Records that still
+    /// arrive from it are counted as before.
     pub fn source_ended(&mut self, source: &Source) {
         if let Some(state) = self.sources.get_mut(source) {
             state.has_ended = true;
         }
     }
 
-    /// All sequence numbers up to here are counted or lost, so that the source need not retain them.
+    /// Returns the sequence number up to which all records are counted or lost, so that the source need not
+    /// retain them.
     #[must_use]
     pub fn counted_upto(&self, source: &Source) -> u64 {
         self.sources.get(source).map_or(0, |state| state.counted.contiguous_upto())
     }
 
-    /// Up to when all sources that are heard from have sent everything, Unix time in ms; none if there is no
-    /// such source.
+    /// Returns the time up to which all sources that still report have sent all records, Unix time in ms;
+    /// `None` if there is no such source.
     #[must_use]
     pub fn watermark(&self, now_ms: u64) -> Option<u64> {
-        let heard_since_ms = now_ms.saturating_sub(self.settings.max_silence_ms);
-        let counts = |state: &&SourceState| !state.has_ended && state.last_report_ms >= heard_since_ms;
-        self.sources.values().filter(counts).map(|state| state.sent_upto_ms).min()
+        let min_report_ms = now_ms.saturating_sub(self.settings.max_silence_ms);
+        let is_reporting = |state: &&SourceState| !state.has_ended && state.last_report_ms >= min_report_ms;
+        self.sources.values().filter(is_reporting).map(|state| state.sent_upto_ms).min()
     }
 
-    /// Closes the periods that the watermark has passed. None if nothing is to go out.
+    /// Closes the periods that the watermark has passed. Returns `None` if there is nothing to issue.
     pub fn close_periods(&mut self, now_ms: u64) -> Option<Batch> {
         let watermark_ms = self.watermark(now_ms)?;
         let period_begin_ms = watermark_ms - watermark_ms % self.settings.period_ms;
@@ -249,7 +251,7 @@
         Some(Batch { number: self.last_batch, until_ms: self.closed_until_ms, lines: lines.collect(), lost })
     }
 
-    /// Takes the totals of periods before `closed_until_ms`.
+    /// Removes and returns the totals of periods before `closed_until_ms`.
     fn take_closed(&mut self) -> BTreeMap<UsageKey, Totals> {
         let first_open =
             UsageKey { period_ms: self.closed_until_ms, customer: 0, plan: "".into(), version: 0, class: 0 };
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,7 +1,7 @@
-//! Usage of plans: what was charged, recorded once and counted once. No I/O, no clock.
+//! Usage of plans: records of final charges, each of which is counted once. No I/O, no clock.
 //!
-//! - [`Record`]: a final charge, with its place in the sequence of its [`Source`]
-//! - [`SegmentWriter`], [`scan`]: segments of records, framed and chained by hashes
+//! - [`Record`]: a final charge with a sequence number of its [`Source`]
+//! - [`SegmentWriter`], [`scan`]: segments of records in frames with a hash chain
 //! - [`Ledger`]: counts each record once, in the batch of its period
 
 mod ledger;
--- a/crates/usage/src/record.rs
+++ b/crates/usage/src/record.rs
@@ -1,4 +1,4 @@
-//! A final charge.
+//! Usage records, each of which is a final charge.
 
 use std::fmt;
 use std::iter::Sum;
@@ -6,24 +6,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Thousandths of a unit in a unit.
-const THOUSANDTHS: i64 = 1_000;
-/// The greatest number of thousandths that a floating-point number of units gives exactly.
+/// Number of thousandths in a unit.
+const THOUSANDTHS_PER_UNIT: i64 = 1_000;
+/// Bound below which a floating-point number of units converts to thousandths exactly.
 const MAX_THOUSANDTHS: f64 = 9e15;
 
-/// Units in thousandths, so that sums are exact in any order.
+/// Units as an integer number of thousandths, so that sums are exact and independent of the order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Units(i64);
 
 impl Units {
-    /// Units to the nearest thousandth; none if they are not finite or at least 9 * 10^12.
+    /// Rounds units to the nearest thousandth. Returns `None` if they are not finite or their magnitude is
+    /// 9e12 or more.
     #[must_use]
     pub fn from_f64(units: f64) -> Option<Units> {
-        let thousandths = (units * THOUSANDTHS as f64).round();
+        let thousandths = (units * THOUSANDTHS_PER_UNIT as f64).round();
         (thousandths.abs() < MAX_THOUSANDTHS).then_some(Units(thousandths as i64))
     }
 
-    /// Thousandths of a unit.
+    /// Returns the units in thousandths.
     #[must_use]
     pub fn thousandths(self) -> i64 {
         self.0
@@ -33,7 +34,8 @@
 impl Add for Units {
     type Output = Units;
 
-    /// The sum; it stays at the greatest number rather than wrap. That takes 1,000 of the largest charges.
+    /// Returns the sum, which saturates instead of wrapping around. Reaching that limit takes about 1,000
+    /// charges of the maximum size.
     fn add(self, other: Units) -> Units {
         Units(self.0.saturating_add(other.0))
     }
@@ -49,26 +51,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let sign = if self.0 < 0 { "-" } else { "" };
         let thousandths = self.0.unsigned_abs();
-        let in_a_unit = THOUSANDTHS.unsigned_abs();
-        write!(f, "{sign}{}.{:03}", thousandths / in_a_unit, thousandths % in_a_unit)
+        let per_unit = THOUSANDTHS_PER_UNIT.unsigned_abs();
+        write!(f, "{sign}{}.{:03}", thousandths / per_unit, thousandths % per_unit)
     }
 }
 
-/// Who records: one incarnation of a gateway.
+/// Source of records: one incarnation of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
     /// Name of the gateway.
     pub gateway: Box<str>,
-    /// A number that no other start of it has.
+    /// Number that is unique among the starts of the gateway.
     pub incarnation: u64,
 }
 
-/// A final charge. The order of the fields is the stored form.
+/// A final charge. The order of the fields defines the stored format.
 ///
-/// Sequence numbers of a source begin at 1. One is missing only if its record was dropped.
+/// Sequence numbers of a source begin at 1. A number is missing only if its record was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Place in the sequence of its source.
+    /// Sequence number within its source.
     pub sequence: u64,
     /// When the charge became final, Unix time in ms.
     pub at_ms: u64,
@@ -78,8 +80,8 @@
     pub plan: Box<str>,
     /// Version of the plan; 0 if plans have none.
     pub version: u32,
-    /// Class of the request, by its place in the settings.
+    /// Class of the request, as its index in the settings.
     pub class: u16,
-    /// What was charged.
+    /// Charged units.
     pub units: Units,
 }
--- a/crates/usage/src/segment.rs
+++ b/crates/usage/src/segment.rs
@@ -1,27 +1,27 @@
-//! Segments of records: frames with length, checksum and a hash chain.
+//! Format of segments: frames of records with length, checksum and a hash chain.
 //!
 //! ```text
 //!  frame    = length (4 bytes, little-endian) | body | checksum (8 bytes)
-//!  chain    = BLAKE3(chain before | length | body); checksum = its first 8 bytes
+//!  chain    = BLAKE3(previous chain | length | body); checksum = its first 8 bytes
 //!  segment  = frame of the header, frames of records
-//!  header   = names the chain at the end of the segment before
+//!  header   = contains the chain at the end of the previous segment
 //! ```
 //!
-//! A segment that was cut short, has a flipped bit, lost or gained a frame, or was replaced shows in its
-//! checksums or in the `previous` of the next one.
+//! A segment that was truncated, has a flipped bit, lost or gained a frame, or was replaced is detected by
+//! its checksums or by `previous` in the next segment.
 
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Record, Source};
 
-/// The format that is written, and the only one that is read.
+/// Version of the format that is written, and the only one that is read.
 pub const FORMAT: u16 = 1;
-/// The longest body of a frame, bytes.
+/// Maximum length of the body of a frame, bytes.
 pub const MAX_FRAME_BYTES: usize = 1024;
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 8;
 
-/// The BLAKE3 hash of all frames so far.
+/// BLAKE3 hash of all frames so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HashChain([u8; 32]);
 
@@ -39,16 +39,16 @@
     }
 }
 
-/// The first frame of a segment. The order of the fields is the stored form.
+/// The first frame of a segment. The order of the fields defines the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentHeader {
-    /// [`FORMAT`].
+    /// Version of the format, [`FORMAT`].
     pub format: u16,
     /// Number of the segment; the first is 1.
     pub number: u64,
-    /// Who records.
+    /// Source of the records.
     pub source: Source,
-    /// The chain at the end of the segment before.
+    /// Chain at the end of the previous segment.
     pub previous: HashChain,
 }
 
@@ -59,34 +59,35 @@
 }
 
 impl SegmentWriter {
-    /// Begins a segment. Returns its writer and the bytes of its header; none if the header is too long for a
+    /// Begins a segment. Returns its writer and the encoded header, or `None` if the header is too long for a
     /// frame.
     #[must_use]
     pub fn begin(header: &SegmentHeader) -> Option<(SegmentWriter, Vec<u8>)> {
         let mut writer = SegmentWriter { chain: HashChain::default() };
-        let bytes = writer.frame(&postcard::to_allocvec(header).ok()?)?;
+        let bytes = writer.encode_frame(&postcard::to_allocvec(header).ok()?)?;
         Some((writer, bytes))
     }
 
-    /// Continues a segment after that chain.
+    /// Creates a writer that continues a segment whose last frame has the chain `chain`.
     #[must_use]
     pub fn resume(chain: HashChain) -> SegmentWriter {
         SegmentWriter { chain }
     }
 
-    /// The chain so far.
+    /// Returns the chain after the last frame.
     #[must_use]
     pub fn chain(&self) -> HashChain {
         self.chain
     }
 
-    /// The bytes of a record's frame; none, with nothing changed, if it is too long for a frame.
+    /// Encodes the frame of a record. Returns `None` without changing the chain if the record is too long for
+    /// a frame.
     #[must_use]
     pub fn record(&mut self, record: &Record) -> Option<Vec<u8>> {
-        self.frame(&postcard::to_allocvec(record).ok()?)
+        self.encode_frame(&postcard::to_allocvec(record).ok()?)
     }
 
-    fn frame(&mut self, body: &[u8]) -> Option<Vec<u8>> {
+    fn encode_frame(&mut self, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > MAX_FRAME_BYTES {
             return None;
         }
@@ -99,35 +100,35 @@
     }
 }
 
-/// Where the valid part of a segment ends.
+/// How the valid part of a segment ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScanEnd {
-    /// With its last byte.
+    /// At the end of the segment.
     Complete,
-    /// Within a frame: the write of it was cut short, if this is the last segment.
+    /// Within a frame. In the last segment the cause is an interrupted write.
     Truncated,
-    /// At a frame that is not what was written.
+    /// At a corrupt frame.
     Corrupt,
 }
 
 /// The valid part of a segment.
 #[derive(Clone, Debug)]
 pub struct ScannedSegment {
-    /// The header; none if it is not valid.
+    /// The header; `None` if it is invalid.
     pub header: Option<SegmentHeader>,
     /// The records, in order.
     pub records: Vec<Record>,
     /// Length of the valid part, bytes.
     pub valid_bytes: usize,
-    /// The chain at its end.
+    /// Chain at the end of the valid part.
     pub chain: HashChain,
-    /// Why it ends there.
+    /// How the valid part ends.
     pub end: ScanEnd,
 }
 
 impl ScannedSegment {
-    /// Takes the body of the next frame. Returns whether it is valid.
-    fn take(&mut self, body: &[u8]) -> bool {
+    /// Adds the body of the next frame. Returns whether it is valid.
+    fn add_frame(&mut self, body: &[u8]) -> bool {
         if self.header.is_none() {
             let header: Option<SegmentHeader> = postcard::from_bytes(body).ok();
             self.header = header.filter(|header| header.format == FORMAT);
@@ -142,7 +143,7 @@
     }
 }
 
-/// Reads a segment up to the first byte that is not valid.
+/// Reads a segment up to the first invalid frame.
 #[must_use]
 pub fn scan(bytes: &[u8]) -> ScannedSegment {
     let mut segment = ScannedSegment {
@@ -160,7 +161,7 @@
                 return segment;
             }
         };
-        if !segment.take(frame.body) {
+        if !segment.add_frame(frame.body) {
             segment.end = ScanEnd::Corrupt;
             return segment;
         }
@@ -172,20 +173,20 @@
 
 struct Frame<'a> {
     body: &'a [u8],
-    /// The chain after the frame.
+    /// Chain after the frame.
     chain: HashChain,
 }
 
-fn read_frame<'a>(bytes: &'a [u8], before: &HashChain) -> Result<Frame<'a>, ScanEnd> {
+fn read_frame<'a>(bytes: &'a [u8], previous: &HashChain) -> Result<Frame<'a>, ScanEnd> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>().ok_or(ScanEnd::Truncated)?;
     let length = u32::from_le_bytes(*length) as usize;
-    // A length with a flipped bit must not pass for a frame that goes on past the end.
+    // A length with a flipped bit must not be taken for a frame that is truncated by the end of the segment.
     if length > MAX_FRAME_BYTES {
         return Err(ScanEnd::Corrupt);
     }
     let body = rest.get(..length).ok_or(ScanEnd::Truncated)?;
     let checksum = rest.get(length..length + CHECKSUM_BYTES).ok_or(ScanEnd::Truncated)?;
-    let chain = before.after(body);
+    let chain = previous.after(body);
     if chain.checksum() != checksum {
         return Err(ScanEnd::Corrupt);
     }
--- a/crates/usage/tests/segment.rs
+++ b/crates/usage/tests/segment.rs
@@ -1,4 +1,4 @@
-//! Segments that were cut, spoilt or replaced.
+//! Segments that are truncated, corrupt or replaced.
 
 use usage::{scan, HashChain, Record, ScanEnd, SegmentHeader, SegmentWriter, Source, Units, FORMAT};
 
@@ -23,55 +23,56 @@
     }
 }
 
-/// A segment of so many records, and the bytes at which each frame ends.
+/// Returns a segment with this many records, the offsets at which its frames end, and its chain.
 fn segment(records: u64) -> (Vec<u8>, Vec<usize>, HashChain) {
-    let (mut writer, mut bytes) = SegmentWriter::begin(&header(1, HashChain::default())).expect("short");
+    let (mut writer, mut bytes) =
+        SegmentWriter::begin(&header(1, HashChain::default())).expect("fits a frame");
     let mut ends = vec![bytes.len()];
     for sequence in 1..=records {
-        bytes.extend(writer.record(&record(sequence)).expect("short"));
+        bytes.extend(writer.record(&record(sequence)).expect("fits a frame"));
         ends.push(bytes.len());
     }
     (bytes, ends, writer.chain())
 }
 
 #[test]
-fn scans_what_was_written_and_resumes() {
+fn scans_written_segments_and_resumes_them() {
     let (mut bytes, _, chain) = segment(5);
-    let found = scan(&bytes);
-    assert_eq!((found.end, found.valid_bytes, found.chain), (ScanEnd::Complete, bytes.len(), chain));
-    assert_eq!(found.header, Some(header(1, HashChain::default())));
-    assert_eq!(found.records, (1..=5).map(record).collect::<Vec<_>>());
-    bytes.extend(SegmentWriter::resume(found.chain).record(&record(6)).expect("short"));
+    let scanned = scan(&bytes);
+    assert_eq!((scanned.end, scanned.valid_bytes, scanned.chain), (ScanEnd::Complete, bytes.len(), chain));
+    assert_eq!(scanned.header, Some(header(1, HashChain::default())));
+    assert_eq!(scanned.records, (1..=5).map(record).collect::<Vec<_>>());
+    bytes.extend(SegmentWriter::resume(scanned.chain).record(&record(6)).expect("fits a frame"));
     assert_eq!(scan(&bytes).records.len(), 6);
-    // Some 40 bytes a record.
+    // About 40 bytes per record.
     assert!(bytes.len() < 6 * 50 + 100, "{} bytes", bytes.len());
 }
 
-/// A write that was cut anywhere: what was whole before it is kept, and nothing is made up.
+/// After a write that was interrupted at any byte, exactly the complete frames before it are read.
 #[test]
-fn cut_segment_gives_its_complete_records() {
+fn truncated_segment_yields_its_complete_records() {
     let (bytes, ends, _) = segment(6);
     for cut in 0..bytes.len() {
-        let found = scan(&bytes[..cut]);
-        let whole = ends.iter().filter(|end| **end <= cut).count();
-        assert_eq!(found.records.len() + usize::from(found.header.is_some()), whole, "cut at {cut}");
-        assert_eq!(found.valid_bytes, if whole == 0 { 0 } else { ends[whole - 1] });
-        let wanted = if cut == found.valid_bytes { ScanEnd::Complete } else { ScanEnd::Truncated };
-        assert_eq!(found.end, wanted, "cut at {cut}");
+        let scanned = scan(&bytes[..cut]);
+        let complete = ends.iter().filter(|end| **end <= cut).count();
+        assert_eq!(scanned.records.len() + usize::from(scanned.header.is_some()), complete, "cut at {cut}");
+        assert_eq!(scanned.valid_bytes, if complete == 0 { 0 } else { ends[complete - 1] });
+        let expected = if cut == scanned.valid_bytes { ScanEnd::Complete } else { ScanEnd::Truncated };
+        assert_eq!(scanned.end, expected, "cut at {cut}");
     }
 }
 
-/// A bit that flipped on the disk, counted as use.
+/// Guards against records with a bit flipped on the disk being counted as usage.
 #[test]
 fn flipped_bit_ends_the_scan_before_its_frame() {
     let (bytes, ends, _) = segment(4);
     for bit in 0..bytes.len() * 8 {
-        let mut odd = bytes.clone();
-        odd[bit / 8] ^= 1 << (bit % 8);
-        let found = scan(&odd);
-        let sound = ends.iter().filter(|end| **end <= bit / 8).count();
-        assert_ne!(found.end, ScanEnd::Complete, "bit {bit}");
-        assert_eq!(found.records.len() + usize::from(found.header.is_some()), sound, "bit {bit}");
+        let mut corrupt = bytes.clone();
+        corrupt[bit / 8] ^= 1 << (bit % 8);
+        let scanned = scan(&corrupt);
+        let valid_frames = ends.iter().filter(|end| **end <= bit / 8).count();
+        assert_ne!(scanned.end, ScanEnd::Complete, "bit {bit}");
+        assert_eq!(scanned.records.len() + usize::from(scanned.header.is_some()), valid_frames, "bit {bit}");
     }
 }
 
@@ -79,18 +80,20 @@
 fn detects_missing_repeated_and_swapped_frames() {
     let (bytes, ends, _) = segment(4);
     let frame = |n: usize| &bytes[ends[n]..ends[n + 1]];
-    let (head, rest) = (&bytes[..ends[0]], [frame(0), frame(1), frame(2), frame(3)]);
+    let (header, frames) = (&bytes[..ends[0]], [frame(0), frame(1), frame(2), frame(3)]);
     for order in [vec![0, 2, 3], vec![0, 0, 1], vec![1, 0, 2, 3], vec![1, 2, 3]] {
-        let odd: Vec<u8> = head.iter().copied().chain(order.iter().flat_map(|n| rest[*n].to_vec())).collect();
-        assert_eq!(scan(&odd).end, ScanEnd::Corrupt, "{order:?}");
+        let corrupt: Vec<u8> =
+            header.iter().copied().chain(order.iter().flat_map(|n| frames[*n].to_vec())).collect();
+        assert_eq!(scan(&corrupt).end, ScanEnd::Corrupt, "{order:?}");
     }
 }
 
-/// A segment replaced by an older one of itself: it is sound, and the next one tells.
+/// A segment that was replaced by an older version of itself is valid; only the header of the next one
+/// reveals the replacement.
 #[test]
 fn replaced_segment_breaks_the_chain_of_the_next() {
     let (bytes, ends, chain) = segment(4);
-    let (_, next) = SegmentWriter::begin(&header(2, chain)).expect("short");
+    let (_, next) = SegmentWriter::begin(&header(2, chain)).expect("fits a frame");
     let older = scan(&bytes[..ends[2]]);
     assert_eq!(older.end, ScanEnd::Complete);
     let previous = scan(&next).header.expect("read").previous;
