--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -19,19 +19,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// The instance with this name was added.
-    Joined(String),
+    Added(String),
     /// The endpoint of the instance with this name changed.
     Changed(String),
     /// The instance with this name was removed because of the answer to this question.
-    Left(String, Question),
+    Removed(String, Question),
 }
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Change::Joined(name) => write!(f, "+ {name}"),
+            Change::Added(name) => write!(f, "+ {name}"),
             Change::Changed(name) => write!(f, "~ {name}"),
-            Change::Left(name, question) => write!(f, "- {name} by {question}"),
+            Change::Removed(name, question) => write!(f, "- {name} by {question}"),
         }
     }
 }
@@ -138,7 +138,7 @@
                 update.to_confirm.insert(question);
             } else {
                 self.listed.remove(&name);
-                update.changes.push(Change::Left(name, question));
+                update.changes.push(Change::Removed(name, question));
             }
         }
     }
@@ -146,7 +146,7 @@
     fn add_or_update_instances(&mut self, present: BTreeMap<String, Endpoint>, changes: &mut Vec<Change>) {
         for (name, endpoint) in present {
             let Some(listed) = self.listed.get_mut(&name) else {
-                changes.push(Change::Joined(name.clone()));
+                changes.push(Change::Added(name.clone()));
                 self.listed.insert(name, ListedInstance { endpoint, pending_removal: None });
                 continue;
             };
--- a/crates/dns-sd/tests/lists.rs
+++ b/crates/dns-sd/tests/lists.rs
@@ -22,7 +22,7 @@
     let mut harness = Harness::new(CacheLimits::default(), 0.5);
     harness.add_instance("t1", 7, 9_001, &["zone=room", "status=draining", "since=12", "colour=red"]);
     let (changes, _) = harness.settle();
-    assert_eq!(changes, [Change::Joined("t1".to_string())]);
+    assert_eq!(changes, [Change::Added("t1".to_string())]);
     let (_, endpoint) = harness.catalogue.list().next().expect("an endpoint");
     assert_eq!(
         (endpoint.address.to_string().as_str(), endpoint.priority, endpoint.weight),
@@ -70,8 +70,8 @@
     harness.remove_pointer("t1");
     harness.add_instance("t9", 0, 9_009, &[]);
     let changes = harness.advance(60_000.0);
-    assert!(changes.contains(&Change::Joined("t9".to_string())), "{changes:?}");
-    assert!(changes.iter().any(|c| matches!(c, Change::Left(n, _) if n == "t1")), "{changes:?}");
+    assert!(changes.contains(&Change::Added("t9".to_string())), "{changes:?}");
+    assert!(changes.iter().any(|c| matches!(c, Change::Removed(n, _) if n == "t1")), "{changes:?}");
 }
 
 #[test]
@@ -80,10 +80,10 @@
     harness.remove_pointer("t2");
     let changes = harness.advance(60_000.0);
     let question = question(name(SERVICE), QueryType::Ptr);
-    assert_eq!(changes, [Change::Left("t2".to_string(), question)]);
+    assert_eq!(changes, [Change::Removed("t2".to_string(), question)]);
     assert_eq!(harness.confirmation_queries, 0);
     harness.add_pointer("t2");
-    assert_eq!(harness.advance(60_000.0), [Change::Joined("t2".to_string())]);
+    assert_eq!(harness.advance(60_000.0), [Change::Added("t2".to_string())]);
     let (_, back) = harness.catalogue.list().find(|(n, _)| *n == "t2").expect("back");
     assert_eq!(back.address.port(), 9_001);
 }
--- a/crates/dns-sd/tests/texts.rs
+++ b/crates/dns-sd/tests/texts.rs
@@ -28,9 +28,9 @@
     let question = question(name(SERVICE), QueryType::Ptr);
     assert_eq!(question.to_string(), "_till._tcp.example.org. PTR");
     let changes = [
-        Change::Joined("t1".to_string()),
+        Change::Added("t1".to_string()),
         Change::Changed("t1".to_string()),
-        Change::Left("t1".to_string(), question),
+        Change::Removed("t1".to_string(), question),
     ];
     let texts = changes.map(|change| change.to_string());
     assert_eq!(texts, ["+ t1", "~ t1", "- t1 by _till._tcp.example.org. PTR"]);
--- a/crates/endpoint-sources/tests/recorded.rs
+++ b/crates/endpoint-sources/tests/recorded.rs
@@ -76,7 +76,7 @@
     let serving = tokio::spawn(serve(listener, table));
     let mut all = String::new();
     let mut record = |request_line: &str, response: String| {
-        writeln!(all, "> {request_line}\n{response}\n").expect("written to a string")
+        writeln!(all, "> {request_line}\n{response}\n").expect("written to a string");
     };
     let unknown_list = "GET /discovery/hosts";
     record(unknown_list, send_request(address, unknown_list).await);
--- a/crates/spool/src/store.rs
+++ b/crates/spool/src/store.rs
@@ -106,8 +106,8 @@
 
 impl Spool {
     /// Opens the spool in a directory for a new incarnation of a gateway, with the segments that earlier ones
-    /// left. A truncated frame at the end of the last segment is removed, and a segment with an invalid header
-    /// is renamed; other faults are only reported.
+    /// left. A truncated frame at the end of the last segment is removed, and a segment with an invalid
+    /// header is renamed; other faults are only reported.
     ///
     /// # Errors
     /// An error if the directory or a segment cannot be read, created or written.
--- a/crates/spool/tests/spool.rs
+++ b/crates/spool/tests/spool.rs
@@ -97,7 +97,7 @@
         fs::write(&cut_path, &bytes[..cut]).expect("written");
         let (mut spool, faults) = open(directory.path(), 2);
         (0..6).for_each(|at| {
-            assert_eq!(spool.append(record(at)).expect("no I/O error"), AppendOutcome::Stored)
+            assert_eq!(spool.append(record(at)).expect("no I/O error"), AppendOutcome::Stored);
         });
         drop(spool);
         let (mut spool, later_faults) = open(directory.path(), 3);
