--- a/crates/endpoint-sources/src/serve.rs
+++ b/crates/endpoint-sources/src/serve.rs
@@ -107,7 +107,7 @@
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "no source has told its list yet");
     }
     let Ok(body) = serde_json::to_vec(&table.updates_after(after)) else {
-        return text_response(StatusCode::INTERNAL_SERVER_ERROR, "the list cannot be encoded");
+        return text_response(StatusCode::INTERNAL_SERVER_ERROR, "the list can't be written");
     };
     let mut response = Response::new(Full::new(Bytes::from(body)));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
