--- a/crates/gatewayctl/src/agent_client.rs
+++ b/crates/gatewayctl/src/agent_client.rs
@@ -1,4 +1,4 @@
-//! A connection to the agent.
+//! Client of the agent's socket.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use tokio::time::timeout;
 use transport::{connect, ConnectError, JsonLines, JsonLinesError};
 
-/// How long a connection to the agent may take.
+/// Timeout for connecting to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the agent may take for a response that waits for nobody else.
+/// Timeout for responses that the agent gives without waiting for gateways.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why the agent gave no useful response.
+/// Reason why the agent gave no usable response.
 #[derive(Debug)]
 pub enum AgentClientError {
-    /// It can't be reached.
+    /// The agent could not be reached.
     Connect(ConnectError),
-    /// A request can't be sent.
+    /// The request could not be sent.
     Send(JsonLinesError),
-    /// It was silent for this long.
+    /// No response arrived within this time.
     TimedOut(Duration),
-    /// It closed the connection in the middle of its responses.
+    /// The agent closed the connection before its last response.
     Disconnected,
-    /// A response can't be read.
+    /// A response could not be read.
     Receive(JsonLinesError),
-    /// It responded something that does not belong to the request.
+    /// The response does not match the request.
     UnexpectedResponse,
-    /// It rejected the request.
+    /// The agent rejected the request.
     Rejected(ErrorResponse),
 }
 
@@ -61,14 +61,14 @@
     }
 }
 
-/// A connection to the agent, on which one request follows the other.
+/// Connection to the agent that carries one request at a time.
 pub struct AgentClient {
     lines: JsonLines,
     last_request_id: u64,
 }
 
 impl AgentClient {
-    /// Connects.
+    /// Connects to the agent.
     pub async fn connect(address: &Address) -> Result<AgentClient, AgentClientError> {
         let lines = connect(address, CONNECT_TIMEOUT, MAX_LINE_BYTES).await;
         Ok(AgentClient { lines: lines.map_err(AgentClientError::Connect)?, last_request_id: 0 })
@@ -81,7 +81,7 @@
         self.lines.send(&envelope).await.map_err(AgentClientError::Send)
     }
 
-    /// Receives the next response to the last request, within a time.
+    /// Receives the next response to the last request. Fails if it does not arrive within `limit`.
     pub async fn receive(&mut self, limit: Duration) -> Result<ToolResponse, AgentClientError> {
         let next = timeout(limit, self.lines.next::<Envelope<ToolResponse>>()).await;
         let envelope = next
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Sends a request that has one response, and receives it.
+    /// Sends a request that has exactly one response and receives the response.
     pub async fn request(&mut self, request: ToolRequest) -> Result<ToolResponse, AgentClientError> {
         self.send(request).await?;
         self.receive(RESPONSE_TIMEOUT).await
--- a/crates/gatewayctl/src/check.rs
+++ b/crates/gatewayctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: what is wrong with configuration files, by file, line and key.
+//! `check`: reports faults in configuration files by file, line and key.
 
 mod location;
 
@@ -14,16 +14,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Something wrong in a file.
+/// Fault in a configuration file.
 #[derive(Debug, Serialize)]
 struct Fault {
     key: String,
-    /// From 1.
+    /// Line number, counted from 1; none if the fault has no position.
     line: Option<usize>,
     problem: String,
 }
 
-/// What was found in a file.
+/// Result of checking one file.
 #[derive(Serialize)]
 struct Report<'a> {
     file: String,
@@ -32,19 +32,19 @@
     faults: &'a [Fault],
 }
 
-/// Checks each file. Succeeds only if all are right.
+/// Checks each file and prints a report. Succeeds only if all files are valid.
 pub fn run(files: &[PathBuf], output: Output) -> Result<(), CommandError> {
-    let mut all_good = true;
+    let mut all_valid = true;
     for file in files {
         let faults = check(file)?;
-        all_good &= faults.is_empty();
+        all_valid &= faults.is_empty();
         let report = Report { file: file.display().to_string(), good: faults.is_empty(), faults: &faults };
         match output {
             Output::Json => print_json(&report)?,
             Output::Table => print_lines(&report),
         }
     }
-    if all_good {
+    if all_valid {
         Ok(())
     } else {
         Err(CommandError::FaultsFound)
@@ -101,8 +101,8 @@
     }
 }
 
-/// The fault in a message of the TOML library: it names the position, quotes the line, and ends with what is
-/// wrong.
+/// Extracts the fault from an error message of the TOML library, which begins with the position, quotes the
+/// line and ends with the problem.
 fn toml_fault(text: &str, message: &str) -> Fault {
     let line = message.split("line ").nth(1).and_then(|rest| rest.split(',').next()?.parse().ok());
     let problem = message.lines().last().unwrap_or_default().to_string();
--- a/crates/gatewayctl/src/check/location.rs
+++ b/crates/gatewayctl/src/check/location.rs
@@ -1,15 +1,16 @@
-//! The line of a file on which a key stands.
+//! Line numbers of keys in JSON and TOML files.
 
 #[cfg(test)]
 mod tests;
 
-/// A step of a key's path, as in `settings.profiles[1].aim-ms`.
+/// Step of a key path such as `settings.profiles[1].aim-ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step<'a> {
     Key(&'a str),
     Index(usize),
 }
 
+/// Splits a key path into steps.
 fn steps(path: &str) -> Vec<Step<'_>> {
     let mut steps = Vec::new();
     for part in path.split('.') {
@@ -23,24 +24,24 @@
     steps
 }
 
-/// The line, from 1, of the value at a path in a text that is JSON; if it is missing, that of the section in
-/// which it should stand.
+/// Returns the line, counted from 1, of the value at a path in valid JSON. For a missing value, returns the
+/// line of the innermost enclosing value that exists.
 pub fn json_line(text: &str, path: &str) -> Option<usize> {
     let mut scanner = JsonScanner { text: text.as_bytes(), position: 0, found: 0 };
     scanner.value(Some(&steps(path)));
     Some(text.as_bytes().get(..scanner.found)?.iter().filter(|byte| **byte == b'\n').count() + 1)
 }
 
-/// Scans a text that is known to be JSON for the value at a path.
+/// Scanner that looks for the value at a path in valid JSON.
 struct JsonScanner<'a> {
     text: &'a [u8],
     position: usize,
-    /// Where the last value on the path begins.
+    /// Byte offset at which the last value found on the path begins.
     found: usize,
 }
 
 impl JsonScanner<'_> {
-    /// Skips white space, and gives the byte behind it.
+    /// Skips white space and returns the next byte without consuming it.
     fn next_byte(&mut self) -> Option<u8> {
         while self.text.get(self.position).is_some_and(u8::is_ascii_whitespace) {
             self.position += 1;
@@ -48,7 +49,7 @@
         self.text.get(self.position).copied()
     }
 
-    /// Scans a value; it is on the path if there are steps.
+    /// Scans a value. `path` holds the remaining steps if the value lies on the path, otherwise `None`.
     fn value(&mut self, path: Option<&[Step<'_>]>) -> Option<()> {
         let first = self.next_byte()?;
         if path.is_some() {
@@ -70,7 +71,7 @@
         while self.next_byte()? != b'}' {
             let key = self.string()?;
             self.next_byte()?;
-            // The colon.
+            // Skip the colon.
             self.position += 1;
             self.value(path.and_then(|path| descend(path, Step::Key(&key))))?;
             self.skip_comma()?;
@@ -98,12 +99,14 @@
         Some(())
     }
 
+    /// Skips a number, `true`, `false` or `null`.
     fn literal(&mut self) {
         while self.text.get(self.position).is_some_and(|byte| !b",]} \t\r\n".contains(byte)) {
             self.position += 1;
         }
     }
 
+    /// Scans a string and returns its content with escape sequences unchanged.
     fn string(&mut self) -> Option<String> {
         let begin = self.position + 1;
         self.position = begin;
@@ -116,14 +119,14 @@
     }
 }
 
-/// The rest of a path that begins with a step.
+/// Returns the rest of a path if it begins with the given step.
 fn descend<'a, 'b>(path: &'a [Step<'b>], step: Step<'_>) -> Option<&'a [Step<'b>]> {
     let (first, rest) = path.split_first()?;
     (*first == step).then_some(rest)
 }
 
-/// The line, from 1, of a key of the operators' file in a text that is TOML; if it is missing, that of its
-/// section.
+/// Returns the line, counted from 1, of a key in the operators' file. For a missing key, returns the line of
+/// its section.
 pub fn toml_line(text: &str, path: &str) -> Option<usize> {
     let (mut section, mut key, mut index) = (Vec::new(), None, 0);
     for step in steps(path) {
--- a/crates/gatewayctl/src/check/tests.rs
+++ b/crates/gatewayctl/src/check/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-fn lines_and_keys(all: &[Fault]) -> Vec<(Option<usize>, &str)> {
-    all.iter().map(|w| (w.line, w.key.as_str())).collect()
+fn lines_and_keys(faults: &[Fault]) -> Vec<(Option<usize>, &str)> {
+    faults.iter().map(|fault| (fault.line, fault.key.as_str())).collect()
 }
 
 #[test]
 fn names_line_and_key_of_each_fault_in_a_gateway_config() {
-    let some = "127.0.0.1:9".parse().expect("an address");
+    let address = "127.0.0.1:9".parse().expect("an address");
     let known = json!({"index": 0, "snapshot": true, "endpoints": []});
-    let mut config = testbed::platform::config(0, 2, some, some, &known, None);
+    let mut config = testbed::platform::config(0, 2, address, address, &known, None);
     let pretty = |config: &serde_json::Value| serde_json::to_string_pretty(config).expect("JSON");
     assert_eq!(lines_and_keys(&check_gateway_config(&pretty(&config))), []);
     config["listen"] = json!("here");
@@ -20,7 +20,7 @@
     config["settings"]["contract"].as_object_mut().expect("a section").remove("warm-up-ms");
     config.as_object_mut().expect("a section").remove("counter");
     let text = pretty(&config);
-    let line = |what: &str| text.lines().position(|l| l.contains(what)).map(|n| n + 1);
+    let line = |pattern: &str| text.lines().position(|l| l.contains(pattern)).map(|n| n + 1);
     let mut found = check_gateway_config(&text);
     found.sort_by(|a, b| a.key.cmp(&b.key));
     assert_eq!(
@@ -29,7 +29,7 @@
             (Some(1), "counter"),
             (line("\"here\""), "listen"),
             (line("\"seed\""), "seed"),
-            // Missing: the line on which its section begins.
+            // A missing key is reported on the line on which its section begins.
             (line("\"contract\""), "settings.contract.warm-up-ms"),
             (line("\"long\""), "settings.profiles[1].aim-ms"),
             (line("\"odd\""), "settings.profiles[2].effect"),
@@ -42,9 +42,12 @@
 fn names_line_and_key_of_each_fault_in_an_operator_config() {
     let check = |text: &str| check_operator_config(Path::new("a.toml"), text);
     assert!(check("").is_empty());
-    let values = "[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"\nleast_ready = 3.0\nfan_out = 0\n";
-    assert_eq!(lines_and_keys(&check(values)), [(Some(4), "agent.least_ready"), (Some(5), "agent.fan_out")]);
+    let out_of_range = "[agent]\nlisten = \"unix:/a\"\nlog = \"/b\"\nleast_ready = 3.0\nfan_out = 0\n";
+    assert_eq!(
+        lines_and_keys(&check(out_of_range)),
+        [(Some(4), "agent.least_ready"), (Some(5), "agent.fan_out")]
+    );
     assert_eq!(lines_and_keys(&check("[agent]\nlisen = \"unix:/a\"\n")), [(Some(2), "lisen")]);
-    let twice = "[[gateway]]\nname = \"a\"\nadmin = \"unix:/a\"\n\n";
-    assert_eq!(lines_and_keys(&check(&twice.repeat(2))), [(Some(6), "gateway[1].name")]);
+    let section = "[[gateway]]\nname = \"a\"\nadmin = \"unix:/a\"\n\n";
+    assert_eq!(lines_and_keys(&check(&section.repeat(2))), [(Some(6), "gateway[1].name")]);
 }
--- a/crates/gatewayctl/src/cli.rs
+++ b/crates/gatewayctl/src/cli.rs
@@ -56,8 +56,8 @@
     /// Show the orders, newest first
     Orders {
         /// How many
-        #[arg(long, short = 'n', default_value_t = 20)]
-        most: usize,
+        #[arg(long = "most", short = 'n', value_name = "MOST", default_value_t = 20)]
+        limit: usize,
     },
     /// Show every change from now on, until Ctrl-C
     Watch,
@@ -92,7 +92,7 @@
     #[command(args_conflicts_with_subcommands = true)]
     Gateway {
         #[command(subcommand)]
-        call: Option<GatewayCommand>,
+        command: Option<GatewayCommand>,
         /// The operator's file; without it there is no admin listener
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
@@ -110,10 +110,10 @@
 #[derive(Debug, Args)]
 pub struct GatewayTargets {
     /// Second address of a gateway, its `management`; may be given several times
-    #[arg(long, required = true, value_name = "ADDRESS:PORT")]
-    pub at: Vec<SocketAddr>,
+    #[arg(long = "at", required = true, value_name = "ADDRESS:PORT")]
+    pub addresses: Vec<SocketAddr>,
     /// How long each may take to answer
-    #[arg(long, default_value = "2s", value_parser = duration, value_name = "TIME")]
+    #[arg(long, default_value = "2s", value_parser = parse_duration, value_name = "TIME")]
     pub deadline: Duration,
 }
 
@@ -155,7 +155,7 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// This customer, 16 hex digits
-        #[arg(long, value_name = "ID", value_parser = customer_id)]
+        #[arg(long, value_name = "ID", value_parser = parse_customer_id)]
         customer: Option<u64>,
     },
     /// Say what each coming change does to a customer's level, and to a gateway that hears of it late
@@ -163,21 +163,21 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// Whose, 16 hex digits
-        #[arg(long, value_name = "ID", value_parser = customer_id)]
+        #[arg(long, value_name = "ID", value_parser = parse_customer_id)]
         customer: u64,
         /// Its level just before the first change, units; else full
         #[arg(long, value_name = "UNITS")]
         level: Option<f64>,
         /// How late a gateway hears, as in 10s or 500ms
-        #[arg(long, value_name = "TIME", default_value = "1s", value_parser = duration)]
+        #[arg(long, value_name = "TIME", default_value = "1s", value_parser = parse_duration)]
         late: Duration,
     },
 }
 
-/// A customer's number, as requests name it.
-fn customer_id(text: &str) -> Result<u64, String> {
-    let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let number = u64::from_str_radix(text, 16).ok().filter(|n| hex && *n < 1 << 33);
+/// Parses a customer id as requests carry it: 16 hex digits, below 2^33.
+fn parse_customer_id(text: &str) -> Result<u64, String> {
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    let number = u64::from_str_radix(text, 16).ok().filter(|n| is_hex && *n < 1 << 33);
     number.ok_or_else(|| "16 hex digits, a number below 2^33, are wanted".to_string())
 }
 
@@ -191,10 +191,10 @@
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(1..=1000))]
     pub backends: u16,
     /// End after this, as in 10s or 500ms; else at Ctrl-C
-    #[arg(long = "for", value_name = "TIME", value_parser = duration)]
+    #[arg(long = "for", value_name = "TIME", value_parser = parse_duration)]
     pub duration: Option<Duration>,
     /// Requests a second over all gateways, 0 to 20000
-    #[arg(long = "load", value_name = "RATE", default_value_t = 100.0, value_parser = request_rate)]
+    #[arg(long = "load", value_name = "RATE", default_value_t = 100.0, value_parser = parse_request_rate)]
     pub requests_per_s: f64,
     /// Port of the first gateway, the next has the next; else the system's choice
     #[arg(long)]
@@ -208,16 +208,16 @@
 #[derive(Debug, Args)]
 pub struct Resolve {
     /// The service, as in _till._tcp.ub-room.example.org
-    #[arg(required = true, value_parser = service_name)]
+    #[arg(required = true, value_parser = parse_service_name)]
     pub services: Vec<DnsName>,
     /// A resolver, ADDRESS:PORT; more than one may be named, and each is asked where those before it fail
     #[arg(long = "server", required = true, value_name = "ADDRESS:PORT")]
     pub servers: Vec<std::net::SocketAddr>,
     /// How long each resolver may take for a question
-    #[arg(long = "each", value_name = "TIME", default_value = "1s", value_parser = duration)]
+    #[arg(long = "each", value_name = "TIME", default_value = "1s", value_parser = parse_duration)]
     pub query_timeout: Duration,
     /// How long to go on
-    #[arg(long, value_name = "TIME", default_value = "15s", value_parser = duration)]
+    #[arg(long, value_name = "TIME", default_value = "15s", value_parser = parse_duration)]
     pub deadline: Duration,
     /// Each record as well, with what is left of its life
     #[arg(long)]
@@ -262,13 +262,13 @@
     #[arg(long)]
     pub force: bool,
     /// How long to wait for the gateways
-    #[arg(long, value_name = "TIME", default_value = "5s", value_parser = duration)]
+    #[arg(long, value_name = "TIME", default_value = "5s", value_parser = parse_duration)]
     pub deadline: Duration,
     /// Then wait until nothing is in flight at the subject on any gateway that can be reached
     #[arg(long)]
     pub wait: bool,
     /// How long to wait for that
-    #[arg(long = "wait-most", value_name = "TIME", default_value = "60s", value_parser = duration)]
+    #[arg(long = "wait-most", value_name = "TIME", default_value = "60s", value_parser = parse_duration)]
     pub wait_timeout: Duration,
 }
 
@@ -289,13 +289,13 @@
     },
 }
 
-/// Reads `10s`, `500ms`, `2m` or a bare number of seconds; at most a day.
-fn duration(text: &str) -> Result<Duration, String> {
+/// Parses a duration of at most a day, such as `10s`, `500ms`, `2m` or `1h`; without a unit, seconds.
+fn parse_duration(text: &str) -> Result<Duration, String> {
     let (number, unit) = match text.find(|c: char| c.is_ascii_alphabetic()) {
         Some(at) => text.split_at(at),
         None => (text, "s"),
     };
-    let each = match unit {
+    let unit_s = match unit {
         "ms" => 0.001,
         "s" => 1.0,
         "m" => 60.0,
@@ -303,12 +303,13 @@
         _ => return Err("a time is wanted, as in 500ms, 10s or 2m".to_string()),
     };
     match number.parse::<f64>() {
-        Ok(n) if n >= 0.0 && n * each <= 86_400.0 => Ok(Duration::from_secs_f64(n * each)),
+        Ok(n) if n >= 0.0 && n * unit_s <= 86_400.0 => Ok(Duration::from_secs_f64(n * unit_s)),
         _ => Err("a time is wanted, as in 500ms, 10s or 2m, of a day at most".to_string()),
     }
 }
 
-fn service_name(text: &str) -> Result<DnsName, String> {
+/// Parses a DNS-SD service name: at least three labels, the first of which begins with an underscore.
+fn parse_service_name(text: &str) -> Result<DnsName, String> {
     let name = DnsName::from_ascii(text).map_err(|e| e.to_string())?;
     if name.num_labels() < 3 || !text.starts_with('_') {
         return Err("a service is wanted, as in _till._tcp.ub-room.example.org".to_string());
@@ -316,7 +317,8 @@
     Ok(name)
 }
 
-fn request_rate(text: &str) -> Result<f64, String> {
+/// Parses a rate from 0 to 20,000 requests per second.
+fn parse_request_rate(text: &str) -> Result<f64, String> {
     let rate = text.parse::<f64>().ok().filter(|r| (0.0..=20_000.0).contains(r));
     rate.ok_or_else(|| "0 to 20000 requests a second are wanted".to_string())
 }
--- a/crates/gatewayctl/src/daemon.rs
+++ b/crates/gatewayctl/src/daemon.rs
@@ -1,4 +1,4 @@
-//! `agent` and `gateway`: the programs that run until they are told to end.
+//! `agent` and `gateway`: processes that run until they receive a signal to shut down.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use crate::error::{CommandError, LocalError};
 
-/// Runs the agent until SIGTERM or Ctrl-C.
+/// Runs the agent until SIGTERM or SIGINT.
 pub async fn run_agent(config_file: &Path, until_closed: bool) -> Result<(), CommandError> {
     if until_closed {
         exit_when_stdin_closes();
@@ -35,7 +35,7 @@
     Ok(result.map_err(LocalError::Agent)?)
 }
 
-/// Runs a gateway until SIGTERM has been carried out.
+/// Runs a gateway until it has shut down after SIGTERM.
 pub fn run_gateway(operator_config: Option<&Path>, until_closed: bool) -> Result<(), CommandError> {
     if until_closed {
         exit_when_stdin_closes();
@@ -43,7 +43,7 @@
     Ok(admission_gateway::run(operator_config).map_err(|e| LocalError::Gateway(e.to_string()))?)
 }
 
-/// Ends the process when its standard input is closed, so that it does not outlive the one that started it.
+/// Exits the process when standard input closes, so that it does not outlive its parent process.
 fn exit_when_stdin_closes() {
     std::thread::spawn(|| {
         let mut ignored = [0; 64];
--- a/crates/gatewayctl/src/endpoint_list.rs
+++ b/crates/gatewayctl/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! `sources` and `resolve`: the endpoint list from DNS-SD, as the agent has it and as it would be.
+//! `sources` and `resolve`: the endpoint list from DNS-SD, as the agent holds it or as it would build it.
 
 use dns_sd::CacheLimits;
 use endpoint_sources::{Follower, Resolver, Settings};
@@ -18,11 +18,11 @@
 const DROPPED_HEADER: [&str; 2] = ["DROPPED", "WHY"];
 const UNANSWERED_HEADER: [&str; 3] = ["UNANSWERED", "FOR", "WHY"];
 const RECORD_HEADER: [&str; 3] = ["QUESTION", "RECORDS", "LIFE"];
-/// Shown where nothing is known.
+/// Placeholder for an unknown value.
 const NONE: &str = "-";
 
-/// Shows the agent's list. Succeeds only if it is known, and nothing is stale, waits for confirmation or is
-/// unanswered.
+/// Prints the agent's endpoint list. Succeeds only if the list is known, no entry is stale, no change awaits
+/// confirmation and no query is unanswered.
 pub async fn sources(address: &Address, records: bool, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
     let ToolResponse::Sources(status) = agent.request(ToolRequest::Sources { records }).await? else {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Queries resolvers as the agent does. Succeeds only if all was answered and the list is not empty.
+/// Queries resolvers as the agent does. Succeeds only if every query was answered and the list is not empty.
 pub async fn resolve(args: &Resolve, output: Output) -> Result<(), CommandError> {
     let deadline = Instant::now() + args.deadline;
     let settings = Settings {
@@ -49,7 +49,7 @@
     };
     let mut follower = Follower::new(settings, Resolver::new(args.servers.clone(), args.query_timeout));
     let complete = async {
-        // The list is made once more after the last answer.
+        // The list is rebuilt once more after the last answer.
         while follower.step(&mut drop).await.is_none() || !follower.settled() {}
     };
     let is_complete = timeout_at(deadline, complete).await.is_ok();
@@ -82,7 +82,7 @@
     print_text(&format!("\n{}\n", summary(status)));
 }
 
-/// Prints a table behind an empty line, if it has rows.
+/// Prints an empty line and a table, if the table has rows.
 fn print_section(header: &[&str], rows: &[Vec<String>]) {
     if !rows.is_empty() {
         print_text("\n");
--- a/crates/gatewayctl/src/error.rs
+++ b/crates/gatewayctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit codes that tell programs.
+//! Errors of commands and the exit codes that report them to scripts.
 
 use std::fmt;
 use std::io;
@@ -13,7 +13,7 @@
 use crate::agent_client::AgentClientError;
 use crate::up::UpError;
 
-/// What the exit codes mean, for the help and the man page.
+/// Description of the exit codes in the help text and the man page.
 pub const EXIT_CODES_HELP: &str = "Exit codes:
   0  done; for an order: by every gateway
   1  failed on this machine: a file that is wrong, a process or a socket that can't be had, a broken rule
@@ -29,31 +29,32 @@
 const EXIT_REJECTED: u8 = 4;
 const EXIT_UNREACHABLE: u8 = 5;
 
-/// Why a command did not succeed.
+/// Reason why a command did not succeed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// Something failed on this machine.
+    /// A failure on this machine, without the agent or a gateway involved.
     Local(LocalError),
-    /// What was checked or played has faults, which the output names.
+    /// The check, query or local fleet found faults, which the output lists.
     FaultsFound,
-    /// The command line is wrong in a way that its grammar does not know.
+    /// The arguments parse but are not valid together or in their values.
     Usage(UsageError),
-    /// Not every gateway did it; the output names which and why.
+    /// Some gateways did not carry the command out; the output names them and the reasons.
     Partial,
-    /// The agent rejected it, and nothing was changed.
+    /// The agent rejected the request and changed nothing.
     Rejected(ErrorResponse),
-    /// Each gateway that was called rejected it; the output says why.
+    /// Every gateway that was called rejected the command; the output gives the reasons.
     RejectedByGateways,
-    /// The agent can't be reached, or disconnected too early.
+    /// The agent could not be reached, or the exchange with it failed.
     Agent(AgentClientError),
-    /// The agent disconnected, and may have written the order down. The same id asks for it again.
+    /// The exchange with the agent failed after the order was sent, so the order may be in the agent's log.
+    /// Repeating the order with the same id is safe.
     OrderUnconfirmed { id: OrderId, source: AgentClientError },
     /// None of the gateways that were called answered.
     NoGatewayAnswered,
 }
 
 impl CommandError {
-    /// The code that the process exits with.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Local(_) | CommandError::FaultsFound => EXIT_LOCAL,
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Whether the command's output has told all of it.
+    /// Whether the command's output already describes the error.
     pub fn is_reported(&self) -> bool {
         matches!(self, CommandError::FaultsFound | CommandError::Partial | CommandError::RejectedByGateways)
     }
@@ -129,36 +130,37 @@
     }
 }
 
-/// What failed on this machine.
+/// Failure on this machine.
 #[derive(Debug)]
 pub enum LocalError {
-    /// The runtime can't be started.
+    /// The asynchronous runtime could not be started.
     Runtime(io::Error),
-    /// Signals can't be received.
+    /// A signal handler could not be installed.
     Signals(io::Error),
-    /// Standard output can't be written.
+    /// Standard output could not be written.
     StandardOutput(io::Error),
-    /// A file can't be read.
+    /// A file could not be read.
     File { path: PathBuf, source: io::Error },
-    /// A value can't be written as JSON.
+    /// A value could not be serialized as JSON.
     Json(serde_json::Error),
-    /// No id can be made for an order.
+    /// The generated id of an order is not valid.
     OrderId(InvalidName),
-    /// The operators' file is wrong.
+    /// The operators' file is not valid.
     OperatorConfig(OperatorConfigError),
-    /// The operators' file says nothing of an agent.
+    /// The operators' file has no `[agent]` section.
     NoAgentSection(PathBuf),
     /// The agent failed.
     Agent(agent::AgentError),
-    /// The gateway failed; its text names what is wrong.
+    /// The gateway failed, with its error message.
     Gateway(String),
-    /// A catalogue of plans is wrong.
+    /// A plan catalogue is not valid.
     Catalogue { path: PathBuf, source: CatalogueFileError },
-    /// A catalogue does not name a customer.
+    /// The catalogue does not list the customer with this id.
     CustomerNotListed(u64),
-    /// A catalogue gives a customer no plan from the beginning on.
+    /// The catalogue lists no plan without a start time for the customer with this id, so the level of its
+    /// token bucket before the first change is unknown.
     CustomerLevelUnknown(u64),
-    /// Resolvers left so many names unanswered in time.
+    /// This number of names was not resolved before the deadline.
     UnresolvedNames(usize),
     /// The local fleet of `up` failed.
     Up(UpError),
@@ -208,14 +210,14 @@
     }
 }
 
-/// What is wrong with a command line that its grammar lets pass.
+/// Error in arguments that the argument parser accepts.
 #[derive(Debug)]
 pub enum UsageError {
-    /// The order can't be given to this subject, or has a value out of its range.
+    /// The order does not apply to this kind of subject, or its value is out of range.
     InvalidOrder(InvalidOrder),
-    /// The id of a backend can't be sent on one line.
+    /// The backend id contains characters that the line protocol cannot carry.
     InvalidBackendId,
-    /// A file's name does not tell what it is.
+    /// The file's extension is neither `.toml` nor `.json`.
     UnknownFileKind(PathBuf),
 }
 
--- a/crates/gatewayctl/src/gateway_command.rs
+++ b/crates/gatewayctl/src/gateway_command.rs
@@ -1,4 +1,4 @@
-//! `gateway ready`, `disable`, `enable`, `drain`, `undrain`: commands at the management addresses of
+//! `gateway ready`, `disable`, `enable`, `drain` and `undrain`: commands sent to the management addresses of
 //! gateways.
 
 use std::net::SocketAddr;
@@ -15,18 +15,18 @@
 use crate::error::{CommandError, UsageError};
 use crate::output::{print_json, print_table};
 
-/// The longest response, bytes.
+/// Maximum length of a response, bytes.
 const MAX_RESPONSE_BYTES: u64 = 4 * 1024;
 const HEADER: [&str; 3] = ["GATEWAY", "OUTCOME", "SAYS"];
 
-/// What became of a command at one gateway.
+/// Outcome of a command at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Outcome {
     Done,
     #[serde(rename = "refused")]
     Rejected,
-    /// No response came: whether the command is in force is not known.
+    /// There was no valid response, so it is unknown whether the command took effect.
     Unreachable,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The report of a command at one gateway.
+/// Report on a command at one gateway.
 #[derive(Debug, Serialize)]
 struct Report {
     #[serde(rename = "at")]
@@ -48,7 +48,7 @@
     #[serde(rename = "call")]
     command: String,
     outcome: Outcome,
-    /// What the gateway says, or why there is no response.
+    /// The gateway's message, or the reason why there is no response.
     #[serde(rename = "why")]
     reason: String,
 }
@@ -65,11 +65,12 @@
     }
 }
 
-/// Sends a command to all addresses at once and shows each response. Succeeds only if all did it.
+/// Sends a command to all addresses concurrently and prints each response. Succeeds only if every gateway
+/// carried it out.
 pub async fn run(command: GatewayCommand, output: Output) -> Result<(), CommandError> {
     let (command, targets) = command.into_parts();
     let line = command.to_string();
-    // An id must not be read as two words, or end the line.
+    // An id that contains a space or a line end would change the meaning of the line.
     if Command::parse(line.as_bytes()).as_ref() != Ok(&command) {
         return Err(UsageError::InvalidBackendId.into());
     }
@@ -81,11 +82,11 @@
     summarize(&reports)
 }
 
-/// Sends a line to all gateways at once; gives the reports in the order of the addresses.
+/// Sends a line to all gateways concurrently. Returns the reports in the order of the addresses.
 async fn send_to_all(line: &str, targets: GatewayTargets) -> Vec<Report> {
-    let GatewayTargets { at, deadline } = targets;
+    let GatewayTargets { addresses, deadline } = targets;
     let mut sending = JoinSet::new();
-    for (index, address) in at.into_iter().enumerate() {
+    for (index, address) in addresses.into_iter().enumerate() {
         let line = line.to_string();
         sending.spawn(async move { (index, send_to(address, line, deadline).await) });
     }
@@ -111,7 +112,8 @@
     }
 }
 
-/// Sends one line and reads the response. Control characters, which would write to a terminal, are left out.
+/// Sends one line and reads the response. Control characters are removed, because they could act on the
+/// terminal.
 async fn exchange(address: SocketAddr, line: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("{line}\n").as_bytes()).await?;
@@ -125,6 +127,7 @@
     vec![report.address.to_string(), report.outcome.name().to_string(), report.reason.clone()]
 }
 
+/// Derives the result of the command from the reports of all gateways.
 fn summarize(reports: &[Report]) -> Result<(), CommandError> {
     let count = |outcome| reports.iter().filter(|report| report.outcome == outcome).count();
     let (done, unreachable) = (count(Outcome::Done), count(Outcome::Unreachable));
--- a/crates/gatewayctl/src/gateways.rs
+++ b/crates/gatewayctl/src/gateways.rs
@@ -1,4 +1,4 @@
-//! `gateways add` and `gateways remove`: which gateways the agent controls.
+//! `gateways add` and `gateways remove`: the list of gateways that the agent controls.
 
 use fleet::wire::{ToolRequest, ToolResponse};
 use operator_config::Address;
--- a/crates/gatewayctl/src/main.rs
+++ b/crates/gatewayctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of a fleet of gateways.
+//! Command line for operating a fleet of admission gateways.
 //!
 //! ```text
 //!  cli               arguments of each command
@@ -11,8 +11,8 @@
 //!  gateway_command   gateway ready, disable ... ── management addresses of gateways
 //!  check             check FILE
 //!  plans             plans check, show, change FILE
-//!  daemon            agent, gateway: the programs themselves
-//!  up                stand-ins, gateways and an agent on this machine
+//!  daemon            agent, gateway: the long-running processes
+//!  up                a local fleet of stand-ins, gateways and an agent
 //!  output, error     tables and JSON; errors and exit codes
 //! ```
 
@@ -39,7 +39,7 @@
 use cli::{Cli, Command};
 use error::{CommandError, LocalError};
 
-/// The program's name, as in its messages.
+/// Program name that prefixes messages on standard error.
 const PROGRAM: &str = env!("CARGO_PKG_NAME");
 
 fn main() -> ExitCode {
@@ -63,15 +63,15 @@
         Command::Drain(args) => block_on(order::drain(&agent, &args, output)),
         Command::Undrain(args) => block_on(order::undrain(&agent, &args, output)),
         Command::Weight(args) => block_on(order::weight(&agent, &args, output)),
-        Command::Orders { most } => block_on(order_log::run(&agent, most, output)),
+        Command::Orders { limit } => block_on(order_log::run(&agent, limit, output)),
         Command::Watch => block_on(watch::run(&agent, output)),
         Command::Sources { records } => block_on(endpoint_list::sources(&agent, records, output)),
         Command::Resolve(args) => block_on(endpoint_list::resolve(&args, output)),
         Command::Plans { command } => plans::run(&command, output),
         Command::Gateways { command } => block_on(gateways::run(&agent, &command, output)),
         Command::Agent { operator, until_closed } => block_on(daemon::run_agent(&operator, until_closed)),
-        Command::Gateway { call: Some(command), .. } => block_on(gateway_command::run(command, output)),
-        Command::Gateway { call: None, operator, until_closed } => {
+        Command::Gateway { command: Some(command), .. } => block_on(gateway_command::run(command, output)),
+        Command::Gateway { command: None, operator, until_closed } => {
             daemon::run_gateway(operator.as_deref(), until_closed)
         }
         Command::Completions { shell } => {
@@ -79,13 +79,13 @@
             Ok(())
         }
         Command::Man => {
-            let man = clap_mangen::Man::new(Cli::command()).render(&mut std::io::stdout());
-            man.map_err(|e| LocalError::StandardOutput(e).into())
+            let rendered = clap_mangen::Man::new(Cli::command()).render(&mut std::io::stdout());
+            rendered.map_err(|e| LocalError::StandardOutput(e).into())
         }
     }
 }
 
-/// Runs a command that waits for sockets or processes.
+/// Runs an asynchronous command on a single-threaded runtime.
 fn block_on<F: Future<Output = Result<(), CommandError>>>(command: F) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(LocalError::Runtime)?.block_on(command)
--- a/crates/gatewayctl/src/order.rs
+++ b/crates/gatewayctl/src/order.rs
@@ -1,4 +1,4 @@
-//! `drain`, `undrain` and `weight`: orders that the agent has every gateway carry out.
+//! `drain`, `undrain` and `weight`: orders that the agent sends to every gateway.
 
 mod in_flight;
 
@@ -15,16 +15,16 @@
 use crate::output::{print_json, print_table, print_text};
 use crate::PROGRAM;
 
-/// What the agent may take on top of the deadline that it was given.
+/// Time allowed for the agent's response beyond the deadline of the request.
 const DEADLINE_MARGIN: Duration = Duration::from_secs(10);
 const HEADER: [&str; 4] = ["GATEWAY", "DID", "MATCHED", "TOOK"];
 
-/// Has nothing new sent to a subject.
+/// Orders gateways to send no new requests to a subject, or a gateway to accept none.
 pub async fn drain(agent: &Address, order: &Order, output: Output) -> Result<(), CommandError> {
     run(agent, &order.subject, Change::Drain, &order.options, output).await
 }
 
-/// Takes a drain back.
+/// Cancels the drain of a subject.
 pub async fn undrain(agent: &Address, order: &Order, output: Output) -> Result<(), CommandError> {
     run(agent, &order.subject, Change::Undrain, &order.options, output).await
 }
@@ -34,10 +34,10 @@
     run(agent, &order.subject, Change::Weight(order.weight), &order.options, output).await
 }
 
-/// How the gateways carried an order out.
+/// Result of an order on all gateways.
 struct OrderResult {
     accepted: OrderAccepted,
-    /// In the order of the gateways' names.
+    /// Sorted by gateway name.
     instances: Vec<InstanceReport>,
     summary: OrderSummary,
 }
@@ -91,17 +91,17 @@
     Err(CommandError::Partial)
 }
 
-/// An id that no other order has: of this moment, this process and a random number.
+/// Generates an order id from the time, the process id and a random number, so that it is unique in practice.
 fn new_order_id() -> Result<OrderId, LocalError> {
     use std::hash::{BuildHasher, Hasher};
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    // The standard library seeds these keys at random in each process.
+    // The standard library seeds the hash keys randomly in each process.
     let random = std::collections::hash_map::RandomState::new().build_hasher().finish();
     let text = format!("{:x}-{:x}-{:08x}", unix.as_millis(), std::process::id(), random as u32);
     text.parse().map_err(LocalError::OrderId)
 }
 
-/// The error of an order that may have been written to the agent's log unseen.
+/// Converts an error after the order was sent, when the agent may already have logged the order.
 fn unconfirmed(error: AgentClientError, id: &OrderId) -> CommandError {
     match error {
         AgentClientError::Rejected(response) => CommandError::Rejected(response),
@@ -109,6 +109,7 @@
     }
 }
 
+/// Receives the agent's acceptance, the report of each gateway and the summary.
 async fn receive_result(agent: &mut AgentClient, limit: Duration) -> Result<OrderResult, AgentClientError> {
     let ToolResponse::Accepted(accepted) = agent.receive(limit).await? else {
         return Err(AgentClientError::UnexpectedResponse);
--- a/crates/gatewayctl/src/order/in_flight.rs
+++ b/crates/gatewayctl/src/order/in_flight.rs
@@ -1,4 +1,4 @@
-//! `--wait`: what is still in flight at the subject of an order.
+//! `--wait`: waits until no request is in flight at the subject of an order.
 
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
@@ -12,25 +12,25 @@
 use crate::cli::{OrderOptions, Output};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Goes back to the line's start and clears it, on a terminal.
+/// Terminal sequence that returns to the start of the line and clears it.
 const CLEAR_LINE: &str = "\r\x1b[K";
 
-/// Polls until nothing is in flight at the subject on any gateway that can be reached, or the time is over.
-/// Gives the last report of each gateway.
+/// Polls until no reachable gateway has requests in flight at the subject, or the wait times out. Returns the
+/// last report of each gateway.
 pub async fn wait_until_idle(
     agent: &mut AgentClient,
     subject: &Subject,
     options: &OrderOptions,
     output: Output,
 ) -> Result<Vec<InstanceReport>, AgentClientError> {
-    let give_up_at = Instant::now() + options.wait_timeout;
+    let wait_deadline = Instant::now() + options.wait_timeout;
     let mut progress = (output == Output::Table).then(Progress::new);
     loop {
         let reports = poll(agent, subject, options.deadline).await?;
         if let Some(progress) = &mut progress {
             progress.show(&reports);
         }
-        if reports.iter().all(is_idle) || Instant::now() >= give_up_at {
+        if reports.iter().all(is_idle) || Instant::now() >= wait_deadline {
             if let Some(progress) = progress {
                 progress.end();
             }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Whether a gateway is known to have nothing in flight, or can't be reached.
+/// Whether a gateway reports nothing in flight or is unreachable.
 pub fn is_idle(report: &InstanceReport) -> bool {
     matches!(report.outcome, InstanceOutcome::InFlight { in_flight: 0 } | InstanceOutcome::Unreachable { .. })
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// A line on standard error: over itself on a terminal, else one for each change.
+/// Progress on standard error: one line that is overwritten on a terminal, otherwise a line per change.
 struct Progress {
     is_terminal: bool,
     last_line: String,
--- a/crates/gatewayctl/src/order_log.rs
+++ b/crates/gatewayctl/src/order_log.rs
@@ -1,4 +1,4 @@
-//! `orders`: the newest orders of the agent's log.
+//! `orders`: the newest orders in the agent's log.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -12,7 +12,7 @@
 
 const HEADER: [&str; 6] = ["REVISION", "WHEN", "WHAT", "SUBJECT", "ID", ""];
 
-/// Shows at most so many orders, the newest first.
+/// Prints up to `limit` orders, newest first.
 pub async fn run(address: &Address, limit: usize, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
     let ToolResponse::Orders(orders) = agent.request(ToolRequest::Orders { limit }).await? else {
--- a/crates/gatewayctl/src/output.rs
+++ b/crates/gatewayctl/src/output.rs
@@ -7,12 +7,12 @@
 #[cfg(test)]
 mod tests;
 
-/// From here on ages are shown in whole seconds, ms.
+/// Age from which whole seconds are shown, ms.
 const WHOLE_SECONDS_FROM_MS: u64 = 10_000;
-/// From here on ages are shown in minutes, ms.
+/// Age from which minutes are shown, ms.
 const MINUTES_FROM_MS: u64 = 600_000;
 
-/// Prints a text. The process ends if its reader has closed the pipe: such as `head`, it has seen enough.
+/// Prints text. If the reader has closed the pipe, as `head` does, the process exits with code 0.
 pub fn print_text(text: &str) {
     let mut stdout = std::io::stdout().lock();
     if stdout.write_all(text.as_bytes()).and_then(|()| stdout.flush()).is_err() {
@@ -27,13 +27,13 @@
     Ok(())
 }
 
-/// Prints rows under a header.
+/// Prints a table.
 pub fn print_table(header: &[&str], rows: &[Vec<String>]) {
     print_text(&table(header, rows));
 }
 
-/// Lays rows out under a header, each column as wide as it must be. Control characters, which may come from
-/// outside, are escaped.
+/// Formats rows under a header in columns as wide as their widest cell. Control characters are escaped,
+/// because cells may hold text from other hosts.
 pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let rows: Vec<Vec<String>> =
         rows.iter().map(|row| row.iter().map(|cell| escaped(cell)).collect()).collect();
@@ -49,18 +49,20 @@
     text
 }
 
+/// Returns the cell with its control characters escaped.
 fn escaped(cell: &str) -> String {
     let escape = |c: char| if c.is_control() { c.escape_default().collect() } else { vec![c] };
     cell.chars().flat_map(escape).collect()
 }
 
+/// Formats one line of cells padded to the column widths, without trailing spaces.
 fn aligned<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) -> String {
     let cells = cells.zip(widths).map(|(cell, width)| format!("{cell:width$}"));
     let line = cells.collect::<Vec<_>>().join("  ");
     format!("{}\n", line.trim_end())
 }
 
-/// An age in few characters.
+/// Formats an age as seconds with one decimal place, whole seconds or minutes.
 pub fn format_age(ms: u64) -> String {
     if ms < WHOLE_SECONDS_FROM_MS {
         format!("{:.1}s", ms as f64 / 1000.0)
--- a/crates/gatewayctl/src/plans.rs
+++ b/crates/gatewayctl/src/plans.rs
@@ -1,4 +1,4 @@
-//! `plans`: what is wrong with a catalogue, who has which plan, and what a change does.
+//! `plans`: checks plan catalogues, shows plans and customers, and previews changes of plan.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 const PLAN_HEADER: [&str; 6] = ["PLAN", "VERSION", "RATE", "BURST", "CEILING", "ITS BURST"];
 const CUSTOMER_HEADER: [&str; 7] = ["FROM", "PLAN", "VERSION", "RATE", "BURST", "CEILING", "ITS BURST"];
 const CHANGE_HEADER: [&str; 7] = ["AT", "FROM", "TO", "BEFORE", "AFTER", "WAITS", "OFF WHERE LATE"];
-/// The time from which a plan holds that a catalogue gives without a time, Unix time in ms.
+/// Start time of a plan that the catalogue lists without a time, Unix time in ms.
 const ALWAYS_MS: u64 = 0;
 
-/// Runs a command on catalogues.
+/// Runs a `plans` command.
 pub fn run(command: &Plans, output: Output) -> Result<(), CommandError> {
     match command {
         Plans::Check { files } => {
-            let mut all_good = true;
+            let mut all_valid = true;
             for file in files {
-                all_good &= check(file, output)?;
+                all_valid &= check(file, output)?;
             }
-            if all_good {
+            if all_valid {
                 Ok(())
             } else {
                 Err(CommandError::FaultsFound)
@@ -38,7 +38,7 @@
     }
 }
 
-/// All faults of a catalogue's file, one on a line.
+/// Formats all faults of a catalogue file, one per line.
 pub fn fault_lines(file: &Path, CatalogueFileError(faults): &CatalogueFileError) -> String {
     let line = |fault: &FileFault| {
         let key = if fault.key.is_empty() { String::new() } else { format!("{}: ", fault.key) };
@@ -52,11 +52,11 @@
 }
 
 fn load(file: &Path) -> Result<Catalogue, LocalError> {
-    let wrong = |source| LocalError::Catalogue { path: file.to_path_buf(), source };
-    read_catalogue(&read(file)?).map_err(wrong)
+    let invalid = |source| LocalError::Catalogue { path: file.to_path_buf(), source };
+    read_catalogue(&read(file)?).map_err(invalid)
 }
 
-/// Checks a file; tells whether it is good.
+/// Checks a file and prints the result. Returns whether the file is valid.
 fn check(file: &Path, output: Output) -> Result<bool, LocalError> {
     let catalogue = read_catalogue(&read(file)?);
     match output {
@@ -93,7 +93,7 @@
     }))
 }
 
-/// A time as operators read it.
+/// Formats a Unix time in ms as an RFC 3339 timestamp, or `always` for a plan without a start time.
 fn format_time(ms: u64) -> String {
     if ms == ALWAYS_MS {
         return "always".to_string();
@@ -102,12 +102,13 @@
     timestamp.map_or_else(|| format!("{ms} ms"), |timestamp| timestamp.to_string())
 }
 
+/// Returns the table cells for rate, burst, ceiling rate and ceiling burst.
 fn limit_cells(limits: &PlanLimits) -> [String; 4] {
     let PlanLimits { rate, burst, ceiling_rate, ceiling_burst } = *limits;
     [rate, burst, ceiling_rate, ceiling_burst].map(|number| number.to_string())
 }
 
-/// Shows the plans of a customer over time.
+/// Prints the plans of a customer over time.
 fn show_customer(catalogue: &Catalogue, customer: u64, output: Output) -> Result<(), LocalError> {
     let timeline = catalogue.timeline(customer, PlanLimits::default());
     if catalogue.plan_at(customer, u64::MAX).is_none() {
@@ -153,18 +154,21 @@
     Ok(())
 }
 
-/// What a change of plan does to a customer, by the rule of [`PlanTimeline`]: the debt stays.
+/// Effect of a change of plan on a customer's token bucket. What was charged stays charged, as
+/// [`PlanTimeline`] defines.
 struct PlanChange {
     at_ms: u64,
     from: Plan,
     to: Plan,
-    /// The level of the token bucket just before and just after it.
+    /// Level of the token bucket just before the change, units.
     level_before: f64,
+    /// Level of the token bucket just after the change, units.
     level_after: f64,
-    /// Until a request of one unit is admitted, s; infinite where the new plan has no rate.
+    /// Time until a request of one unit is admitted, s; infinite if the new plan's rate is zero.
     wait_s: f64,
-    /// Units by which a gateway is off that learns of it so late.
+    /// Delay after which a gateway is assumed to learn of the change, ms.
     late_ms: u64,
+    /// Error of that gateway's count, units.
     late_error: f64,
 }
 
@@ -192,7 +196,8 @@
     }
 }
 
-/// Shows what each coming change does to a customer that has this level before the first, else a full bucket.
+/// Prints the effect of each later change of plan on a customer whose token bucket has the given level before
+/// the first change; without a level, the bucket is full.
 fn show_changes(
     catalogue: &Catalogue,
     customer: u64,
@@ -242,7 +247,7 @@
     Ok(changes)
 }
 
-/// Units by which a gateway is off that goes by the old plan for so long after a change.
+/// Error in units of a gateway that applies the old plan for `late_ms` after a change.
 fn late_error(timeline: &PlanTimeline, since_ms: u64, at_ms: u64, late_ms: u64) -> f64 {
     let old = PlanTimeline::always(*timeline.at(since_ms));
     let new = old.clone().then(at_ms, *timeline.at(at_ms));
--- a/crates/gatewayctl/src/status.rs
+++ b/crates/gatewayctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: all gateways, what is ordered, and each gateway's backends.
+//! `status`: all gateways, the orders in effect and each gateway's backends.
 
 use fleet::wire::{BackendState, FleetStatus, GatewayStatus, ToolRequest, ToolResponse};
 use fleet::{Health, Register, Value};
@@ -14,12 +14,12 @@
 const ORDER_HEADER: [&str; 4] = ["ORDERED", "WHAT", "REVISION", "ID"];
 const BACKEND_HEADER: [&str; 10] =
     ["GATEWAY", "BACKEND", "ADDRESS", "GROUP", "TYPE", "STATE", "WEIGHT", "WARMTH", "OUT", "ORDER"];
-/// Shown where nothing is known.
+/// Placeholder for an unknown value.
 const UNKNOWN: &str = "-";
-/// Columns that come from a gateway's own state.
+/// Number of columns that are filled from a gateway's own state.
 const STATE_COLUMNS: usize = 6;
 
-/// Shows all gateways. Succeeds only if each of them is well.
+/// Prints the status of all gateways. Fails with `Partial` unless each is `ok` or `behind`.
 pub async fn run(address: &Address, args: &Status, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
     let ToolResponse::Status(mut status) =
@@ -34,15 +34,15 @@
         Output::Json => print_json(&status)?,
         Output::Table => print_tables(&status, args.backends),
     }
-    let is_well = |gateway: &GatewayStatus| matches!(gateway.health, Health::Ok | Health::Behind);
-    if status.gateways.iter().all(is_well) {
+    let is_healthy = |gateway: &GatewayStatus| matches!(gateway.health, Health::Ok | Health::Behind);
+    if status.gateways.iter().all(is_healthy) {
         Ok(())
     } else {
         Err(CommandError::Partial)
     }
 }
 
-/// Receives the backends of each gateway into its status.
+/// Receives the backends of each gateway and stores them in its status.
 async fn receive_backends(agent: &mut AgentClient, status: &mut FleetStatus) -> Result<(), CommandError> {
     loop {
         match agent.receive(RESPONSE_TIMEOUT).await? {
@@ -94,7 +94,7 @@
     ]
 }
 
-/// The strongest reason for which a backend gets no work, or that it is ready.
+/// Returns the first condition, by precedence, that keeps requests from a backend, or `ready`.
 fn backend_condition(backend: &BackendState) -> &'static str {
     if backend.banned_ms.is_some() {
         "banned"
@@ -135,7 +135,7 @@
     row
 }
 
-/// What an operator should know first about a gateway.
+/// Returns the most important remark on a gateway for the last column, or an empty text.
 fn remark(gateway: &GatewayStatus) -> String {
     if let Health::Unreachable { reason } = &gateway.health {
         return reason.clone();
--- a/crates/gatewayctl/src/up.rs
+++ b/crates/gatewayctl/src/up.rs
@@ -1,8 +1,8 @@
-//! `up`: stand-ins, gateways and an agent on this machine, on loopback addresses.
+//! `up`: a local fleet of stand-ins, gateways and an agent on loopback addresses.
 //!
-//! The gateways and the agent are processes of this same program; the stand-ins and the load generator run
-//! here. The processes end with this one, however it ends: each holds the reading end of a pipe whose writing
-//! end is here.
+//! The gateways and the agent are child processes that run this same executable; the stand-ins and the load
+//! generator run in this process. The child processes exit with this process, however it ends: the standard
+//! input of each is a pipe whose write end this process holds.
 
 mod error;
 mod local_fleet;
@@ -26,17 +26,18 @@
 
 pub use error::UpError;
 
-/// Customers of the load.
+/// Number of customers in the load.
 const CUSTOMERS: u64 = 200;
-/// The id of the load's first request.
+/// Id of the load's first request.
 const FIRST_REQUEST_ID: u64 = 1 << 40;
-/// How often the status line is written on a terminal, and elsewhere.
+/// Interval of the status line on a terminal.
 const TERMINAL_STATUS_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the status line if standard error is not a terminal.
 const LOG_STATUS_INTERVAL: Duration = Duration::from_secs(2);
-/// Goes back to the line's start and clears it, on a terminal.
+/// Terminal sequence that returns to the start of the line and clears it.
 const CLEAR_LINE: &str = "\r\x1b[K";
 
-/// SIGINT and SIGTERM.
+/// Handlers of SIGINT and SIGTERM.
 struct Signals {
     interrupt: Signal,
     terminate: Signal,
@@ -57,12 +58,12 @@
     }
 }
 
-/// Runs until the time is over, Ctrl-C or SIGTERM.
+/// Runs a local fleet until the duration has passed, SIGINT, SIGTERM or the exit of a child process.
 pub async fn run(args: Up, output: Output) -> Result<(), CommandError> {
     let mut signals = Signals::listen()?;
     let mut fleet = tokio::select! {
         fleet = LocalFleet::start(&args, output == Output::Table) => fleet?,
-        // What was started so far ends as its handles are dropped.
+        // Dropping the handles stops what has been started so far.
         () = signals.received() => return Ok(()),
     };
     match output {
@@ -88,21 +89,22 @@
     }
 }
 
-/// Waits until the run is to end; gives the name of a process that exited by itself.
+/// Waits for the end of the run. Returns the name of the process if one exited unexpectedly.
 async fn wait_for_end(args: &Up, signals: &mut Signals, fleet: &mut LocalFleet) -> Option<String> {
-    let time_is_over = async {
+    let duration_passed = async {
         match args.duration {
             Some(duration) => sleep(duration).await,
             None => std::future::pending().await,
         }
     };
     tokio::select! {
-        () = time_is_over => None,
+        () = duration_passed => None,
         () = signals.received() => None,
         name = fleet.any_exited() => Some(name),
     }
 }
 
+/// Runs the load, or only waits if its rate is 0.
 async fn run_load(args: &Up, load: &Load, until_end: impl Future<Output = ()>) {
     if args.requests_per_s > 0.0 {
         let plan =
@@ -113,7 +115,7 @@
     }
 }
 
-/// Writes the status line again and again, over itself on a terminal.
+/// Writes the status line at an interval; on a terminal, over the previous one.
 async fn show_status(load: &Load) {
     let is_terminal = std::io::stderr().is_terminal();
     let mut ticks = interval(if is_terminal { TERMINAL_STATUS_INTERVAL } else { LOG_STATUS_INTERVAL });
@@ -133,7 +135,7 @@
     }
 }
 
-/// Shows what the load came to, and whether a rule was broken.
+/// Prints the totals of the load and the auditor's verdict. Fails if a rule was broken.
 fn show_result(fleet: &LocalFleet, load: &Load, output: Output) -> Result<(), CommandError> {
     let verdict = audit(&fleet.journal, Terms::default());
     match output {
--- a/crates/gatewayctl/src/up/error.rs
+++ b/crates/gatewayctl/src/up/error.rs
@@ -1,33 +1,33 @@
-//! Why a local fleet failed.
+//! Errors of a local fleet.
 
 use std::fmt;
 use std::io;
 
-/// Why a local fleet can't run.
+/// Reason why a local fleet failed.
 #[derive(Debug)]
 pub enum UpError {
-    /// There is no directory for its files.
+    /// The directory for the fleet's files could not be created.
     TemporaryDirectory(io::Error),
-    /// A stand-in can't listen, or a file can't be written.
+    /// A stand-in could not listen, or a file could not be written.
     Start(io::Error),
     /// A process did not become ready.
     Process { name: String, problem: ProcessProblem, last_log_line: Option<String> },
-    /// A process exited by itself.
+    /// A process exited unexpectedly.
     ProcessExited(String),
 }
 
-/// What is wrong with a process.
+/// Reason why a process did not become ready.
 #[derive(Debug)]
 pub enum ProcessProblem {
-    /// It can't be started.
+    /// The process could not be started.
     Start(io::Error),
-    /// Its standard output can't be read.
+    /// Its standard output is not available.
     NoStandardOutput,
-    /// It exited before it was ready.
+    /// The process exited or closed its output before it was ready.
     ExitedEarly,
-    /// It was not ready in time.
+    /// The process was not ready within the timeout.
     TimedOut,
-    /// It printed something else than an address.
+    /// The process printed this text where an address was expected.
     UnexpectedOutput(String),
 }
 
--- a/crates/gatewayctl/src/up/local_fleet.rs
+++ b/crates/gatewayctl/src/up/local_fleet.rs
@@ -1,4 +1,4 @@
-//! Everything that `up` starts.
+//! The stand-ins and processes that `up` starts.
 
 use std::future::{poll_fn, Future};
 use std::io::{IsTerminal, Write};
@@ -18,13 +18,14 @@
 use super::process::Process;
 use crate::cli::Up;
 
-/// Events that are kept for the auditor: some minutes of the usual load. Beyond that there is no verdict.
+/// Capacity of the event journal: several minutes of the default load. The auditor gives no verdict on a
+/// journal that overflowed.
 const MAX_EVENTS: usize = 400_000;
 const AGENT: &str = "agent";
-/// Goes back to the line's start and clears it, on a terminal.
+/// Terminal sequence that returns to the start of the line and clears it.
 const CLEAR_LINE: &str = "\r\x1b[K";
 
-/// A gateway's process.
+/// Gateway that runs as a child process.
 #[derive(Debug)]
 pub struct Gateway {
     pub name: String,
@@ -33,7 +34,7 @@
     pub process: Process,
 }
 
-/// Stand-ins, gateways and an agent.
+/// Running local fleet: stand-ins, gateways and an agent.
 #[derive(Debug)]
 pub struct LocalFleet {
     pub discovery: Discovery,
@@ -43,12 +44,12 @@
     pub agent: Address,
     pub journal: Journal,
     agent_process: Process,
-    /// Configurations, sockets, logs. It is removed with the value.
+    /// Holds configurations, sockets and logs; removed when the fleet is dropped.
     _directory: TempDir,
 }
 
 impl LocalFleet {
-    /// Starts everything, and waits until each part is ready.
+    /// Starts the fleet and waits until all of its processes are ready.
     pub async fn start(args: &Up, show_progress: bool) -> Result<LocalFleet, UpError> {
         let (directory, journal) = (temporary_directory()?, Journal::new(MAX_EVENTS));
         let discovery = Discovery::start().await.map_err(UpError::Start)?;
@@ -81,12 +82,12 @@
         })
     }
 
-    /// Where clients connect.
+    /// Client addresses of the gateways.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.gateways.iter().map(|gateway| gateway.address).collect()
     }
 
-    /// Waits until some process has exited by itself, and gives its name.
+    /// Waits until a child process exits and returns the name of the process.
     pub async fn any_exited(&mut self) -> String {
         let mut agent = Box::pin(self.agent_process.exited());
         let mut gateways: Vec<_> = self
@@ -108,7 +109,7 @@
         .await
     }
 
-    /// Ends all processes, the agent first.
+    /// Terminates all processes, the agent first.
     pub async fn stop(&mut self) {
         self.agent_process.terminate();
         self.agent_process.reap().await;
@@ -121,7 +122,7 @@
     }
 }
 
-/// A directory with a short path: that of a Unix socket has some hundred bytes at most.
+/// Creates a directory with a short path, because the path of a Unix socket is limited to about 100 bytes.
 fn temporary_directory() -> Result<TempDir, UpError> {
     tempfile::Builder::new().prefix("gatewayctl-").tempdir().map_err(UpError::TemporaryDirectory)
 }
@@ -184,7 +185,7 @@
     Ok(process)
 }
 
-/// The files of a local fleet.
+/// Paths of a local fleet's files.
 struct Files<'a> {
     directory: &'a Path,
 }
@@ -216,7 +217,7 @@
     }
 }
 
-/// Which gateway is waited for, on a terminal.
+/// Progress line on a terminal that names the gateway being waited for.
 struct Progress {
     is_shown: bool,
 }
--- a/crates/gatewayctl/src/up/process.rs
+++ b/crates/gatewayctl/src/up/process.rs
@@ -1,4 +1,4 @@
-//! A process of this same program, which ends with this one.
+//! Child processes that run this same executable and exit when this process ends.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,16 +13,16 @@
 
 use super::error::{ProcessProblem, UpError};
 
-/// How long a process may take to become ready.
+/// Timeout for a process to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long it may take to exit once it was told to.
+/// Timeout for a process to exit after it was terminated.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A process of this program.
+/// Child process that runs this executable.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Kept apart from the child: waiting for a child closes the input that it still has.
+    /// Held outside `child`, because waiting for a child closes a standard input that it still owns.
     stdin: Option<ChildStdin>,
     stdout: Lines<BufReader<ChildStdout>>,
     name: String,
@@ -30,7 +30,7 @@
 }
 
 impl Process {
-    /// Starts one, with its log in a file.
+    /// Starts a process whose standard error goes to a log file.
     pub fn start(name: &str, args: &[&str], config: Option<&Path>, log: &Path) -> Result<Process, UpError> {
         let failed = |problem| UpError::Process { name: name.to_string(), problem, last_log_line: None };
         let mut child = spawn(args, config, log).map_err(|e| failed(ProcessProblem::Start(e)))?;
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Waits for a line with this prefix, and gives the rest of it.
+    /// Waits for an output line with this prefix and returns the rest of the line.
     pub async fn wait_for_line(&mut self, prefix: &str) -> Result<String, UpError> {
         let rest_of_line = async {
             while let Ok(Some(line)) = self.stdout.next_line().await {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Waits for a line with this prefix, and gives the address behind it.
+    /// Waits for an output line with this prefix and parses the rest of the line as an address.
     pub async fn wait_for_address<T: FromStr>(&mut self, prefix: &str) -> Result<T, UpError> {
         let text = self.wait_for_line(prefix).await?;
         text.parse().map_err(|_| UpError::Process {
@@ -71,32 +71,32 @@
         })
     }
 
-    /// The error of a process, with the last line of its log.
+    /// Creates an error for this process that includes the last line of its log.
     fn failed(&self, problem: ProcessProblem) -> UpError {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let last_log_line = log.lines().last().map(str::to_string);
         UpError::Process { name: self.name.clone(), problem, last_log_line }
     }
 
-    /// Its process id.
+    /// Returns the process id, or `None` after the process has exited.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Waits until it has exited.
+    /// Waits until the process has exited.
     pub async fn exited(&mut self) {
         let _ = self.child.wait().await;
     }
 
-    /// Tells it to shut down.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         if let Some(pid) = self.child.id().and_then(|id| Pid::from_raw(id as i32)) {
-            // Fails only if it has exited.
+            // Fails only if the process has already exited.
             let _ = kill_process(pid, Signal::TERM);
         }
     }
 
-    /// Waits for its exit, and kills it if that takes too long.
+    /// Waits for the process to exit and kills it after a timeout.
     pub async fn reap(&mut self) {
         self.stdin = None;
         if timeout(EXIT_TIMEOUT, self.child.wait()).await.is_err() {
@@ -112,7 +112,8 @@
     if let Some(path) = config {
         command.env("GW_CONFIG", path);
     }
-    // Ctrl-C is for this process, which ends the others in their order.
+    // In a process group of its own the child does not receive Ctrl-C: this process stops the children in
+    // order.
     command.process_group(0).kill_on_drop(true);
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
     command.spawn()
--- a/crates/gatewayctl/src/up/report.rs
+++ b/crates/gatewayctl/src/up/report.rs
@@ -1,4 +1,4 @@
-//! The texts and JSON of `up`.
+//! Text and JSON output of `up`.
 
 use serde_json::{json, Value};
 use testbed::audit::Breach;
@@ -8,17 +8,18 @@
 use super::local_fleet::{Gateway, LocalFleet};
 use crate::output::table;
 
-/// The auditor's verdict: the breaches that it found, or why it can't say.
+/// Verdict of the auditor: the breaches found, or the reason why there is no verdict.
 type Verdict = Result<Vec<Breach>, String>;
 
 const HEADER: [&str; 3] = ["NAME", "WHAT", "ADDRESS"];
-/// Breaches that are shown of each run.
+/// Maximum number of breaches shown.
 const MAX_BREACHES_SHOWN: usize = 10;
-/// Customer and request of the example command.
+/// Customer id in the example command.
 const EXAMPLE_CUSTOMER: &str = "0000000000000001";
+/// Request id in the example command.
 const EXAMPLE_REQUEST: &str = "00000000000000aa";
 
-/// The table of addresses, and commands to paste.
+/// Formats the table of addresses and the example commands.
 pub fn addresses(fleet: &LocalFleet) -> String {
     let Some(first) = fleet.gateways.first() else { return String::new() };
     format!("{}{}\n", table(&HEADER, &address_rows(fleet)), example_lines(fleet, first).join("\n"))
@@ -61,7 +62,7 @@
     ]
 }
 
-/// The addresses as JSON.
+/// Returns the addresses as JSON.
 pub fn description(fleet: &LocalFleet) -> Value {
     let backends = fleet
         .backends
@@ -80,7 +81,7 @@
     })
 }
 
-/// The status line; without a rate if it is 0.
+/// Formats the status line; a rate of 0 is left out.
 pub fn status_line(tally: &Tally, served_per_s: f64, load: &Load) -> String {
     let Tally { asked, served, refused, failed, lost, held_back, .. } = tally;
     let rate = if served_per_s > 0.0 { format!(" ({served_per_s:.0}/s)") } else { String::new() };
@@ -90,7 +91,7 @@
     format!("asked {asked}, {answers}, p50 {p50:.1} ms, p99 {p99:.1} ms")
 }
 
-/// What the load came to, as JSON.
+/// Returns the totals of the load and the auditor's verdict as JSON.
 pub fn result(load: &Load, verdict: &Verdict) -> Value {
     let tally = load.tally();
     let breaches = verdict.as_ref().ok().map(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>());
@@ -101,7 +102,7 @@
     })
 }
 
-/// Whether a rule was broken, and the first breaches.
+/// Formats the auditor's verdict with the first breaches.
 pub fn verdict_text(verdict: &Verdict) -> String {
     match verdict {
         Ok(breaches) if breaches.is_empty() => "the five rules held\n".to_string(),
--- a/crates/gatewayctl/src/watch.rs
+++ b/crates/gatewayctl/src/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: every change that the agent sees.
+//! `watch`: prints the agent's events as they happen.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::error::CommandError;
 use crate::output::{print_json, print_text};
 
-/// A watch may be silent for as long as nothing happens.
+/// Idle timeout of a watch. A year is in effect no limit: no event is sent while nothing changes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(365 * 86_400);
 
-/// Shows each change until the agent disconnects or the process is interrupted.
+/// Prints each event until the agent disconnects or the process is interrupted.
 pub async fn run(address: &Address, output: Output) -> Result<(), CommandError> {
     let mut agent = AgentClient::connect(address).await?;
     agent.send(ToolRequest::Watch).await?;
