--- a/crates/gatewayctl/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -1,4 +1,4 @@
-//! Gateways that start together before backends that take ten first connections a second, as real processes.
+//! Cold start of gateway processes whose backends each accept ten first connections per second.
 
 mod support;
 
@@ -10,103 +10,103 @@
 use testbed::switch::Fault;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// A round of thirty gateways at nine tenths of ten first connections a second.
+/// Round of the slot schedule: 30 gateways at 9 (nine tenths of 10) first connections per second.
 const ROUND: Duration = Duration::from_millis(3_334);
-/// Requests a second: each gateway has ten, so that it wants all it may have at once.
+/// Requests per second: 10 for each gateway, so that each needs all of its backends at once.
 const RATE: f64 = 300.0;
 
 fn shape(seed: u64) -> FleetShape {
-    with(seed, 10)
+    shape_with_rate(seed, 10)
 }
 
-/// With so many first connections a second.
-fn with(seed: u64, per_s: u32) -> FleetShape {
-    let operator = format!("[start]\nlist_calls_per_s = 10\nbackend_connections_per_s = {per_s}\n");
-    FleetShape { seed, operator, ..FleetShape::default() }
+/// Shape of a fleet with this limit on first connections per second to a backend.
+fn shape_with_rate(seed: u64, per_s: u32) -> FleetShape {
+    let operator_config = format!("[start]\nlist_calls_per_s = 10\nbackend_connections_per_s = {per_s}\n");
+    FleetShape { seed, operator_config, ..FleetShape::default() }
 }
 
-/// When connections came to a backend from a moment on, for so long.
-fn came(backend: &Backend, since: Duration, time: Duration) -> Vec<Duration> {
-    backend.accepted().into_iter().filter(|at| (since..since + time).contains(at)).collect()
+/// Times at which a backend accepted connections within `duration` from `since`.
+fn accepted_within(backend: &Backend, since: Duration, duration: Duration) -> Vec<Duration> {
+    backend.accepted().into_iter().filter(|at| (since..since + duration).contains(at)).collect()
 }
 
-/// Nine slots a second, with room for a machine that is late with some. For the first round each connection
-/// is a first one.
-fn spread(backend: &Backend, since: Duration, time: Duration) {
-    let at = came(backend, since, time);
+/// Asserts that connections to a backend are spread over the slots: nine per second, with a margin for a slow
+/// machine. In the first round each connection is the first of its gateway.
+fn assert_spread(backend: &Backend, since: Duration, duration: Duration) {
+    let at = accepted_within(backend, since, duration);
     let within = |i: usize| at[i..].iter().take_while(|t| **t < at[i] + SECOND).count();
-    let most = (0..at.len()).map(within).max().unwrap_or(0);
-    assert!(most <= 14, "{most} connections in a second at {}: {at:?}", backend.spec.name);
+    let max = (0..at.len()).map(within).max().unwrap_or(0);
+    assert!(max <= 14, "{max} connections in a second at {}: {at:?}", backend.spec.name);
 }
 
-/// Requests that came to some backends since a moment.
-fn requests(fleet: &ColdFleet, names: &[String], since: Duration) -> usize {
+/// Number of requests that arrived at these backends since a time.
+fn arrived_requests(fleet: &ColdFleet, names: &[String], since: Duration) -> usize {
     let events = fleet.journal.events();
-    let of = |e: &&(Duration, Event)| match &e.1 {
-        Event::Arrived { backend, .. } => e.0 >= since && names.contains(backend),
+    let is_counted = |entry: &&(Duration, Event)| match &entry.1 {
+        Event::Arrived { backend, .. } => entry.0 >= since && names.contains(backend),
         _ => false,
     };
-    events.iter().filter(of).count()
+    events.iter().filter(is_counted).count()
 }
 
 #[test]
-fn restart_of_all_spares_lost_backends_while_list_service_is_silent() {
+fn restarted_gateways_avoid_silent_backends_without_list_service() {
     let mut fleet = ColdFleet::new(shape(0x41_21));
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load(RATE);
-    fleet.wait_until_served(&loading, 300);
+    let running_load = fleet.start_load(RATE);
+    fleet.wait_until_served(&running_load, 300);
     fleet.kill(fleet.all());
     fleet.timeline.note("4 of 8 backends and the list service silent");
     fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::Silent));
     fleet.service.switch.set(Fault::Silent);
-    // What was written before the kill has come by then.
+    // Requests that were sent before the kill arrive within this time.
     fleet.sleep(Duration::from_millis(300));
     let since = fleet.journal.now();
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    fleet.wait_until_served(&loading, 600);
+    fleet.wait_until_served(&running_load, 600);
     let gone: Vec<String> = fleet.backends[..4].iter().map(|b| b.spec.name.clone()).collect();
-    assert_eq!(requests(&fleet, &gone, since), 0, "requests found out who is gone");
-    fleet.backends.iter().for_each(|b| spread(b, since, ROUND));
-    // They come back, and get work.
-    fleet.timeline.note("all back");
+    assert_eq!(arrived_requests(&fleet, &gone, since), 0, "requests were sent to silent backends");
+    fleet.backends.iter().for_each(|b| assert_spread(b, since, ROUND));
+    // The backends recover and receive requests again.
+    fleet.timeline.note("all recovered");
     fleet.service.switch.set(Fault::Well);
     fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::Well));
-    fleet.wait_until("those that were gone get work", |fleet| {
-        let of = |name: &String| requests(fleet, std::slice::from_ref(name), since);
-        gone.iter().all(|name| of(name) > 10)
+    fleet.wait_until("the recovered backends receive requests", |fleet| {
+        let arrived = |name: &String| arrived_requests(fleet, std::slice::from_ref(name), since);
+        gone.iter().all(|name| arrived(name) > 10)
     });
-    let tally = fleet.finish(loading);
+    let tally = fleet.finish_load(running_load);
     assert!(tally.served > 900, "{tally:?}");
     fleet.assert_no_breach();
 }
 
 #[test]
-fn restarted_backend_gets_connections_one_gateway_after_another() {
+fn replacement_backend_gets_connections_in_slots() {
     let mut fleet = ColdFleet::new(shape(0x41_22));
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    let loading = fleet.load(RATE);
-    fleet.wait_until_served(&loading, 600);
-    // A machine dies, and another is on the list in its place at once, cold; all hear of it in one moment.
-    fleet.timeline.note("till-0 dies, till-8 is there");
+    let running_load = fleet.start_load(RATE);
+    fleet.wait_until_served(&running_load, 600);
+    // A backend fails, and a cold one replaces it on the list. All gateways learn of it at the same time.
+    fleet.timeline.note("till-8 replaces till-0");
     let spec = Spec { cold: Some((4.0, Duration::from_secs(4))), ..Spec::plain(8) };
     let new = fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts");
-    let (since, died) = (fleet.journal.now(), fleet.backends.remove(0));
-    fleet.service.list_for(&new, &died);
-    drop(died);
+    let (since, failed) = (fleet.journal.now(), fleet.backends.remove(0));
+    fleet.service.list_for(&new, &failed);
+    drop(failed);
     let name = [new.spec.name.clone()];
-    fleet.wait_until("it has work", |fleet| requests(fleet, &name, since) > 50);
-    // Who does not watch at that moment hears of it up to a round of the list later.
-    fleet.wait_until("its gateways open it", |_| came(&new, since, TIMEOUT).len() >= 10);
+    fleet.wait_until("the new backend receives requests", |fleet| arrived_requests(fleet, &name, since) > 50);
+    // A gateway without an open watch learns of the change up to one round of list calls later.
+    fleet.wait_until("ten gateways connect to it", |_| accepted_within(&new, since, TIMEOUT).len() >= 10);
     fleet.sleep(ROUND);
-    // Pools that stand for a round grow by what they need.
-    let first = came(&new, since, TIMEOUT)[0];
-    spread(&new, since, first - since + ROUND);
+    // A pool that has existed for a round may grow on demand, so only the first round is checked.
+    let first = accepted_within(&new, since, TIMEOUT)[0];
+    assert_spread(&new, since, first - since + ROUND);
     fleet.backends.push(new);
-    let tally = fleet.finish(loading);
+    let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
     fleet.assert_no_breach();
 }
@@ -116,22 +116,22 @@
     let mut fleet = ColdFleet::new(shape(0x41_23));
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load(RATE);
+    let running_load = fleet.start_load(RATE);
     for _ in 0..4 {
         fleet.sleep(Duration::from_millis(700));
         fleet.kill(0..20);
         fleet.start(0..20);
     }
     fleet.wait_until_ready(0..20);
-    fleet.wait_until_served(&loading, 300);
-    let tally = fleet.finish(loading);
-    // Twenty of thirty start five times, and each time want all that is there.
+    fleet.wait_until_served(&running_load, 300);
+    let tally = fleet.finish_load(running_load);
+    // Twenty of thirty gateways start five times and need all backends each time.
     for backend in &fleet.backends {
         let at = backend.accepted();
-        let lasted = (fleet.journal.now() - at[0]).as_secs_f64();
-        let most = 9.0 * lasted + 2.0;
-        // Pools of the others grow by what they need once they stand for a round.
-        assert!((at.len() as f64) <= 1.5 * most, "{} in {lasted:.1} s at {}", at.len(), backend.spec.name);
+        let elapsed_s = (fleet.journal.now() - at[0]).as_secs_f64();
+        let max = 9.0 * elapsed_s + 2.0;
+        // The pools of the other gateways may grow on demand after a round.
+        assert!((at.len() as f64) <= 1.5 * max, "{} in {elapsed_s:.1} s at {}", at.len(), backend.spec.name);
     }
     assert!(tally.served > 300, "{tally:?}");
     fleet.assert_no_breach();
@@ -140,42 +140,42 @@
 #[test]
 fn resumed_gateways_do_not_connect_together() {
     let mut fleet = ColdFleet::new(shape(0x41_24));
-    // Nobody answers yet, so all wait for turns and for the first that is open.
+    // No backend answers, so all gateways wait for their slots and for a first open connection.
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::Silent));
     fleet.start(fleet.all());
     fleet.sleep(ROUND / 4);
-    fleet.timeline.note("all stopped for two rounds, and the backends are well");
+    fleet.timeline.note("all gateways stopped for two rounds; backends recover");
     fleet.nodes.iter_mut().for_each(testbed::harness::Node::stop);
     fleet.sleep(ROUND * 2);
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::Well));
     let since = fleet.journal.now();
     fleet.nodes.iter_mut().for_each(testbed::harness::Node::go_on);
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load(RATE);
-    fleet.wait_until_served(&loading, 300);
+    let running_load = fleet.start_load(RATE);
+    fleet.wait_until_served(&running_load, 300);
     fleet.sleep(ROUND.saturating_sub(fleet.journal.now() - since));
-    fleet.backends.iter().for_each(|b| spread(b, since, ROUND));
-    let tally = fleet.finish(loading);
+    fleet.backends.iter().for_each(|b| assert_spread(b, since, ROUND));
+    let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
     fleet.assert_no_breach();
 }
 
 #[test]
 fn ready_and_rejecting_while_no_backend_answers() {
-    // A round of 1.1 s.
-    let mut fleet = ColdFleet::new(with(0x41_25, 30));
+    // 30 first connections per second make a round of 1.1 s.
+    let mut fleet = ColdFleet::new(shape_with_rate(0x41_25, 30));
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::Refusing));
     let since = fleet.journal.now();
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    assert!(fleet.journal.now() - since >= ROUND * 2 / 3, "ready with nobody to send to");
-    let loading = fleet.load(100.0);
-    fleet.wait_until("requests are refused", |_| loading.tally().refused > 50);
-    assert_eq!(loading.tally().served, 0);
-    fleet.timeline.note("two are back");
+    assert!(fleet.journal.now() - since >= ROUND * 2 / 3, "ready too early, without a backend");
+    let running_load = fleet.start_load(100.0);
+    fleet.wait_until("requests are rejected", |_| running_load.tally().refused > 50);
+    assert_eq!(running_load.tally().served, 0);
+    fleet.timeline.note("two backends recover");
     fleet.backends[..2].iter().for_each(|b| b.switch.set(Fault::Well));
-    fleet.wait_until_served(&loading, 200);
-    let tally = fleet.finish(loading);
+    fleet.wait_until_served(&running_load, 200);
+    let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
     fleet.assert_no_breach();
 }
--- a/crates/gatewayctl/tests/cold_counter.rs
+++ b/crates/gatewayctl/tests/cold_counter.rs
@@ -1,4 +1,4 @@
-//! Gateways that start together before a counter that bears fifty calls a second, as real processes.
+//! Cold start of gateway processes with a shared counter that handles fifty calls per second.
 
 mod support;
 
@@ -8,21 +8,26 @@
 use testbed::client::Plan;
 use testbed::switch::Fault;
 
-/// Customers with quotas ask so often, requests a second: six times what the counter bears.
+/// Requests per second of customers with quotas: six times as many as the counter handles calls.
 const RATE: f64 = 300.0;
 
 fn shape(seed: u64) -> FleetShape {
-    let operator = "[start]\nlist_calls_per_s = 10\ncounter_calls_per_s = 50\n".to_string();
-    FleetShape { seed, operator, counter_takes: Duration::from_millis(20), ..FleetShape::default() }
+    let operator_config = "[start]\nlist_calls_per_s = 10\ncounter_calls_per_s = 50\n".to_string();
+    FleetShape {
+        seed,
+        operator_config,
+        counter_call_time: Duration::from_millis(20),
+        ..FleetShape::default()
+    }
 }
 
 fn plan() -> Plan {
     Plan { rate: RATE, paid: 1.0, customers: 100, ..Plan::default() }
 }
 
-/// Calls that came to the counter in a stretch of its time.
-fn calls(fleet: &ColdFleet, from: Duration, time: Duration) -> usize {
-    fleet.counter.waits().iter().filter(|(at, _)| (from..from + time).contains(at)).count()
+/// Number of calls that the counter received within `duration` from a time on its clock.
+fn calls_within(fleet: &ColdFleet, from: Duration, duration: Duration) -> usize {
+    fleet.counter.waits().iter().filter(|(at, _)| (from..from + duration).contains(at)).count()
 }
 
 #[test]
@@ -30,23 +35,23 @@
     let mut fleet = ColdFleet::new(shape(0x41_41));
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load_of(plan());
-    fleet.wait_until_served(&loading, 200);
+    let running_load = fleet.start_load_with(plan());
+    fleet.wait_until_served(&running_load, 200);
     fleet.kill(fleet.all());
-    // What stood before the counter is done.
+    // The counter finishes the waiting calls within this time.
     fleet.sleep(Duration::from_secs(2));
     let since = fleet.counter.now();
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    fleet.wait_until_served(&loading, 100);
-    fleet.wait_until("calls grow to what it bears", |fleet| {
-        calls(fleet, since + Duration::from_secs(2), Duration::from_secs(60)) > 100
+    fleet.wait_until_served(&running_load, 100);
+    fleet.wait_until("calls increase to the counter's rate", |fleet| {
+        calls_within(fleet, since + Duration::from_secs(2), Duration::from_secs(60)) > 100
     });
-    // A call of each in its slot, and half of what it bears, growing: sixty in the first second, where three
-    // hundred are wanted.
-    let first = calls(&fleet, since, Duration::from_secs(1));
+    // Each gateway makes a call in its slot, and further calls start at half of the counter's rate and
+    // increase. That makes about 60 calls in the first second; without a limit the load would cause 300.
+    let first = calls_within(&fleet, since, Duration::from_secs(1));
     assert!(first <= 100, "{first} calls in the first second");
-    let tally = fleet.finish(loading);
+    let tally = fleet.finish_load(running_load);
     assert!(tally.served > 300, "{tally:?}");
     fleet.assert_no_breach();
 }
@@ -57,13 +62,13 @@
     fleet.counter.switch.set(Fault::Refusing);
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load_of(plan());
-    fleet.wait_until_served(&loading, 100);
+    let running_load = fleet.start_load_with(plan());
+    fleet.wait_until_served(&running_load, 100);
     assert_eq!(fleet.counter.calls(), 0);
-    fleet.timeline.note("the counter is back");
+    fleet.timeline.note("counter recovers");
     fleet.counter.switch.set(Fault::Well);
-    fleet.wait_until("it is called", |fleet| fleet.counter.calls() > 100);
-    let tally = fleet.finish(loading);
+    fleet.wait_until("the counter is called", |fleet| fleet.counter.calls() > 100);
+    let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
     fleet.assert_no_breach();
 }
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Gateways that start together before a list service that bears ten calls a second, as real processes.
+//! Cold start of gateway processes with a list service that handles ten calls per second.
 
 mod support;
 
@@ -12,35 +12,35 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Calls in any second are those of the slots, with room for a machine that is late with some; the pauses of
-/// the usual law make thirty in the first quarter of it.
-fn spread(calls: &[Called]) {
-    let most = max_in_window(calls, SECOND);
-    assert!(most <= 18, "{most} calls in a second where ten are borne");
+/// Asserts that the calls in any second are those of the slots, with a margin for a slow machine. Without
+/// slots the thirty gateways call within the first quarter of a second.
+fn assert_spread(calls: &[Called]) {
+    let max = max_in_window(calls, SECOND);
+    assert!(max <= 18, "{max} calls in a second to a service that handles ten");
 }
 
-/// A round of thirty gateways at nine tenths of ten calls a second.
+/// Round of the slot schedule: 30 gateways at 9 (nine tenths of 10) calls per second.
 fn round() -> Duration {
     LIST_CALL_TIME.mul_f64(30.0 / 0.9)
 }
 
-/// Calls of each gateway since a moment.
-fn by_door(fleet: &ColdFleet, since: Duration) -> Vec<usize> {
+/// Number of calls of each gateway since a time.
+fn calls_by_gateway(fleet: &ColdFleet, since: Duration) -> Vec<usize> {
     let mut calls = vec![0; fleet.nodes.len()];
     fleet.service.calls().iter().filter(|c| c.at >= since).for_each(|c| calls[c.door] += 1);
     calls
 }
 
 #[test]
-fn restart_of_all_under_load_with_replaced_backends_and_no_counter() {
+fn restart_with_replaced_backends_and_no_counter_keeps_slots() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_01, ..FleetShape::default() });
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    let loading = fleet.load(150.0);
-    fleet.wait_until_served(&loading, 50);
+    let running_load = fleet.start_load(150.0);
+    fleet.wait_until_served(&running_load, 50);
     fleet.kill(fleet.all());
-    // Half of the backends go, cold ones come, and the counter is down.
+    // Cold backends replace half of the backends, and the counter is unavailable.
     for gone in fleet.backends.drain(..4) {
         fleet.service.delete(&gone);
     }
@@ -54,15 +54,15 @@
     let since = fleet.service.now();
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    fleet.wait_until_served(&loading, 50);
+    fleet.wait_until_served(&running_load, 50);
     let last = fleet.wait_until_all_answered(fleet.all(), since);
     let calls: Vec<Called> =
         fleet.service.calls().into_iter().filter(|c| c.at >= since && c.at <= last).collect();
-    spread(&calls);
-    assert!(calls.len() as f64 <= 1.3 * 30.0, "{} calls until all were told", calls.len());
+    assert_spread(&calls);
+    assert!(calls.len() as f64 <= 1.3 * 30.0, "{} calls until all gateways had the list", calls.len());
     assert_eq!(calls.iter().filter(|c| c.turned_away || c.after.is_none()).count(), 0, "{calls:?}");
-    fleet.wait_until_served(&loading, 100);
-    let tally = fleet.finish(loading);
+    fleet.wait_until_served(&running_load, 100);
+    let tally = fleet.finish_load(running_load);
     assert!(tally.served > 200, "{tally:?}");
     fleet.assert_no_breach();
 }
@@ -72,68 +72,72 @@
     let mut fleet = ColdFleet::new(FleetShape { known: false, seed: 0x41_02, ..FleetShape::default() });
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    // Whoever is ready has somebody to send to.
-    let told = fleet.first_answers(Duration::ZERO);
-    assert_eq!(told.len(), 30, "ready without a list: {told:?}");
+    // A gateway must not be ready without a list.
+    let first_answers = fleet.first_answers(Duration::ZERO);
+    assert_eq!(first_answers.len(), 30, "ready without a list: {first_answers:?}");
     let calls = fleet.service.calls();
-    spread(&calls);
-    let loading = fleet.load(100.0);
-    fleet.wait_until_served(&loading, 100);
-    let tally = fleet.finish(loading);
+    assert_spread(&calls);
+    let running_load = fleet.start_load(100.0);
+    fleet.wait_until_served(&running_load, 100);
+    let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.refused), (0, 0), "{tally:?}");
     fleet.assert_no_breach();
 }
 
-/// Away for two rounds in some way, then back: all are told in one more.
-fn away(fault: Fault, seed: u64) {
+/// Applies a fault to the list service for two rounds and checks that each gateway calls once per round and
+/// receives the list after the service has recovered.
+fn check_list_service_outage(fault: Fault, seed: u64) {
     let mut fleet = ColdFleet::new(FleetShape { seed, ..FleetShape::default() });
     fleet.service.switch.set(fault);
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load(100.0);
-    fleet.wait_until_served(&loading, 50);
+    let running_load = fleet.start_load(100.0);
+    fleet.wait_until_served(&running_load, 50);
     fleet.sleep(round() * 2);
-    let back = fleet.service.now();
-    fleet.timeline.note("the service is back");
+    let recovered_at = fleet.service.now();
+    fleet.timeline.note("list service recovers");
     fleet.service.switch.set(Fault::Well);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    spread(&fleet.service.calls());
-    // Once a round, while it is away and until it has answered.
-    let by_door = by_door(&fleet, Duration::ZERO);
+    assert_spread(&fleet.service.calls());
+    // Each gateway calls once per round during the fault and until it has its answer.
+    let calls_by_gateway = calls_by_gateway(&fleet, Duration::ZERO);
     let rounds = (fleet.service.now().as_secs_f64() / round().as_secs_f64()).ceil() as usize;
-    assert!(by_door.iter().all(|n| *n <= rounds + 1), "{by_door:?} in {rounds} rounds, back after {back:?}");
-    let tally = fleet.finish(loading);
+    assert!(
+        calls_by_gateway.iter().all(|n| *n <= rounds + 1),
+        "{calls_by_gateway:?} in {rounds} rounds, recovered at {recovered_at:?}"
+    );
+    let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
     fleet.assert_no_breach();
 }
 
 #[test]
 fn rejecting_list_service_is_called_once_a_round() {
-    away(Fault::Busy, 0x41_03);
+    check_list_service_outage(Fault::Busy, 0x41_03);
 }
 
 #[test]
 fn silent_list_service_is_called_once_a_round() {
-    away(Fault::Silent, 0x41_04);
+    check_list_service_outage(Fault::Silent, 0x41_04);
 }
 
 #[test]
-fn garbling_list_service_is_called_once_a_round() {
-    away(Fault::Garbled, 0x41_05);
+fn list_service_with_garbled_answers_is_called_once_a_round() {
+    check_list_service_outage(Fault::Garbled, 0x41_05);
 }
 
 #[test]
-fn half_rejecting_list_service_answers_all_in_the_end() {
+fn rejecting_every_second_call_delays_but_reaches_all() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_0c, ..FleetShape::default() });
     fleet.service.switch.set(Fault::EverySecond);
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     let calls = fleet.service.calls();
-    spread(&calls);
-    // The first of each, and its second is answered.
-    let turned_away = calls.iter().filter(|c| c.turned_away).count();
-    assert!(turned_away >= 30, "{turned_away} of {} were turned away", calls.len());
+    assert_spread(&calls);
+    // The first call of each gateway is rejected and its second is answered.
+    let rejected = calls.iter().filter(|c| c.turned_away).count();
+    assert!(rejected >= 30, "{rejected} of {} calls were rejected", calls.len());
 }
 
 #[test]
@@ -144,11 +148,14 @@
     fleet.wait_until_ready(fleet.all());
     let last = fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at <= last).collect();
-    spread(&calls);
-    // A call that was given up would be made again before its answer.
-    let first_again = |door| calls.iter().filter(|c| c.door == door).nth(1).map(|c| c.at);
-    let told = fleet.first_answers(Duration::ZERO);
-    assert!(fleet.all().all(|door| first_again(door).is_none_or(|at| at >= told[&door])), "{calls:?}");
+    assert_spread(&calls);
+    // A gateway that gave a call up would call again before the answer.
+    let second_call = |door| calls.iter().filter(|c| c.door == door).nth(1).map(|c| c.at);
+    let first_answers = fleet.first_answers(Duration::ZERO);
+    assert!(
+        fleet.all().all(|door| second_call(door).is_none_or(|at| at >= first_answers[&door])),
+        "{calls:?}"
+    );
     assert_eq!(calls.iter().filter(|c| c.after.is_none()).count(), 0);
 }
 
@@ -164,11 +171,14 @@
         fleet.start(loops.clone());
     }
     fleet.wait_until_all_answered(others.clone(), since);
-    spread(&fleet.service.calls());
-    let by_door = by_door(&fleet, since);
+    assert_spread(&fleet.service.calls());
+    let calls_by_gateway = calls_by_gateway(&fleet, since);
     let rounds = (fleet.service.now().as_secs_f64() / round().as_secs_f64()).ceil() as usize;
-    // A start that falls into another moment of the same slot may call again in it.
-    assert!(by_door[loops.clone()].iter().all(|n| *n <= rounds + 2), "{by_door:?} in {rounds} rounds");
+    // A gateway that restarts within its slot may call again in the same slot.
+    assert!(
+        calls_by_gateway[loops.clone()].iter().all(|n| *n <= rounds + 2),
+        "{calls_by_gateway:?} in {rounds} rounds"
+    );
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(loops, since);
 }
@@ -180,33 +190,33 @@
         let slow = Condition { delay: Duration::from_millis(900), lost: 0.2, ..Condition::WELL };
         link.both(slow);
     }
-    fleet.timeline.note("0, 1, 2 behind slow links");
+    fleet.timeline.note("gateways 0 to 2 behind slow links");
     let since = fleet.service.now();
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(3..30, since);
     fleet.wait_until_all_answered(0..3, since);
-    spread(&fleet.service.calls());
-    // What comes late is taken, not asked for again.
-    let early: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.door < 3).collect();
-    assert!(early.iter().all(|c| c.after.is_some()), "a whole list: {early:?}");
+    assert_spread(&fleet.service.calls());
+    // Late answers are used instead of repeating the call.
+    let slow_calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.door < 3).collect();
+    assert!(slow_calls.iter().all(|c| c.after.is_some()), "a full list was requested: {slow_calls:?}");
 }
 
 #[test]
-fn overlapping_releases_keep_within_slots() {
+fn restart_within_a_round_keeps_within_slots() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_08, ..FleetShape::default() });
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let loading = fleet.load(100.0);
+    let running_load = fleet.start_load(100.0);
     fleet.sleep(round() / 2);
     fleet.kill(fleet.all());
     let since = fleet.service.now();
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), since);
-    spread(&fleet.service.calls());
-    fleet.wait_until_served(&loading, 50);
-    fleet.finish(loading);
+    assert_spread(&fleet.service.calls());
+    fleet.wait_until_served(&running_load, 50);
+    fleet.finish_load(running_load);
     fleet.assert_no_breach();
 }
 
@@ -215,20 +225,20 @@
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_09, ..FleetShape::default() });
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    // Some are stopped before their call, some between it and the answer.
+    // Some gateways are stopped before their call and some between the call and its answer.
     fleet.sleep(round() / 3);
-    fleet.timeline.note("5 to 29 stopped");
+    fleet.timeline.note("gateways 5 to 29 stopped");
     fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::stop);
     fleet.sleep(round() * 3 / 2);
-    fleet.timeline.note("they go on");
+    fleet.timeline.note("gateways 5 to 29 resumed");
     let since = fleet.service.now();
     fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::go_on);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.sleep(round());
     let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
-    spread(&calls);
-    let at_once = max_in_window(&calls[..calls.len().min(40)], Duration::from_millis(300));
-    assert!(at_once <= 10, "{at_once} calls within 0.3 s: {calls:?}");
+    assert_spread(&calls);
+    let max = max_in_window(&calls[..calls.len().min(40)], Duration::from_millis(300));
+    assert!(max <= 10, "{max} calls within 0.3 s: {calls:?}");
 }
 
 #[test]
@@ -237,54 +247,59 @@
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    fleet.timeline.note("0 to 4 cut off on the way back; another service, versions from 3 on");
+    fleet.timeline.note("gateways 0 to 4 receive no answers; another list service with versions from 3");
     fleet.links[..5].iter().for_each(|link| link.set(Direction::Back, Condition::CUT));
     fleet.service.replace(3);
     let since = fleet.service.now();
-    let whole = |fleet: &ColdFleet, place: usize| {
+    let has_full_list = |fleet: &ColdFleet, index: usize| {
         fleet
             .service
             .calls()
             .iter()
-            .any(|c| c.door == place && c.at >= since && c.after.is_none() && c.answered.is_some())
+            .any(|c| c.door == index && c.at >= since && c.after.is_none() && c.answered.is_some())
     };
-    fleet.wait_until("all but those cut off have its list", |fleet| (5..30).all(|place| whole(fleet, place)));
-    fleet.timeline.note("healed, and their connections reset");
+    fleet.wait_until("all connected gateways have the new list", |fleet| {
+        (5..30).all(|index| has_full_list(fleet, index))
+    });
+    fleet.timeline.note("links restored and connections reset");
     for link in &fleet.links[..5] {
         link.both(Condition::WELL);
         link.reset();
     }
-    fleet.wait_until("those have it too", |fleet| (0..5).all(|place| whole(fleet, place)));
-    spread(&fleet.service.calls());
-    let loading = fleet.load(100.0);
-    fleet.wait_until_served(&loading, 50);
-    let tally = fleet.finish(loading);
+    fleet.wait_until("the other gateways have the new list", |fleet| {
+        (0..5).all(|index| has_full_list(fleet, index))
+    });
+    assert_spread(&fleet.service.calls());
+    let running_load = fleet.start_load(100.0);
+    fleet.wait_until_served(&running_load, 50);
+    let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
     fleet.assert_no_breach();
 }
 
-/// Thirty gateways that learn of a change in one moment must not make thirty calls in the next.
+/// Thirty gateways that learn of a change at the same time must not all call again at once.
 #[test]
-fn list_change_reaches_all_without_a_storm_of_calls() {
+fn list_change_causes_no_burst_of_calls() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_0b, ..FleetShape::default() });
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    // Until all of them watch.
-    fleet.wait_until("all watch", |fleet| {
+    // A watch is a call that may wait and has no answer yet.
+    fleet.wait_until("all gateways have an open watch", |fleet| {
         let calls = fleet.service.calls();
         (0..30).all(|door| calls.iter().any(|c| c.door == door && !c.wait.is_zero() && c.answered.is_none()))
     });
     let since = fleet.service.now();
-    fleet.timeline.note("a backend drains");
+    fleet.timeline.note("backend till-0 is listed as draining");
     fleet.service.list(&fleet.backends[0], "DRAINING");
-    fleet.wait_until("all have heard", |fleet| {
+    fleet.wait_until("all gateways receive the change", |fleet| {
         let calls = fleet.service.calls();
-        let heard = |door| calls.iter().any(|c| c.door == door && c.answered.is_some_and(|at| at >= since));
-        (0..30).all(heard)
+        let received =
+            |door| calls.iter().any(|c| c.door == door && c.answered.is_some_and(|at| at >= since));
+        (0..30).all(received)
     });
     fleet.sleep(round());
     let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
-    spread(&calls);
+    assert_spread(&calls);
     assert!(calls.len() >= 20, "{} calls in a round", calls.len());
 }
--- a/crates/gatewayctl/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Everything at once: a load, faults by a seeded script, orders, and an agent that is killed. Every request
-//! that a gateway took gets one final answer, and no rule breaks.
+//! A load combined with a seeded script of faults, orders and a killed agent. Every request that a gateway
+//! accepts must get exactly one final answer, and the auditor must find no breach.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use testbed::script::Script;
 use testbed::switch::{Fault, Switch};
 
-/// Faults of backends in one run: some six seconds.
+/// Number of backend faults in the script, which takes about six seconds.
 const FAULTS: usize = 9;
 
 #[test]
@@ -20,21 +20,21 @@
     println!("{script}");
     let mut fleet = Fleet::start(3, 6);
     fleet.wait_until_healthy();
-    let loading = fleet.load(3, 150.0);
-    // The last backend is drained through all of it, and so is none of those that fail.
-    assert_eq!(fleet.json(&["drain", "till-5", "--wait"]).code, 0);
+    let running_load = fleet.start_load(3, 150.0);
+    // The last backend stays drained throughout and has no faults.
+    assert_eq!(fleet.cli_json(&["drain", "till-5", "--wait"]).code, 0);
     fleet.journal.note(Event::Drained { backend: "till-5".to_string(), gateway: None });
     let switches: Vec<Switch> = fleet.backends[..5].iter().map(|b| b.switch.clone()).collect();
-    let playing = {
+    let script_task = {
         let script = script.clone();
         fleet.runtime.spawn(async move { script.play(&switches).await })
     };
     let mut round = 0;
-    while !playing.is_finished() {
+    while !script_task.is_finished() {
         let (backend, group) = (format!("till-{}", round % 4), format!("group/{}", round % 2));
         let subject = if round % 3 == 0 { group } else { backend };
-        let drained = fleet.json(&["drain", &subject]);
-        assert!([0, 3, 4].contains(&drained.code), "{seed:#x}: {}", drained.err);
+        let drained = fleet.cli_json(&["drain", &subject]);
+        assert!([0, 3, 4].contains(&drained.code), "{seed:#x}: {}", drained.stderr);
         if round == 3 {
             fleet.kill_agent();
             fleet.start_agent();
@@ -44,20 +44,20 @@
             fleet.counter.switch.set(Fault::Silent);
         }
         std::thread::sleep(Duration::from_millis(120));
-        let undrained = fleet.json(&["undrain", &subject]);
-        assert!([0, 3, 4, 5].contains(&undrained.code), "{seed:#x}: {}", undrained.err);
+        let undrained = fleet.cli_json(&["undrain", &subject]);
+        assert!([0, 3, 4, 5].contains(&undrained.code), "{seed:#x}: {}", undrained.stderr);
         round += 1;
     }
-    assert!(round > 6, "the script was over before all was tried: {round}");
+    assert!(round > 6, "the script ended before all steps output: {round}");
     fleet.discovery.switch.set(Fault::Well);
     fleet.counter.switch.set(Fault::Well);
     fleet.wait_until_healthy();
-    let then = loading.load.tally().served;
-    wait_until("all is served again", || loading.load.tally().served > then + 150);
-    let tally = fleet.finish(loading);
+    let earlier = running_load.load.tally().served;
+    wait_until("requests are served again", || running_load.load.tally().served > earlier + 150);
+    let tally = fleet.finish_load(running_load);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{seed:#x}: {tally:?}");
-    assert!(tally.served * 2 > tally.asked, "{seed:#x}: hardly anything was served: {tally:?}");
+    assert!(tally.served * 2 > tally.asked, "{seed:#x}: too few requests were served: {tally:?}");
     fleet.assert_no_breach();
 }
 
@@ -65,20 +65,20 @@
 fn faulty_clients_do_not_affect_others() {
     let fleet = Fleet::start(2, 4);
     fleet.wait_until_healthy();
-    // So that something is in flight when a client leaves.
+    // Slow backends, so that requests are in flight when a client disconnects.
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::Slow(Duration::from_millis(30))));
-    let (bad, good) = (fleet.load(2, 100.0), fleet.load_from(2, 100.0, 1 << 41));
+    let (faulty, healthy) = (fleet.start_load(2, 100.0), fleet.start_load_from(2, 100.0, 1 << 41));
     for fault in [Fault::Resetting, Fault::Silent, Fault::Slow(Duration::from_millis(50)), Fault::Resetting] {
-        bad.load.switch.set(fault);
-        let then = good.load.tally().served;
-        wait_until("the others are served", || good.load.tally().served > then + 60);
+        faulty.load.switch.set(fault);
+        let earlier = healthy.load.tally().served;
+        wait_until("the healthy clients are served", || healthy.load.tally().served > earlier + 60);
     }
-    bad.load.switch.set(Fault::Well);
-    let then = bad.load.tally().served;
-    wait_until("they are served as well", || bad.load.tally().served > then + 30);
-    let (bad, good) = (fleet.finish(bad), fleet.finish(good));
-    assert!(bad.left > 60, "{bad:?}");
-    assert_eq!((bad.lost, good.lost, good.left), (0, 0, 0), "{bad:?} {good:?}");
-    wait_until("nothing is left open", || (0..2).all(|place| fleet.state(place).statistics.requests == 0));
+    faulty.load.switch.set(Fault::Well);
+    let earlier = faulty.load.tally().served;
+    wait_until("the recovered clients are served", || faulty.load.tally().served > earlier + 30);
+    let (faulty, healthy) = (fleet.finish_load(faulty), fleet.finish_load(healthy));
+    assert!(faulty.left > 60, "{faulty:?}");
+    assert_eq!((faulty.lost, healthy.lost, healthy.left), (0, 0, 0), "{faulty:?} {healthy:?}");
+    wait_until("no request is open", || (0..2).all(|index| fleet.state(index).statistics.requests == 0));
     fleet.assert_no_breach();
 }
--- a/crates/gatewayctl/tests/gateway_commands.rs
+++ b/crates/gatewayctl/tests/gateway_commands.rs
@@ -1,5 +1,5 @@
-//! `gateway ready`, `disable`, `enable`, `drain`, `undrain` against a running gateway: what they say and
-//! their exit codes.
+//! `gateway ready`, `disable`, `enable`, `drain` and `undrain` against a running gateway: output and exit
+//! codes.
 
 mod support;
 
@@ -9,41 +9,43 @@
 use support::{own_loopback, wait_until, Process, PROGRAM};
 use testbed::scripted::{config, endpoint, Agent, StandIn};
 
-/// Runs a call; gives its exit code, its output and its errors.
-fn call(words: &[&str]) -> (i32, String, String) {
-    let ran = Command::new(PROGRAM).arg("gateway").args(words).output().expect("it runs");
+/// Runs a `gateway` command. Returns its exit code, standard output and standard error.
+fn run(args: &[&str]) -> (i32, String, String) {
+    let output = Command::new(PROGRAM).arg("gateway").args(args).output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (ran.status.code().expect("a code"), text(&ran.stdout), text(&ran.stderr))
+    (output.status.code().expect("an exit code"), text(&output.stdout), text(&output.stderr))
 }
 
 #[test]
 fn gateway_commands_report_each_gateway_and_set_exit_codes() {
     let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
     let known = [endpoint("s-0", backend.address, 1, "SERVING", 0.0)];
-    let mut told = config(agent.address, counter.address, &known);
-    // An address of this process's own: nobody else takes its ports.
+    let mut gateway_config = config(agent.address, counter.address, &known);
+    // No other test process binds ports of this address.
     let host = own_loopback();
-    let (at, none) = (format!("{host}:7001"), format!("{host}:7002"));
-    told["management"] = json!(at);
+    let (address, unused) = (format!("{host}:7001"), format!("{host}:7002"));
+    gateway_config["management"] = json!(address);
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("gateway.json");
-    std::fs::write(&file, told.to_string()).expect("room");
+    std::fs::write(&file, gateway_config.to_string()).expect("the file is written");
     let log = dir.path().join("gateway.log");
     let (gateway, _) = Process::start(&["gateway"], Some(&file), &log, &["listening on "]);
-    wait_until(&format!("it is ready: {}", gateway.log_text()), || call(&["ready", "--at", &at]).0 == 0);
-    let (code, out, _) = call(&["disable", "s-0", "--at", &at, "--output", "json"]);
-    let said: Value = serde_json::from_str(&out).expect("a line of JSON");
-    assert_eq!((code, &said["outcome"], &said["call"]), (0, &json!("done"), &json!("DISABLE s-0")));
-    let (code, out, _) = call(&["enable", "s-1", "--at", &at]);
-    assert!(code == 4 && out.contains("refused") && out.contains("no backend"), "{code}: {out}");
-    assert_eq!(call(&["enable", "s-0", "--at", &at]).0, 0);
-    // One that can't be reached must not count as done.
-    let (code, out, _) = call(&["drain", "--at", &at, "--at", &none]);
-    assert!(code == 3 && out.contains("done") && out.contains("unreachable"), "{code}: {out}");
-    assert_eq!(call(&["ready", "--at", &at]).0, 4, "it is drained");
-    assert_eq!(call(&["undrain", "--at", &at]).0, 0);
-    assert_eq!(call(&["ready", "--at", &none]).0, 5);
-    let (code, _, errors) = call(&["disable", "two words", "--at", &at]);
-    assert!(code == 2 && errors.contains("no spaces"), "{code}: {errors}");
-    assert_eq!(call(&["disable", "s-0"]).0, 2, "no address");
+    wait_until(&format!("the gateway is ready: {}", gateway.log_text()), || {
+        run(&["ready", "--at", &address]).0 == 0
+    });
+    let (code, stdout, _) = run(&["disable", "s-0", "--at", &address, "--output", "json"]);
+    let report: Value = serde_json::from_str(&stdout).expect("JSON");
+    assert_eq!((code, &report["outcome"], &report["call"]), (0, &json!("done"), &json!("DISABLE s-0")));
+    let (code, stdout, _) = run(&["enable", "s-1", "--at", &address]);
+    assert!(code == 4 && stdout.contains("refused") && stdout.contains("no backend"), "{code}: {stdout}");
+    assert_eq!(run(&["enable", "s-0", "--at", &address]).0, 0);
+    // An unreachable gateway must not count as done.
+    let (code, stdout, _) = run(&["drain", "--at", &address, "--at", &unused]);
+    assert!(code == 3 && stdout.contains("done") && stdout.contains("unreachable"), "{code}: {stdout}");
+    assert_eq!(run(&["ready", "--at", &address]).0, 4, "the gateway is drained");
+    assert_eq!(run(&["undrain", "--at", &address]).0, 0);
+    assert_eq!(run(&["ready", "--at", &unused]).0, 5);
+    let (code, _, stderr) = run(&["disable", "two words", "--at", &address]);
+    assert!(code == 2 && stderr.contains("no spaces"), "{code}: {stderr}");
+    assert_eq!(run(&["disable", "s-0"]).0, 2, "an address is required");
 }
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Ten gateways on loopback sockets: killed and started again together, with backends that are replaced, at
-//! their cap of connections, or on lists that are wrong.
+//! Ten gateways on loopback sockets: restarts, replaced backends, backends with a connection limit, and
+//! invalid or stale lists.
 
 mod support;
 
@@ -19,75 +19,76 @@
     let mut fleet = Fleet::start(GATEWAYS, 6);
     fleet.wait_until_healthy();
     fleet.discovery.switch.set(Fault::Busy);
-    // Each is ready without an answer of discovery's.
-    for place in 0..GATEWAYS {
-        fleet.restart(place);
+    // Each gateway becomes ready without an answer from the list service.
+    for index in 0..GATEWAYS {
+        fleet.restart(index);
     }
-    let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("served by the known list", || loading.load.tally().served > 300);
+    let running_load = fleet.start_load(GATEWAYS, 300.0);
+    wait_until("requests are served from the known list", || running_load.load.tally().served > 300);
     let before = fleet.discovery.turned_away().0;
-    wait_until("each is turned away again and again", || {
+    wait_until("the list service rejects two calls per gateway", || {
         fleet.discovery.turned_away().0 > before + 2 * GATEWAYS as u64
     });
-    // Not the whole list, as what changed is enough.
-    let (all, whole) = fleet.discovery.turned_away();
-    assert_eq!(whole, 0, "of {all} calls");
-    // News that came meanwhile is heard by all, soon after discovery answers.
+    // No gateway requests the full list, because it needs only the changes to its known list.
+    let (all, full) = fleet.discovery.turned_away();
+    assert_eq!(full, 0, "of {all} calls");
+    // All gateways receive a change made in the meantime soon after the list service recovers.
     let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let fresh = fresh.expect("it starts");
     fleet.discovery.list(&fresh, "SERVING");
     fleet.discovery.switch.set(Fault::Well);
-    wait_until("all hear of the new backend", || {
-        (0..GATEWAYS).all(|place| fleet.lists(place).contains(&fresh.spec.name))
+    wait_until("all gateways list the new backend", || {
+        (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&fresh.spec.name))
     });
-    let tally = fleet.finish(loading);
+    let tally = fleet.finish_load(running_load);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{tally:?}");
     assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
     fleet.assert_no_breach();
 }
 
-/// A start must not wait for a discovery that accepts calls and never answers.
+/// A gateway must not wait at its start for a list service that accepts calls and never answers.
 #[test]
 fn restart_of_ten_serves_known_list_while_discovery_hangs() {
     let mut fleet = Fleet::start(GATEWAYS, 6);
     fleet.wait_until_healthy();
     fleet.discovery.switch.set(Fault::Silent);
-    for place in 0..GATEWAYS {
-        fleet.restart(place);
+    for index in 0..GATEWAYS {
+        fleet.restart(index);
     }
-    let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("served by the known list", || loading.load.tally().served > 300);
+    let running_load = fleet.start_load(GATEWAYS, 300.0);
+    wait_until("requests are served from the known list", || running_load.load.tally().served > 300);
     let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let fresh = fresh.expect("it starts");
     fleet.discovery.list(&fresh, "SERVING");
     fleet.discovery.switch.set(Fault::Well);
-    wait_until("all hear of the new backend", || {
-        (0..GATEWAYS).all(|place| fleet.lists(place).contains(&fresh.spec.name))
+    wait_until("all gateways list the new backend", || {
+        (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&fresh.spec.name))
     });
-    let tally = fleet.finish(loading);
+    let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     fleet.assert_no_breach();
 }
 
-/// Starts one that is cold, under a name.
-fn cold(fleet: &Fleet, name: &str, number: usize) -> Backend {
+/// Starts a backend with this name that needs to warm up.
+fn start_cold_backend(fleet: &Fleet, name: &str, number: usize) -> Backend {
     let cold = Some((5.0, Duration::from_millis(WARM_UP_MS as u64)));
     let spec = Spec { name: name.to_string(), cold, ..Spec::plain(number) };
     fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts")
 }
 
 #[test]
-fn replaced_backends_take_over_all_work() {
+fn replacement_backends_take_over_all_requests() {
     let mut fleet = Fleet::start(GATEWAYS, 6);
     fleet.wait_until_healthy();
-    let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("it runs", || loading.load.tally().served > 300);
-    // Half of them come under new names, half under their own with a new start; all at new addresses.
+    let running_load = fleet.start_load(GATEWAYS, 300.0);
+    wait_until("requests are served", || running_load.load.tally().served > 300);
+    // Half of the replacements have new names, half keep the name with a new start time. All have new
+    // addresses.
     let old = std::mem::take(&mut fleet.backends);
     for (number, before) in old.iter().enumerate() {
         let name = if number % 2 == 0 { format!("new-{number}") } else { before.spec.name.clone() };
-        let new = cold(&fleet, &name, number);
+        let new = start_cold_backend(&fleet, &name, number);
         fleet.discovery.list(&new, "SERVING");
         if number % 2 == 0 {
             fleet.journal.note(Event::Drained { backend: before.spec.name.clone(), gateway: None });
@@ -96,30 +97,30 @@
         fleet.backends.push(new);
     }
     let names: Vec<String> = fleet.backends.iter().map(|b| b.spec.name.clone()).collect();
-    wait_until("all hear of them", || {
-        (0..GATEWAYS).all(|place| {
-            let list = fleet.lists(place);
+    wait_until("all gateways list the replacements", || {
+        (0..GATEWAYS).all(|index| {
+            let list = fleet.listed_backends(index);
             list.len() == names.len() && names.iter().all(|name| list.contains(name))
         })
     });
-    // What is out at the old ones ends there.
-    wait_until("nothing new goes to the old ones", || {
+    // Requests in flight finish at the old backends.
+    wait_until("no new request arrives at the old backends", || {
         let before: u64 = old.iter().map(Backend::arrived).sum();
         std::thread::sleep(Duration::from_millis(300));
         before == old.iter().map(Backend::arrived).sum::<u64>()
     });
     drop(old);
-    let served = loading.load.tally().served;
-    wait_until("served by the new ones", || loading.load.tally().served > served + 600);
+    let served = running_load.load.tally().served;
+    wait_until("requests are served by the replacements", || running_load.load.tally().served > served + 600);
     assert!(fleet.backends.iter().all(|b| b.served() > 0));
-    let tally = fleet.finish(loading);
+    let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     fleet.assert_no_breach();
 }
 
-/// A backend that has no more connections is neither dead nor overloaded.
+/// A backend that accepts no further connections must be treated as neither failed nor overloaded.
 #[test]
-fn connection_cap_of_backends_fails_no_request() {
+fn connection_limit_of_backends_fails_no_request() {
     let mut fleet = Fleet::start(GATEWAYS, 0);
     for number in 0..6 {
         let spec = Spec { connections: 4, ..Spec::plain(number) };
@@ -127,21 +128,27 @@
         fleet.backends.push(backend.expect("it starts"));
         fleet.discovery.list(&fleet.backends[number], "SERVING");
     }
-    wait_until("all hear of them", || (0..GATEWAYS).all(|place| fleet.lists(place).len() == 6));
-    let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("some had no more", || fleet.backends.iter().any(|b| b.over() > 0));
-    let served = loading.load.tally().served;
-    wait_until("served on", || loading.load.tally().served > served + 1_500);
-    let tally = fleet.finish(loading);
-    println!("{tally:?}, beyond {:?}", fleet.backends.iter().map(Backend::over).collect::<Vec<_>>());
+    wait_until("all gateways list the backends", || {
+        (0..GATEWAYS).all(|index| fleet.listed_backends(index).len() == 6)
+    });
+    let running_load = fleet.start_load(GATEWAYS, 300.0);
+    wait_until("a backend reaches its connection limit", || fleet.backends.iter().any(|b| b.over() > 0));
+    let served = running_load.load.tally().served;
+    wait_until("requests are still served", || running_load.load.tally().served > served + 1_500);
+    let tally = fleet.finish_load(running_load);
+    println!(
+        "{tally:?}, connections over the limit {:?}",
+        fleet.backends.iter().map(Backend::over).collect::<Vec<_>>()
+    );
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
     fleet.assert_no_breach();
 }
 
-/// The list in a gateway's own settings may be out of date as a whole, and lines of discovery unreadable.
+/// The list in a gateway's configuration may be entirely out of date, and the list service may send invalid
+/// entries.
 #[test]
-fn stale_known_list_and_invalid_lines_stop_nobody() {
+fn stale_known_list_and_invalid_entries_fail_no_request() {
     let mut fleet = Fleet::start(2, 3);
     fleet.wait_until_healthy();
     let old = std::mem::take(&mut fleet.backends);
@@ -154,29 +161,33 @@
         fleet.backends.push(backend.expect("it starts"));
         fleet.discovery.list(&fleet.backends[number - 3], "SERVING");
     }
-    // Their own settings still have the three that are gone.
-    (0..2).for_each(|place| fleet.restart(place));
+    // The gateways' configurations still list the three removed backends.
+    (0..2).for_each(|index| fleet.restart(index));
     let names = ["till-3", "till-4", "till-5"].map(str::to_string);
-    wait_until("both have the new list", || (0..2).all(|place| fleet.lists(place) == names));
-    let mut wrong = line(&fleet.backends[0], "SERVING");
-    wrong["address"] = "nowhere".into();
-    fleet.discovery.tell("till-3", wrong);
-    let mut ahead = line(&fleet.backends[1], "SERVING");
-    ahead["since_ms"] = 4e15.into();
-    fleet.discovery.tell("till-4", ahead);
-    let mut other = line(&fleet.backends[2], "SERVING");
-    (other["name"], other["address"]) = ("till-9".into(), "[::1]:9".into());
-    fleet.discovery.tell("till-9", other);
-    wait_until("the wrong line is named", || {
-        (0..2).all(|place| {
-            fleet.gateways[place].process.log_text().contains("\"till-3\": invalid socket address")
+    wait_until("both gateways have the new list", || {
+        (0..2).all(|index| fleet.listed_backends(index) == names)
+    });
+    let mut invalid = line(&fleet.backends[0], "SERVING");
+    invalid["address"] = "nowhere".into();
+    fleet.discovery.tell("till-3", invalid);
+    let mut future = line(&fleet.backends[1], "SERVING");
+    future["since_ms"] = 4e15.into();
+    fleet.discovery.tell("till-4", future);
+    let mut renamed = line(&fleet.backends[2], "SERVING");
+    (renamed["name"], renamed["address"]) = ("till-9".into(), "[::1]:9".into());
+    fleet.discovery.tell("till-9", renamed);
+    wait_until("the invalid entry is logged", || {
+        (0..2).all(|index| {
+            fleet.gateways[index].process.log_text().contains("\"till-3\": invalid socket address")
         })
     });
     let names = ["till-3", "till-4", "till-5", "till-9"].map(str::to_string);
-    wait_until("the others are in force", || (0..2).all(|place| fleet.lists(place) == names));
-    let loading = fleet.load(2, 200.0);
-    wait_until("the last that was known of each holds", || fleet.backends.iter().all(|b| b.served() > 0));
-    let tally = fleet.finish(loading);
+    wait_until("the valid entries are applied", || (0..2).all(|index| fleet.listed_backends(index) == names));
+    let running_load = fleet.start_load(2, 200.0);
+    wait_until("every backend serves by its last valid entry", || {
+        fleet.backends.iter().all(|b| b.served() > 0)
+    });
+    let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     fleet.assert_no_breach();
 }
--- a/crates/gatewayctl/tests/large_list.rs
+++ b/crates/gatewayctl/tests/large_list.rs
@@ -1,4 +1,4 @@
-//! A list of 500 backends, of which a third turn bad under load: gateways that keep to subsets of it.
+//! Gateways that use subsets of a list of 500 backends, of which a third fail under load.
 
 mod support;
 
@@ -11,19 +11,19 @@
 
 #[test]
 fn third_of_500_backends_failing_loses_no_request() {
-    // Half of the backends for each of the four, so two gateways for each backend.
-    let fleet = Fleet::with(4, BACKENDS, &[], "\n[routing]\nsubset = 60\ncoverage = 2");
+    // Each of the four gateways uses half of the backends, so two gateways use each backend.
+    let fleet = Fleet::start_with(4, BACKENDS, &[], "\n[routing]\nsubset = 60\ncoverage = 2");
     fleet.wait_until_healthy();
-    let arrived = |bad: bool| -> u64 {
+    let arrived = |faulty: bool| -> u64 {
         let all = fleet.backends.iter().enumerate();
-        all.filter(|(i, _)| (i % 3 == 0) == bad).map(|(_, b)| b.arrived()).sum()
+        all.filter(|(i, _)| (i % 3 == 0) == faulty).map(|(_, b)| b.arrived()).sum()
     };
-    let loading = fleet.load(4, 500.0);
-    wait_until("work is spread", || {
+    let running_load = fleet.start_load(4, 500.0);
+    wait_until("most backends serve requests", || {
         let served = fleet.backends.iter().filter(|b| b.served() > 0).count();
         served > BACKENDS * 8 / 10
     });
-    // Each of five kinds for some.
+    // Each of the five faults affects a fifth of the faulty backends.
     let faults = [
         Fault::Refusing,
         Fault::Failing,
@@ -34,20 +34,23 @@
     for (i, backend) in fleet.backends.iter().enumerate().filter(|(i, _)| i % 3 == 0) {
         backend.switch.set(faults[i / 3 % faults.len()]);
     }
-    let then = loading.load.tally();
-    wait_until("served through it", || loading.load.tally().served > then.served + 1_500);
+    let earlier = running_load.load.tally();
+    wait_until("requests are served despite the faults", || {
+        running_load.load.tally().served > earlier.served + 1_500
+    });
     let before = (arrived(true), arrived(false));
-    wait_until("served on", || loading.load.tally().served > then.served + 2_500);
-    let (bad, well) = (arrived(true) - before.0, arrived(false) - before.1);
-    // A third of the work at first, if nobody had learned.
-    assert!(bad * 6 < well, "{bad} to the bad ones, {well} to the others");
+    wait_until("further requests are served", || running_load.load.tally().served > earlier.served + 2_500);
+    let (to_faulty, to_healthy) = (arrived(true) - before.0, arrived(false) - before.1);
+    // Gateways that had not reacted to the faults would send a third of the requests to faulty backends.
+    assert!(to_faulty * 6 < to_healthy, "{to_faulty} to faulty backends, {to_healthy} to healthy ones");
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::Well));
-    let now = loading.load.tally().served;
-    wait_until("all is served again", || loading.load.tally().served > now + 500);
-    let tally = fleet.finish(loading);
+    let now = running_load.load.tally().served;
+    wait_until("requests are served after recovery", || running_load.load.tally().served > now + 500);
+    let tally = fleet.finish_load(running_load);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{tally:?}");
-    // One in ten is the budget of further attempts; what never ran costs none, and never arrived.
+    // The retry budget allows one further attempt per ten requests. Attempts that never reached a backend
+    // cost nothing and are not counted as arrived.
     let attempts = arrived(true) + arrived(false);
     assert!(attempts * 10 <= tally.asked * 11 + 400, "{attempts} attempts for {tally:?}");
     assert!(tally.served * 10 > tally.asked * 8, "{tally:?}");
--- a/crates/gatewayctl/tests/ordered_start.rs
+++ b/crates/gatewayctl/tests/ordered_start.rs
@@ -1,5 +1,5 @@
-//! Gateways that start with turns and a list from the agent, before a list service of ten calls a second, as
-//! real processes.
+//! Cold start of gateway processes that get start batches and the endpoint list from the agent, with a list
+//! service that handles ten calls per second.
 
 mod support;
 
@@ -11,35 +11,37 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Thirty gateways, of which nobody knows the list unless that is said.
+/// Shape of a fleet of thirty gateways whose configurations contain no endpoint list.
 fn shape(seed: u64) -> FleetShape {
     let register = "unix:{folder}/register.sock";
-    let operator = format!(
+    let operator_config = format!(
         "[admin]\nlisten = \"unix:{{folder}}/{{name}}.sock\"\nagent = \"{register}\"\n\
          [start]\nlist_calls_per_s = 10\nordered_by_agent = true\n\
          [agent]\nlisten = \"unix:{{folder}}/agent.sock\"\nregister = \"{register}\"\n\
          log = \"{{folder}}/orders.redb\"\nheartbeat_ms = 5000\n"
     );
-    FleetShape { seed, operator, known: false, ..FleetShape::default() }
+    FleetShape { seed, operator_config, known: false, ..FleetShape::default() }
 }
 
-/// Every fifth gateway: six that start anew while the others are at rest.
-fn sixth(fleet: &ColdFleet) -> Vec<usize> {
+/// Returns the six gateways that restart while the others are idle: every fifth one.
+fn every_fifth(fleet: &ColdFleet) -> Vec<usize> {
     fleet.all().step_by(5).collect()
 }
 
-fn since(fleet: &ColdFleet, since: Duration) -> Vec<Called> {
+/// Returns the list calls made at or after a time.
+fn calls_since(fleet: &ColdFleet, since: Duration) -> Vec<Called> {
     fleet.service.calls().into_iter().filter(|c| c.at >= since).collect()
 }
 
-/// Slots and turns: no more than 1.35 of what the service bears, with room for a machine that is late.
-fn spread(calls: &[Called]) {
-    let most = max_in_window(calls, SECOND);
-    assert!(most <= 22, "{most} calls in a second where ten are borne");
+/// Asserts the rate of calls from slots and start batches together: at most 1.35 times the rate that the
+/// service handles, with a margin for a slow machine.
+fn assert_spread(calls: &[Called]) {
+    let max = max_in_window(calls, SECOND);
+    assert!(max <= 22, "{max} calls in a second to a service that handles ten");
 }
 
-/// All run, and were told.
-fn at_rest(seed: u64) -> ColdFleet {
+/// Starts the agent and all gateways, and waits until each gateway has the list.
+fn start_fleet(seed: u64) -> ColdFleet {
     let mut fleet = ColdFleet::new(shape(seed));
     fleet.start_agent();
     fleet.start(fleet.all());
@@ -50,75 +52,75 @@
 
 #[test]
 fn one_gateway_fetches_the_list_for_all() {
-    let mut fleet = at_rest(0x41f1);
+    let mut fleet = start_fleet(0x41f1);
     let calls = fleet.service.calls();
-    spread(&calls);
-    // Who had its slot before the agent had the list asked for itself. Ready is who knows somebody.
-    let whole = |calls: &[Called]| calls.iter().filter(|c| c.after.is_none()).count();
-    assert!(whole(&calls) <= 14, "{} whole lists for thirty", whole(&calls));
-    // Six start anew, none of which knows a list, while the service is silent: they serve by the agent's.
-    let anew = sixth(&fleet);
-    fleet.kill(anew.clone());
-    fleet.timeline.note("the list service falls silent");
+    assert_spread(&calls);
+    // Only gateways whose slot came before the agent had the list request it themselves.
+    let full_lists = |calls: &[Called]| calls.iter().filter(|c| c.after.is_none()).count();
+    assert!(full_lists(&calls) <= 14, "{} full lists for thirty gateways", full_lists(&calls));
+    // Six gateways restart without a list while the list service is silent; they serve from the agent's list.
+    let restarted = every_fifth(&fleet);
+    fleet.kill(restarted.clone());
+    fleet.timeline.note("list service silent");
     fleet.service.switch.set(Fault::Silent);
-    let moment = fleet.service.now();
-    fleet.start(anew.clone());
-    fleet.wait_until_ready(anew.clone());
-    let loading = fleet.load(100.0);
-    fleet.wait_until_served(&loading, 100);
-    fleet.timeline.note("it is back");
+    let since = fleet.service.now();
+    fleet.start(restarted.clone());
+    fleet.wait_until_ready(restarted.clone());
+    let running_load = fleet.start_load(100.0);
+    fleet.wait_until_served(&running_load, 100);
+    fleet.timeline.note("list service recovers");
     fleet.service.switch.set(Fault::Well);
-    fleet.wait_until_all_answered(anew, moment);
-    let tally = fleet.finish(loading);
+    fleet.wait_until_all_answered(restarted, since);
+    let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.refused), (0, 0), "{tally:?}");
     fleet.assert_no_breach();
 }
 
 #[test]
-fn killed_agent_leaves_starts_to_slots() {
+fn starts_use_slots_after_agent_is_killed() {
     let mut fleet = ColdFleet::new(shape(0x41f2));
     fleet.start_agent();
     fleet.start(fleet.all());
-    fleet.wait_until("some are told", |fleet| fleet.first_answers(Duration::ZERO).len() >= 5);
-    fleet.timeline.note("the agent is killed");
+    fleet.wait_until("five gateways have the list", |fleet| fleet.first_answers(Duration::ZERO).len() >= 5);
+    fleet.timeline.note("agent killed");
     fleet.agent.kill();
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.wait_until_ready(fleet.all());
-    spread(&fleet.service.calls());
-    // It is back, and those that start anew have turns again.
+    assert_spread(&fleet.service.calls());
+    // With an agent again, restarted gateways get start batches again.
     fleet.start_agent();
-    let (anew, moment) = (sixth(&fleet), fleet.service.now());
-    fleet.start(anew.clone());
-    fleet.wait_until_ready(anew.clone());
-    fleet.wait_until_all_answered(anew, moment);
+    let (restarted, since) = (every_fifth(&fleet), fleet.service.now());
+    fleet.start(restarted.clone());
+    fleet.wait_until_ready(restarted.clone());
+    fleet.wait_until_all_answered(restarted, since);
 }
 
 #[test]
 fn stopped_agent_delays_no_start() {
     let mut fleet = ColdFleet::new(shape(0x41f3));
     fleet.start_agent();
-    fleet.timeline.note("the agent is stopped");
+    fleet.timeline.note("agent stopped");
     fleet.agent.stop();
     fleet.start(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.wait_until_ready(fleet.all());
     let calls = fleet.service.calls();
     assert_eq!(calls.iter().filter(|c| c.turned_away).count(), 0);
-    // Slots alone.
-    let most = max_in_window(&calls, SECOND);
-    assert!(most <= 18, "{most} calls in a second where nine have slots");
-    fleet.timeline.note("it goes on");
+    // Without start batches only slots allow calls.
+    let max = max_in_window(&calls, SECOND);
+    assert!(max <= 18, "{max} calls in a second with nine slots");
+    fleet.timeline.note("agent resumed");
     fleet.agent.go_on();
-    let (anew, moment) = (sixth(&fleet), fleet.service.now());
-    fleet.start(anew.clone());
-    fleet.wait_until_ready(anew.clone());
-    fleet.wait_until_all_answered(anew, moment);
+    let (restarted, since) = (every_fifth(&fleet), fleet.service.now());
+    fleet.start(restarted.clone());
+    fleet.wait_until_ready(restarted.clone());
+    fleet.wait_until_all_answered(restarted, since);
 }
 
 #[test]
-fn crash_loop_gets_no_extra_turns() {
-    let mut fleet = at_rest(0x41f4);
-    let (loops, moment) = (sixth(&fleet), fleet.service.now());
+fn crash_loop_gets_no_extra_calls() {
+    let mut fleet = start_fleet(0x41f4);
+    let (loops, since) = (every_fifth(&fleet), fleet.service.now());
     for _ in 0..6 {
         fleet.kill(loops.clone());
         fleet.start(loops.clone());
@@ -127,15 +129,16 @@
     let others: Vec<usize> = fleet.all().filter(|i| i % 5 == 1).collect();
     fleet.start(others.clone());
     fleet.wait_until_ready(others.clone());
-    fleet.wait_until_all_answered(others, moment);
+    fleet.wait_until_all_answered(others, since);
     fleet.wait_until_ready(loops.clone());
-    fleet.wait_until_all_answered(loops.clone(), moment);
-    let calls = since(&fleet, moment);
-    spread(&calls);
-    // A turn and a slot in a round each, and one more where a start falls into another moment of its slot.
-    let rounds = ((fleet.service.now() - moment).as_secs_f64() / (30.0 / 9.0)).ceil() as usize;
-    for place in loops {
-        let by_it = calls.iter().filter(|c| c.door == place).count();
-        assert!(by_it <= 2 * (rounds + 1) + 1, "{by_it} calls of {place} in {rounds} rounds");
+    fleet.wait_until_all_answered(loops.clone(), since);
+    let calls = calls_since(&fleet, since);
+    assert_spread(&calls);
+    // Each gateway may call once in a start batch and once in its slot per round, and once more if it
+    // restarts within its slot.
+    let rounds = ((fleet.service.now() - since).as_secs_f64() / (30.0 / 9.0)).ceil() as usize;
+    for index in loops {
+        let count = calls.iter().filter(|c| c.door == index).count();
+        assert!(count <= 2 * (rounds + 1) + 1, "{count} calls of gateway {index} in {rounds} rounds");
     }
 }
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -1,5 +1,5 @@
-//! `--output json` of each command, exit codes, names of commands and options, and lines of an older tool:
-//! what others read and write stays as it was recorded under `tests/data`.
+//! JSON output and exit codes of each command, names of commands and options, and answers to an older tool:
+//! what other programs read and write must stay as recorded under `tests/data`.
 
 mod support;
 
@@ -11,53 +11,57 @@
 
 use serde_json::{json, Map, Value};
 use support::recorded::{compare, Normalizer, VOLATILE};
-use support::{own_loopback, wait_until, Fleet, Process, Ran, PROGRAM, TIMEOUT};
+use support::{own_loopback, wait_until, CommandOutput, Fleet, Process, PROGRAM, TIMEOUT};
 use testbed::dns::{Dns, Instance};
 use testbed::scripted::{config, endpoint, Agent, StandIn};
 
-/// What was seen of each command, by its words.
+/// Normalized outcome of each command, by its arguments.
 struct Transcript<'a> {
     normalizer: Normalizer<'a>,
-    seen: Map<String, Value>,
+    outcomes: Map<String, Value>,
 }
 
 impl<'a> Transcript<'a> {
     fn new(dir: &'a Path, volatile: &'a [&'a str]) -> Transcript<'a> {
-        Transcript { normalizer: Normalizer { dir, volatile }, seen: Map::new() }
+        Transcript { normalizer: Normalizer { dir, volatile }, outcomes: Map::new() }
     }
 
-    /// Adds what a command came to, under its words.
-    fn add(&mut self, words: &[&str], ran: &Ran) {
-        self.add_as(&words.join(" "), ran);
+    /// Adds the outcome of a command under its arguments.
+    fn add(&mut self, args: &[&str], output: &CommandOutput) {
+        self.add_as(&args.join(" "), output);
     }
 
-    fn add_as(&mut self, name: &str, ran: &Ran) {
+    /// Adds the outcome of a command under a name.
+    fn add_as(&mut self, name: &str, output: &CommandOutput) {
         let name = name.replace(&self.normalizer.dir.display().to_string(), "<DIR>");
-        let before = self.seen.insert(name.clone(), self.normalizer.outcome(ran));
-        assert!(before.is_none(), "{name} twice");
+        let previous = self.outcomes.insert(name.clone(), self.normalizer.outcome(output));
+        assert!(previous.is_none(), "{name} is recorded twice");
     }
 
     fn compare(self, name: &str) {
-        compare(name, &Value::Object(self.seen));
+        compare(name, &Value::Object(self.outcomes));
     }
 }
 
-fn run(words: &[&str]) -> Ran {
+/// Runs a command without settings from the environment.
+fn run(args: &[&str]) -> CommandOutput {
     let mut command = Command::new(PROGRAM);
-    command.args(words).stdin(Stdio::null()).env_remove("GW_CONFIG").env_remove("BEECHRUDDER_AGENT");
-    support::ended(command)
+    command.args(args).stdin(Stdio::null()).env_remove("GW_CONFIG").env_remove("BEECHRUDDER_AGENT");
+    support::run_to_exit(command)
 }
 
-/// Waits until the agent has heard from each gateway that it lists all backends, that none of them waits for
-/// its first connection, and that it took in this order last.
-fn settled(fleet: &Fleet, last_order: Option<&str>) {
+/// Waits until the agent's status shows for each gateway that it lists all backends, that none of them waits
+/// for its first connection, and that this order is its last.
+fn wait_until_settled(fleet: &Fleet, last_order: Option<&str>) {
     fleet.wait_until_healthy();
-    wait_until("the agent has heard that all is settled", || {
-        let status = fleet.json(&["status"]).json();
+    wait_until("the agent's status shows all gateways as settled", || {
+        let status = fleet.cli_json(&["status"]).json();
         status["gateways"].as_array().expect("a list").iter().all(|gateway| {
             let state = &gateway["state"];
-            let figures = &state["figures"];
-            figures["listed"] == 4 && figures["waiting"] == 0 && state["last_order"] == json!(last_order)
+            let statistics = &state["figures"];
+            statistics["listed"] == 4
+                && statistics["waiting"] == 0
+                && state["last_order"] == json!(last_order)
         })
     });
 }
@@ -65,7 +69,7 @@
 #[test]
 fn fleet_commands_print_recorded_json() {
     let mut fleet = Fleet::start(2, 4);
-    settled(&fleet, None);
+    wait_until_settled(&fleet, None);
     let dir = fleet.dir.path().to_path_buf();
     let mut transcript = Transcript::new(&dir, VOLATILE);
     let nobody = format!("unix:{}/nobody.sock", dir.display());
@@ -74,14 +78,14 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("it starts");
-    let mut events = BufReader::new(watch.stdout.take().expect("its output"));
-    let mut event = || {
+    let mut events = BufReader::new(watch.stdout.take().expect("stdout is piped"));
+    let mut next_event = || {
         let mut line = String::new();
         events.read_line(&mut line).expect("a line");
         serde_json::from_str::<Value>(&line).expect("JSON")
     };
-    let first = event();
-    let all: &[&[&str]] = &[
+    let first = next_event();
+    let commands: &[&[&str]] = &[
         &["status"],
         &["drain", "till-0", "--id", "a1", "--wait"],
         &["drain", "till-0", "--id", "a1"],
@@ -106,33 +110,36 @@
         &["gateways", "remove", "n0"],
         &["sources"],
     ];
-    for words in all {
-        transcript.add(words, &fleet.json(words));
+    for args in commands {
+        transcript.add(args, &fleet.cli_json(args));
     }
-    let second = event();
+    let second = next_event();
     watch.kill().expect("it runs");
     watch.wait().expect("it ends");
     let events = transcript.normalizer.value(&json!([first, second]));
-    transcript.seen.insert("watch".to_string(), events);
-    settled(&fleet, Some("a10"));
+    transcript.outcomes.insert("watch".to_string(), events);
+    wait_until_settled(&fleet, Some("a10"));
     fleet.gateways[1].process.kill();
-    let known = |ran: &Ran| ran.json()["gateways"][1]["health"].get("unreachable").is_some();
-    wait_until("the agent knows", || known(&fleet.json(&["status"])));
-    transcript.add_as("status, one unreachable", &fleet.json(&["status"]));
-    let words = ["undrain", "type/m", "--id", "a11", "--deadline", "1s"];
-    transcript.add(&words, &fleet.json(&words));
+    let is_unreachable =
+        |output: &CommandOutput| output.json()["gateways"][1]["health"].get("unreachable").is_some();
+    wait_until("the agent reports the gateway as unreachable", || {
+        is_unreachable(&fleet.cli_json(&["status"]))
+    });
+    transcript.add_as("status, one unreachable", &fleet.cli_json(&["status"]));
+    let args = ["undrain", "type/m", "--id", "a11", "--deadline", "1s"];
+    transcript.add(&args, &fleet.cli_json(&args));
     fleet.kill_agent();
-    let words = ["orders", "-n", "2"];
-    transcript.add(&words, &fleet.json(&words));
+    let args = ["orders", "-n", "2"];
+    transcript.add(&args, &fleet.cli_json(&args));
     transcript.compare("fleet.json");
 }
 
 #[test]
-fn lists_from_dns_print_recorded_json() {
+fn endpoint_list_commands_print_recorded_json() {
     let service = "_till._tcp.ub-room.test";
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build();
-    let runtime = runtime.expect("a runtime");
-    let dns = runtime.block_on(Dns::start(1, 1)).expect("a port");
+    let runtime = runtime.expect("the runtime starts");
+    let dns = runtime.block_on(Dns::start(1, 1)).expect("the resolver starts");
     for (port, label) in [(7001, "till-0"), (7002, "till-1")] {
         let text = ["zone=a", "type=m", "group=3"].map(String::from).to_vec();
         let instance =
@@ -144,57 +151,57 @@
         "\n[sources]\nlisten = \"127.0.0.1:0\"\nservices = [\"{service}\"]\nresolvers = [\"{resolver}\"]\n\
          answer_ms = 200\n"
     );
-    let fleet = Fleet::with(0, 1, &[], &settings);
-    wait_until("the records are known", || fleet.json(&["sources"]).code == 0);
+    let fleet = Fleet::start_with(0, 1, &[], &settings);
+    wait_until("the records are known", || fleet.cli_json(&["sources"]).code == 0);
     let dir = fleet.dir.path();
     let mut transcript = Transcript::new(dir, VOLATILE);
-    for words in [&["sources"][..], &["sources", "--records"]] {
-        transcript.add(words, &fleet.json(words));
+    for args in [&["sources"][..], &["sources", "--records"]] {
+        transcript.add(args, &fleet.cli_json(args));
     }
-    let none = "_none._tcp.ub-room.test";
-    for (name, words) in [
+    let missing = "_none._tcp.ub-room.test";
+    for (name, args) in [
         ("resolve", &["resolve", service, "--server", &resolver][..]),
         ("resolve --records", &["resolve", service, "--server", &resolver, "--records"]),
-        ("resolve, no such service", &["resolve", none, "--server", &resolver]),
+        ("resolve, no such service", &["resolve", missing, "--server", &resolver]),
         ("resolve, no service", &["resolve", "till", "--server", &resolver]),
     ] {
-        transcript.add_as(name, &run(&[&["-o", "json"], words].concat()));
+        transcript.add_as(name, &run(&[&["-o", "json"], args].concat()));
     }
     transcript.compare("lists.json");
 }
 
 #[test]
-fn gateway_calls_print_recorded_json() {
+fn gateway_commands_print_recorded_json() {
     let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
     let known = [endpoint("s-0", backend.address, 1, "SERVING", 0.0)];
-    let mut told = config(agent.address, counter.address, &known);
-    // An address of this process's own: nobody else takes its ports.
+    let mut gateway_config = config(agent.address, counter.address, &known);
+    // No other test process binds ports of this address.
     let host = own_loopback();
-    let (at, none) = (&*format!("{host}:7099"), &*format!("{host}:7098"));
-    told["management"] = json!(at);
+    let (address, unused) = (&*format!("{host}:7099"), &*format!("{host}:7098"));
+    gateway_config["management"] = json!(address);
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("gateway.json");
-    std::fs::write(&file, told.to_string()).expect("room");
+    std::fs::write(&file, gateway_config.to_string()).expect("the file is written");
     let log = dir.path().join("gateway.log");
     let (_gateway, _) = Process::start(&["gateway"], Some(&file), &log, &["listening on "]);
-    wait_until("it is ready", || run(&["gateway", "ready", "--at", at]).code == 0);
+    wait_until("the gateway is ready", || run(&["gateway", "ready", "--at", address]).code == 0);
     let mut transcript = Transcript::new(dir.path(), &[]);
-    let all: &[&[&str]] = &[
-        &["gateway", "ready", "--at", at],
-        &["gateway", "disable", "s-0", "--at", at],
-        &["gateway", "enable", "s-0", "--at", at],
-        &["gateway", "enable", "s-1", "--at", at],
-        &["gateway", "disable", "two words", "--at", at],
-        &["gateway", "drain", "--at", at, "--at", none],
-        &["gateway", "ready", "--at", at, "--deadline", "1s"],
-        &["gateway", "undrain", "--at", at],
-        &["gateway", "ready", "--at", none],
+    let commands: &[&[&str]] = &[
+        &["gateway", "ready", "--at", address],
+        &["gateway", "disable", "s-0", "--at", address],
+        &["gateway", "enable", "s-0", "--at", address],
+        &["gateway", "enable", "s-1", "--at", address],
+        &["gateway", "disable", "two words", "--at", address],
+        &["gateway", "drain", "--at", address, "--at", unused],
+        &["gateway", "ready", "--at", address, "--deadline", "1s"],
+        &["gateway", "undrain", "--at", address],
+        &["gateway", "ready", "--at", unused],
     ];
-    for words in all {
-        transcript.add(words, &run(&[*words, &["-o", "json"][..]].concat()));
+    for args in commands {
+        transcript.add(args, &run(&[*args, &["-o", "json"][..]].concat()));
     }
-    let seen = Value::Object(transcript.seen).to_string().replace(&host, "127.77.1.1");
-    compare("calls.json", &serde_json::from_str(&seen).expect("JSON"));
+    let outcomes = Value::Object(transcript.outcomes).to_string().replace(&host, "127.77.1.1");
+    compare("calls.json", &serde_json::from_str(&outcomes).expect("JSON"));
 }
 
 #[test]
@@ -203,7 +210,7 @@
     let file = |name: &str| data.join(name).display().to_string();
     let mut transcript = Transcript::new(&data, &[]);
     let customer = ["--customer", "00000000b4d65521"];
-    let all: &[(&[&str], &[&str])] = &[
+    let commands: &[(&[&str], &[&str])] = &[
         (&["check"], &["operator.toml", "operator_wrong.toml", "gateway_wrong.json"]),
         (&["check"], &["operator.toml"]),
         (&["check"], &["none.json"]),
@@ -218,40 +225,40 @@
         (&["plans", "change", customer[0], customer[1]], &["plans.toml"]),
         (&["plans", "change", customer[0], customer[1], "--level", "20", "--late", "5s"], &["plans.toml"]),
     ];
-    for (words, names) in all {
+    for (args, names) in commands {
         let files: Vec<String> = names.iter().map(|name| file(name)).collect();
-        let words: Vec<&str> = words.iter().copied().chain(files.iter().map(String::as_str)).collect();
-        transcript.add(&words, &run(&[&words[..], &["-o", "json"]].concat()));
+        let args: Vec<&str> = args.iter().copied().chain(files.iter().map(String::as_str)).collect();
+        transcript.add(&args, &run(&[&args[..], &["-o", "json"]].concat()));
     }
     transcript.compare("files.json");
 }
 
 #[test]
 fn up_prints_recorded_json() {
-    let ran =
+    let output =
         run(&["up", "--gateways", "1", "--backends", "2", "--load", "40", "--for", "700ms", "-o", "json"]);
-    let agent = ran.out.lines().next().map(|line| serde_json::from_str::<Value>(line).expect("JSON"));
+    let agent = output.stdout.lines().next().map(|line| serde_json::from_str::<Value>(line).expect("JSON"));
     let agent = agent.expect("a line")["up"]["agent"].as_str().expect("an agent").to_string();
     let dir = Path::new(agent.strip_prefix("unix:").expect("a Unix socket")).parent().expect("a directory");
     let mut transcript = Transcript::new(dir, VOLATILE);
-    transcript.add_as("up", &ran);
+    transcript.add_as("up", &output);
     transcript.compare("up.json");
 }
 
-/// Commands, options, placeholders and environment variables in a help text.
-fn names(help: &str) -> Vec<String> {
-    let (mut all, mut section) = (Vec::new(), "");
+/// Returns the commands, options, placeholders, environment variables and defaults in a help text.
+fn names_in_help(help: &str) -> Vec<String> {
+    let (mut names, mut section) = (Vec::new(), "");
     for line in help.lines() {
         if !line.starts_with(' ') {
             section = line;
             continue;
         }
         if section == "Commands:" && !line.starts_with("   ") {
-            all.extend(line.split_whitespace().next().map(String::from));
+            names.extend(line.split_whitespace().next().map(String::from));
         }
         let line = line.trim_start();
         if line.starts_with(['-', '<']) || line.starts_with("[possible values") {
-            all.push(
+            names.push(
                 line.split("  ")
                     .next()
                     .unwrap_or_default()
@@ -262,17 +269,17 @@
             );
         }
         if let Some((_, rest)) = line.split_once("[env: ") {
-            all.push(format!("env {}", rest.split(['=', ']']).next().unwrap_or_default()));
+            names.push(format!("env {}", rest.split(['=', ']']).next().unwrap_or_default()));
         }
         if let Some((_, rest)) = line.split_once("[default: ") {
-            all.push(format!("default {}", rest.split(']').next().unwrap_or_default()));
+            names.push(format!("default {}", rest.split(']').next().unwrap_or_default()));
         }
     }
-    all
+    names
 }
 
 #[test]
-fn names_of_commands_and_options_are_the_recorded_ones() {
+fn command_and_option_names_match_recorded_ones() {
     let commands = [
         "",
         "up",
@@ -302,49 +309,49 @@
         "completions",
         "man",
     ];
-    let mut all = Map::new();
+    let mut recorded = Map::new();
     for command in commands {
-        let words: Vec<&str> = command.split_whitespace().chain(["--help"]).collect();
-        let ran = run(&words);
-        assert_eq!(ran.code, 0, "{command}: {}", ran.err);
-        all.insert(command.to_string(), names(&ran.out).into());
+        let args: Vec<&str> = command.split_whitespace().chain(["--help"]).collect();
+        let output = run(&args);
+        assert_eq!(output.code, 0, "{command}: {}", output.stderr);
+        recorded.insert(command.to_string(), names_in_help(&output.stdout).into());
     }
-    // The man page names each command after the program, as in PROGRAM-status(1).
-    let man = run(&["man"]).out;
+    // The man page lists each command with the program name as prefix, such as PROGRAM-status(1).
+    let man = run(&["man"]).stdout;
     let program = man.lines().find_map(|line| line.strip_prefix(".TH ")).expect("a title");
     let prefix = format!("{}\\-", program.split_whitespace().next().expect("a name"));
-    let listed = man.lines().filter_map(|line| line.strip_prefix(&prefix));
-    let listed: Vec<&str> = listed.map(|line| line.split('(').next().unwrap_or_default()).collect();
+    let subcommands = man.lines().filter_map(|line| line.strip_prefix(&prefix));
+    let subcommands: Vec<&str> = subcommands.map(|line| line.split('(').next().unwrap_or_default()).collect();
     let options: Vec<&str> = man.lines().filter(|line| line.starts_with("\\fB\\-")).collect();
-    all.insert("man page".to_string(), json!({"commands": listed, "options": options}));
-    compare("names.json", &Value::Object(all));
+    recorded.insert("man page".to_string(), json!({"commands": subcommands, "options": options}));
+    compare("names.json", &Value::Object(recorded));
 }
 
 #[test]
-fn request_lines_of_an_older_tool_are_answered_as_recorded() {
+fn older_tool_requests_get_recorded_answers() {
     let fleet = Fleet::start(1, 4);
-    settled(&fleet, None);
+    wait_until_settled(&fleet, None);
     let mut stream = UnixStream::connect(fleet.dir.path().join("agent.sock")).expect("it listens");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
-    let mut answers = BufReader::new(stream.try_clone().expect("a socket"));
+    stream.set_read_timeout(Some(TIMEOUT)).expect("the timeout is set");
+    let mut responses = BufReader::new(stream.try_clone().expect("a socket"));
     let requests =
         include_str!("data/tool_requests.jsonl").replace("<DIR>", &fleet.dir.path().display().to_string());
     let normalizer = Normalizer { dir: fleet.dir.path(), volatile: VOLATILE };
-    let mut all = Vec::new();
+    let mut answers = Vec::new();
     for request in requests.lines() {
         writeln!(stream, "{request}").expect("it reads");
-        let asked: Value = serde_json::from_str(request).expect("a record is JSON");
-        // Several answers follow an order, and a status with backends; the last is "done" or "fault".
-        let many = asked["op"] == "order" || asked["backends"] == true;
+        let sent: Value = serde_json::from_str(request).expect("the recording is JSON");
+        // An order, or a status with backends, gets several answers, of which the last is "done" or "fault".
+        let has_several_answers = sent["op"] == "order" || sent["backends"] == true;
         loop {
             let mut line = String::new();
-            answers.read_line(&mut line).expect("an answer");
+            responses.read_line(&mut line).expect("a response");
             let answer: Value = serde_json::from_str(&line).expect("JSON");
-            all.push(json!({"asked": asked["n"], "answer": normalizer.value(&answer)}));
-            if !many || answer.get("done").is_some() || answer.get("fault").is_some() {
+            answers.push(json!({"asked": sent["n"], "answer": normalizer.value(&answer)}));
+            if !has_several_answers || answer.get("done").is_some() || answer.get("fault").is_some() {
                 break;
             }
         }
     }
-    compare("tool_answers.json", &all.into());
+    compare("tool_answers.json", &answers.into());
 }
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! Some tens of gateways as processes of the built program, each with a door of its own to the list service.
+//! Fleet of dozens of gateways as processes of the built executable, for tests of cold starts. The list
+//! service has an address for each gateway, so that it can attribute calls.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -18,62 +19,62 @@
 
 use super::RunningLoad;
 
-/// How long anything that must come may take; long, so that a slow machine gives the same verdict.
+/// Timeout for expected events; generous, so that tests also pass on a slow machine.
 pub const TIMEOUT: Duration = Duration::from_secs(25);
-/// The service works so long on a call: ten a second.
+/// Time that the list service takes for each call, one after another: ten calls per second.
 pub const LIST_CALL_TIME: Duration = Duration::from_millis(100);
-/// Calls that may stand before it.
+/// Maximum number of calls that may wait at the list service.
 pub const LIST_CALLS_MAX: usize = 8;
 
-/// One fleet at a time, as each has processes for all cores.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Lock that lets one fleet run at a time, because its processes use all cores.
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// What a fleet is made of.
+/// Composition and settings of a fleet.
 pub struct FleetShape {
     pub gateways: usize,
     pub backends: usize,
-    /// Whether gateways know the list before they start.
+    /// Whether the gateways' configurations contain the endpoint list.
     pub known: bool,
-    /// Time that the counter works on a call; zero: on all at once.
-    pub counter_takes: Duration,
-    /// The operators' file; `{folder}` in it is the fleet's.
-    pub operator: String,
+    /// Time that the counter takes for each call, one after another; if zero, calls are concurrent.
+    pub counter_call_time: Duration,
+    /// Content of the operators' file, in which `{folder}` stands for the fleet's directory.
+    pub operator_config: String,
     pub seed: u64,
 }
 
 impl Default for FleetShape {
     fn default() -> Self {
-        let operator = "[start]\nlist_calls_per_s = 10\n".to_string();
+        let operator_config = "[start]\nlist_calls_per_s = 10\n".to_string();
         FleetShape {
             gateways: 30,
             backends: 8,
             known: true,
-            counter_takes: Duration::ZERO,
-            operator,
+            counter_call_time: Duration::ZERO,
+            operator_config,
             seed: 0,
         }
     }
 }
 
-/// A fleet, which ends with the value.
+/// Fleet of gateways, an agent and stand-ins; its processes end when it is dropped.
 pub struct ColdFleet {
     pub nodes: Vec<Node>,
     pub service: Discovery,
     pub counter: Counter,
     pub backends: Vec<Backend>,
-    /// The agent's process, which runs once it is started.
+    /// Agent process, which is not running until [`ColdFleet::start_agent`].
     pub agent: Node,
-    /// Between each gateway and the list service.
+    /// Links between each gateway and the list service.
     pub links: Vec<Link>,
     pub journal: Journal,
     pub timeline: Timeline,
     pub runtime: Runtime,
-    program: Program,
-    agents: Program,
-    /// Kills, by the place of the gateway.
+    gateway_program: Program,
+    agent_program: Program,
+    /// Index of each killed gateway and the time of the kill.
     kills: Vec<(usize, Duration)>,
-    _folder: TempDir,
-    _alone: MutexGuard<'static, ()>,
+    _directory: TempDir,
+    _lock: MutexGuard<'static, ()>,
 }
 
 impl Drop for ColdFleet {
@@ -85,45 +86,46 @@
 }
 
 impl ColdFleet {
-    /// Stand-ins and gateways, none of which runs yet.
+    /// Starts the stand-ins and prepares gateways and an agent without starting them.
     pub fn new(shape: FleetShape) -> ColdFleet {
-        let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-        let FleetShape { gateways, backends, known, counter_takes, operator, seed } = shape;
+        let lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+        let FleetShape { gateways, backends, known, counter_call_time, operator_config, seed } = shape;
         println!("seed {seed:#x}");
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-        let (runtime, journal) = (runtime.expect("a runtime"), Journal::new(1_000_000));
-        let folder = tempfile::Builder::new().prefix("br-").tempdir().expect("a folder");
+        let (runtime, journal) = (runtime.expect("the runtime starts"), Journal::new(1_000_000));
+        let directory = tempfile::Builder::new().prefix("br-").tempdir().expect("a temporary directory");
         let (service, counter, backends, links) = runtime.block_on(async {
             let bears = Bears { each: LIST_CALL_TIME, places: LIST_CALLS_MAX };
             let service = Discovery::with(gateways, Some(bears)).await.expect("it starts");
-            let mut all = Vec::new();
+            let mut started = Vec::new();
             for i in 0..backends {
-                all.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
+                started.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
             }
             let mut links = Vec::new();
-            for (me, door) in service.doors.iter().enumerate() {
-                links.push(Link::to(*door, seed ^ me as u64).await.expect("it starts"));
+            for (index, door) in service.doors.iter().enumerate() {
+                links.push(Link::to(*door, seed ^ index as u64).await.expect("it starts"));
             }
-            (service, Counter::with(counter_takes).await.expect("it starts"), all, links)
+            (service, Counter::with(counter_call_time).await.expect("it starts"), started, links)
         });
-        let empty = service.known();
+        let empty_list = service.known();
         for b in &backends {
             service.list(b, "SERVING");
         }
-        let list = if known { service.known() } else { empty };
-        let file = folder.path().join("operator.toml");
-        let operator = operator.replace("{folder}", &folder.path().display().to_string());
-        std::fs::write(&file, operator).expect("room");
-        let program = |what: &str| {
-            let words = [what, "--until-closed", "--operator", &file.display().to_string()];
+        let list = if known { service.known() } else { empty_list };
+        let file = directory.path().join("operator.toml");
+        let operator_config = operator_config.replace("{folder}", &directory.path().display().to_string());
+        std::fs::write(&file, operator_config).expect("the file is written");
+        let program = |command: &str| {
+            let words = [command, "--until-closed", "--operator", &file.display().to_string()];
             let path = PathBuf::from(env!("CARGO_BIN_EXE_gatewayctl"));
             Program { path, words: words.map(str::to_string).to_vec() }
         };
-        let (program, agents) = (program("gateway"), program("agent"));
-        let agent = Node::new(folder.path(), &serde_json::json!({"name": "agent"})).expect("room");
-        let node = |(me, link): (usize, &Link)| {
-            let config = platform::config(me, gateways, link.address, counter.address, &list, None);
-            Node::new(folder.path(), &config).expect("room")
+        let (gateway_program, agent_program) = (program("gateway"), program("agent"));
+        let agent =
+            Node::new(directory.path(), &serde_json::json!({"name": "agent"})).expect("the file is written");
+        let node = |(index, link): (usize, &Link)| {
+            let config = platform::config(index, gateways, link.address, counter.address, &list, None);
+            Node::new(directory.path(), &config).expect("the file is written")
         };
         let nodes = links.iter().enumerate().map(node).collect();
         let (timeline, kills) = (Timeline::new(seed), Vec::new());
@@ -137,128 +139,131 @@
             journal,
             timeline,
             runtime,
-            program,
-            agents,
+            gateway_program,
+            agent_program,
             kills,
-            _folder: folder,
-            _alone: alone,
+            _directory: directory,
+            _lock: lock,
         }
     }
 
-    /// Starts some at once, without waiting; one that runs is killed first.
-    pub fn start(&mut self, places: impl IntoIterator<Item = usize>) {
-        let places: Vec<usize> = places.into_iter().collect();
-        self.timeline.note(format!("started: {places:?}"));
-        let (nodes, program) = (&mut self.nodes, &self.program);
+    /// Starts gateways at once without waiting until they are ready. A running gateway is killed first.
+    pub fn start(&mut self, indices: impl IntoIterator<Item = usize>) {
+        let indices: Vec<usize> = indices.into_iter().collect();
+        self.timeline.note(format!("started: {indices:?}"));
+        let (nodes, program) = (&mut self.nodes, &self.gateway_program);
         self.runtime.block_on(async {
-            for place in places {
-                nodes[place].start(program).await.expect("it starts");
+            for index in indices {
+                nodes[index].start(program).await.expect("it starts");
             }
         });
     }
 
-    /// Starts the agent, and waits until it listens.
+    /// Starts the agent and waits until it listens.
     pub fn start_agent(&mut self) {
-        self.timeline.note("the agent starts");
-        let (agent, program) = (&mut self.agent, &self.agents);
+        self.timeline.note("agent started");
+        let (agent, program) = (&mut self.agent, &self.agent_program);
         self.runtime.block_on(async {
             agent.start(program).await.expect("it starts");
             agent.says("overseeing ").await.expect("it listens");
         });
     }
 
-    /// Waits until some are ready.
-    pub fn wait_until_ready(&mut self, places: impl IntoIterator<Item = usize>) {
+    /// Waits until these gateways are ready.
+    pub fn wait_until_ready(&mut self, indices: impl IntoIterator<Item = usize>) {
         let nodes = &mut self.nodes;
         self.runtime.block_on(async {
-            for place in places {
-                nodes[place].ready().await.expect("it gets ready");
+            for index in indices {
+                nodes[index].ready().await.expect("it becomes ready");
             }
         });
     }
 
-    pub fn kill(&mut self, places: impl IntoIterator<Item = usize>) {
-        let places: Vec<usize> = places.into_iter().collect();
-        self.timeline.note(format!("killed: {places:?}"));
-        for place in places {
-            self.nodes[place].kill();
-            self.kills.push((place, self.journal.now()));
+    /// Kills gateways and records the kills for [`ColdFleet::assert_no_breach`].
+    pub fn kill(&mut self, indices: impl IntoIterator<Item = usize>) {
+        let indices: Vec<usize> = indices.into_iter().collect();
+        self.timeline.note(format!("killed: {indices:?}"));
+        for index in indices {
+            self.nodes[index].kill();
+            self.kills.push((index, self.journal.now()));
         }
     }
 
+    /// Returns the indices of all gateways.
     pub fn all(&self) -> std::ops::Range<usize> {
         0..self.nodes.len()
     }
 
-    /// Sleeps; what a test waits for comes by [`ColdFleet::until`].
+    /// Sleeps for a fixed time. To wait for a condition, use [`ColdFleet::wait_until`].
     pub fn sleep(&self, time: Duration) {
         std::thread::sleep(time);
     }
 
-    /// Waits until something holds; a test fails without it.
-    pub fn wait_until(&mut self, what: &str, mut holds: impl FnMut(&mut ColdFleet) -> bool) {
+    /// Polls a condition until it holds; panics after [`TIMEOUT`].
+    pub fn wait_until(&mut self, condition: &str, mut holds: impl FnMut(&mut ColdFleet) -> bool) {
         let start = Instant::now();
         while !holds(self) {
-            assert!(start.elapsed() < TIMEOUT, "not in time: {what}");
+            assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {condition}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// When each gateway was first told of the list by a call that came at or after a moment.
+    /// Returns, by gateway index, the time of the first list answer to a call made at or after `since`.
     pub fn first_answers(&self, since: Duration) -> HashMap<usize, Duration> {
-        let mut told = HashMap::new();
+        let mut first_answers = HashMap::new();
         for call in self.service.calls().iter().filter(|c| c.at >= since) {
             if let Some(at) = call.answered {
-                let first = told.entry(call.door).or_insert(at);
+                let first = first_answers.entry(call.door).or_insert(at);
                 *first = (*first).min(at);
             }
         }
-        told
+        first_answers
     }
 
-    /// Waits until some were told of the list since a moment; gives when the last was.
+    /// Waits until these gateways have each received a list for a call made at or after `since`. Returns the
+    /// time of the last first answer.
     pub fn wait_until_all_answered(
         &mut self,
-        places: impl IntoIterator<Item = usize>,
+        indices: impl IntoIterator<Item = usize>,
         since: Duration,
     ) -> Duration {
-        let places: Vec<usize> = places.into_iter().collect();
-        self.wait_until("all are told of the list", |fleet| {
-            let told = fleet.first_answers(since);
-            places.iter().all(|place| told.contains_key(place))
+        let indices: Vec<usize> = indices.into_iter().collect();
+        self.wait_until("all gateways receive the list", |fleet| {
+            let answers = fleet.first_answers(since);
+            indices.iter().all(|index| answers.contains_key(index))
         });
-        let told = self.first_answers(since);
-        places.iter().map(|place| told[place]).max().unwrap_or_default()
+        let answers = self.first_answers(since);
+        indices.iter().map(|index| answers[index]).max().unwrap_or_default()
     }
 
-    /// A load over all gateways that are ready.
-    pub fn load(&self, rate: f64) -> RunningLoad {
-        self.load_of(Plan { rate, ..Plan::default() })
+    /// Starts a load on all gateways that are ready.
+    pub fn start_load(&self, rate: f64) -> RunningLoad {
+        self.start_load_with(Plan { rate, ..Plan::default() })
     }
 
-    /// A load by a plan over all gateways that are ready.
-    pub fn load_of(&self, plan: Plan) -> RunningLoad {
+    /// Starts a load with the given plan on all gateways that are ready.
+    pub fn start_load_with(&self, plan: Plan) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, 1 << 40, self.journal.clone());
         RunningLoad::start(&self.runtime, load, plan)
     }
 
-    /// Waits until so many more are served than are by now.
+    /// Waits until more than `more` further requests are served.
     pub fn wait_until_served(&mut self, load: &RunningLoad, more: u64) {
-        let by_now = load.tally().served;
-        self.wait_until("the load is served", |_| load.tally().served > by_now + more);
+        let served_before = load.tally().served;
+        self.wait_until("the load is served", |_| load.tally().served > served_before + more);
     }
 
-    /// Ends a load and waits for its last answers.
-    pub fn finish(&self, load: RunningLoad) -> Tally {
+    /// Stops a load, waits for the outstanding answers and returns the counts.
+    pub fn finish_load(&self, load: RunningLoad) -> Tally {
         load.finish(&self.runtime)
     }
 
-    /// No rule broke, but that a gateway that was killed took with it what was open there; a client whose
-    /// connection ended by that asks once more, and what the gateway had sent on runs twice.
+    /// Asserts that the auditor finds no breach, except where a gateway was killed: its open requests may be
+    /// lost, and a request may run twice, because the client sends it again after its connection has closed.
     pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, Terms::default()).expect("all events are there");
-        let asked: HashMap<u64, (usize, Duration)> = self
+        let breaches = audit(&self.journal, Terms::default()).expect("the journal is complete");
+        let sent: HashMap<u64, (usize, Duration)> = self
             .journal
             .events()
             .iter()
@@ -268,24 +273,26 @@
             })
             .collect();
         let deadline = Duration::from_secs_f64(platform::DEADLINE_MS / 1_000.0);
-        let excused = |id: u64| {
-            let Some((gateway, at)) = asked.get(&id) else { return false };
-            self.kills.iter().any(|(place, when)| {
-                place == gateway && *when + Duration::from_millis(50) >= *at && *when < *at + deadline
+        let gateway_was_killed = |id: u64| {
+            let Some((gateway, at)) = sent.get(&id) else { return false };
+            self.kills.iter().any(|(index, killed_at)| {
+                index == gateway
+                    && *killed_at + Duration::from_millis(50) >= *at
+                    && *killed_at < *at + deadline
             })
         };
-        let broken: Vec<String> = breaches
+        let unexcused: Vec<String> = breaches
             .iter()
-            .filter(|b| !matches!(b.rule, Rule::Lost | Rule::Twice) || !excused(b.id))
+            .filter(|b| !matches!(b.rule, Rule::Lost | Rule::Twice) || !gateway_was_killed(b.id))
             .map(ToString::to_string)
             .collect();
-        let shown = broken.iter().take(10).collect::<Vec<_>>();
-        assert!(broken.is_empty(), "{} breaches: {shown:#?}", broken.len());
+        let shown = unexcused.iter().take(10).collect::<Vec<_>>();
+        assert!(unexcused.is_empty(), "{} breaches: {shown:#?}", unexcused.len());
     }
 }
 
-/// The most calls in any stretch of so long.
-pub fn max_in_window(calls: &[Called], time: Duration) -> usize {
-    let within = |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + time).count();
+/// Returns the maximum number of calls within any window of this length.
+pub fn max_in_window(calls: &[Called], window: Duration) -> usize {
+    let within = |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + window).count();
     (0..calls.len()).map(within).max().unwrap_or(0)
 }
--- a/crates/gatewayctl/tests/support/fleet.rs
+++ b/crates/gatewayctl/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet for a test: stand-ins in threads here, gateways and an agent as processes of the built program.
+//! Fleet for tests: stand-ins on threads of the test process, gateways and an agent as processes of the built
+//! executable.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,8 +20,9 @@
 use tokio::runtime::Runtime;
 use transport::{Connector, JsonLines};
 
-use super::{ended, wait_until, Process, Ran, RunningLoad, PROGRAM, TIMEOUT};
+use super::{run_to_exit, wait_until, CommandOutput, Process, RunningLoad, PROGRAM, TIMEOUT};
 
+/// Gateway that runs as a process.
 pub struct Gateway {
     pub name: String,
     pub address: SocketAddr,
@@ -29,7 +31,7 @@
     config: PathBuf,
 }
 
-/// A fleet, which ends with the value.
+/// Running fleet; its processes are killed when it is dropped.
 pub struct Fleet {
     pub journal: Journal,
     pub discovery: Discovery,
@@ -39,46 +41,57 @@
     pub agent: Option<Process>,
     pub runtime: Runtime,
     pub dir: TempDir,
-    /// Where the agent serves a list, if its settings have sources.
+    /// Address at which the agent serves the endpoint list, if `[sources]` is configured.
     pub list: Option<SocketAddr>,
-    operator: PathBuf,
+    operator_config: PathBuf,
 }
 
 impl Fleet {
-    /// Gateways and backends, and an agent that oversees them.
+    /// Starts gateways, backends and an agent that controls the gateways.
     pub fn start(gateways: usize, backends: usize) -> Fleet {
-        Fleet::with(gateways, backends, &[], "")
+        Fleet::start_with(gateways, backends, &[], "")
     }
 
-    /// The same with further members of the operator's file, and more settings of its agent.
-    pub fn with(gateways: usize, backends: usize, members: &[&str], settings: &str) -> Fleet {
+    /// Starts a fleet with further gateway names in the operators' file, for which no process is started, and
+    /// with further settings of the agent.
+    pub fn start_with(
+        gateways: usize,
+        backends: usize,
+        extra_gateways: &[&str],
+        agent_settings: &str,
+    ) -> Fleet {
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-        let (runtime, journal) = (runtime.expect("a runtime"), Journal::new(1_000_000));
-        let (discovery, counter, started) = runtime.block_on(async {
-            let mut all = Vec::new();
+        let (runtime, journal) = (runtime.expect("the runtime starts"), Journal::new(1_000_000));
+        let (discovery, counter, backends) = runtime.block_on(async {
+            let mut started = Vec::new();
             for i in 0..backends {
-                all.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
+                started.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
             }
-            (Discovery::start().await.expect("it starts"), Counter::start().await.expect("it starts"), all)
+            (
+                Discovery::start().await.expect("it starts"),
+                Counter::start().await.expect("it starts"),
+                started,
+            )
         });
-        for b in &started {
+        for b in &backends {
             discovery.list(b, "SERVING");
         }
-        let dir = tempfile::Builder::new().prefix("br-").tempdir().expect("a folder");
-        let (at, operator) = (dir.path().display(), dir.path().join("operator.toml"));
-        let mut text = format!("[admin]\nlisten = \"unix:{at}/{{name}}.sock\"\n\n[agent]\n");
-        text += &format!("listen = \"unix:{at}/agent.sock\"\nlog = \"{at}/orders.redb\"\n");
+        let dir = tempfile::Builder::new().prefix("br-").tempdir().expect("a temporary directory");
+        let (directory, operator_config) = (dir.path().display(), dir.path().join("operator.toml"));
+        let mut text = format!("[admin]\nlisten = \"unix:{directory}/{{name}}.sock\"\n\n[agent]\n");
+        text += &format!("listen = \"unix:{directory}/agent.sock\"\nlog = \"{directory}/orders.redb\"\n");
         text += "heartbeat_ms = 200\n";
-        if !settings.contains("answer_ms") {
+        if !agent_settings.contains("answer_ms") {
             text += "answer_ms = 600\n";
         }
-        text += &format!("{settings}\n");
-        let names = (0..gateways).map(|i| format!("n{i}")).chain(members.iter().map(ToString::to_string));
+        text += &format!("{agent_settings}\n");
+        let names =
+            (0..gateways).map(|i| format!("n{i}")).chain(extra_gateways.iter().map(ToString::to_string));
         for name in names {
-            text += &format!("\n[[gateway]]\nname = \"{name}\"\nadmin = \"unix:{at}/{name}.sock\"\n");
+            text += &format!("\n[[gateway]]\nname = \"{name}\"\nadmin = \"unix:{directory}/{name}.sock\"\n");
         }
-        fs::write(&operator, text).expect("room");
-        let (backends, agent) = (started, None);
+        fs::write(&operator_config, text).expect("the file is written");
+        let (backends, agent) = (backends, None);
         let mut fleet = Fleet {
             journal,
             discovery,
@@ -89,10 +102,10 @@
             runtime,
             dir,
             list: None,
-            operator,
+            operator_config,
         };
-        for me in 0..gateways {
-            let gateway = fleet.gateway(&format!("n{me}"), me, gateways);
+        for index in 0..gateways {
+            let gateway = fleet.start_gateway(&format!("n{index}"), index, gateways);
             fleet.gateways.push(gateway);
         }
         fleet.start_agent();
@@ -103,78 +116,82 @@
         self.dir.path().join(name)
     }
 
-    /// A gateway of this name.
-    pub fn gateway(&self, name: &str, me: usize, all: usize) -> Gateway {
+    /// Writes the configuration of a gateway and starts it.
+    pub fn start_gateway(&self, name: &str, index: usize, gateways: usize) -> Gateway {
         let known = self.discovery.known();
         let (discovery, counter) = (self.discovery.address, self.counter.address);
-        let mut config = platform::config(me, all, discovery, counter, &known, None);
+        let mut config = platform::config(index, gateways, discovery, counter, &known, None);
         config["name"] = name.into();
         let file = self.path(&format!("{name}.json"));
-        fs::write(&file, config.to_string()).expect("room");
-        self.gateway_of(name, file)
+        fs::write(&file, config.to_string()).expect("the file is written");
+        self.spawn_gateway(name, file)
     }
 
-    fn gateway_of(&self, name: &str, config: PathBuf) -> Gateway {
-        let operator = self.operator.display().to_string();
-        let words = ["gateway", "--operator", &operator];
-        let begin = ["admin on ", "listening on "];
-        let (process, said) =
-            Process::start(&words, Some(&config), &self.path(&format!("{name}.log")), &begin);
-        let (admin, address) = (said[0].parse().expect("one"), said[1].parse().expect("an address"));
-        // It comes back at the same address.
-        let text = fs::read_to_string(&config).expect("there");
+    fn spawn_gateway(&self, name: &str, config: PathBuf) -> Gateway {
+        let operator_config = self.operator_config.display().to_string();
+        let args = ["gateway", "--operator", &operator_config];
+        let prefixes = ["admin on ", "listening on "];
+        let (process, lines) =
+            Process::start(&args, Some(&config), &self.path(&format!("{name}.log")), &prefixes);
+        let (admin, address) = (lines[0].parse().expect("an address"), lines[1].parse().expect("an address"));
+        // A restart uses the same address.
+        let text = fs::read_to_string(&config).expect("the file is readable");
         let mut json: Value = serde_json::from_str(&text).expect("JSON");
-        json["listen"] = said[1].clone().into();
-        fs::write(&config, json.to_string()).expect("room");
+        json["listen"] = lines[1].clone().into();
+        fs::write(&config, json.to_string()).expect("the file is written");
         Gateway { name: name.to_string(), address, admin, process, config }
     }
 
-    /// Starts a gateway anew that was killed.
-    pub fn restart(&mut self, place: usize) {
-        let (name, config) = (self.gateways[place].name.clone(), self.gateways[place].config.clone());
-        self.gateways[place].process.kill();
-        let again = self.gateway_of(&name, config);
-        self.gateways[place] = again;
+    /// Kills a gateway if it is running and starts it again.
+    pub fn restart(&mut self, index: usize) {
+        let (name, config) = (self.gateways[index].name.clone(), self.gateways[index].config.clone());
+        self.gateways[index].process.kill();
+        let restarted = self.spawn_gateway(&name, config);
+        self.gateways[index] = restarted;
     }
 
+    /// Starts the agent and waits until it listens.
     pub fn start_agent(&mut self) {
-        let operator = self.operator.display().to_string();
+        let operator_config = self.operator_config.display().to_string();
         let log = self.path("agent.log");
-        let sources = fs::read_to_string(&self.operator).expect("there").contains("[sources]");
-        let begin: &[&str] =
-            if sources { &["overseeing ", "serving the list on "] } else { &["overseeing "] };
-        let (process, said) = Process::start(&["agent", "--operator", &operator], None, &log, begin);
-        self.list = said.get(1).map(|address| address.parse().expect("an address"));
+        let has_sources =
+            fs::read_to_string(&self.operator_config).expect("the file is readable").contains("[sources]");
+        let prefixes: &[&str] =
+            if has_sources { &["overseeing ", "serving the list on "] } else { &["overseeing "] };
+        let (process, lines) =
+            Process::start(&["agent", "--operator", &operator_config], None, &log, prefixes);
+        self.list = lines.get(1).map(|address| address.parse().expect("an address"));
         self.agent = Some(process);
     }
 
-    /// Starts the agent where it is to fail, and gives what it came to; one that runs on is ended.
-    pub fn failing_agent(&self) -> Ran {
-        let operator = self.operator.display().to_string();
+    /// Runs an agent that is expected to fail and returns its output.
+    pub fn run_failing_agent(&self) -> CommandOutput {
+        let operator_config = self.operator_config.display().to_string();
         let mut command = Command::new(PROGRAM);
-        command.args(["agent", "--operator", &operator]).stdin(Stdio::null());
-        ended(command)
+        command.args(["agent", "--operator", &operator_config]).stdin(Stdio::null());
+        run_to_exit(command)
     }
 
-    /// Has all gateways go over to another discovery while they run.
-    pub fn discover(&self, discovery: SocketAddr) {
+    /// Reconfigures all running gateways to use another list service.
+    pub fn set_list_service(&self, address: SocketAddr) {
         for gateway in &self.gateways {
-            let text = fs::read_to_string(&gateway.config).expect("there");
+            let text = fs::read_to_string(&gateway.config).expect("the file is readable");
             let mut json: Value = serde_json::from_str(&text).expect("JSON");
-            json["discovery"] = discovery.to_string().into();
-            fs::write(&gateway.config, json.to_string()).expect("room");
+            json["discovery"] = address.to_string().into();
+            fs::write(&gateway.config, json.to_string()).expect("the file is written");
             gateway.process.signal("-HUP");
         }
     }
 
-    /// The backends that a gateway lists, in order.
-    pub fn lists(&self, place: usize) -> Vec<String> {
-        let all = self.state(place).backends.expect("asked for");
+    /// Returns the sorted names of the backends on a gateway's list.
+    pub fn listed_backends(&self, index: usize) -> Vec<String> {
+        let all = self.state(index).backends.expect("the backends are included");
         let mut names: Vec<String> = all.into_iter().map(|b| b.name).collect();
         names.sort();
         names
     }
 
+    /// Kills the agent, if it is running.
     pub fn kill_agent(&mut self) {
         if let Some(mut agent) = self.agent.take() {
             agent.kill();
@@ -185,61 +202,62 @@
         Address::Unix(self.path("agent.sock"))
     }
 
-    pub fn log(&self) -> PathBuf {
+    /// Path of the agent's order log.
+    pub fn log_path(&self) -> PathBuf {
         self.path("orders.redb")
     }
 
-    /// Runs the command line.
-    pub fn cli(&self, words: &[&str]) -> Ran {
+    /// Runs a command against the fleet's agent.
+    pub fn cli(&self, args: &[&str]) -> CommandOutput {
         let agent = self.agent_address().to_string();
-        let output = Command::new(PROGRAM).args(["--agent", &agent]).args(words).output();
+        let output = Command::new(PROGRAM).args(["--agent", &agent]).args(args).output();
         output.expect("it runs").into()
     }
 
-    /// Runs it for its JSON.
-    pub fn json(&self, words: &[&str]) -> Ran {
-        self.cli(&[words, &["-o", "json"]].concat())
+    /// Runs a command with JSON output against the fleet's agent.
+    pub fn cli_json(&self, args: &[&str]) -> CommandOutput {
+        self.cli(&[args, &["-o", "json"]].concat())
     }
 
-    /// Waits until all gateways are well by the agent's word.
+    /// Waits until the agent reports all gateways as `ok`.
     pub fn wait_until_healthy(&self) {
-        wait_until("all gateways are well", || {
-            let ran = self.json(&["status"]);
-            ran.code == 0
-                && ran.json()["gateways"].as_array().expect("a list").iter().all(|g| g["health"] == "ok")
+        wait_until("all gateways are ok", || {
+            let output = self.cli_json(&["status"]);
+            output.code == 0
+                && output.json()["gateways"].as_array().expect("a list").iter().all(|g| g["health"] == "ok")
         });
     }
 
-    /// Asks a gateway itself.
-    pub fn ask(&self, admin: &Address, ask: GatewayRequest) -> GatewayResponse {
+    /// Sends a request to a gateway's admin listener and returns the response.
+    pub fn request(&self, admin: &Address, request: GatewayRequest) -> GatewayResponse {
         self.runtime.block_on(async {
             let mut lines =
                 Connector::default().connect(admin, TIMEOUT, MAX_LINE_BYTES).await.expect("it listens");
-            ask_on(&mut lines, ask).await
+            request_on(&mut lines, request).await
         })
     }
 
-    /// A gateway's own state.
-    pub fn state(&self, place: usize) -> GatewayState {
-        match self.ask(&self.gateways[place].admin, GatewayRequest::State { backends: true }) {
+    /// Queries a gateway for its state, including its backends.
+    pub fn state(&self, index: usize) -> GatewayState {
+        match self.request(&self.gateways[index].admin, GatewayRequest::State { backends: true }) {
             GatewayResponse::State(state) => state,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Whether a gateway has a backend drained by order.
-    pub fn drained(&self, place: usize, backend: &str) -> bool {
-        let all = self.state(place).backends.expect("asked for");
-        all.iter().find(|b| b.name == backend).expect("listed").drained_by.is_some()
+    /// Whether a gateway holds an order that drains the backend.
+    pub fn is_drained(&self, index: usize, backend: &str) -> bool {
+        let all = self.state(index).backends.expect("the backends are included");
+        all.iter().find(|b| b.name == backend).expect("the backend is listed").drained_by.is_some()
     }
 
-    /// A load over the first so many gateways.
-    pub fn load(&self, gateways: usize, rate: f64) -> RunningLoad {
-        self.load_from(gateways, rate, 1 << 40)
+    /// Starts a load on the first `gateways` gateways and waits until requests are served.
+    pub fn start_load(&self, gateways: usize, rate: f64) -> RunningLoad {
+        self.start_load_from(gateways, rate, 1 << 40)
     }
 
-    /// The same with ids from this on, for a second load.
-    pub fn load_from(&self, gateways: usize, rate: f64, first_id: u64) -> RunningLoad {
+    /// Starts a load with request ids from `first_id`, so that two loads can run at once.
+    pub fn start_load_from(&self, gateways: usize, rate: f64, first_id: u64) -> RunningLoad {
         let addresses = self.gateways.iter().take(gateways).map(|g| g.address).collect();
         let load = Load::new(addresses, first_id, self.journal.clone());
         let plan = Plan { rate, ..Plan::default() };
@@ -248,21 +266,22 @@
         running
     }
 
-    /// Ends a load and waits for its last answers.
-    pub fn finish(&self, running: RunningLoad) -> Tally {
+    /// Stops a load, waits for the outstanding answers and returns the counts.
+    pub fn finish_load(&self, running: RunningLoad) -> Tally {
         running.finish(&self.runtime)
     }
 
-    /// No rule broke.
+    /// Asserts that the auditor finds no breach in the journal.
     pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, Terms::default()).expect("all events are there");
+        let breaches = audit(&self.journal, Terms::default()).expect("the journal is complete");
         let shown: Vec<String> = breaches.iter().map(ToString::to_string).take(10).collect();
         assert!(breaches.is_empty(), "{} breaches: {shown:#?}", breaches.len());
     }
 }
 
-pub async fn ask_on(lines: &mut JsonLines, ask: GatewayRequest) -> GatewayResponse {
-    lines.send(&Envelope { request_id: 1, body: ask }).await.expect("it listens");
-    let said: Option<Envelope<GatewayResponse>> = lines.next().await.expect("a line");
-    said.expect("an answer").body
+/// Sends a request on an open connection and returns the response.
+pub async fn request_on(lines: &mut JsonLines, request: GatewayRequest) -> GatewayResponse {
+    lines.send(&Envelope { request_id: 1, body: request }).await.expect("it listens");
+    let response: Option<Envelope<GatewayResponse>> = lines.next().await.expect("a line");
+    response.expect("a response").body
 }
--- a/crates/gatewayctl/tests/support/load.rs
+++ b/crates/gatewayctl/tests/support/load.rs
@@ -1,36 +1,36 @@
-//! A load in the background of a test.
+//! Load that runs in the background of a test.
 
 use testbed::client::{Load, Plan, Tally};
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// A load that runs until it is finished.
+/// Load that runs until [`RunningLoad::finish`] is called.
 pub struct RunningLoad {
     pub load: Load,
-    end: oneshot::Sender<()>,
+    stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
 
 impl RunningLoad {
-    /// Begins a load by a plan.
+    /// Starts a load as its plan describes.
     pub fn start(runtime: &Runtime, load: Load, plan: Plan) -> RunningLoad {
-        let (end, ended) = oneshot::channel::<()>();
-        let running = load.clone();
+        let (stop, stopped) = oneshot::channel::<()>();
+        let generator = load.clone();
         let task = runtime.spawn(async move {
-            running.run(&plan, async { drop(ended.await) }).await;
+            generator.run(&plan, async { drop(stopped.await) }).await;
         });
-        RunningLoad { load, end, task }
+        RunningLoad { load, stop, task }
     }
 
-    /// Answers so far.
+    /// Returns the counts of answers so far.
     pub fn tally(&self) -> Tally {
         self.load.tally()
     }
 
-    /// Ends it, and waits for its last answers.
+    /// Stops sending requests, waits for the outstanding answers and returns the counts.
     pub fn finish(self, runtime: &Runtime) -> Tally {
-        let _ = self.end.send(());
+        let _ = self.stop.send(());
         runtime.block_on(self.task).expect("it ends");
         self.load.tally()
     }
--- a/crates/gatewayctl/tests/support/recorded.rs
+++ b/crates/gatewayctl/tests/support/recorded.rs
@@ -1,15 +1,16 @@
-//! Output that other programs read, compared with what was recorded under `tests/data`.
+//! Compares output that other programs read with the recordings under `tests/data`.
 //!
-//! A comparison writes what it saw under the target directory's `tmp/recorded`, whether it holds or not.
+//! Each comparison also writes the actual output to `tmp/recorded` in the target directory, whether it
+//! matches or not.
 
 use std::path::{Path, PathBuf};
 
 use serde_json::{json, Value};
 
-use super::Ran;
+use super::CommandOutput;
 
-/// Keys whose values differ from run to run: times, process ids, reasons that the system gives, and figures
-/// that depend on the moment.
+/// Keys whose values differ between runs: times, process ids, error messages of the operating system and
+/// statistics that depend on timing.
 pub const VOLATILE: &[&str] = &[
     "at_ms",
     "boot",
@@ -33,19 +34,20 @@
     "why",
 ];
 const LOOPBACK: &str = "127.0.0.1:";
-/// The fewest digits of a revision's term: it is the second in which the agent started.
+/// Minimum number of digits in a revision's term, which is the Unix time in seconds at which the agent
+/// started.
 const TERM_DIGITS: usize = 9;
 
-/// Replaces what differs from run to run, so that keys and types stay.
+/// Replaces values that differ between runs, but keeps keys and types.
 pub struct Normalizer<'a> {
-    /// The test's own directory.
+    /// Directory of the test.
     pub dir: &'a Path,
-    /// Keys whose numbers and texts are replaced by their type's name.
+    /// Keys whose numbers and strings are replaced by the name of their type.
     pub volatile: &'a [&'a str],
 }
 
 impl Normalizer<'_> {
-    /// A value with all that differs from run to run replaced.
+    /// Returns the value with everything that differs between runs replaced.
     pub fn value(&self, value: &Value) -> Value {
         match value {
             Value::Array(all) => all.iter().map(|value| self.value(value)).collect(),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Replaces the test's directory, ports of the loopback address and terms of revisions.
+    /// Replaces the test's directory, ports of the loopback address and the terms of revisions.
     fn text(&self, text: &str) -> String {
         let text = text.replace(&self.dir.display().to_string(), "<DIR>");
         let mut parts = text.split(LOOPBACK);
@@ -78,17 +80,17 @@
         normal.split(' ').map(without_term).collect::<Vec<_>>().join(" ")
     }
 
-    /// A program's exit code and its lines of JSON.
-    pub fn outcome(&self, ran: &Ran) -> Value {
-        let lines = ran.out.lines().map(|line| {
+    /// Returns the exit code and the normalized JSON lines of a command's output.
+    pub fn outcome(&self, output: &CommandOutput) -> Value {
+        let lines = output.stdout.lines().map(|line| {
             let value: Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
             self.value(&value)
         });
-        json!({"code": ran.code, "out": lines.collect::<Vec<_>>()})
+        json!({"code": output.code, "out": lines.collect::<Vec<_>>()})
     }
 }
 
-/// A revision, `TERM.SEQ`, without its term.
+/// Replaces the term in a revision of the form `TERM.SEQ`; returns other words unchanged.
 fn without_term(word: &str) -> String {
     let digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
     match word.split_once('.') {
@@ -99,39 +101,39 @@
     }
 }
 
-/// Compares all that was seen with the record of this name, key by key.
-pub fn compare(name: &str, seen: &Value) {
+/// Compares actual output with the recording of this name, key by key.
+pub fn compare(name: &str, actual: &Value) {
     let tmp = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("recorded");
     std::fs::create_dir_all(&tmp).expect("a directory");
-    let text = serde_json::to_string_pretty(seen).expect("JSON") + "\n";
-    std::fs::write(tmp.join(name), text).expect("room");
+    let text = serde_json::to_string_pretty(actual).expect("JSON") + "\n";
+    std::fs::write(tmp.join(name), text).expect("the file is written");
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name);
     let text = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    let recorded: Value = serde_json::from_str(&text).expect("a record is JSON");
+    let recorded: Value = serde_json::from_str(&text).expect("the recording is JSON");
     let mut differences = Vec::new();
-    differ(&recorded, seen, "", &mut differences);
+    collect_differences(&recorded, actual, "", &mut differences);
     assert!(differences.is_empty(), "{name}:\n{}", differences.join("\n"));
 }
 
-fn differ(recorded: &Value, seen: &Value, path: &str, differences: &mut Vec<String>) {
-    match (recorded, seen) {
-        (Value::Object(recorded), Value::Object(seen)) => {
+fn collect_differences(recorded: &Value, actual: &Value, path: &str, differences: &mut Vec<String>) {
+    match (recorded, actual) {
+        (Value::Object(recorded), Value::Object(actual)) => {
             for (key, value) in recorded {
-                match seen.get(key) {
-                    Some(other) => differ(value, other, &format!("{path}/{key}"), differences),
+                match actual.get(key) {
+                    Some(other) => collect_differences(value, other, &format!("{path}/{key}"), differences),
                     None => differences.push(format!("{path}/{key} is missing")),
                 }
             }
-            let new = seen.keys().filter(|key| !recorded.contains_key(*key));
+            let new = actual.keys().filter(|key| !recorded.contains_key(*key));
             differences.extend(new.map(|key| format!("{path}/{key} is new")));
         }
-        (Value::Array(recorded), Value::Array(seen)) if recorded.len() == seen.len() => {
-            for (place, (recorded, seen)) in recorded.iter().zip(seen).enumerate() {
-                differ(recorded, seen, &format!("{path}/{place}"), differences);
+        (Value::Array(recorded), Value::Array(actual)) if recorded.len() == actual.len() => {
+            for (index, (recorded, actual)) in recorded.iter().zip(actual).enumerate() {
+                collect_differences(recorded, actual, &format!("{path}/{index}"), differences);
             }
         }
-        (recorded, seen) if recorded != seen => {
-            differences.push(format!("{path}: recorded {recorded}, seen {seen}"));
+        (recorded, actual) if recorded != actual => {
+            differences.push(format!("{path}: recorded {recorded}, actual {actual}"));
         }
         _ => {}
     }
--- a/crates/gatewayctl/tests/watch_and_help.rs
+++ b/crates/gatewayctl/tests/watch_and_help.rs
@@ -1,4 +1,4 @@
-//! What is left of the command line: watch, completions, the man page, help.
+//! The `watch` command, shell completions, the man page and the help text.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::{Fleet, PROGRAM};
 
 #[test]
-fn watch_shows_orders_and_lost_gateways() {
+fn watch_prints_orders_and_gateway_failures() {
     let mut fleet = Fleet::start(2, 4);
     fleet.wait_until_healthy();
     let mut watch = Command::new(PROGRAM)
@@ -16,20 +16,20 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("it starts");
-    let mut said = BufReader::new(watch.stdout.take().expect("its output"));
-    let mut next = || {
+    let mut stdout = BufReader::new(watch.stdout.take().expect("stdout is piped"));
+    let mut next_event = || {
         let mut line = String::new();
-        said.read_line(&mut line).expect("a line");
+        stdout.read_line(&mut line).expect("a line");
         let json: serde_json::Value = serde_json::from_str(&line).expect("JSON");
         json["event"].as_str().expect("an event").to_string()
     };
-    assert_eq!(next(), "watching");
-    assert_eq!(fleet.json(&["drain", "till-0", "--id", "one"]).code, 0);
-    assert!(next().starts_with("order one drain backend/till-0 at revision "));
+    assert_eq!(next_event(), "watching");
+    assert_eq!(fleet.cli_json(&["drain", "till-0", "--id", "one"]).code, 0);
+    assert!(next_event().starts_with("order one drain backend/till-0 at revision "));
     fleet.gateways[1].process.kill();
-    assert!(next().starts_with("gateway n1 is unreachable: "));
+    assert!(next_event().starts_with("gateway n1 is unreachable: "));
     fleet.restart(1);
-    let lines = [next(), next()];
+    let lines = [next_event(), next_event()];
     assert!(lines.contains(&"gateway n1 has started anew".to_string()), "{lines:?}");
     assert!(lines.contains(&"gateway n1 is ok".to_string()), "{lines:?}");
     watch.kill().expect("it runs");
@@ -38,16 +38,16 @@
 
 #[test]
 fn prints_completions_man_page_and_help() {
-    let said = |words: &[&str]| {
-        let output = Command::new(PROGRAM).args(words).output().expect("it runs");
-        assert!(output.status.success(), "{words:?}");
-        String::from_utf8(output.stdout).expect("text")
+    let run = |args: &[&str]| {
+        let output = Command::new(PROGRAM).args(args).output().expect("it runs");
+        assert!(output.status.success(), "{args:?}");
+        String::from_utf8(output.stdout).expect("UTF-8")
     };
     for shell in ["bash", "zsh", "fish"] {
-        assert!(said(&["completions", shell]).contains("undrain"), "{shell}");
+        assert!(run(&["completions", shell]).contains("undrain"), "{shell}");
     }
-    assert!(said(&["man"]).contains(".TH gatewayctl"));
-    let help = said(&["--help"]);
+    assert!(run(&["man"]).contains(".TH gatewayctl"));
+    let help = run(&["--help"]);
     for part in ["drain", "status", "up", "Exit codes", "BEECHRUDDER_AGENT"] {
         assert!(help.contains(part), "{part}: {help}");
     }
