--- a/crates/gatewayctl/examples/measure_operation.rs
+++ b/crates/gatewayctl/examples/measure_operation.rs
@@ -1,9 +1,9 @@
-//! Measures upgrades of a gateway under a steady load, as ratios in one run:
+//! Measures upgrades of a gateway under a steady load, as ratios within one run:
 //! `cargo run --release --example measure_operation [UPGRADES]`, after `cargo build --release`.
 //!
-//! Clients ask one request after the other on connections that they keep; somebody opens a new connection
-//! each 5 ms, and somebody calls `READY` each 100 ms. Then the same load on a gateway with a second address
-//! and on one without, in turn.
+//! Clients send one request after another on persistent connections. In addition a new connection is opened
+//! every 5 ms, and `READY` is called every 100 ms. Afterwards the same load runs on a gateway with a
+//! management address and on one without, alternately.
 
 mod support;
 
@@ -23,10 +23,11 @@
 
 const CLIENTS: usize = 8;
 const DEADLINE_MS: f64 = 700.0;
+/// Runs with and without a management address.
 const ROUNDS: usize = 5;
 
-/// Starts a gateway on a socket; gives its management address, where it has one.
-fn gateway(
+/// Starts a gateway on a listening socket. Returns its management address, if it has one.
+fn start_gateway(
     dir: &Path,
     config: &Value,
     socket: &TcpListener,
@@ -53,8 +54,9 @@
     Ok((Process(child), management))
 }
 
-fn ready(at: SocketAddr) -> Option<bool> {
-    let mut stream = TcpStream::connect(at).ok()?;
+/// Calls `READY` at a management address; returns `None` if there is no response.
+fn call_ready(address: SocketAddr) -> Option<bool> {
+    let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     stream.write_all(b"READY\n").ok()?;
     let mut answer = String::new();
@@ -62,41 +64,41 @@
     Some(answer.starts_with("SUCCESS"))
 }
 
-fn until_ready(at: SocketAddr) {
-    while ready(at) != Some(true) {
+fn wait_until_ready(address: SocketAddr) {
+    while call_ready(address) != Some(true) {
         sleep(Duration::from_millis(5));
     }
 }
 
-/// What a load has met.
+/// Outcomes of a load.
 #[derive(Default)]
-struct Seen {
-    /// When each request was asked, and how long its answer took.
+struct Outcomes {
+    /// Time at which each request was sent and time until its answer.
     answers: Mutex<Vec<(Instant, Duration)>>,
     refused: AtomicU64,
-    /// Requests that were sent once more, as their connection had been closed.
-    again: AtomicU64,
+    /// Requests that were sent a second time because their connection had been closed.
+    resent: AtomicU64,
     lost: AtomicU64,
 }
 
-/// Clients until told to stop.
-fn load(
-    at: SocketAddr,
+/// Starts clients that send requests until `stop` is set.
+fn start_load(
+    address: SocketAddr,
     stop: &Arc<AtomicBool>,
-    last: &Arc<AtomicU64>,
-) -> (Arc<Seen>, Vec<thread::JoinHandle<()>>) {
-    let seen = Arc::new(Seen::default());
+    last_id: &Arc<AtomicU64>,
+) -> (Arc<Outcomes>, Vec<thread::JoinHandle<()>>) {
+    let outcomes = Arc::new(Outcomes::default());
     let client = |_| {
-        let (stop, last, seen) = (Arc::clone(stop), Arc::clone(last), Arc::clone(&seen));
+        let (stop, last_id, outcomes) = (Arc::clone(stop), Arc::clone(last_id), Arc::clone(&outcomes));
         thread::spawn(move || {
-            let mut open: Option<BufReader<TcpStream>> = None;
+            let mut connection: Option<BufReader<TcpStream>> = None;
             while !stop.load(Ordering::Relaxed) {
-                let request = call(last.fetch_add(1, Ordering::Relaxed) + 1, "safe", "free", 1, 700);
-                let (asked, mut answer) = (Instant::now(), String::new());
-                for tries in 0..2 {
-                    seen.again.fetch_add(tries, Ordering::Relaxed);
+                let request = call(last_id.fetch_add(1, Ordering::Relaxed) + 1, "safe", "free", 1, 700);
+                let (sent_at, mut answer) = (Instant::now(), String::new());
+                for retry in 0..2 {
+                    outcomes.resent.fetch_add(retry, Ordering::Relaxed);
                     let Some(mut stream) =
-                        open.take().or_else(|| TcpStream::connect(at).ok().map(BufReader::new))
+                        connection.take().or_else(|| TcpStream::connect(address).ok().map(BufReader::new))
                     else {
                         continue;
                     };
@@ -105,47 +107,52 @@
                         if answer.starts_with('$') {
                             let _ = stream.read_line(&mut answer);
                         }
-                        open = Some(stream);
+                        connection = Some(stream);
                         break;
                     }
                 }
                 match answer.as_bytes().first() {
                     Some(b'$') => {
-                        seen.answers.lock().expect("unpoisoned").push((asked, asked.elapsed()));
+                        outcomes
+                            .answers
+                            .lock()
+                            .expect("the lock is not poisoned")
+                            .push((sent_at, sent_at.elapsed()));
                     }
-                    Some(_) => drop(seen.refused.fetch_add(1, Ordering::Relaxed)),
-                    None => drop(seen.lost.fetch_add(1, Ordering::Relaxed)),
+                    Some(_) => drop(outcomes.refused.fetch_add(1, Ordering::Relaxed)),
+                    None => drop(outcomes.lost.fetch_add(1, Ordering::Relaxed)),
                 }
                 sleep(Duration::from_millis(2));
             }
         })
     };
     let clients = (0..CLIENTS).map(client).collect();
-    (seen, clients)
+    (outcomes, clients)
 }
 
-/// The slowest of what is done again and again until told to stop.
-fn slowest(
+/// Repeats an operation at an interval until `stop` is set; the thread returns the longest duration.
+fn time_repeatedly(
     stop: &Arc<AtomicBool>,
-    each: Duration,
-    mut what: impl FnMut() + Send + 'static,
+    interval: Duration,
+    mut operation: impl FnMut() + Send + 'static,
 ) -> thread::JoinHandle<Duration> {
     let stop = Arc::clone(stop);
     thread::spawn(move || {
-        let mut most = Duration::ZERO;
+        let mut max = Duration::ZERO;
         while !stop.load(Ordering::Relaxed) {
             let start = Instant::now();
-            what();
-            most = most.max(start.elapsed());
-            sleep(each);
+            operation();
+            max = max.max(start.elapsed());
+            sleep(interval);
         }
-        most
+        max
     })
 }
 
-fn p99(mut all: Vec<Duration>) -> f64 {
-    all.sort_unstable();
-    all.get(all.len() * 99 / 100).map_or(f64::NAN, |d| d.as_secs_f64() * 1_000.0)
+/// Returns the 99th percentile, ms.
+fn p99(mut times: Vec<Duration>) -> f64 {
+    times.sort_unstable();
+    times.get(times.len() * 99 / 100).map_or(f64::NAN, |d| d.as_secs_f64() * 1_000.0)
 }
 
 fn main() -> Result<(), AnyError> {
@@ -167,57 +174,67 @@
     for class in config["settings"]["profiles"].as_array_mut().ok_or("no classes")? {
         (class["deadline-ms"], class["aim-ms"]) = (json!(DEADLINE_MS), json!(DEADLINE_MS - 100.0));
     }
-    let (socket, last) = (TcpListener::bind("127.0.0.1:0")?, Arc::new(AtomicU64::new(0)));
-    let at = socket.local_addr()?;
+    let (socket, last_id) = (TcpListener::bind("127.0.0.1:0")?, Arc::new(AtomicU64::new(0)));
+    let address = socket.local_addr()?;
 
-    let (mut old, second) = gateway(dir.path(), &config, &socket, true)?;
-    let now = Arc::new(Mutex::new(second.ok_or("a second address")?));
-    until_ready(*now.lock().expect("unpoisoned"));
+    let (mut old, management) = start_gateway(dir.path(), &config, &socket, true)?;
+    let current = Arc::new(Mutex::new(management.ok_or("no management address")?));
+    wait_until_ready(*current.lock().expect("the lock is not poisoned"));
     let stop = Arc::new(AtomicBool::new(false));
-    let (seen, clients) = load(at, &stop, &last);
-    let connecting = slowest(&stop, Duration::from_millis(5), move || {
-        let Ok(mut stream) = TcpStream::connect(at) else { return };
+    let (outcomes, clients) = start_load(address, &stop, &last_id);
+    let connecting = time_repeatedly(&stop, Duration::from_millis(5), move || {
+        let Ok(mut stream) = TcpStream::connect(address) else { return };
         let _ = stream.write_all(&command(&["PING"]));
         let _ = stream.read(&mut [0; 16]);
     });
-    let asked = Arc::clone(&now);
-    let readiness = slowest(&stop, Duration::from_millis(100), move || {
-        let at = *asked.lock().expect("unpoisoned");
-        let _ = ready(at);
+    let shared = Arc::clone(&current);
+    let readiness = time_repeatedly(&stop, Duration::from_millis(100), move || {
+        let address = *shared.lock().expect("the lock is not poisoned");
+        let _ = call_ready(address);
     });
     sleep(Duration::from_secs(3));
-    let (mut spans, mut starts) = (Vec::new(), Vec::new());
+    let (mut upgrade_spans, mut start_times) = (Vec::new(), Vec::new());
     for _ in 0..upgrades {
         let from = Instant::now();
-        let (new, second) = gateway(dir.path(), &config, &socket, true)?;
-        let second = second.ok_or("a second address")?;
-        until_ready(second);
-        starts.push(from.elapsed());
-        *now.lock().expect("unpoisoned") = second;
+        let (new, management) = start_gateway(dir.path(), &config, &socket, true)?;
+        let management = management.ok_or("no management address")?;
+        wait_until_ready(management);
+        start_times.push(from.elapsed());
+        *current.lock().expect("the lock is not poisoned") = management;
         Command::new("kill").args(["-TERM", &old.id().to_string()]).status()?;
         old.0.wait()?;
         old = new;
-        spans.push((from, Instant::now()));
+        upgrade_spans.push((from, Instant::now()));
         sleep(Duration::from_millis(300));
     }
     stop.store(true, Ordering::Relaxed);
-    for c in clients.into_iter() {
-        c.join().expect("a client");
+    for client in clients.into_iter() {
+        client.join().expect("the client thread ends");
     }
-    let (gap, slow) = (connecting.join().expect("a thread"), readiness.join().expect("a thread"));
-    let all = std::mem::take(&mut *seen.answers.lock().expect("unpoisoned"));
-    let within = |t: &Instant| spans.iter().any(|(from, to)| t >= from && t <= to);
-    let (during, beside): (Vec<_>, Vec<_>) = all.into_iter().partition(|(t, _)| within(t));
-    let times = |all: &[(Instant, Duration)]| all.iter().map(|(_, d)| *d).collect::<Vec<_>>();
-    let (a, b) = (p99(times(&during)), p99(times(&beside)));
-    println!("{upgrades} upgrades, {} answers in them, {} beside", during.len(), beside.len());
-    println!("p99 in upgrades {a:.2} ms, beside {b:.2} ms, ratio {:.2}", a / b);
-    println!("slowest new connection with its first answer {:.1} ms", gap.as_secs_f64() * 1_000.0);
-    println!("slowest answer to READY {:.1} ms", slow.as_secs_f64() * 1_000.0);
-    println!("ready after {:.0} ms at most", starts.iter().max().map_or(0.0, Duration::as_secs_f64) * 1e3);
+    let (slowest_connection, slowest_ready) =
+        (connecting.join().expect("the thread ends"), readiness.join().expect("the thread ends"));
+    let answers = std::mem::take(&mut *outcomes.answers.lock().expect("the lock is not poisoned"));
+    let within = |t: &Instant| upgrade_spans.iter().any(|(from, to)| t >= from && t <= to);
+    let (during, outside): (Vec<_>, Vec<_>) = answers.into_iter().partition(|(t, _)| within(t));
+    let times = |answers: &[(Instant, Duration)]| answers.iter().map(|(_, d)| *d).collect::<Vec<_>>();
+    let (p99_during, p99_outside) = (p99(times(&during)), p99(times(&outside)));
+    println!("{upgrades} upgrades, {} answers in them, {} beside", during.len(), outside.len());
+    println!(
+        "p99 in upgrades {p99_during:.2} ms, beside {p99_outside:.2} ms, ratio {:.2}",
+        p99_during / p99_outside
+    );
+    println!(
+        "slowest new connection with its first answer {:.1} ms",
+        slowest_connection.as_secs_f64() * 1_000.0
+    );
+    println!("slowest answer to READY {:.1} ms", slowest_ready.as_secs_f64() * 1_000.0);
+    println!(
+        "ready after {:.0} ms at most",
+        start_times.iter().max().map_or(0.0, Duration::as_secs_f64) * 1e3
+    );
     let count = |n: &AtomicU64| n.load(Ordering::Relaxed);
-    let (again, refused, lost) = (count(&seen.again), count(&seen.refused), count(&seen.lost));
-    println!("{again} sent again, {refused} refused, {lost} lost");
+    let (resent, refused, lost) = (count(&outcomes.resent), count(&outcomes.refused), count(&outcomes.lost));
+    println!("{resent} sent again, {refused} refused, {lost} lost");
     let bytes = std::fs::read_dir(dir.path().join("tmp"))?
         .flatten()
         .flat_map(|d| std::fs::read_dir(d.path()).into_iter().flatten().flatten())
@@ -227,21 +244,21 @@
     println!("{bytes} bytes under TMPDIR after it");
     drop(old);
 
-    // The cost of a request with a second address over that without, in turn.
+    // CPU time per request with a management address relative to that without, in alternating runs.
     let mut costs = [0.0f64, 0.0];
     for _ in 0..ROUNDS {
-        for (i, second) in [false, true].into_iter().enumerate() {
-            let (process, address) = gateway(dir.path(), &config, &socket, second)?;
-            address.map_or_else(|| sleep(Duration::from_millis(500)), until_ready);
+        for (i, has_management) in [false, true].into_iter().enumerate() {
+            let (process, management) = start_gateway(dir.path(), &config, &socket, has_management)?;
+            management.map_or_else(|| sleep(Duration::from_millis(500)), wait_until_ready);
             let (stop, pid) = (Arc::new(AtomicBool::new(false)), process.id());
             let before = cpu_us(pid)?;
-            let (seen, clients) = load(at, &stop, &last);
+            let (outcomes, clients) = start_load(address, &stop, &last_id);
             sleep(Duration::from_secs(2));
             stop.store(true, Ordering::Relaxed);
-            for c in clients.into_iter() {
-                c.join().expect("a client");
+            for client in clients.into_iter() {
+                client.join().expect("the client thread ends");
             }
-            let answers = seen.answers.lock().expect("unpoisoned").len();
+            let answers = outcomes.answers.lock().expect("the lock is not poisoned").len();
             costs[i] += (cpu_us(pid)? - before) / answers as f64 / ROUNDS as f64;
         }
     }
--- a/crates/gatewayctl/examples/measure_ordered_start.rs
+++ b/crates/gatewayctl/examples/measure_ordered_start.rs
@@ -1,8 +1,8 @@
-//! Measures a start of a part of a fleet: `cargo run --release --example measure_ordered_start`, after `cargo
-//! build --release`.
+//! Measures a restart of a part of a fleet: `cargo run --release --example measure_ordered_start`, after
+//! `cargo build --release`.
 //!
-//! Of many real gateways at rest before a list service of 50 calls a second one of ten is killed and started
-//! anew: by slots alone, and with turns from the agent as well, in turn, in one run.
+//! Many gateway processes are idle, with a list service that handles 50 calls per second. Every tenth gateway
+//! is killed and restarted. Runs with slots alone and with start batches from the agent as well alternate.
 
 mod support;
 
@@ -16,81 +16,93 @@
 use testbed::harness::fleet::Fleet;
 use tokio::time::sleep;
 
-/// Measures a start of a part of a fleet, by slots and with turns from the agent.
+/// Measures a restart of a part of a fleet, with slots alone and with start batches from the agent.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 300)]
     gateways: usize,
-    /// One of so many starts anew.
-    #[arg(long, default_value_t = 10)]
-    one_of: usize,
-    /// Plays of each law, each with a seed of its own.
+    /// One in this many gateways restarts.
+    #[arg(long = "one-of", value_name = "ONE_OF", default_value_t = 10)]
+    one_in: usize,
+    /// Runs of each variant, each with a different seed.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// One JSON object a play in place of the table.
+    /// Print one JSON object per run instead of the table.
     #[arg(long)]
     json: bool,
 }
 
-/// Calls a second that the list service bears.
-const BEARS: f64 = 50.0;
+/// Calls per second that the list service handles.
+const LIST_CALLS_PER_S: f64 = 50.0;
 
+/// Results of a run, measured from the restart.
 #[derive(Debug, Serialize)]
-struct Figures {
-    law: &'static str,
+struct Results {
+    #[serde(rename = "law")]
+    variant: &'static str,
     seed: u64,
     gateways: usize,
-    start_anew: usize,
-    told: usize,
-    last_told_s: f64,
-    mean_told_s: f64,
-    most_calls_in_1_s: usize,
-    turned_away: usize,
-    whole_lists: usize,
+    #[serde(rename = "start_anew")]
+    restarted: usize,
+    /// Restarted gateways that received the list.
+    #[serde(rename = "told")]
+    received: usize,
+    #[serde(rename = "last_told_s")]
+    last_received_s: f64,
+    #[serde(rename = "mean_told_s")]
+    mean_received_s: f64,
+    #[serde(rename = "most_calls_in_1_s")]
+    max_calls_in_1_s: usize,
+    #[serde(rename = "turned_away")]
+    rejected: usize,
+    #[serde(rename = "whole_lists")]
+    full_lists: usize,
 }
 
-async fn play(args: &Args, ordered: bool, seed: u64) -> Result<Figures, AnyError> {
+/// Runs one variant: with or without start batches from the agent.
+async fn run_once(args: &Args, has_batches: bool, seed: u64) -> Result<Results, AnyError> {
     let program = program()?;
-    let operator = format!(
+    let operator_config = format!(
         "[admin]\nlisten = \"unix:{{folder}}/{{name}}.sock\"\nagent = \"unix:{{folder}}/register.sock\"\n\
-         [start]\nlist_calls_per_s = {BEARS}\nordered_by_agent = {ordered}\n\
+         [start]\nlist_calls_per_s = {LIST_CALLS_PER_S}\nordered_by_agent = {has_batches}\n\
          [agent]\nlisten = \"unix:{{folder}}/agent.sock\"\nregister = \"unix:{{folder}}/register.sock\"\n\
          log = \"{{folder}}/orders.redb\"\nheartbeat_ms = 10000\n"
     );
-    let round = Duration::from_secs_f64(args.gateways as f64 / (0.9 * BEARS));
-    let (size, none) = ((args.gateways, 40), Duration::ZERO);
-    let mut fleet = Fleet::start(program, size, none, &operator, seed).await?;
-    if ordered {
+    let round = Duration::from_secs_f64(args.gateways as f64 / (0.9 * LIST_CALLS_PER_S));
+    let (size, counter_call_time) = ((args.gateways, 40), Duration::ZERO);
+    let mut fleet = Fleet::start(program, size, counter_call_time, &operator_config, seed).await?;
+    if has_batches {
         fleet.start_agent().await?;
     }
-    // All were told and watch. Seeds begin at other moments of a round.
+    // After two rounds all gateways have the list and watch it. Each seed restarts gateways at a different
+    // time within the round.
     sleep(round * 2 + round.mul_f64((seed as f64 * 0.37).fract())).await;
     let since = fleet.service.now();
-    let anew = (0..args.gateways).step_by(args.one_of.max(1));
-    anew.clone().for_each(|place| fleet.nodes[place].kill());
-    fleet.start_some(anew.clone()).await?;
+    let restarted = (0..args.gateways).step_by(args.one_in.max(1));
+    restarted.clone().for_each(|place| fleet.nodes[place].kill());
+    fleet.start_some(restarted.clone()).await?;
     sleep(round + Duration::from_secs(2)).await;
     let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
-    let mut first: HashMap<usize, Duration> = HashMap::new();
-    for call in calls.iter().filter(|c| c.door % args.one_of.max(1) == 0) {
+    let mut first_answers: HashMap<usize, Duration> = HashMap::new();
+    for call in calls.iter().filter(|c| c.door % args.one_in.max(1) == 0) {
         if let Some(at) = call.answered {
-            first.entry(call.door).or_insert(at - since);
+            first_answers.entry(call.door).or_insert(at - since);
         }
     }
-    let told: Vec<f64> = first.values().map(Duration::as_secs_f64).collect();
+    let received_s: Vec<f64> = first_answers.values().map(Duration::as_secs_f64).collect();
     let call_times: Vec<Duration> = calls.iter().map(|call| call.at).collect();
-    Ok(Figures {
-        law: if ordered { "turns" } else { "slots" },
+    Ok(Results {
+        variant: if has_batches { "turns" } else { "slots" },
         seed,
         gateways: args.gateways,
-        start_anew: anew.count(),
-        told: told.len(),
-        last_told_s: told.iter().copied().fold(0.0, f64::max),
-        mean_told_s: told.iter().sum::<f64>() / told.len().max(1) as f64,
-        most_calls_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
-        turned_away: calls.iter().filter(|c| c.turned_away).count(),
-        whole_lists: calls.iter().filter(|c| c.after.is_none()).count(),
+        restarted: restarted.count(),
+        received: received_s.len(),
+        last_received_s: received_s.iter().copied().fold(0.0, f64::max),
+        mean_received_s: received_s.iter().sum::<f64>() / received_s.len().max(1) as f64,
+        max_calls_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
+        rejected: calls.iter().filter(|c| c.turned_away).count(),
+        full_lists: calls.iter().filter(|c| c.after.is_none()).count(),
     })
 }
 
@@ -104,24 +116,24 @@
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     }
     for seed in 1..=args.seeds {
-        for ordered in [false, true] {
-            let f = play(&args, ordered, seed).await?;
+        for has_batches in [false, true] {
+            let results = run_once(&args, has_batches, seed).await?;
             if args.json {
-                println!("{}", serde_json::to_string(&f)?);
+                println!("{}", serde_json::to_string(&results)?);
                 continue;
             }
             println!(
                 "| {} | {} | {} of {} | {} | {:.1} | {:.1} | {} | {} | {} |",
-                f.law,
-                f.seed,
-                f.start_anew,
-                f.gateways,
-                f.told,
-                f.last_told_s,
-                f.mean_told_s,
-                f.most_calls_in_1_s,
-                f.turned_away,
-                f.whole_lists
+                results.variant,
+                results.seed,
+                results.restarted,
+                results.gateways,
+                results.received,
+                results.last_received_s,
+                results.mean_received_s,
+                results.max_calls_in_1_s,
+                results.rejected,
+                results.full_lists
             );
         }
     }
--- a/crates/gatewayctl/examples/support/mod.rs
+++ b/crates/gatewayctl/examples/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the measuring examples share: processes that are measured, and figures.
+//! Helpers of the measuring examples: measured processes and statistics.
 #![allow(dead_code)]
 
 use std::error::Error;
@@ -11,17 +11,17 @@
 
 use tokio::io::{AsyncBufReadExt, BufReader};
 
-/// Whatever stops a measurement.
+/// Error that stops a measurement.
 pub type AnyError = Box<dyn Error + Send + Sync>;
 
-/// Lines that a process may print before each of those that are waited for.
+/// Maximum number of lines read for each expected line.
 const MAX_OTHER_LINES: usize = 4;
 
-/// A process, which ends with the value.
+/// Child process; killed when dropped.
 pub struct Process(pub Child);
 
 impl Process {
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
@@ -34,35 +34,35 @@
     }
 }
 
-/// Starts a process, and waits for a line with each of these prefixes in turn; gives the rests of the lines.
+/// Starts a process and waits for an output line with each prefix, in order. Returns the rest of each line.
 pub async fn start(mut command: Command, prefixes: &[&str]) -> Result<(Process, Vec<String>), AnyError> {
     command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
     let mut child = command.spawn()?;
-    let stdout = child.stdout.take().ok_or("no output")?;
+    let stdout = child.stdout.take().ok_or("no standard output")?;
     let process = Process(child);
     let mut lines = BufReader::new(tokio::process::ChildStdout::from_std(stdout)?).lines();
     let mut rests = Vec::new();
     for prefix in prefixes {
         let mut rest = None;
         for _ in 0..MAX_OTHER_LINES {
-            let line = lines.next_line().await?.ok_or("it ended")?;
+            let line = lines.next_line().await?.ok_or("the process exited")?;
             rest = line.strip_prefix(prefix).map(str::to_string);
             if rest.is_some() {
                 break;
             }
         }
-        rests.push(rest.ok_or("it printed something else")?);
+        rests.push(rest.ok_or("the process did not print the expected line")?);
     }
     Ok((process, rests))
 }
 
-/// The built program, in the parent of the directory that this example is in.
+/// Returns the path of the built executable, in the parent of the example's directory.
 pub fn program() -> Result<PathBuf, AnyError> {
     let example = std::env::current_exe()?;
     Ok(example.parent().and_then(Path::parent).ok_or("no directory")?.join("gatewayctl"))
 }
 
-/// An address that nobody else on this machine uses: a loopback address of this process, and a new port.
+/// Returns an unused address: a loopback address derived from the process id, with a new port for each call.
 pub fn own_address() -> SocketAddr {
     const FIRST_PORT: u16 = 7001;
     static ADDRESSES: AtomicU16 = AtomicU16::new(0);
@@ -71,7 +71,7 @@
     SocketAddr::from((host, FIRST_PORT + ADDRESSES.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// CPU time that a process has used, us.
+/// Returns the CPU time that a process has used, us.
 pub fn cpu_us(pid: u32) -> Result<f64, AnyError> {
     let mut sum = 0.0;
     for task in fs::read_dir(format!("/proc/{pid}/task"))? {
@@ -81,22 +81,22 @@
     Ok(sum)
 }
 
-/// CPU time that a process has used, in ticks of 10 ms.
+/// Returns the CPU time that a process has used, in ticks of 10 ms.
 pub fn cpu_ticks(pid: u32) -> Result<f64, AnyError> {
     const USER_TIME: usize = 11;
     const SYSTEM_TIME: usize = 12;
     let text = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let behind_name = text.rsplit(") ").next().ok_or("no state")?;
-    let field = |index: usize| behind_name.split(' ').nth(index).and_then(|text| text.parse::<f64>().ok());
+    let after_name = text.rsplit(") ").next().ok_or("no state")?;
+    let field = |index: usize| after_name.split(' ').nth(index).and_then(|text| text.parse::<f64>().ok());
     Ok(field(USER_TIME).ok_or("no utime")? + field(SYSTEM_TIME).ok_or("no stime")?)
 }
 
-/// The most memory that a process has had, MB.
+/// Returns the peak resident memory of a process, MB.
 pub fn peak_memory_mb(pid: u32) -> Result<f64, AnyError> {
     memory_mb(pid, "VmHWM:")
 }
 
-/// The memory that a process has, MB.
+/// Returns the resident memory of a process, MB.
 pub fn resident_memory_mb(pid: u32) -> Result<f64, AnyError> {
     memory_mb(pid, "VmRSS:")
 }
@@ -107,21 +107,21 @@
     Ok(value.trim().trim_end_matches("kB").trim().parse::<f64>()? / 1024.0)
 }
 
-/// The most of these times, which ascend, within any window of this length.
+/// Returns the maximum number of times within any window of this length; the times must ascend.
 pub fn max_in_window(times: &[Duration], window: Duration) -> usize {
     let within =
         |first: usize| times[first..].iter().take_while(|time| **time < times[first] + window).count();
     (0..times.len()).map(within).max().unwrap_or(0)
 }
 
-/// The value below which a part of all values lies.
-pub fn quantile(values: &[f64], part: f64) -> f64 {
+/// Returns a quantile of the values; `fraction` is between 0 and 1.
+pub fn quantile(values: &[f64], fraction: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    sorted[((sorted.len() - 1) as f64 * part).round() as usize]
+    sorted[((sorted.len() - 1) as f64 * fraction).round() as usize]
 }
 
-/// The value in the middle.
+/// Returns the middle value, or the upper of two middle values.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
