--- a/crates/gatewayctl/examples/support/mod.rs
+++ b/crates/gatewayctl/examples/support/mod.rs
@@ -15,7 +15,7 @@
 pub type AnyError = Box<dyn Error + Send + Sync>;
 
 /// Maximum number of lines read for each expected line.
-const MAX_OTHER_LINES: usize = 4;
+const MAX_LINES_READ: usize = 4;
 
 /// Child process; killed when dropped.
 pub struct Process(pub Child);
@@ -44,7 +44,7 @@
     let mut rests = Vec::new();
     for prefix in prefixes {
         let mut rest = None;
-        for _ in 0..MAX_OTHER_LINES {
+        for _ in 0..MAX_LINES_READ {
             let line = lines.next_line().await?.ok_or("the process exited")?;
             rest = line.strip_prefix(prefix).map(str::to_string);
             if rest.is_some() {
--- a/crates/gatewayctl/tests/bad_input.rs
+++ b/crates/gatewayctl/tests/bad_input.rs
@@ -131,7 +131,7 @@
     let fleet = Fleet::start(1, 4);
     let dir = fleet.dir.path();
     write_certificates(dir, "ca", &["gateway", "agent"]);
-    write_certificates(dir, "other-ca", &["stranger"]);
+    write_certificates(dir, "other-ca", &["untrusted"]);
     let file = dir.join("tcp.toml");
     let text =
         format!("[admin]\nlisten = \"tcp:127.0.0.1:0\"\n{}", tls_section(dir, "admin", "gateway", "ca"));
@@ -171,17 +171,17 @@
     });
     assert_eq!(run_with("trusted", &["drain", "till-0"]).code, 0);
 
-    let stranger = start_agent("stranger-agent", "stranger", "ca");
+    let untrusted = start_agent("untrusted-agent", "untrusted", "ca");
     let unreachable_reason = |name: &str| {
         let reason =
             run_with(name, &["status"]).json()["gateways"][0]["health"]["unreachable"]["why"].clone();
         reason.as_str().unwrap_or_default().to_string()
     };
-    wait_until("the untrusted agent is rejected", || !unreachable_reason("stranger-agent").is_empty());
+    wait_until("the untrusted agent is rejected", || !unreachable_reason("untrusted-agent").is_empty());
     wait_until("the gateway logs the rejection", || {
         gateway.log_text().contains("turned away: invalid peer certificate")
     });
-    let forced = run_with("stranger-agent", &["undrain", "till-0", "--force"]);
+    let forced = run_with("untrusted-agent", &["undrain", "till-0", "--force"]);
     assert_eq!(forced.code, 3, "{}", forced.stderr);
     // This agent does not trust the authority that signed the gateway's certificate.
     let distrusting = start_agent("distrusting", "agent", "other-ca");
@@ -192,8 +192,8 @@
     let backends = status["gateways"][0]["state"]["backends"].as_array().expect("a list").clone();
     let till = backends.iter().find(|b| b["name"] == "till-0").expect("the backend is listed");
     assert!(till["drained_by"].is_string(), "an untrusted agent undrained the backend: {till}");
-    let key = fs::read_to_string(dir.join("stranger.key")).expect("the file is readable");
-    for process in [&gateway, &trusted, &stranger, &distrusting] {
+    let key = fs::read_to_string(dir.join("untrusted.key")).expect("the file is readable");
+    for process in [&gateway, &trusted, &untrusted, &distrusting] {
         assert!(!process.log_text().contains(&key[40..80]));
     }
 }
--- a/crates/gatewayctl/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -66,8 +66,8 @@
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_served(&running_load, 600);
-    let gone: Vec<String> = fleet.backends[..4].iter().map(|b| b.spec.name.clone()).collect();
-    assert_eq!(arrived_requests(&fleet, &gone, since), 0, "requests were sent to silent backends");
+    let silent: Vec<String> = fleet.backends[..4].iter().map(|b| b.spec.name.clone()).collect();
+    assert_eq!(arrived_requests(&fleet, &silent, since), 0, "requests were sent to silent backends");
     fleet.backends.iter().for_each(|b| assert_spread(b, since, ROUND));
     // The backends recover and receive requests again.
     fleet.timeline.note("all recovered");
@@ -75,7 +75,7 @@
     fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::Well));
     fleet.wait_until("the recovered backends receive requests", |fleet| {
         let arrived = |name: &String| arrived_requests(fleet, std::slice::from_ref(name), since);
-        gone.iter().all(|name| arrived(name) > 10)
+        silent.iter().all(|name| arrived(name) > 10)
     });
     let tally = fleet.finish_load(running_load);
     assert!(tally.served > 900, "{tally:?}");
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -41,8 +41,8 @@
     fleet.wait_until_served(&running_load, 50);
     fleet.kill(fleet.all());
     // Cold backends replace half of the backends, and the counter is unavailable.
-    for gone in fleet.backends.drain(..4) {
-        fleet.service.delete(&gone);
+    for removed in fleet.backends.drain(..4) {
+        fleet.service.delete(&removed);
     }
     for i in 8..12 {
         let spec = Spec { cold: Some((4.0, Duration::from_secs(4))), ..Spec::plain(i) };
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -33,12 +33,12 @@
     let (all, full) = fleet.discovery.turned_away();
     assert_eq!(full, 0, "of {all} calls");
     // All gateways receive a change made in the meantime soon after the list service recovers.
-    let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
-    let fresh = fresh.expect("it starts");
-    fleet.discovery.list(&fresh, "SERVING");
+    let new_backend = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
+    let new_backend = new_backend.expect("it starts");
+    fleet.discovery.list(&new_backend, "SERVING");
     fleet.discovery.switch.set(Fault::Well);
     wait_until("all gateways list the new backend", || {
-        (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&fresh.spec.name))
+        (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&new_backend.spec.name))
     });
     let tally = fleet.finish_load(running_load);
     println!("{tally:?}");
@@ -58,12 +58,12 @@
     }
     let running_load = fleet.start_load(GATEWAYS, 300.0);
     wait_until("requests are served from the known list", || running_load.load.tally().served > 300);
-    let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
-    let fresh = fresh.expect("it starts");
-    fleet.discovery.list(&fresh, "SERVING");
+    let new_backend = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
+    let new_backend = new_backend.expect("it starts");
+    fleet.discovery.list(&new_backend, "SERVING");
     fleet.discovery.switch.set(Fault::Well);
     wait_until("all gateways list the new backend", || {
-        (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&fresh.spec.name))
+        (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&new_backend.spec.name))
     });
     let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -116,9 +116,9 @@
         let operator_config = operator_config.replace("{folder}", &directory.path().display().to_string());
         std::fs::write(&file, operator_config).expect("the file is written");
         let program = |command: &str| {
-            let words = [command, "--until-closed", "--operator", &file.display().to_string()];
+            let args = [command, "--until-closed", "--operator", &file.display().to_string()];
             let path = PathBuf::from(env!("CARGO_BIN_EXE_gatewayctl"));
-            Program { path, words: words.map(str::to_string).to_vec() }
+            Program { path, words: args.map(str::to_string).to_vec() }
         };
         let (gateway_program, agent_program) = (program("gateway"), program("agent"));
         let agent =
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -136,7 +136,8 @@
     let _registered = start(&fleet, "own", "own");
     wait_until("the gateway is registered", || healthy_gateway(&fleet, "own").is_some());
     let address = healthy_gateway(&fleet, "own").expect("the gateway is listed")["address"].clone();
-    // Another gateway with the same name is rejected while the first one answers.
+    // While the first gateway answers, another one with the same name is rejected, and the agent keeps the
+    // address of the first.
     let duplicate = start(&fleet, "own", "duplicate");
     wait_until("the rejection is logged", || duplicate.log_text().contains("own answers at unix:"));
     assert_eq!(healthy_gateway(&fleet, "own").expect("the gateway is listed")["address"], address);
