--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -157,7 +157,7 @@
     dns.switch.set(Fault::Failing);
     source.until_said("ALARM").await;
     assert_eq!(source.get("/discovery/hosts").await.0, 503);
-    dns.switch.set(Fault::Well);
+    dns.switch.set(Fault::None);
     source.until("the list", |t| t.updates_after(None).endpoints.len() == 3).await;
     assert!(source.said("answered again"));
 }
@@ -174,7 +174,7 @@
         // Longer than any record lives.
         sleep(Duration::from_millis(1_300)).await;
         assert_eq!(source.names(), ["t0", "t1", "t2", "t3"], "{fault:?}");
-        dns.switch.set(Fault::Well);
+        dns.switch.set(Fault::None);
         source.until_said("answered again").await;
     }
     assert!(!source.said.lock().expect("whole").iter().any(|line| line.starts_with('-')));
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -84,7 +84,7 @@
     until("- t0 by _till._tcp.ub-room.test. PTR").await;
     dns.switch.set(Fault::Silent);
     until("ALARM").await;
-    dns.switch.set(Fault::Well);
+    dns.switch.set(Fault::None);
     until("all questions are answered again").await;
     let mut lines = said.lock().expect("whole").clone();
     lines[..3].sort();
--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use support::{max_in_window, program, AnyError};
 use testbed::backend::Backend;
-use testbed::client::Plan;
+use testbed::client::LoadProfile;
 use testbed::harness::fleet::{column, served_part, Fleet};
 use testbed::harness::Node;
 use testbed::journal::Event;
@@ -86,7 +86,8 @@
     let program = program()?;
     let mut fleet =
         Fleet::start(program, (args.gateways, args.backends), Duration::ZERO, &operator, seed).await?;
-    let loading = fleet.load(Plan { rate: args.rate, customers: 2_000, seed, ..Plan::default() });
+    let loading =
+        fleet.load(LoadProfile { rate: args.rate, customers: 2_000, seed, ..LoadProfile::default() });
     // Starts at another moment of the round each time.
     sleep(Duration::from_secs(8) + Duration::from_millis(seed * 1_237 % 7_000)).await;
 
@@ -105,10 +106,10 @@
     }
     let requests = |fleet: &Fleet| fleet.backends[gone.clone()].iter().map(Backend::arrived).sum::<u64>();
     let (begun, at_gone) = (fleet.journal.now(), requests(&fleet));
-    let first = loading.load.tally();
+    let first = loading.load.counts();
     let samples = loading.by_second(args.lasts_s);
     if absent {
-        fleet.backends[gone.clone()].iter().for_each(|b| b.switch.set(Fault::Well));
+        fleet.backends[gone.clone()].iter().for_each(|b| b.switch.set(Fault::None));
     } else {
         fleet.start_all().await?;
     }
@@ -126,7 +127,7 @@
         let from = begun + Duration::from_secs(second);
         let mut counts = std::collections::HashMap::new();
         for (_, event) in events.iter().filter(|(at, _)| (from..from + Duration::from_secs(1)).contains(at)) {
-            if let Event::Arrived { backend, .. } = event {
+            if let Event::AttemptReceived { backend, .. } = event {
                 *counts.entry(backend.clone()).or_insert(0u64) += 1;
             }
         }
--- a/crates/gatewayctl/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -14,7 +14,7 @@
 use support::{max_in_window, program, AnyError};
 use testbed::backend::{Backend, Spec};
 use testbed::counter::Counter;
-use testbed::discovery::{Bears, Discovery};
+use testbed::discovery::{Discovery, DiscoveryCapacity};
 use testbed::harness::{Node, Program};
 use testbed::journal::Journal;
 use testbed::platform;
@@ -101,8 +101,8 @@
 ) -> Result<Figures, AnyError> {
     let folder = tempfile::Builder::new().prefix("br-").tempdir()?;
     let each = Duration::from_millis(args.each_ms);
-    let bears = Bears { each, places: args.places };
-    let service = Discovery::with(args.gateways, Some(bears)).await?;
+    let bears = DiscoveryCapacity { time_per_call: each, max_queued: args.places };
+    let service = Discovery::with_listeners(args.gateways, Some(bears)).await?;
     let counter = Counter::start().await?;
     let mut backends = Vec::new();
     for i in 0..args.backends {
@@ -122,7 +122,7 @@
         ["gateway", "--until-closed", "--operator", &operator.display().to_string()].map(str::to_string);
     let program = Program { path: program.to_path_buf(), words: words.to_vec() };
     let mut nodes = Vec::new();
-    for (me, door) in service.doors.iter().enumerate() {
+    for (me, door) in service.addresses.iter().enumerate() {
         let mut config = platform::config(me, args.gateways, *door, counter.address, &known, None);
         config["seed"] = format!("{:016x}", (seed << 32) + me as u64).into();
         nodes.push(Node::new(folder.path(), &config)?);
@@ -138,7 +138,7 @@
     }
     if let Some((_, lasts)) = start.away {
         sleep((begun + lasts).saturating_sub(service.now())).await;
-        service.switch.set(Fault::Well);
+        service.switch.set(Fault::None);
     }
     let back = start.away.map_or(Duration::ZERO, |(_, lasts)| lasts);
     let told_by = begun + back + each * args.gateways as u32 + Duration::from_secs(args.lasts_s);
@@ -155,7 +155,7 @@
     let mut told = vec![None; args.gateways];
     for call in &first {
         if let Some(at) = call.answered {
-            let first = told[call.door].get_or_insert(at);
+            let first = told[call.listener_index].get_or_insert(at);
             *first = (*first).min(at);
         }
     }
@@ -174,7 +174,7 @@
         most_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
         in_first_10_s: first.iter().filter(|c| c.at < begun + Duration::from_secs(10)).count(),
         calls: first.len(),
-        turned_away: first.iter().filter(|c| c.turned_away).count(),
+        turned_away: first.iter().filter(|c| c.rejected).count(),
         whole_lists: first.iter().filter(|c| c.after.is_none()).count(),
         told: times.len(),
         last_told_s: (times.len() == args.gateways).then_some(last),
--- a/crates/gatewayctl/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -16,11 +16,11 @@
 use operator_config::Address;
 use support::{cpu_ticks, peak_memory_mb, program, quantile, resident_memory_mb, start, AnyError};
 use testbed::backend::{Backend, Spec};
-use testbed::client::{Load, Plan};
+use testbed::client::{Load, LoadProfile};
 use testbed::counter::Counter;
 use testbed::discovery::Discovery;
+use testbed::gateway_stand_in::GatewayStandIn;
 use testbed::journal::Journal;
-use testbed::overseen::Overseen;
 use testbed::platform;
 use tokio::time::sleep;
 use transport::{Connector, JsonLines};
@@ -117,7 +117,7 @@
     let mut all = Vec::new();
     for i in 0..gateways {
         let at = format!("unix:{}/n{i}.sock", dir.path().display()).parse()?;
-        all.push(Overseen::start(&format!("n{i}"), 1 + i as u64, &at, backends).await?);
+        all.push(GatewayStandIn::start(&format!("n{i}"), 1 + i as u64, &at, backends).await?);
     }
     let (file, address) = operator(dir.path(), "agent", gateways)?;
     let words = ["agent", "--operator", &file.display().to_string()];
@@ -173,7 +173,7 @@
     let (discovery, counter) = (Discovery::start().await?, Counter::start().await?);
     let mut backends = Vec::new();
     for i in 0..8 {
-        let spec = Spec { takes: Duration::from_millis(1), slots: 64, ..Spec::plain(i) };
+        let spec = Spec { service_time: Duration::from_millis(1), slots: 64, ..Spec::plain(i) };
         backends.push(Backend::start(spec, journal.clone()).await?);
     }
     for b in &backends {
@@ -206,14 +206,14 @@
             Load::new(vec![gateways[place].1], (round * 2 + place as u64) << 32, journal.clone())
         };
         let loads = [load(0), load(1)];
-        let plan = Plan { rate: 1_500.0, paid: 0.0, ..Plan::default() };
+        let plan = LoadProfile { rate: 1_500.0, paid: 0.0, ..LoadProfile::default() };
         let before = [cpu_ticks(gateways[0].0.id())?, cpu_ticks(gateways[1].0.id())?];
         tokio::join!(
             loads[0].run(&plan, sleep(Duration::from_secs(4))),
             loads[1].run(&plan, sleep(Duration::from_secs(4))),
         );
         let cost = |place: usize| -> Result<f64, AnyError> {
-            let served = loads[place].tally().served as f64;
+            let served = loads[place].counts().served as f64;
             Ok((cpu_ticks(gateways[place].0.id())? - before[place]) * 10_000.0 / served.max(1.0))
         };
         let (on, off) = (cost(0)?, cost(1)?);
--- a/crates/gatewayctl/examples/measure_gateway.rs
+++ b/crates/gatewayctl/examples/measure_gateway.rs
@@ -87,8 +87,8 @@
             let (mut id, mut served) = (first_id + (client << 24), 0);
             while begun.elapsed() < ROUND {
                 // The forwarder gives a backend's answer as it is, which is odd to a client.
-                let answer = load.one(0, id, client, 0, 0).await;
-                served += u64::from(matches!(answer, Answer::Served | Answer::Odd));
+                let answer = load.send_request(0, id, client, 0, 0).await;
+                served += u64::from(matches!(answer, Answer::Served | Answer::Malformed));
                 id += 1;
             }
             served
@@ -103,7 +103,7 @@
     let (dir, journal) = (tempfile::tempdir()?, Journal::new(0));
     let mut all = Vec::new();
     for i in 0..8 {
-        let spec = Spec { takes: Duration::ZERO, slots: 64, ..Spec::plain(i) };
+        let spec = Spec { service_time: Duration::ZERO, slots: 64, ..Spec::plain(i) };
         all.push(Backend::start(spec, journal.clone()).await?);
     }
     for memory in [32, 1 << 20] {
@@ -117,13 +117,13 @@
                 let mut customer = client << 26;
                 while begun.elapsed() < FLOOD {
                     // Of the plan with a quota.
-                    load.one(0, 1 << 40 | customer, customer, 0, 1).await;
+                    load.send_request(0, 1 << 40 | customer, customer, 0, 1).await;
                     customer += 1;
                 }
             });
         }
         while tasks.join_next().await.is_some() {}
-        let (tally, peak) = (load.tally(), peak_memory_mb(front.process.id())?);
+        let (tally, peak) = (load.counts(), peak_memory_mb(front.process.id())?);
         let (p99, seconds) = (load.latency_ms(0.99), FLOOD.as_secs());
         let of = if memory == 32 { "32 MB" } else { "no end" };
         println!(
@@ -155,7 +155,7 @@
     let (dir, journal) = (tempfile::tempdir()?, Journal::new(0));
     let mut all = Vec::new();
     for i in 0..lengths.iter().copied().max().unwrap_or(8) {
-        let spec = Spec { takes: Duration::ZERO, slots: 64, ..Spec::plain(i) };
+        let spec = Spec { service_time: Duration::ZERO, slots: 64, ..Spec::plain(i) };
         all.push(Backend::start(spec, journal.clone()).await?);
     }
     let mut command = Command::new(std::env::current_exe()?);
--- a/crates/gatewayctl/examples/measure_ordered_start.rs
+++ b/crates/gatewayctl/examples/measure_ordered_start.rs
@@ -12,7 +12,7 @@
 use clap::Parser;
 use serde::Serialize;
 use support::{max_in_window, program, AnyError};
-use testbed::discovery::Called;
+use testbed::discovery::DiscoveryCall;
 use testbed::harness::fleet::Fleet;
 use tokio::time::sleep;
 
@@ -71,11 +71,11 @@
     anew.clone().for_each(|place| fleet.nodes[place].kill());
     fleet.start_some(anew.clone()).await?;
     sleep(round + Duration::from_secs(2)).await;
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
     let mut first: HashMap<usize, Duration> = HashMap::new();
-    for call in calls.iter().filter(|c| c.door % args.one_of.max(1) == 0) {
+    for call in calls.iter().filter(|c| c.listener_index % args.one_of.max(1) == 0) {
         if let Some(at) = call.answered {
-            first.entry(call.door).or_insert(at - since);
+            first.entry(call.listener_index).or_insert(at - since);
         }
     }
     let told: Vec<f64> = first.values().map(Duration::as_secs_f64).collect();
@@ -89,7 +89,7 @@
         last_told_s: told.iter().copied().fold(0.0, f64::max),
         mean_told_s: told.iter().sum::<f64>() / told.len().max(1) as f64,
         most_calls_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
-        turned_away: calls.iter().filter(|c| c.turned_away).count(),
+        turned_away: calls.iter().filter(|c| c.rejected).count(),
         whole_lists: calls.iter().filter(|c| c.after.is_none()).count(),
     })
 }
--- a/crates/gatewayctl/src/up.rs
+++ b/crates/gatewayctl/src/up.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use serde_json::json;
-use testbed::audit::{audit, Terms};
-use testbed::client::{Load, Plan};
+use testbed::audit::{audit, AuditOptions};
+use testbed::client::{Load, LoadProfile};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::{interval, sleep, Instant};
 
@@ -105,8 +105,12 @@
 
 async fn run_load(args: &Up, load: &Load, until_end: impl Future<Output = ()>) {
     if args.requests_per_s > 0.0 {
-        let plan =
-            Plan { rate: args.requests_per_s, customers: CUSTOMERS, seed: args.seed, ..Plan::default() };
+        let plan = LoadProfile {
+            rate: args.requests_per_s,
+            customers: CUSTOMERS,
+            seed: args.seed,
+            ..LoadProfile::default()
+        };
         load.run(&plan, until_end).await;
     } else {
         until_end.await;
@@ -117,11 +121,11 @@
 async fn show_status(load: &Load) {
     let is_terminal = std::io::stderr().is_terminal();
     let mut ticks = interval(if is_terminal { TERMINAL_STATUS_INTERVAL } else { LOG_STATUS_INTERVAL });
-    let (mut last, mut last_at) = (load.tally(), Instant::now());
+    let (mut last, mut last_at) = (load.counts(), Instant::now());
     ticks.tick().await;
     loop {
         ticks.tick().await;
-        let (now, seconds) = (load.tally(), last_at.elapsed().as_secs_f64());
+        let (now, seconds) = (load.counts(), last_at.elapsed().as_secs_f64());
         let served_per_s = (now.served - last.served) as f64 / seconds.max(0.001);
         let line = report::status_line(&now, served_per_s, load);
         (last, last_at) = (now, Instant::now());
@@ -135,14 +139,14 @@
 
 /// Shows what the load came to, and whether a rule was broken.
 fn show_result(fleet: &LocalFleet, load: &Load, output: Output) -> Result<(), CommandError> {
-    let verdict = audit(&fleet.journal, Terms::default());
+    let verdict = audit(&fleet.journal, AuditOptions::default());
     match output {
         Output::Json => print_json(&json!({"down": report::result(load, &verdict)}))?,
         Output::Table => {
             if std::io::stderr().is_terminal() {
                 eprintln!();
             }
-            print_text(&format!("\n{}\n", report::status_line(&load.tally(), 0.0, load)));
+            print_text(&format!("\n{}\n", report::status_line(&load.counts(), 0.0, load)));
             print_text(&report::verdict_text(&verdict));
         }
     }
--- a/crates/gatewayctl/src/up/report.rs
+++ b/crates/gatewayctl/src/up/report.rs
@@ -1,15 +1,15 @@
 //! The texts and JSON of `up`.
 
 use serde_json::{json, Value};
-use testbed::audit::Breach;
-use testbed::client::{Load, Tally};
+use testbed::audit::Violation;
+use testbed::client::{Load, LoadCounts};
 use testbed::platform;
 
 use super::local_fleet::{Gateway, LocalFleet};
 use crate::output::table;
 
 /// The auditor's verdict: the breaches that it found, or why it can't say.
-type Verdict = Result<Vec<Breach>, String>;
+type Verdict = Result<Vec<Violation>, String>;
 
 const HEADER: [&str; 3] = ["NAME", "WHAT", "ADDRESS"];
 /// Breaches that are shown of each run.
@@ -81,8 +81,8 @@
 }
 
 /// The status line; without a rate if it is 0.
-pub fn status_line(tally: &Tally, served_per_s: f64, load: &Load) -> String {
-    let Tally { asked, served, refused, failed, lost, held_back, .. } = tally;
+pub fn status_line(tally: &LoadCounts, served_per_s: f64, load: &Load) -> String {
+    let LoadCounts { asked, served, refused, failed, lost, held_back, .. } = tally;
     let rate = if served_per_s > 0.0 { format!(" ({served_per_s:.0}/s)") } else { String::new() };
     let held = if *held_back > 0 { format!(", {held_back} held back") } else { String::new() };
     let (p50, p99) = (load.latency_ms(0.5), load.latency_ms(0.99));
@@ -92,7 +92,7 @@
 
 /// What the load came to, as JSON.
 pub fn result(load: &Load, verdict: &Verdict) -> Value {
-    let tally = load.tally();
+    let tally = load.counts();
     let breaches = verdict.as_ref().ok().map(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>());
     json!({
         "asked": tally.asked, "served": tally.served, "refused": tally.refused, "failed": tally.failed,
--- a/crates/gatewayctl/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -43,7 +43,7 @@
 fn requests(fleet: &ColdFleet, names: &[String], since: Duration) -> usize {
     let events = fleet.journal.events();
     let of = |e: &&(Duration, Event)| match &e.1 {
-        Event::Arrived { backend, .. } => e.0 >= since && names.contains(backend),
+        Event::AttemptReceived { backend, .. } => e.0 >= since && names.contains(backend),
         _ => false,
     };
     events.iter().filter(of).count()
@@ -71,8 +71,8 @@
     fleet.backends.iter().for_each(|b| spread(b, since, ROUND));
     // They come back, and get work.
     fleet.timeline.note("all back");
-    fleet.service.switch.set(Fault::Well);
-    fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::Well));
+    fleet.service.switch.set(Fault::None);
+    fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::None));
     fleet.wait_until("those that were gone get work", |fleet| {
         let of = |name: &String| requests(fleet, std::slice::from_ref(name), since);
         gone.iter().all(|name| of(name) > 10)
@@ -95,7 +95,7 @@
     let spec = Spec { cold: Some((4.0, Duration::from_secs(4))), ..Spec::plain(8) };
     let new = fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts");
     let (since, died) = (fleet.journal.now(), fleet.backends.remove(0));
-    fleet.service.list_for(&new, &died);
+    fleet.service.replace_backend(&new, &died);
     drop(died);
     let name = [new.spec.name.clone()];
     fleet.wait_until("it has work", |fleet| requests(fleet, &name, since) > 50);
@@ -147,7 +147,7 @@
     fleet.timeline.note("all stopped for two rounds, and the backends are well");
     fleet.nodes.iter_mut().for_each(testbed::harness::Node::stop);
     fleet.sleep(ROUND * 2);
-    fleet.backends.iter().for_each(|b| b.switch.set(Fault::Well));
+    fleet.backends.iter().for_each(|b| b.switch.set(Fault::None));
     let since = fleet.journal.now();
     fleet.nodes.iter_mut().for_each(testbed::harness::Node::go_on);
     fleet.wait_until_ready(fleet.all());
@@ -173,7 +173,7 @@
     fleet.wait_until("requests are refused", |_| loading.tally().refused > 50);
     assert_eq!(loading.tally().served, 0);
     fleet.timeline.note("two are back");
-    fleet.backends[..2].iter().for_each(|b| b.switch.set(Fault::Well));
+    fleet.backends[..2].iter().for_each(|b| b.switch.set(Fault::None));
     fleet.wait_until_served(&loading, 200);
     let tally = fleet.finish(loading);
     assert_eq!(tally.lost, 0, "{tally:?}");
--- a/crates/gatewayctl/tests/cold_counter.rs
+++ b/crates/gatewayctl/tests/cold_counter.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use support::cold_fleet::{ColdFleet, FleetShape};
-use testbed::client::Plan;
+use testbed::client::LoadProfile;
 use testbed::switch::Fault;
 
 /// Customers with quotas ask so often, requests a second: six times what the counter bears.
@@ -16,8 +16,8 @@
     FleetShape { seed, operator, counter_takes: Duration::from_millis(20), ..FleetShape::default() }
 }
 
-fn plan() -> Plan {
-    Plan { rate: RATE, paid: 1.0, customers: 100, ..Plan::default() }
+fn plan() -> LoadProfile {
+    LoadProfile { rate: RATE, paid: 1.0, customers: 100, ..LoadProfile::default() }
 }
 
 /// Calls that came to the counter in a stretch of its time.
@@ -61,7 +61,7 @@
     fleet.wait_until_served(&loading, 100);
     assert_eq!(fleet.counter.calls(), 0);
     fleet.timeline.note("the counter is back");
-    fleet.counter.switch.set(Fault::Well);
+    fleet.counter.switch.set(Fault::None);
     fleet.wait_until("it is called", |fleet| fleet.counter.calls() > 100);
     let tally = fleet.finish(loading);
     assert_eq!(tally.lost, 0, "{tally:?}");
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -6,7 +6,7 @@
 
 use support::cold_fleet::{max_in_window, ColdFleet, FleetShape, LIST_CALL_TIME};
 use testbed::backend::{Backend, Spec};
-use testbed::discovery::Called;
+use testbed::discovery::DiscoveryCall;
 use testbed::harness::{Condition, Direction};
 use testbed::switch::Fault;
 
@@ -14,7 +14,7 @@
 
 /// Calls in any second are those of the slots, with room for a machine that is late with some; the pauses of
 /// the usual law make thirty in the first quarter of it.
-fn spread(calls: &[Called]) {
+fn spread(calls: &[DiscoveryCall]) {
     let most = max_in_window(calls, SECOND);
     assert!(most <= 18, "{most} calls in a second where ten are borne");
 }
@@ -27,7 +27,7 @@
 /// Calls of each gateway since a moment.
 fn by_door(fleet: &ColdFleet, since: Duration) -> Vec<usize> {
     let mut calls = vec![0; fleet.nodes.len()];
-    fleet.service.calls().iter().filter(|c| c.at >= since).for_each(|c| calls[c.door] += 1);
+    fleet.service.calls().iter().filter(|c| c.at >= since).for_each(|c| calls[c.listener_index] += 1);
     calls
 }
 
@@ -56,11 +56,11 @@
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_served(&loading, 50);
     let last = fleet.wait_until_all_answered(fleet.all(), since);
-    let calls: Vec<Called> =
+    let calls: Vec<DiscoveryCall> =
         fleet.service.calls().into_iter().filter(|c| c.at >= since && c.at <= last).collect();
     spread(&calls);
     assert!(calls.len() as f64 <= 1.3 * 30.0, "{} calls until all were told", calls.len());
-    assert_eq!(calls.iter().filter(|c| c.turned_away || c.after.is_none()).count(), 0, "{calls:?}");
+    assert_eq!(calls.iter().filter(|c| c.rejected || c.after.is_none()).count(), 0, "{calls:?}");
     fleet.wait_until_served(&loading, 100);
     let tally = fleet.finish(loading);
     assert!(tally.served > 200, "{tally:?}");
@@ -95,7 +95,7 @@
     fleet.sleep(round() * 2);
     let back = fleet.service.now();
     fleet.timeline.note("the service is back");
-    fleet.service.switch.set(Fault::Well);
+    fleet.service.switch.set(Fault::None);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     spread(&fleet.service.calls());
     // Once a round, while it is away and until it has answered.
@@ -125,14 +125,14 @@
 #[test]
 fn half_rejecting_list_service_answers_all_in_the_end() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_0c, ..FleetShape::default() });
-    fleet.service.switch.set(Fault::EverySecond);
+    fleet.service.switch.set(Fault::AlternateBusy);
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     let calls = fleet.service.calls();
     spread(&calls);
     // The first of each, and its second is answered.
-    let turned_away = calls.iter().filter(|c| c.turned_away).count();
+    let turned_away = calls.iter().filter(|c| c.rejected).count();
     assert!(turned_away >= 30, "{turned_away} of {} were turned away", calls.len());
 }
 
@@ -143,10 +143,10 @@
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     let last = fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at <= last).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at <= last).collect();
     spread(&calls);
     // A call that was given up would be made again before its answer.
-    let first_again = |door| calls.iter().filter(|c| c.door == door).nth(1).map(|c| c.at);
+    let first_again = |door| calls.iter().filter(|c| c.listener_index == door).nth(1).map(|c| c.at);
     let told = fleet.first_answers(Duration::ZERO);
     assert!(fleet.all().all(|door| first_again(door).is_none_or(|at| at >= told[&door])), "{calls:?}");
     assert_eq!(calls.iter().filter(|c| c.after.is_none()).count(), 0);
@@ -188,7 +188,8 @@
     fleet.wait_until_all_answered(0..3, since);
     spread(&fleet.service.calls());
     // What comes late is taken, not asked for again.
-    let early: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.door < 3).collect();
+    let early: Vec<DiscoveryCall> =
+        fleet.service.calls().into_iter().filter(|c| c.listener_index < 3).collect();
     assert!(early.iter().all(|c| c.after.is_some()), "a whole list: {early:?}");
 }
 
@@ -225,7 +226,7 @@
     fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::go_on);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.sleep(round());
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
     spread(&calls);
     let at_once = max_in_window(&calls[..calls.len().min(40)], Duration::from_millis(300));
     assert!(at_once <= 10, "{at_once} calls within 0.3 s: {calls:?}");
@@ -239,15 +240,14 @@
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.timeline.note("0 to 4 cut off on the way back; another service, versions from 3 on");
     fleet.links[..5].iter().for_each(|link| link.set(Direction::Back, Condition::CUT));
-    fleet.service.replace(3);
+    fleet.service.restart_at_index(3);
     let since = fleet.service.now();
-    let whole = |fleet: &ColdFleet, place: usize| {
-        fleet
-            .service
-            .calls()
-            .iter()
-            .any(|c| c.door == place && c.at >= since && c.after.is_none() && c.answered.is_some())
-    };
+    let whole =
+        |fleet: &ColdFleet, place: usize| {
+            fleet.service.calls().iter().any(|c| {
+                c.listener_index == place && c.at >= since && c.after.is_none() && c.answered.is_some()
+            })
+        };
     fleet.wait_until("all but those cut off have its list", |fleet| (5..30).all(|place| whole(fleet, place)));
     fleet.timeline.note("healed, and their connections reset");
     for link in &fleet.links[..5] {
@@ -273,18 +273,21 @@
     // Until all of them watch.
     fleet.wait_until("all watch", |fleet| {
         let calls = fleet.service.calls();
-        (0..30).all(|door| calls.iter().any(|c| c.door == door && !c.wait.is_zero() && c.answered.is_none()))
+        (0..30).all(|door| {
+            calls.iter().any(|c| c.listener_index == door && !c.wait.is_zero() && c.answered.is_none())
+        })
     });
     let since = fleet.service.now();
     fleet.timeline.note("a backend drains");
     fleet.service.list(&fleet.backends[0], "DRAINING");
     fleet.wait_until("all have heard", |fleet| {
         let calls = fleet.service.calls();
-        let heard = |door| calls.iter().any(|c| c.door == door && c.answered.is_some_and(|at| at >= since));
+        let heard =
+            |door| calls.iter().any(|c| c.listener_index == door && c.answered.is_some_and(|at| at >= since));
         (0..30).all(heard)
     });
     fleet.sleep(round());
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
     spread(&calls);
     assert!(calls.len() >= 20, "{} calls in a round", calls.len());
 }
--- a/crates/gatewayctl/tests/crashes.rs
+++ b/crates/gatewayctl/tests/crashes.rs
@@ -12,9 +12,9 @@
 use fleet::{Change, Subject};
 use operator_config::Address;
 use support::{wait_until, Fleet, TIMEOUT};
-use testbed::overseen::Overseen;
+use testbed::gateway_stand_in::GatewayStandIn;
 use testbed::switch::Fault;
-use testbed::Dice;
+use testbed::Rng;
 use transport::Connector;
 
 /// Kills of one run.
@@ -22,7 +22,7 @@
 
 /// Orders on the connections of one tool until it ends: notes what was tried and what was acknowledged.
 async fn order_on(address: Address, tool: u64, round: u64, seen: Arc<Mutex<Seen>>) {
-    let mut dice = Dice::new(tool << 32 | round);
+    let mut dice = Rng::new(tool << 32 | round);
     let Ok(mut lines) = Connector::default().connect(&address, TIMEOUT, MAX_LINE_BYTES).await else {
         return;
     };
@@ -86,7 +86,7 @@
 fn killed_agent_keeps_every_acknowledged_order() {
     let seed = 0xbeec_0010;
     println!("seed {seed:#x}");
-    let mut dice = Dice::new(seed);
+    let mut dice = Rng::new(seed);
     let mut fleet = Fleet::start(2, 4);
     fleet.wait_until_healthy();
     let loading = fleet.load(2, 60.0);
@@ -181,7 +181,7 @@
     refuses("flipped");
     // Any byte, by a seed: found, or of no weight, but never an order less or another one.
     let seed = 0xbeec_0011;
-    let (mut dice, mut found) = (Dice::new(seed), 0);
+    let (mut dice, mut found) = (Rng::new(seed), 0);
     let whole = |contents: &Contents| contents.orders.iter().map(|l| l.order.clone()).collect::<Vec<_>>();
     fs::write(fleet.log(), &good).expect("room");
     let truth = whole(&Log::open(&fleet.log()).expect("good").1);
@@ -233,7 +233,7 @@
 fn next_agent_finishes_interrupted_fan_out() {
     let mut fleet = Fleet::with(1, 4, &["slow"], "answer_ms = 20000");
     let at = Address::Unix(fleet.dir.path().join("slow.sock"));
-    let slow = fleet.runtime.block_on(Overseen::start("slow", 7, &at, 4)).expect("it starts");
+    let slow = fleet.runtime.block_on(GatewayStandIn::start("slow", 7, &at, 4)).expect("it starts");
     fleet.wait_until_healthy();
     slow.switch.set(Fault::Silent);
     let ran = fleet.json(&["drain", "till-0", "--deadline", "1s"]);
@@ -241,7 +241,7 @@
     assert_eq!((&ran.did("n0")["outcome"], &ran.did("slow")["did"]), (&"applied".into(), &"late".into()));
     fleet.kill_agent();
     assert!(fleet.drained(0, "till-0") && !slow.drained("till-0"));
-    slow.switch.set(Fault::Well);
+    slow.switch.set(Fault::None);
     fleet.start_agent();
     fleet.wait_until_healthy();
     wait_until("it has caught up", || slow.drained("till-0"));
--- a/crates/gatewayctl/tests/dns_sd.rs
+++ b/crates/gatewayctl/tests/dns_sd.rs
@@ -69,14 +69,14 @@
     let loading = fleet.load(2, 200.0);
     zone.dns.unpoint(SERVICE, "till-0");
     wait_until("both gateways were told", || (0..2).all(|g| !fleet.lists(g).contains(&"till-0".to_string())));
-    fleet.journal.note(Event::Drained { backend: "till-0".to_string(), gateway: None });
+    fleet.journal.note(Event::BackendDrained { backend: "till-0".to_string(), gateway: None });
     sleep(Duration::from_millis(600));
     let then = fleet.backends[0].arrived();
-    let served = loading.load.tally().served;
-    wait_until("the others have the work", || loading.load.tally().served > served + 200);
+    let served = loading.load.counts().served;
+    wait_until("the others have the work", || loading.load.counts().served > served + 200);
     assert_eq!(fleet.backends[0].arrived(), then);
     // It comes back at its address.
-    fleet.journal.note(Event::Undrained { backend: "till-0".to_string() });
+    fleet.journal.note(Event::BackendUndrained { backend: "till-0".to_string() });
     zone.put(&fleet.backends[0]);
     wait_until("it has work again", || fleet.backends[0].arrived() > then + 20);
     let tally = fleet.finish(loading);
@@ -98,7 +98,7 @@
             ran.code == 3 && all.len() == 4 && all.iter().all(|l| l["stale_ms"].as_f64() > Some(500.0))
         });
         assert!((0..2).all(|g| fleet.lists(g).len() == 4));
-        zone.dns.switch.set(Fault::Well);
+        zone.dns.switch.set(Fault::None);
         wait_until("all is fresh", || fleet.json(&["sources"]).code == 0);
     }
     let log = fleet.agent.as_ref().expect("it runs").log_text();
@@ -125,7 +125,7 @@
     sleep(Duration::from_millis(500));
     assert_eq!(fleet.lists(0).len(), 3);
     let loading = fleet.load(1, 100.0);
-    zone.dns.switch.set(Fault::Well);
+    zone.dns.switch.set(Fault::None);
     wait_until("it is known", || ran().json()["known"].as_bool() == Some(true));
     zone.dns.unpoint(SERVICE, "till-1");
     wait_until("and followed", || fleet.lists(0) == ["till-0", "till-2"]);
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -18,7 +18,7 @@
     wait_until("it has work", || fleet.backends[0].arrived() > 5);
     let ran = fleet.json(&["drain", "till-0", "--wait"]);
     // Told by now to all, so whatever begins half a second on is too late at each.
-    fleet.journal.note(Event::Drained { backend: "till-0".to_string(), gateway: None });
+    fleet.journal.note(Event::BackendDrained { backend: "till-0".to_string(), gateway: None });
     assert_eq!(ran.code, 0, "{}", ran.err);
     for name in ["n0", "n1", "n2"] {
         assert_eq!((&ran.did(name)["outcome"], &ran.did(name)["matched"]), (&"applied".into(), &1.into()));
@@ -34,7 +34,7 @@
     wait_until("the others have the work", || others() > now + 100);
     assert_eq!(fleet.backends[0].arrived(), then, "sent to while the others had the work");
     // Before it is ordered: a gateway may send as soon as it is told, and that is before the tool has ended.
-    fleet.journal.note(Event::Undrained { backend: "till-0".to_string() });
+    fleet.journal.note(Event::BackendUndrained { backend: "till-0".to_string() });
     assert_eq!(fleet.json(&["undrain", "till-0"]).code, 0);
     wait_until("it has work again", || fleet.backends[0].arrived() > then + 20);
     let tally = fleet.finish(loading);
@@ -82,7 +82,7 @@
     fleet.wait_until_healthy();
     assert_eq!(fleet.json(&["weight", "till-0", "0.2"]).code, 0);
     let loading = fleet.load(2, 400.0);
-    wait_until("there is enough", || loading.load.tally().served > 1_200);
+    wait_until("there is enough", || loading.load.counts().served > 1_200);
     fleet.finish(loading);
     let [few, others @ ..] = &fleet.backends[..] else { panic!("four") };
     let mean = others.iter().map(testbed::backend::Backend::arrived).sum::<u64>() as f64 / 3.0;
@@ -119,8 +119,8 @@
     assert!(state.drained_by.is_some());
     wait_until("its connections have closed", || fleet.state(1).statistics.client_connections == 0);
     // The others take what would have come to it.
-    let then = loading.load.tally().served;
-    wait_until("the load goes on", || loading.load.tally().served > then + 100);
+    let then = loading.load.counts().served;
+    wait_until("the load goes on", || loading.load.counts().served > then + 100);
     let too_few = fleet.json(&["drain", "gateway/n0"]);
     assert_eq!(too_few.code, 4);
     assert!(too_few.err.contains("1 of 3 gateways"), "{}", too_few.err);
--- a/crates/gatewayctl/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -16,14 +16,14 @@
 #[test]
 fn faults_and_orders_under_load_lose_no_request() {
     let seed = 0xbeec_0020;
-    let script = Script::draw(seed, 5, FAULTS);
+    let script = Script::generate(seed, 5, FAULTS);
     println!("{script}");
     let mut fleet = Fleet::start(3, 6);
     fleet.wait_until_healthy();
     let loading = fleet.load(3, 150.0);
     // The last backend is drained through all of it, and so is none of those that fail.
     assert_eq!(fleet.json(&["drain", "till-5", "--wait"]).code, 0);
-    fleet.journal.note(Event::Drained { backend: "till-5".to_string(), gateway: None });
+    fleet.journal.note(Event::BackendDrained { backend: "till-5".to_string(), gateway: None });
     let switches: Vec<Switch> = fleet.backends[..5].iter().map(|b| b.switch.clone()).collect();
     let playing = {
         let script = script.clone();
@@ -49,11 +49,11 @@
         round += 1;
     }
     assert!(round > 6, "the script was over before all was tried: {round}");
-    fleet.discovery.switch.set(Fault::Well);
-    fleet.counter.switch.set(Fault::Well);
+    fleet.discovery.switch.set(Fault::None);
+    fleet.counter.switch.set(Fault::None);
     fleet.wait_until_healthy();
-    let then = loading.load.tally().served;
-    wait_until("all is served again", || loading.load.tally().served > then + 150);
+    let then = loading.load.counts().served;
+    wait_until("all is served again", || loading.load.counts().served > then + 150);
     let tally = fleet.finish(loading);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{seed:#x}: {tally:?}");
@@ -70,12 +70,12 @@
     let (bad, good) = (fleet.load(2, 100.0), fleet.load_from(2, 100.0, 1 << 41));
     for fault in [Fault::Resetting, Fault::Silent, Fault::Slow(Duration::from_millis(50)), Fault::Resetting] {
         bad.load.switch.set(fault);
-        let then = good.load.tally().served;
-        wait_until("the others are served", || good.load.tally().served > then + 60);
+        let then = good.load.counts().served;
+        wait_until("the others are served", || good.load.counts().served > then + 60);
     }
-    bad.load.switch.set(Fault::Well);
-    let then = bad.load.tally().served;
-    wait_until("they are served as well", || bad.load.tally().served > then + 30);
+    bad.load.switch.set(Fault::None);
+    let then = bad.load.counts().served;
+    wait_until("they are served as well", || bad.load.counts().served > then + 30);
     let (bad, good) = (fleet.finish(bad), fleet.finish(good));
     assert!(bad.left > 60, "{bad:?}");
     assert_eq!((bad.lost, good.lost, good.left), (0, 0, 0), "{bad:?} {good:?}");
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -7,7 +7,7 @@
 
 use support::{wait_until, Fleet};
 use testbed::backend::{Backend, Spec};
-use testbed::discovery::line;
+use testbed::discovery::endpoint_json;
 use testbed::journal::Event;
 use testbed::platform::WARM_UP_MS;
 use testbed::switch::Fault;
@@ -24,19 +24,19 @@
         fleet.restart(place);
     }
     let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("served by the known list", || loading.load.tally().served > 300);
-    let before = fleet.discovery.turned_away().0;
+    wait_until("served by the known list", || loading.load.counts().served > 300);
+    let before = fleet.discovery.rejected_calls().0;
     wait_until("each is turned away again and again", || {
-        fleet.discovery.turned_away().0 > before + 2 * GATEWAYS as u64
+        fleet.discovery.rejected_calls().0 > before + 2 * GATEWAYS as u64
     });
     // Not the whole list, as what changed is enough.
-    let (all, whole) = fleet.discovery.turned_away();
+    let (all, whole) = fleet.discovery.rejected_calls();
     assert_eq!(whole, 0, "of {all} calls");
     // News that came meanwhile is heard by all, soon after discovery answers.
     let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let fresh = fresh.expect("it starts");
     fleet.discovery.list(&fresh, "SERVING");
-    fleet.discovery.switch.set(Fault::Well);
+    fleet.discovery.switch.set(Fault::None);
     wait_until("all hear of the new backend", || {
         (0..GATEWAYS).all(|place| fleet.lists(place).contains(&fresh.spec.name))
     });
@@ -57,11 +57,11 @@
         fleet.restart(place);
     }
     let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("served by the known list", || loading.load.tally().served > 300);
+    wait_until("served by the known list", || loading.load.counts().served > 300);
     let fresh = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let fresh = fresh.expect("it starts");
     fleet.discovery.list(&fresh, "SERVING");
-    fleet.discovery.switch.set(Fault::Well);
+    fleet.discovery.switch.set(Fault::None);
     wait_until("all hear of the new backend", || {
         (0..GATEWAYS).all(|place| fleet.lists(place).contains(&fresh.spec.name))
     });
@@ -82,7 +82,7 @@
     let mut fleet = Fleet::start(GATEWAYS, 6);
     fleet.wait_until_healthy();
     let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("it runs", || loading.load.tally().served > 300);
+    wait_until("it runs", || loading.load.counts().served > 300);
     // Half of them come under new names, half under their own with a new start; all at new addresses.
     let old = std::mem::take(&mut fleet.backends);
     for (number, before) in old.iter().enumerate() {
@@ -90,7 +90,7 @@
         let new = cold(&fleet, &name, number);
         fleet.discovery.list(&new, "SERVING");
         if number % 2 == 0 {
-            fleet.journal.note(Event::Drained { backend: before.spec.name.clone(), gateway: None });
+            fleet.journal.note(Event::BackendDrained { backend: before.spec.name.clone(), gateway: None });
             fleet.discovery.delete(before);
         }
         fleet.backends.push(new);
@@ -109,8 +109,8 @@
         before == old.iter().map(Backend::arrived).sum::<u64>()
     });
     drop(old);
-    let served = loading.load.tally().served;
-    wait_until("served by the new ones", || loading.load.tally().served > served + 600);
+    let served = loading.load.counts().served;
+    wait_until("served by the new ones", || loading.load.counts().served > served + 600);
     assert!(fleet.backends.iter().all(|b| b.served() > 0));
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
@@ -129,11 +129,14 @@
     }
     wait_until("all hear of them", || (0..GATEWAYS).all(|place| fleet.lists(place).len() == 6));
     let loading = fleet.load(GATEWAYS, 300.0);
-    wait_until("some had no more", || fleet.backends.iter().any(|b| b.over() > 0));
-    let served = loading.load.tally().served;
-    wait_until("served on", || loading.load.tally().served > served + 1_500);
+    wait_until("some had no more", || fleet.backends.iter().any(|b| b.refused_connections() > 0));
+    let served = loading.load.counts().served;
+    wait_until("served on", || loading.load.counts().served > served + 1_500);
     let tally = fleet.finish(loading);
-    println!("{tally:?}, beyond {:?}", fleet.backends.iter().map(Backend::over).collect::<Vec<_>>());
+    println!(
+        "{tally:?}, beyond {:?}",
+        fleet.backends.iter().map(Backend::refused_connections).collect::<Vec<_>>()
+    );
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
     fleet.assert_no_breach();
@@ -158,15 +161,15 @@
     (0..2).for_each(|place| fleet.restart(place));
     let names = ["till-3", "till-4", "till-5"].map(str::to_string);
     wait_until("both have the new list", || (0..2).all(|place| fleet.lists(place) == names));
-    let mut wrong = line(&fleet.backends[0], "SERVING");
+    let mut wrong = endpoint_json(&fleet.backends[0], "SERVING");
     wrong["address"] = "nowhere".into();
-    fleet.discovery.tell("till-3", wrong);
-    let mut ahead = line(&fleet.backends[1], "SERVING");
+    fleet.discovery.publish("till-3", wrong);
+    let mut ahead = endpoint_json(&fleet.backends[1], "SERVING");
     ahead["since_ms"] = 4e15.into();
-    fleet.discovery.tell("till-4", ahead);
-    let mut other = line(&fleet.backends[2], "SERVING");
+    fleet.discovery.publish("till-4", ahead);
+    let mut other = endpoint_json(&fleet.backends[2], "SERVING");
     (other["name"], other["address"]) = ("till-9".into(), "[::1]:9".into());
-    fleet.discovery.tell("till-9", other);
+    fleet.discovery.publish("till-9", other);
     wait_until("the wrong line is named", || {
         (0..2).all(|place| {
             fleet.gateways[place].process.log_text().contains("\"till-3\": invalid socket address")
--- a/crates/gatewayctl/tests/large_list.rs
+++ b/crates/gatewayctl/tests/large_list.rs
@@ -34,16 +34,16 @@
     for (i, backend) in fleet.backends.iter().enumerate().filter(|(i, _)| i % 3 == 0) {
         backend.switch.set(faults[i / 3 % faults.len()]);
     }
-    let then = loading.load.tally();
-    wait_until("served through it", || loading.load.tally().served > then.served + 1_500);
+    let then = loading.load.counts();
+    wait_until("served through it", || loading.load.counts().served > then.served + 1_500);
     let before = (arrived(true), arrived(false));
-    wait_until("served on", || loading.load.tally().served > then.served + 2_500);
+    wait_until("served on", || loading.load.counts().served > then.served + 2_500);
     let (bad, well) = (arrived(true) - before.0, arrived(false) - before.1);
     // A third of the work at first, if nobody had learned.
     assert!(bad * 6 < well, "{bad} to the bad ones, {well} to the others");
-    fleet.backends.iter().for_each(|b| b.switch.set(Fault::Well));
-    let now = loading.load.tally().served;
-    wait_until("all is served again", || loading.load.tally().served > now + 500);
+    fleet.backends.iter().for_each(|b| b.switch.set(Fault::None));
+    let now = loading.load.counts().served;
+    wait_until("all is served again", || loading.load.counts().served > now + 500);
     let tally = fleet.finish(loading);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{tally:?}");
--- a/crates/gatewayctl/tests/ordered_start.rs
+++ b/crates/gatewayctl/tests/ordered_start.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use support::cold_fleet::{max_in_window, ColdFleet, FleetShape};
-use testbed::discovery::Called;
+use testbed::discovery::DiscoveryCall;
 use testbed::switch::Fault;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -28,12 +28,12 @@
     fleet.all().step_by(5).collect()
 }
 
-fn since(fleet: &ColdFleet, since: Duration) -> Vec<Called> {
+fn since(fleet: &ColdFleet, since: Duration) -> Vec<DiscoveryCall> {
     fleet.service.calls().into_iter().filter(|c| c.at >= since).collect()
 }
 
 /// Slots and turns: no more than 1.35 of what the service bears, with room for a machine that is late.
-fn spread(calls: &[Called]) {
+fn spread(calls: &[DiscoveryCall]) {
     let most = max_in_window(calls, SECOND);
     assert!(most <= 22, "{most} calls in a second where ten are borne");
 }
@@ -54,7 +54,7 @@
     let calls = fleet.service.calls();
     spread(&calls);
     // Who had its slot before the agent had the list asked for itself. Ready is who knows somebody.
-    let whole = |calls: &[Called]| calls.iter().filter(|c| c.after.is_none()).count();
+    let whole = |calls: &[DiscoveryCall]| calls.iter().filter(|c| c.after.is_none()).count();
     assert!(whole(&calls) <= 14, "{} whole lists for thirty", whole(&calls));
     // Six start anew, none of which knows a list, while the service is silent: they serve by the agent's.
     let anew = sixth(&fleet);
@@ -67,7 +67,7 @@
     let loading = fleet.load(100.0);
     fleet.wait_until_served(&loading, 100);
     fleet.timeline.note("it is back");
-    fleet.service.switch.set(Fault::Well);
+    fleet.service.switch.set(Fault::None);
     fleet.wait_until_all_answered(anew, moment);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.refused), (0, 0), "{tally:?}");
@@ -103,7 +103,7 @@
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.wait_until_ready(fleet.all());
     let calls = fleet.service.calls();
-    assert_eq!(calls.iter().filter(|c| c.turned_away).count(), 0);
+    assert_eq!(calls.iter().filter(|c| c.rejected).count(), 0);
     // Slots alone.
     let most = max_in_window(&calls, SECOND);
     assert!(most <= 18, "{most} calls in a second where nine have slots");
@@ -135,7 +135,7 @@
     // A turn and a slot in a round each, and one more where a start falls into another moment of its slot.
     let rounds = ((fleet.service.now() - moment).as_secs_f64() / (30.0 / 9.0)).ceil() as usize;
     for place in loops {
-        let by_it = calls.iter().filter(|c| c.door == place).count();
+        let by_it = calls.iter().filter(|c| c.listener_index == place).count();
         assert!(by_it <= 2 * (rounds + 1) + 1, "{by_it} calls of {place} in {rounds} rounds");
     }
 }
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use tempfile::TempDir;
-use testbed::audit::{audit, Rule, Terms};
+use testbed::audit::{audit, AuditOptions, Rule};
 use testbed::backend::{Backend, Spec};
-use testbed::client::{Load, Plan, Tally};
+use testbed::client::{Load, LoadCounts, LoadProfile};
 use testbed::counter::Counter;
-use testbed::discovery::{Bears, Called, Discovery};
+use testbed::discovery::{Discovery, DiscoveryCall, DiscoveryCapacity};
 use testbed::harness::{Link, Node, Program, Timeline};
 use testbed::journal::{Event, Journal};
 use testbed::platform;
@@ -94,17 +94,17 @@
         let (runtime, journal) = (runtime.expect("a runtime"), Journal::new(1_000_000));
         let folder = tempfile::Builder::new().prefix("br-").tempdir().expect("a folder");
         let (service, counter, backends, links) = runtime.block_on(async {
-            let bears = Bears { each: LIST_CALL_TIME, places: LIST_CALLS_MAX };
-            let service = Discovery::with(gateways, Some(bears)).await.expect("it starts");
+            let bears = DiscoveryCapacity { time_per_call: LIST_CALL_TIME, max_queued: LIST_CALLS_MAX };
+            let service = Discovery::with_listeners(gateways, Some(bears)).await.expect("it starts");
             let mut all = Vec::new();
             for i in 0..backends {
                 all.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
             }
             let mut links = Vec::new();
-            for (me, door) in service.doors.iter().enumerate() {
+            for (me, door) in service.addresses.iter().enumerate() {
                 links.push(Link::to(*door, seed ^ me as u64).await.expect("it starts"));
             }
-            (service, Counter::with(counter_takes).await.expect("it starts"), all, links)
+            (service, Counter::with_time_per_call(counter_takes).await.expect("it starts"), all, links)
         });
         let empty = service.known();
         for b in &backends {
@@ -209,7 +209,7 @@
         let mut told = HashMap::new();
         for call in self.service.calls().iter().filter(|c| c.at >= since) {
             if let Some(at) = call.answered {
-                let first = told.entry(call.door).or_insert(at);
+                let first = told.entry(call.listener_index).or_insert(at);
                 *first = (*first).min(at);
             }
         }
@@ -233,11 +233,11 @@
 
     /// A load over all gateways that are ready.
     pub fn load(&self, rate: f64) -> RunningLoad {
-        self.load_of(Plan { rate, ..Plan::default() })
+        self.load_of(LoadProfile { rate, ..LoadProfile::default() })
     }
 
     /// A load by a plan over all gateways that are ready.
-    pub fn load_of(&self, plan: Plan) -> RunningLoad {
+    pub fn load_of(&self, plan: LoadProfile) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, 1 << 40, self.journal.clone());
         RunningLoad::start(&self.runtime, load, plan)
@@ -250,20 +250,20 @@
     }
 
     /// Ends a load and waits for its last answers.
-    pub fn finish(&self, load: RunningLoad) -> Tally {
+    pub fn finish(&self, load: RunningLoad) -> LoadCounts {
         load.finish(&self.runtime)
     }
 
     /// No rule broke, but that a gateway that was killed took with it what was open there; a client whose
     /// connection ended by that asks once more, and what the gateway had sent on runs twice.
     pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, Terms::default()).expect("all events are there");
+        let breaches = audit(&self.journal, AuditOptions::default()).expect("all events are there");
         let asked: HashMap<u64, (usize, Duration)> = self
             .journal
             .events()
             .iter()
             .filter_map(|(at, event)| match event {
-                Event::Asked { id, gateway, .. } => Some((*id, (*gateway, *at))),
+                Event::RequestSent { id, gateway, .. } => Some((*id, (*gateway, *at))),
                 _ => None,
             })
             .collect();
@@ -285,7 +285,7 @@
 }
 
 /// The most calls in any stretch of so long.
-pub fn max_in_window(calls: &[Called], time: Duration) -> usize {
+pub fn max_in_window(calls: &[DiscoveryCall], time: Duration) -> usize {
     let within = |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + time).count();
     (0..calls.len()).map(within).max().unwrap_or(0)
 }
--- a/crates/gatewayctl/tests/support/fleet.rs
+++ b/crates/gatewayctl/tests/support/fleet.rs
@@ -9,9 +9,9 @@
 use operator_config::Address;
 use serde_json::Value;
 use tempfile::TempDir;
-use testbed::audit::{audit, Terms};
+use testbed::audit::{audit, AuditOptions};
 use testbed::backend::{Backend, Spec};
-use testbed::client::{Load, Plan, Tally};
+use testbed::client::{Load, LoadCounts, LoadProfile};
 use testbed::counter::Counter;
 use testbed::discovery::Discovery;
 use testbed::journal::Journal;
@@ -242,20 +242,20 @@
     pub fn load_from(&self, gateways: usize, rate: f64, first_id: u64) -> RunningLoad {
         let addresses = self.gateways.iter().take(gateways).map(|g| g.address).collect();
         let load = Load::new(addresses, first_id, self.journal.clone());
-        let plan = Plan { rate, ..Plan::default() };
+        let plan = LoadProfile { rate, ..LoadProfile::default() };
         let running = RunningLoad::start(&self.runtime, load, plan);
         wait_until("the load is served", || running.tally().served > 20);
         running
     }
 
     /// Ends a load and waits for its last answers.
-    pub fn finish(&self, running: RunningLoad) -> Tally {
+    pub fn finish(&self, running: RunningLoad) -> LoadCounts {
         running.finish(&self.runtime)
     }
 
     /// No rule broke.
     pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, Terms::default()).expect("all events are there");
+        let breaches = audit(&self.journal, AuditOptions::default()).expect("all events are there");
         let shown: Vec<String> = breaches.iter().map(ToString::to_string).take(10).collect();
         assert!(breaches.is_empty(), "{} breaches: {shown:#?}", breaches.len());
     }
--- a/crates/gatewayctl/tests/support/load.rs
+++ b/crates/gatewayctl/tests/support/load.rs
@@ -1,6 +1,6 @@
 //! A load in the background of a test.
 
-use testbed::client::{Load, Plan, Tally};
+use testbed::client::{Load, LoadCounts, LoadProfile};
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -14,7 +14,7 @@
 
 impl RunningLoad {
     /// Begins a load by a plan.
-    pub fn start(runtime: &Runtime, load: Load, plan: Plan) -> RunningLoad {
+    pub fn start(runtime: &Runtime, load: Load, plan: LoadProfile) -> RunningLoad {
         let (end, ended) = oneshot::channel::<()>();
         let running = load.clone();
         let task = runtime.spawn(async move {
@@ -24,14 +24,14 @@
     }
 
     /// Answers so far.
-    pub fn tally(&self) -> Tally {
-        self.load.tally()
+    pub fn tally(&self) -> LoadCounts {
+        self.load.counts()
     }
 
     /// Ends it, and waits for its last answers.
-    pub fn finish(self, runtime: &Runtime) -> Tally {
+    pub fn finish(self, runtime: &Runtime) -> LoadCounts {
         let _ = self.end.send(());
         runtime.block_on(self.task).expect("it ends");
-        self.load.tally()
+        self.load.counts()
     }
 }
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -72,7 +72,7 @@
     assert_eq!(gone.code, 5, "{}", gone.err);
     assert!(gone.err.contains("no agent: unix:"), "{}", gone.err);
     let loading = fleet.load(2, 200.0);
-    wait_until("there is work", || loading.load.tally().served > 200);
+    wait_until("there is work", || loading.load.counts().served > 200);
     assert!(fleet.drained(0, "till-0") && fleet.drained(1, "till-0"));
     assert_eq!(fleet.backends[0].arrived(), 0);
     // One that starts anew meanwhile is empty; the agent brings it up to date before anything else.
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -24,7 +24,7 @@
 
 /// What broke a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// The request, or the last of several.
@@ -33,7 +33,7 @@
     pub seen: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?}: request {:016x}: {}", self.rule, self.id, self.seen)
     }
@@ -41,17 +41,17 @@
 
 /// What the auditor looks for.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct AuditOptions {
     /// A drained backend gets nothing new after this.
     pub drain_grace: Duration,
     /// Whether answers are owed to all requests by now: not while a load still runs.
-    pub settled: bool,
+    pub complete: bool,
 }
 
-impl Default for Terms {
+impl Default for AuditOptions {
     fn default() -> Self {
         let drain_grace = Duration::from_secs_f64(platform::STOP_SENDING_MS / 1000.0);
-        Terms { drain_grace, settled: true }
+        AuditOptions { drain_grace, complete: true }
     }
 }
 
@@ -59,10 +59,10 @@
 ///
 /// # Errors
 /// A text, if the journal had no room for some events and so nothing can be said.
-pub fn audit(journal: &Journal, terms: Terms) -> Result<Vec<Breach>, String> {
-    let passed_over = journal.passed_over();
-    if passed_over > 0 {
-        return Err(format!("the journal had no room for {passed_over} events; nothing can be said"));
+pub fn audit(journal: &Journal, terms: AuditOptions) -> Result<Vec<Violation>, String> {
+    let dropped = journal.dropped();
+    if dropped > 0 {
+        return Err(format!("the journal had no room for {dropped} events; nothing can be said"));
     }
     let events = journal.events();
     let mut breaches = Vec::new();
@@ -76,41 +76,43 @@
 
 type Events = [(Duration, Event)];
 
-fn lost(events: &Events, terms: Terms, breaches: &mut Vec<Breach>) {
+fn lost(events: &Events, terms: AuditOptions, breaches: &mut Vec<Violation>) {
     let mut answers: BTreeMap<u64, Vec<&Answer>> = BTreeMap::new();
     let mut asked = HashSet::new();
     for (_, event) in events {
         match event {
-            Event::Asked { id, .. } if !asked.insert(*id) => {
+            Event::RequestSent { id, .. } if !asked.insert(*id) => {
                 breaches.push(breach(Rule::Lost, *id, "a client asked it twice: the load is at fault"));
             }
-            Event::Asked { id, .. } => drop(answers.entry(*id).or_default()),
-            Event::Answered { id, answer } => answers.entry(*id).or_default().push(answer),
+            Event::RequestSent { id, .. } => drop(answers.entry(*id).or_default()),
+            Event::AnswerReceived { id, answer } => answers.entry(*id).or_default().push(answer),
             _ => {}
         }
     }
     for (id, got) in answers {
         match got[..] {
-            [] if terms.settled => breaches.push(breach(Rule::Lost, id, "never answered")),
-            [Answer::Lost] => breaches.push(breach(Rule::Lost, id, "its connection ended with no answer")),
-            [Answer::Odd] => breaches.push(breach(Rule::Lost, id, "answered by what no backend made for it")),
+            [] if terms.complete => breaches.push(breach(Rule::Lost, id, "never answered")),
+            [Answer::Missing] => breaches.push(breach(Rule::Lost, id, "its connection ended with no answer")),
+            [Answer::Malformed] => {
+                breaches.push(breach(Rule::Lost, id, "answered by what no backend made for it"))
+            }
             [] | [_] => {}
             _ => breaches.push(breach(Rule::Lost, id, format!("{} answers", got.len()))),
         }
     }
 }
 
-fn breach(rule: Rule, id: u64, seen: impl Into<String>) -> Breach {
-    Breach { rule, id, seen: seen.into() }
+fn breach(rule: Rule, id: u64, seen: impl Into<String>) -> Violation {
+    Violation { rule, id, seen: seen.into() }
 }
 
 /// A copy may follow one that never ran; one that may have run is the last for a class that must not run
 /// twice. Keyed ones may follow each other within the time in which their backends drop repeats.
-fn twice(events: &Events, breaches: &mut Vec<Breach>) {
+fn twice(events: &Events, breaches: &mut Vec<Violation>) {
     let window = Duration::from_secs(5);
     let mut ran: HashMap<u64, Vec<Duration>> = HashMap::new();
     for (at, event) in events {
-        let Event::Arrived { id, class, backend, ran: true, .. } = event else { continue };
+        let Event::AttemptReceived { id, class, backend, ran: true, .. } = event else { continue };
         let before = ran.entry(*id).or_default();
         let again = match class {
             Class::Safe => false,
@@ -128,18 +130,18 @@
     }
 }
 
-fn drains(events: &Events, terms: Terms, breaches: &mut Vec<Breach>) {
+fn drains(events: &Events, terms: AuditOptions, breaches: &mut Vec<Violation>) {
     // Which gateway a request came through, as a drain may have been told to one alone.
     let mut through: HashMap<u64, usize> = HashMap::new();
     let mut drained: HashMap<&str, Vec<(Duration, Option<usize>)>> = HashMap::new();
     for (at, event) in events {
         match event {
-            Event::Asked { id, gateway, .. } => drop(through.insert(*id, *gateway)),
-            Event::Drained { backend, gateway } => {
+            Event::RequestSent { id, gateway, .. } => drop(through.insert(*id, *gateway)),
+            Event::BackendDrained { backend, gateway } => {
                 drained.entry(backend).or_default().push((*at, *gateway));
             }
-            Event::Undrained { backend } => drop(drained.remove(backend.as_str())),
-            Event::Arrived { id, backend, began, .. } => {
+            Event::BackendUndrained { backend } => drop(drained.remove(backend.as_str())),
+            Event::AttemptReceived { id, backend, began, .. } => {
                 for (told, gateway) in drained.get(backend.as_str()).into_iter().flatten() {
                     let late = began.saturating_sub(*told);
                     let here = gateway.is_none_or(|g| through.get(id) == Some(&g));
@@ -160,7 +162,7 @@
 
 /// A backend that started is pushed over where it holds more than the multiple of what it can work on, cold
 /// as it is, for the whole of the time that the rule gives.
-fn cold(events: &Events, breaches: &mut Vec<Breach>) {
+fn cold(events: &Events, breaches: &mut Vec<Violation>) {
     struct Cold {
         since: Duration,
         slots: usize,
@@ -172,17 +174,19 @@
     let mut all: HashMap<&str, Cold> = HashMap::new();
     for (at, event) in events {
         let (name, id) = match event {
-            Event::Started { backend, slots } => {
+            Event::BackendStarted { backend, slots } => {
                 let cold = Cold { since: *at, slots: *slots, open: 0, over: None, told: false };
                 all.insert(backend, cold);
                 continue;
             }
-            Event::Arrived { backend, id, .. } | Event::Ended { backend, id, .. } => (backend.as_str(), *id),
+            Event::AttemptReceived { backend, id, .. } | Event::AttemptEnded { backend, id, .. } => {
+                (backend.as_str(), *id)
+            }
             _ => continue,
         };
         let Some(cold) = all.get_mut(name) else { continue };
         match event {
-            Event::Arrived { .. } => cold.open += 1,
+            Event::AttemptReceived { .. } => cold.open += 1,
             _ => cold.open = cold.open.saturating_sub(1),
         }
         let grown = (at.saturating_sub(cold.since).as_secs_f64() * 1000.0 / platform::WARM_UP_MS).min(1.0);
@@ -200,7 +204,7 @@
 }
 
 /// Each request takes its units from its customer's ceiling when its first attempt comes whole to a backend.
-fn ceilings(events: &Events, breaches: &mut Vec<Breach>) {
+fn ceilings(events: &Events, breaches: &mut Vec<Violation>) {
     let (rate, burst) =
         (platform::PAID_RATE * platform::PAID_CEILING, platform::PAID_BURST * platform::PAID_CEILING);
     // What the ceiling's rate gives in the time by which stamps may be off, on top of the slack.
@@ -209,10 +213,10 @@
     let mut stores: HashMap<u64, (Duration, f64)> = HashMap::new();
     for (at, event) in events {
         match event {
-            Event::Asked { id, customer, units, .. } if *customer >> 24 == 1 => {
+            Event::RequestSent { id, customer, units, .. } if *customer >> 24 == 1 => {
                 of.insert(*id, (*customer, *units));
             }
-            Event::Arrived { id, .. } => {
+            Event::AttemptReceived { id, .. } => {
                 let Some((customer, units)) = of.remove(id) else { continue };
                 let (then, level) = stores.entry(customer).or_insert((*at, burst));
                 *level = (*level + at.saturating_sub(*then).as_secs_f64() * rate).min(burst) - units;
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::journal::{Class, Ended, Event, Journal};
+use crate::journal::{AttemptResult, Class, Event, Journal};
 use crate::resp;
 use crate::switch::{Fault, Switch};
 
@@ -30,7 +30,7 @@
     /// Requests that it works on at once; as many again may wait, and further ones are turned away.
     pub slots: usize,
     /// How long a request takes once it has a slot.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// A cold one takes as many times longer at its start, and gets to `takes` evenly over this time.
     pub cold: Option<(f64, Duration)>,
     /// It has so many connections at most; requests on one more are turned away, and it is closed.
@@ -47,7 +47,7 @@
             kind: "m".to_string(),
             group: (number / 2) as u32,
             slots: 16,
-            takes: Duration::from_millis(5),
+            service_time: Duration::from_millis(5),
             cold: None,
             connections: usize::MAX,
         }
@@ -95,7 +95,7 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let since_ms = spec.cold.map_or(0.0, |_| unix.as_secs_f64() * 1000.0);
         if spec.cold.is_some() {
-            journal.note(Event::Started { backend: spec.name.clone(), slots: spec.slots });
+            journal.note(Event::BackendStarted { backend: spec.name.clone(), slots: spec.slots });
         }
         let serving = Serving {
             slots: Arc::new(Semaphore::new(spec.slots)),
@@ -129,7 +129,7 @@
 
     /// Connections that came beyond those that it has.
     #[must_use]
-    pub fn over(&self) -> u64 {
+    pub fn refused_connections(&self) -> u64 {
         self.counts.over.load(Ordering::Relaxed)
     }
 
@@ -238,10 +238,10 @@
         let room = self.counts.open.fetch_add(1, Ordering::Relaxed) < 2 * self.spec.slots;
         let ran = room && fault != Fault::Busy && !over;
         self.counts.arrived.fetch_add(1, Ordering::Relaxed);
-        self.journal.note(Event::Arrived { id, key, class, backend, group, began, ran });
-        let mut end = End { serving: self, id, ended: Ended::Broken };
+        self.journal.note(Event::AttemptReceived { id, key, class, backend, group, began, ran });
+        let mut end = End { serving: self, id, ended: AttemptResult::Aborted };
         if !ran {
-            end.ended = Ended::TurnedAway;
+            end.ended = AttemptResult::Rejected;
             return Some("-BUSY\r\n".to_string());
         }
         let Ok(_slot) = self.slots.acquire().await else { return None };
@@ -251,11 +251,11 @@
             Fault::Resetting => None,
             Fault::Garbled => Some("\u{1}\u{2}noise\r\n".to_string()),
             Fault::Failing => {
-                end.ended = Ended::Failed;
+                end.ended = AttemptResult::Failed;
                 Some("-ERR failed\r\n".to_string())
             }
             _ => {
-                end.ended = Ended::Served;
+                end.ended = AttemptResult::Served;
                 self.counts.served.fetch_add(1, Ordering::Relaxed);
                 let units = term("units=").unwrap_or("1");
                 let (value, used) = (format!("{id:016x}"), format!("used=0,cost={units}"));
@@ -265,9 +265,9 @@
     }
 
     fn takes(&self) -> Duration {
-        let Some((slower, warm_up)) = self.spec.cold else { return self.spec.takes };
+        let Some((slower, warm_up)) = self.spec.cold else { return self.spec.service_time };
         let cold = 1.0 - (self.started.elapsed().as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
-        self.spec.takes.mul_f64(1.0 + (slower - 1.0).max(0.0) * cold)
+        self.spec.service_time.mul_f64(1.0 + (slower - 1.0).max(0.0) * cold)
     }
 }
 
@@ -300,14 +300,14 @@
 struct End<'a> {
     serving: &'a Serving,
     id: u64,
-    ended: Ended,
+    ended: AttemptResult,
 }
 
 impl Drop for End<'_> {
     fn drop(&mut self) {
         self.serving.counts.open.fetch_sub(1, Ordering::Relaxed);
         let backend = self.serving.spec.name.clone();
-        self.serving.journal.note(Event::Ended { id: self.id, backend, ended: self.ended });
+        self.serving.journal.note(Event::AttemptEnded { id: self.id, backend, ended: self.ended });
     }
 }
 
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -16,7 +16,7 @@
 use crate::platform::{CLASSES, DEADLINE_MS, PLANS};
 use crate::resp;
 use crate::switch::{Fault, Switch};
-use crate::Dice;
+use crate::Rng;
 
 /// How long past its deadline a request may stay without an answer before it counts as lost.
 const GRACE: Duration = Duration::from_millis(1_500);
@@ -29,7 +29,7 @@
 
 /// What a load asks.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadProfile {
     /// Requests a second, over all gateways.
     pub rate: f64,
     /// Customers that they belong to.
@@ -42,15 +42,15 @@
     pub seed: u64,
 }
 
-impl Default for Plan {
+impl Default for LoadProfile {
     fn default() -> Self {
-        Plan { rate: 100.0, customers: 200, paid: 0.2, classes: [5, 2, 3], seed: 1 }
+        LoadProfile { rate: 100.0, customers: 200, paid: 0.2, classes: [5, 2, 3], seed: 1 }
     }
 }
 
 /// Answers so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct LoadCounts {
     /// Requests that were begun.
     pub asked: u64,
     /// Served with a value.
@@ -111,10 +111,10 @@
 
     /// Answers so far.
     #[must_use]
-    pub fn tally(&self) -> Tally {
+    pub fn counts(&self) -> LoadCounts {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         let c = &self.counts;
-        Tally {
+        LoadCounts {
             asked: get(&c.asked),
             served: get(&c.served),
             refused: get(&c.refused),
@@ -134,8 +134,8 @@
 
     /// Asks by the plan until `end`, then waits for the last answers. Cancelling begins nothing more, and
     /// what is open goes on.
-    pub async fn run(&self, plan: &Plan, end: impl std::future::Future<Output = ()>) {
-        let mut dice = Dice::new(plan.seed);
+    pub async fn run(&self, plan: &LoadProfile, end: impl std::future::Future<Output = ()>) {
+        let mut rng = Rng::new(plan.seed);
         let mut tick = interval(Duration::from_secs_f64(1.0 / plan.rate.max(0.1)));
         tick.set_missed_tick_behavior(MissedTickBehavior::Burst);
         let mut tasks = tokio::task::JoinSet::new();
@@ -152,25 +152,34 @@
                 continue;
             }
             let all: u64 = plan.classes.iter().sum();
-            let mut draw = dice.below(all);
+            let mut draw = rng.below(all);
             let class = plan.classes.iter().position(|w| {
                 let here = draw < *w;
                 draw = draw.saturating_sub(*w);
                 here
             });
-            let customer = dice.below(plan.customers.max(1));
-            let paid = dice.part() < plan.paid;
+            let customer = rng.below(plan.customers.max(1));
+            let paid = rng.next_f64() < plan.paid;
             let id = self.first_id + self.counts.asked.fetch_add(1, Ordering::Relaxed);
             let (gateway, class) = (at % self.gateways.len().max(1), class.unwrap_or(0));
             at += 1;
             let load = self.clone();
-            tasks.spawn(async move { load.one(gateway, id, customer, class, usize::from(paid)).await });
+            tasks.spawn(
+                async move { load.send_request(gateway, id, customer, class, usize::from(paid)).await },
+            );
         }
         while tasks.join_next().await.is_some() {}
     }
 
     /// Asks one request and gives its answer.
-    pub async fn one(&self, gateway: usize, id: u64, customer: u64, class: usize, plan: usize) -> Answer {
+    pub async fn send_request(
+        &self,
+        gateway: usize,
+        id: u64,
+        customer: u64,
+        class: usize,
+        plan: usize,
+    ) -> Answer {
         self.counts.open.fetch_add(1, Ordering::Relaxed);
         let customer = customer + 1 + ((plan as u64) << 24);
         let kind = [Class::Safe, Class::Keyed, Class::Unsafe][class.min(2)];
@@ -184,27 +193,27 @@
             words.push("body");
         }
         let command = resp::command(&words);
-        self.journal.note(Event::Asked { id, customer, class: kind, units: 1.0, gateway });
+        self.journal.note(Event::RequestSent { id, customer, class: kind, units: 1.0, gateway });
         let began = Instant::now();
         let most = Duration::from_secs_f64(DEADLINE_MS / 1000.0) + GRACE;
         let answer = match self.switch.now() {
             Fault::Resetting => self.leave(gateway, &command).await,
             Fault::Silent => self.leave(gateway, &command[..command.len() / 2]).await,
-            _ => timeout(most, self.exchange(gateway, &command, id)).await.unwrap_or(Answer::Lost),
+            _ => timeout(most, self.exchange(gateway, &command, id)).await.unwrap_or(Answer::Missing),
         };
         let count = match answer {
             Answer::Served => &self.counts.served,
-            Answer::Refused(_) => &self.counts.refused,
-            Answer::Failed | Answer::Unreached => &self.counts.failed,
-            Answer::Lost | Answer::Odd => &self.counts.lost,
-            Answer::Left => &self.counts.left,
+            Answer::Rejected(_) => &self.counts.refused,
+            Answer::Failed | Answer::NotAccepted => &self.counts.failed,
+            Answer::Missing | Answer::Malformed => &self.counts.lost,
+            Answer::Abandoned => &self.counts.left,
         };
         count.fetch_add(1, Ordering::Relaxed);
         if answer == Answer::Served {
             let micros = began.elapsed().as_micros() as u64;
             self.latencies.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(micros);
         }
-        self.journal.note(Event::Answered { id, answer: answer.clone() });
+        self.journal.note(Event::AnswerReceived { id, answer: answer.clone() });
         self.counts.open.fetch_sub(1, Ordering::Relaxed);
         answer
     }
@@ -216,7 +225,7 @@
             sleep(LEAVE_AFTER).await;
             let _ = stream.set_zero_linger();
         }
-        Answer::Left
+        Answer::Abandoned
     }
 
     async fn exchange(&self, gateway: usize, command: &[u8], id: u64) -> Answer {
@@ -237,11 +246,11 @@
                 if !takes_clients(&mut stream).await {
                     continue;
                 }
-                return self.talk(place, stream, command, id).await.unwrap_or(Answer::Lost);
+                return self.talk(place, stream, command, id).await.unwrap_or(Answer::Missing);
             }
         }
         // Nobody took it, so there is nothing that could be lost.
-        Answer::Unreached
+        Answer::NotAccepted
     }
 
     /// `None` if the connection ended with no byte of an answer.
@@ -256,17 +265,17 @@
         }
         let mut buffer = BytesMut::new();
         let Some(message) = resp::read(&mut stream, &mut buffer).await else {
-            return if buffer.is_empty() { None } else { Some(Answer::Odd) };
+            return if buffer.is_empty() { None } else { Some(Answer::Malformed) };
         };
         let answer = match message.frame {
             BytesFrame::BulkString(value) if value[..] == *format!("{id:016x}").as_bytes() => Answer::Served,
             BytesFrame::Error(line) => match line.split_once(' ') {
-                None if &*line == "BUSY" => Answer::Refused(None),
-                Some(("BUSY", ms)) => ms.parse().map_or(Answer::Odd, |ms| Answer::Refused(Some(ms))),
+                None if &*line == "BUSY" => Answer::Rejected(None),
+                Some(("BUSY", ms)) => ms.parse().map_or(Answer::Malformed, |ms| Answer::Rejected(Some(ms))),
                 Some(("ERR", _)) => Answer::Failed,
-                _ => Answer::Odd,
+                _ => Answer::Malformed,
             },
-            _ => Answer::Odd,
+            _ => Answer::Malformed,
         };
         let mut idle = self.idle[gateway].lock().unwrap_or_else(PoisonError::into_inner);
         if buffer.is_empty() && idle.len() < MAX_IDLE_CONNECTIONS {
--- a/crates/testbed/src/counter.rs
+++ b/crates/testbed/src/counter.rs
@@ -70,14 +70,14 @@
     /// # Errors
     /// The system's, if there is no port.
     pub async fn start() -> std::io::Result<Counter> {
-        Counter::with(Duration::ZERO).await
+        Counter::with_time_per_call(Duration::ZERO).await
     }
 
     /// Starts one that works on one call after another, so long on each; zero: on all at once.
     ///
     /// # Errors
     /// The system's, if there is no port.
-    pub async fn with(each: Duration) -> std::io::Result<Counter> {
+    pub async fn with_time_per_call(each: Duration) -> std::io::Result<Counter> {
         let work = Work { each, turn: Arc::new(tokio::sync::Mutex::new(Instant::now())) };
         let begun = Instant::now();
         let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -130,7 +130,7 @@
     }
 
     /// Forgets all names, as a counter that was replaced by an empty one.
-    pub fn empty(&self) {
+    pub fn clear(&self) {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).totals.clear();
     }
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -28,20 +28,20 @@
 
 /// What a list service bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Bears {
+pub struct DiscoveryCapacity {
     /// It works on one call after another, so long on each.
-    pub each: Duration,
+    pub time_per_call: Duration,
     /// So many calls may stand before it; it turns further ones away.
-    pub places: usize,
+    pub max_queued: usize,
 }
 
 /// A call for the list that came whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Called {
+pub struct DiscoveryCall {
     /// When, from the service's start.
     pub at: Duration,
     /// By which of its addresses.
-    pub door: usize,
+    pub listener_index: usize,
     /// The version after which changes are wanted; none: the whole list.
     pub after: Option<u64>,
     /// How long it may wait for news.
@@ -49,7 +49,7 @@
     /// When an answer with a list was written, from the service's start.
     pub answered: Option<Duration>,
     /// Whether it was turned away.
-    pub turned_away: bool,
+    pub rejected: bool,
 }
 
 /// Calls that are kept at most.
@@ -58,19 +58,19 @@
 struct Shared {
     started: Instant,
     switch: Switch,
-    bears: Option<Bears>,
+    capacity: Option<DiscoveryCapacity>,
     list: watch::Sender<List>,
     /// Grows when another service takes this one's place.
     lives: watch::Sender<u64>,
-    calls: Mutex<Vec<Called>>,
-    /// Calls of each door.
+    calls: Mutex<Vec<DiscoveryCall>>,
+    /// Calls of each listener.
     by_door: Vec<AtomicU64>,
     /// Calls that stand before the service, and when it is done with them.
     standing: Mutex<(usize, Instant)>,
 }
 
 impl Shared {
-    fn calls(&self) -> MutexGuard<'_, Vec<Called>> {
+    fn calls(&self) -> MutexGuard<'_, Vec<DiscoveryCall>> {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -79,26 +79,26 @@
     }
 
     /// Notes a call, and gives its place among them.
-    fn note(&self, door: usize, after: Option<u64>, wait: Duration) -> usize {
+    fn note(&self, listener_index: usize, after: Option<u64>, wait: Duration) -> usize {
         let at = self.started.elapsed();
         let mut calls = self.calls();
         if calls.len() >= MAX_RECORDED_CALLS {
             return usize::MAX;
         }
-        calls.push(Called { at, door, after, wait, answered: None, turned_away: false });
+        calls.push(DiscoveryCall { at, listener_index, after, wait, answered: None, rejected: false });
         calls.len() - 1
     }
 
     /// Takes a place, and waits until the call was worked on; `false` if there is none.
     async fn work(&self) -> bool {
-        let Some(Bears { each, places }) = self.bears else { return true };
+        let Some(DiscoveryCapacity { time_per_call, max_queued }) = self.capacity else { return true };
         let done = {
             let mut standing = self.standing();
-            if standing.0 >= places {
+            if standing.0 >= max_queued {
                 return false;
             }
             standing.0 += 1;
-            standing.1 = standing.1.max(Instant::now()) + each;
+            standing.1 = standing.1.max(Instant::now()) + time_per_call;
             standing.1
         };
         let _leaves = Leaves(self);
@@ -121,7 +121,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// All addresses that it listens at, the first among them: one for each party, to tell their calls apart.
-    pub doors: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// What is wrong with it.
     pub switch: Switch,
     shared: Arc<Shared>,
@@ -140,38 +140,41 @@
     /// # Errors
     /// The system's, if there is no port.
     pub async fn start() -> std::io::Result<Discovery> {
-        Discovery::with(1, None).await
+        Discovery::with_listeners(1, None).await
     }
 
     /// Starts one with so many addresses, one at least, and a bound on what it bears.
     ///
     /// # Errors
     /// The system's, if there is no port.
-    pub async fn with(doors: usize, bears: Option<Bears>) -> std::io::Result<Discovery> {
+    pub async fn with_listeners(
+        listeners: usize,
+        capacity: Option<DiscoveryCapacity>,
+    ) -> std::io::Result<Discovery> {
         let (switch, started) = (Switch::default(), Instant::now());
         let shared = Arc::new(Shared {
             started,
             switch: switch.clone(),
-            bears,
+            capacity,
             list: watch::Sender::new(List::default()),
             lives: watch::Sender::new(0),
             calls: Mutex::default(),
-            by_door: (0..doors.max(1)).map(|_| AtomicU64::new(0)).collect(),
+            by_door: (0..listeners.max(1)).map(|_| AtomicU64::new(0)).collect(),
             standing: Mutex::new((0, started)),
         });
         let (mut addresses, mut tasks) = (Vec::new(), Vec::new());
-        for door in 0..doors.max(1) {
+        for listener_index in 0..listeners.max(1) {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let address = listener.local_addr()?;
             addresses.push(address);
-            tasks.push(tokio::spawn(listen(listener, address, door, Arc::clone(&shared))));
+            tasks.push(tokio::spawn(listen(listener, address, listener_index, Arc::clone(&shared))));
         }
-        Ok(Discovery { address: addresses[0], doors: addresses, switch, shared, tasks })
+        Ok(Discovery { address: addresses[0], addresses: addresses, switch, shared, tasks })
     }
 
     /// All calls so far, in the order of their coming.
     #[must_use]
-    pub fn calls(&self) -> Vec<Called> {
+    pub fn calls(&self) -> Vec<DiscoveryCall> {
         self.shared.calls().clone()
     }
 
@@ -182,7 +185,7 @@
     }
 
     /// Another service takes its place: all connections end, and its list is the same under this version.
-    pub fn replace(&self, index: u64) {
+    pub fn restart_at_index(&self, index: u64) {
         self.shared.list.send_modify(|list| {
             list.index = index;
             list.lines.values_mut().for_each(|line| line.0 = index);
@@ -192,26 +195,29 @@
 
     /// Lists a backend under a status: `SERVING` or `DRAINING`.
     pub fn list(&self, backend: &Backend, status: &str) {
-        self.tell(&backend.spec.name, line(backend, status));
+        self.publish(&backend.spec.name, endpoint_json(backend, status));
     }
 
     /// Takes a backend off the list.
     pub fn delete(&self, backend: &Backend) {
-        self.tell(&backend.spec.name, line(backend, "DELETED"));
+        self.publish(&backend.spec.name, endpoint_json(backend, "DELETED"));
     }
 
     /// Lists a backend in the place of another, in one version: whoever watches hears of both.
-    pub fn list_for(&self, new: &Backend, gone: &Backend) {
-        self.tell_all([(&gone.spec.name, line(gone, "DELETED")), (&new.spec.name, line(new, "SERVING"))]);
+    pub fn replace_backend(&self, new: &Backend, gone: &Backend) {
+        self.publish_all([
+            (&gone.spec.name, endpoint_json(gone, "DELETED")),
+            (&new.spec.name, endpoint_json(new, "SERVING")),
+        ]);
     }
 
     /// Tells a line as it stands.
-    pub fn tell(&self, name: &str, line: Value) {
-        self.tell_all([(name, line)]);
+    pub fn publish(&self, name: &str, line: Value) {
+        self.publish_all([(name, line)]);
     }
 
     /// Tells lines as they stand, in one version.
-    fn tell_all<'a>(&self, lines: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>) {
+    fn publish_all<'a>(&self, lines: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>) {
         self.shared.list.send_modify(|list| {
             list.index += 1;
             let index = list.index;
@@ -222,9 +228,9 @@
 
     /// Calls that were turned away, and those of them that asked for the whole list.
     #[must_use]
-    pub fn turned_away(&self) -> (u64, u64) {
+    pub fn rejected_calls(&self) -> (u64, u64) {
         let calls = self.shared.calls();
-        let all = calls.iter().filter(|call| call.turned_away);
+        let all = calls.iter().filter(|call| call.rejected);
         (all.clone().count() as u64, all.filter(|call| call.after.is_none()).count() as u64)
     }
 
@@ -243,7 +249,7 @@
 
 /// A backend's line of the list.
 #[must_use]
-pub fn line(backend: &Backend, status: &str) -> Value {
+pub fn endpoint_json(backend: &Backend, status: &str) -> Value {
     let spec = &backend.spec;
     json!({"name": spec.name, "address": backend.address.to_string(), "zone": spec.zone, "type": spec.kind,
            "group": spec.group, "status": status, "weight": 1.0, "since_ms": backend.since_ms})
@@ -256,7 +262,7 @@
     json!({"index": list.index, "snapshot": after.is_none(), "endpoints": lines.collect::<Vec<_>>()})
 }
 
-async fn listen(listener: TcpListener, address: SocketAddr, door: usize, shared: Arc<Shared>) {
+async fn listen(listener: TcpListener, address: SocketAddr, listener_index: usize, shared: Arc<Shared>) {
     let mut open = Ok(listener);
     let mut talks = tokio::task::JoinSet::new();
     let mut lives = shared.lives.subscribe();
@@ -272,7 +278,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    talks.spawn(serve(stream, door, Arc::clone(&shared)));
+                    talks.spawn(serve(stream, listener_index, Arc::clone(&shared)));
                 }
                 open = Ok(listener);
             }
@@ -290,7 +296,7 @@
     }
 }
 
-async fn serve(stream: TcpStream, door: usize, shared: Arc<Shared>) -> Option<()> {
+async fn serve(stream: TcpStream, listener_index: usize, shared: Arc<Shared>) -> Option<()> {
     let switch = &shared.switch;
     let mut stream = BufReader::new(stream);
     loop {
@@ -311,14 +317,14 @@
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?.parse().ok()
         };
         let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0).min(60_000));
-        let place = shared.note(door, after, Duration::from_millis(wait));
+        let place = shared.note(listener_index, after, Duration::from_millis(wait));
         // What came while it is silent is worked on afterwards.
         switch.until(|f| f != Fault::Silent).await;
-        let odd = shared.by_door[door].fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
-        let away = switch.now() == Fault::Busy || odd && switch.now() == Fault::EverySecond;
+        let odd = shared.by_door[listener_index].fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
+        let away = switch.now() == Fault::Busy || odd && switch.now() == Fault::AlternateBusy;
         if away || !shared.work().await {
             if let Some(call) = shared.calls().get_mut(place) {
-                call.turned_away = true;
+                call.rejected = true;
             }
             let busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
             stream.write_all(busy).await.ok()?;
--- a/crates/testbed/src/overseen.rs
+++ b/crates/testbed/src/gateway_stand_in.rs
@@ -16,7 +16,7 @@
 
 /// A running one. It ends with the value.
 #[derive(Debug)]
-pub struct Overseen {
+pub struct GatewayStandIn {
     /// What is wrong with it: slow and silent are known here.
     pub switch: Switch,
     held: Arc<Mutex<Held>>,
@@ -31,12 +31,17 @@
     backends: Vec<BackendState>,
 }
 
-impl Overseen {
+impl GatewayStandIn {
     /// Starts one that lists so many backends, `till-0` and on.
     ///
     /// # Errors
     /// A [`BindError`], if its socket can't be had.
-    pub async fn start(name: &str, boot: u64, at: &Address, backends: usize) -> Result<Overseen, BindError> {
+    pub async fn start(
+        name: &str,
+        boot: u64,
+        at: &Address,
+        backends: usize,
+    ) -> Result<GatewayStandIn, BindError> {
         let listener = Listener::bind(at, None, MAX_LINE_BYTES).await?;
         let row = |i: usize| BackendState {
             name: format!("till-{i}"),
@@ -69,7 +74,7 @@
                 while talks.try_join_next().is_some() {}
             }
         });
-        Ok(Overseen { switch, held, task })
+        Ok(GatewayStandIn { switch, held, task })
     }
 
     /// Whether an order drains a backend here.
@@ -80,7 +85,7 @@
     }
 }
 
-impl Drop for Overseen {
+impl Drop for GatewayStandIn {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -5,9 +5,9 @@
 
 use super::{Failed, Node, Program};
 use crate::backend::{Backend, Spec};
-use crate::client::{Load, Plan, Tally};
+use crate::client::{Load, LoadCounts, LoadProfile};
 use crate::counter::Counter;
-use crate::discovery::{Bears, Discovery};
+use crate::discovery::{Discovery, DiscoveryCapacity};
 use crate::journal::Journal;
 use crate::platform;
 use tokio::sync::oneshot;
@@ -57,8 +57,12 @@
     ) -> Result<Fleet, Failed> {
         let folder = tempfile::Builder::new().prefix("br-").tempdir()?;
         let each = Duration::from_millis(20);
-        let service = Discovery::with(gateways, Some(Bears { each, places: 50 })).await?;
-        let (counter, journal) = (Counter::with(counter_takes).await?, Journal::new(4_000_000));
+        let service = Discovery::with_listeners(
+            gateways,
+            Some(DiscoveryCapacity { time_per_call: each, max_queued: 50 }),
+        )
+        .await?;
+        let (counter, journal) = (Counter::with_time_per_call(counter_takes).await?, Journal::new(4_000_000));
         let mut all = Vec::new();
         for i in 0..backends {
             all.push(Backend::start(Spec::plain(i), journal.clone()).await?);
@@ -77,7 +81,7 @@
         let (program, agents) = (program("gateway"), program("agent"));
         let agent = Node::new(folder.path(), &serde_json::json!({"name": "agent"}))?;
         let mut nodes = Vec::new();
-        for (me, door) in service.doors.iter().enumerate() {
+        for (me, door) in service.addresses.iter().enumerate() {
             let mut config = platform::config(me, gateways, *door, counter.address, &known, None);
             config["seed"] = format!("{:016x}", (seed << 32) + me as u64).into();
             nodes.push(Node::new(folder.path(), &config)?);
@@ -122,7 +126,7 @@
 
     /// Puts a load on all gateways.
     #[must_use]
-    pub fn load(&self, plan: Plan) -> Loading {
+    pub fn load(&self, plan: LoadProfile) -> Loading {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, plan.seed << 40, self.journal.clone());
         let (end, ended) = oneshot::channel::<()>();
@@ -135,30 +139,30 @@
 impl Loading {
     /// The tally after each of so many seconds from now on.
     #[must_use]
-    pub fn by_second(&self, seconds: u64) -> JoinHandle<Vec<Tally>> {
+    pub fn by_second(&self, seconds: u64) -> JoinHandle<Vec<LoadCounts>> {
         let load = self.load.clone();
         tokio::spawn(async move {
             let mut samples = Vec::new();
             for _ in 0..seconds {
                 sleep(Duration::from_secs(1)).await;
-                samples.push(load.tally());
+                samples.push(load.counts());
             }
             samples
         })
     }
 
     /// Ends it and waits for its last answers.
-    pub async fn finish(self) -> Tally {
+    pub async fn finish(self) -> LoadCounts {
         let _ = self.end.send(());
         // Fails only where the load has panicked, which it says by itself.
         let _ = self.task.await;
-        self.load.tally()
+        self.load.counts()
     }
 }
 
 /// The part of what was asked between two moments that was served.
 #[must_use]
-pub fn served_part(now: Tally, before: Tally) -> f64 {
+pub fn served_part(now: LoadCounts, before: LoadCounts) -> f64 {
     (now.served - before.served) as f64 / (now.asked - before.asked).max(1) as f64
 }
 
--- a/crates/testbed/src/harness/link.rs
+++ b/crates/testbed/src/harness/link.rs
@@ -11,7 +11,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::Dice;
+use crate::Rng;
 
 /// Bytes that are read at once.
 const PIECE: usize = 8 * 1024;
@@ -113,12 +113,12 @@
 }
 
 async fn relay(listener: TcpListener, party: SocketAddr, state: Arc<watch::Sender<State>>, seed: u64) {
-    let (mut pairs, mut dice) = (JoinSet::new(), Dice::new(seed));
+    let (mut pairs, mut rng) = (JoinSet::new(), Rng::new(seed));
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    pairs.spawn(pair(stream, party, state.subscribe(), dice.draw()));
+                    pairs.spawn(pair(stream, party, state.subscribe(), rng.next_u64()));
                 }
             }
             Some(_) = pairs.join_next(), if !pairs.is_empty() => {}
@@ -161,14 +161,14 @@
     resets: u64,
 ) {
     let (sent, mut coming) = mpsc::channel::<(Instant, Vec<u8>)>(ON_THE_WAY);
-    let (mut dice, reading, mut reset) = (Dice::new(seed), state.clone(), state.clone());
+    let (mut rng, reading, mut reset) = (Rng::new(seed), state.clone(), state.clone());
     let read = async move {
         loop {
             let mut piece = vec![0; PIECE];
             let Ok(n @ 1..) = from.read(&mut piece).await else { return };
             piece.truncate(n);
             let now = of(&reading.borrow(), way);
-            let again = if dice.part() < now.lost { SENT_AGAIN } else { Duration::ZERO };
+            let again = if rng.next_f64() < now.lost { SENT_AGAIN } else { Duration::ZERO };
             if sent.send((Instant::now() + now.delay + again, piece)).await.is_err() {
                 return;
             }
--- a/crates/testbed/src/harness/timeline.rs
+++ b/crates/testbed/src/harness/timeline.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use crate::Dice;
+use crate::Rng;
 
 /// A record of what was done, and the seed that moments and targets are drawn from. Clones share it.
 #[derive(Clone, Debug)]
@@ -24,8 +24,8 @@
 
     /// The source of chance for what is done, the same for the same seed.
     #[must_use]
-    pub fn dice(&self) -> Dice {
-        Dice::new(self.seed)
+    pub fn rng(&self) -> Rng {
+        Rng::new(self.seed)
     }
 
     /// Time since it began.
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -16,15 +16,15 @@
 
 /// How a backend ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptResult {
     /// With its value.
     Served,
     /// With an error, after it ran.
     Failed,
     /// Turned away unseen; it never ran.
-    TurnedAway,
+    Rejected,
     /// The connection broke, or its gateway gave up, after it began.
-    Broken,
+    Aborted,
 }
 
 /// The final answer that a client got.
@@ -33,24 +33,24 @@
     /// The value.
     Served,
     /// Refused; when to come again, ms.
-    Refused(Option<u64>),
+    Rejected(Option<u64>),
     /// Failed.
     Failed,
     /// The connection ended with no whole answer.
-    Lost,
+    Missing,
     /// Bytes that are no answer.
-    Odd,
+    Malformed,
     /// None is owed: the client left before one came.
-    Left,
+    Abandoned,
     /// No gateway accepted the connection, so none has taken the request.
-    Unreached,
+    NotAccepted,
 }
 
 /// Something that passed.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client wrote a request whole.
-    Asked {
+    RequestSent {
         /// The request.
         id: u64,
         /// Its customer.
@@ -63,14 +63,14 @@
         gateway: usize,
     },
     /// A client got an answer, or the end of the connection.
-    Answered {
+    AnswerReceived {
         /// The request.
         id: u64,
         /// The answer.
         answer: Answer,
     },
     /// A request came whole to a backend.
-    Arrived {
+    AttemptReceived {
         /// The request.
         id: u64,
         /// Its key, in a keyed class.
@@ -87,28 +87,28 @@
         ran: bool,
     },
     /// A backend has ended a request.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: u64,
         /// The backend.
         backend: String,
         /// How.
-        ended: Ended,
+        ended: AttemptResult,
     },
     /// Nothing new is to go to a backend from now on; `gateway` says to which it was told, none to all.
-    Drained {
+    BackendDrained {
         /// The backend.
         backend: String,
         /// The place of the gateway that was told.
         gateway: Option<usize>,
     },
     /// A backend takes new work again.
-    Undrained {
+    BackendUndrained {
         /// The backend.
         backend: String,
     },
     /// A backend has started, cold.
-    Started {
+    BackendStarted {
         /// The backend.
         backend: String,
         /// Requests at once that it bears warm.
@@ -127,7 +127,7 @@
 #[derive(Debug, Default)]
 struct Kept {
     events: Vec<(Duration, Event)>,
-    passed_over: u64,
+    dropped: u64,
 }
 
 impl Journal {
@@ -150,7 +150,7 @@
         if kept.events.len() < self.most {
             kept.events.push((at, event));
         } else {
-            kept.passed_over += 1;
+            kept.dropped += 1;
         }
     }
 
@@ -162,8 +162,8 @@
 
     /// Events that there was no room for.
     #[must_use]
-    pub fn passed_over(&self) -> u64 {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner).passed_over
+    pub fn dropped(&self) -> u64 {
+        self.kept.lock().unwrap_or_else(PoisonError::into_inner).dropped
     }
 
     /// Forgets all events so far.
--- a/crates/testbed/src/rig/attempts.rs
+++ b/crates/testbed/src/rig/attempts.rs
@@ -43,7 +43,7 @@
             work += cost.map_or(0.0, |c| c.handshake_ms);
         }
         match self.backends[backend as usize].fault {
-            Some(FaultKind::Failing(part)) if self.rng.part() < part => {
+            Some(FaultKind::Failing(part)) if self.rng.next_f64() < part => {
                 // It has run, as far as anyone knows.
                 self.attempts[place].service_time_ms = Some(0.0);
                 return self.settle(place, ONE_WAY_LATENCY_MS, Outcome::Error);
--- a/crates/testbed/src/rig/fleet_events.rs
+++ b/crates/testbed/src/rig/fleet_events.rs
@@ -102,7 +102,7 @@
             let (incarnation, watches) = (node.incarnation, node.up && node.without_list_since.is_none());
             if watches {
                 let late = self.scenario.discovery.map_or(0.0, |d| d.max_delay_ms);
-                let wait = if late > 0.0 { late * self.rng.part() } else { 0.0 };
+                let wait = if late > 0.0 { late * self.rng.next_f64() } else { 0.0 };
                 self.schedule(wait, SimulationEvent::Fleet(FleetEvent::ReceiveChanges(g, incarnation)));
             }
         }
--- a/crates/testbed/src/rig/requests.rs
+++ b/crates/testbed/src/rig/requests.rs
@@ -37,7 +37,7 @@
     pub(super) fn arrival(&mut self) {
         let s = self.scenario;
         let capacity = f64::from(s.backends * s.slots) / s.service_time_ms;
-        let wait = -(1.0 - self.rng.part()).ln() / (capacity * s.load);
+        let wait = -(1.0 - self.rng.next_f64()).ln() / (capacity * s.load);
         if self.now - BEGIN_MS + wait < s.duration_ms {
             self.schedule(wait, SimulationEvent::Arrival);
         }
@@ -49,7 +49,7 @@
             here
         });
         // Half of the time of a mean request, and a part with a long tail.
-        let work = s.service_time_ms * (0.5 - 0.5 * (1.0 - self.rng.part()).ln());
+        let work = s.service_time_ms * (0.5 - 0.5 * (1.0 - self.rng.next_f64()).ln());
         let (class, mut gateway) = (class.unwrap_or(0), self.rng.below(u64::from(s.gateways)) as u32);
         // Clients go to one that is up, as long as there is any.
         let up = |n: &Node| n.up;
--- a/crates/testbed/src/rig/simulation.rs
+++ b/crates/testbed/src/rig/simulation.rs
@@ -14,7 +14,7 @@
 use super::requests::ClientRequest;
 use super::settings::settings;
 use super::{Chooser, FaultKind, FaultTarget, Report, Scenario};
-use crate::Dice;
+use crate::Rng;
 
 /// One way between a gateway and a backend, ms.
 pub(super) const ONE_WAY_LATENCY_MS: f64 = 0.25;
@@ -25,7 +25,7 @@
     pub now: f64,
     pub events: BinaryHeap<Reverse<ScheduledEvent>>,
     pub last_sequence: u64,
-    pub rng: Dice,
+    pub rng: Rng,
     pub nodes: Vec<Node>,
     pub backends: Vec<Backend>,
     /// Backends that changed on the list, in order.
@@ -55,7 +55,7 @@
         now: BEGIN_MS,
         events: BinaryHeap::new(),
         last_sequence: 0,
-        rng: Dice::new(shape.seed),
+        rng: Rng::new(shape.seed),
         nodes: (0..gateways).map(node).collect(),
         backends: (0..shape.backends).map(|n| Backend::new(shape, n, 0.0)).collect(),
         changes: Vec::new(),
@@ -146,7 +146,7 @@
         for (number, backend) in (0..).zip(&mut self.backends) {
             // The same ones that had the fault recover from it.
             let concerned = match fault.target {
-                FaultTarget::Fraction(part) if begins => self.rng.part() < part,
+                FaultTarget::Fraction(part) if begins => self.rng.next_f64() < part,
                 FaultTarget::Fraction(_) => backend.fault == Some(fault.kind),
                 FaultTarget::Zone(zone) => backend.zone == zone,
                 FaultTarget::Cell(cell) => backend.cell == cell,
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use crate::switch::{Fault, Switch};
-use crate::Dice;
+use crate::Rng;
 
 /// A fault of one stand-in for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,15 +33,15 @@
 impl Script {
     /// Draws so many faults among `stand_ins`, each 200 to 700 ms long with 100 to 400 ms between.
     #[must_use]
-    pub fn draw(seed: u64, stand_ins: usize, faults: usize) -> Script {
-        let mut dice = Dice::new(seed);
+    pub fn generate(seed: u64, stand_ins: usize, faults: usize) -> Script {
+        let mut rng = Rng::new(seed);
         let mut at = Duration::ZERO;
         let mut steps = Vec::with_capacity(faults);
         for _ in 0..faults {
-            at += Duration::from_millis(100 + dice.below(300));
-            let lasts = Duration::from_millis(200 + dice.below(500));
+            at += Duration::from_millis(100 + rng.below(300));
+            let lasts = Duration::from_millis(200 + rng.below(500));
             let kinds = [
-                Fault::Slow(Duration::from_millis(50 + dice.below(200))),
+                Fault::Slow(Duration::from_millis(50 + rng.below(200))),
                 Fault::Silent,
                 Fault::Refusing,
                 Fault::Resetting,
@@ -49,8 +49,8 @@
                 Fault::Busy,
                 Fault::Garbled,
             ];
-            let fault = kinds[dice.below(kinds.len() as u64) as usize];
-            steps.push(Step { at, which: dice.below(stand_ins as u64) as usize, fault, lasts });
+            let fault = kinds[rng.below(kinds.len() as u64) as usize];
+            steps.push(Step { at, which: rng.below(stand_ins as u64) as usize, fault, lasts });
             at += lasts;
         }
         Script { seed, steps }
@@ -64,7 +64,7 @@
             let Some(switch) = switches.get(step.which) else { continue };
             switch.set(step.fault);
             sleep(step.lasts).await;
-            switch.set(Fault::Well);
+            switch.set(Fault::None);
             now = step.at + step.lasts;
         }
     }
--- a/crates/testbed/src/switch.rs
+++ b/crates/testbed/src/switch.rs
@@ -10,7 +10,7 @@
 pub enum Fault {
     /// As it should.
     #[default]
-    Well,
+    None,
     /// Each answer comes so much later.
     Slow(Duration),
     /// It reads, and says nothing. Connections stay open.
@@ -24,7 +24,7 @@
     /// Each message is turned away unseen.
     Busy,
     /// The list service turns the first, third and so on of each party's messages away unseen; others work.
-    EverySecond,
+    AlternateBusy,
     /// Each message is answered by bytes that mean nothing.
     Garbled,
 }
@@ -35,7 +35,7 @@
 
 impl Default for Switch {
     fn default() -> Self {
-        Switch(Arc::new(watch::Sender::new(Fault::Well)))
+        Switch(Arc::new(watch::Sender::new(Fault::None)))
     }
 }
 
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -3,29 +3,29 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use testbed::audit::{audit, Breach, Rule, Terms};
-use testbed::journal::{Answer, Class, Ended, Event, Journal};
+use testbed::audit::{audit, AuditOptions, Rule, Violation};
+use testbed::journal::{Answer, AttemptResult, Class, Event, Journal};
 use testbed::platform;
 
 fn asked(id: u64, class: Class, customer: u64) -> Event {
-    Event::Asked { id, customer, class, units: 1.0, gateway: 0 }
+    Event::RequestSent { id, customer, class, units: 1.0, gateway: 0 }
 }
 
 fn arrived(journal: &Journal, id: u64, class: Class, backend: &str, ran: bool) -> Event {
     let (key, backend) = ((class == Class::Keyed).then(|| "k".to_string()), backend.to_string());
-    Event::Arrived { id, key, class, backend, group: 0, began: journal.now(), ran }
+    Event::AttemptReceived { id, key, class, backend, group: 0, began: journal.now(), ran }
 }
 
 fn answered(id: u64, answer: Answer) -> Event {
-    Event::Answered { id, answer }
+    Event::AnswerReceived { id, answer }
 }
 
-fn judge(journal: &Journal, terms: Terms) -> Vec<Breach> {
+fn judge(journal: &Journal, terms: AuditOptions) -> Vec<Violation> {
     audit(journal, terms).expect("all events are there")
 }
 
 fn rules(journal: &Journal) -> Vec<(Rule, u64)> {
-    judge(journal, Terms::default()).into_iter().map(|b| (b.rule, b.id)).collect()
+    judge(journal, AuditOptions::default()).into_iter().map(|b| (b.rule, b.id)).collect()
 }
 
 #[test]
@@ -35,13 +35,13 @@
         journal.note(asked(id, Class::Safe, 1));
     }
     journal.note(answered(1, Answer::Served));
-    journal.note(answered(2, Answer::Lost));
-    journal.note(answered(3, Answer::Odd));
-    journal.note(answered(4, Answer::Refused(None)));
+    journal.note(answered(2, Answer::Missing));
+    journal.note(answered(3, Answer::Malformed));
+    journal.note(answered(4, Answer::Rejected(None)));
     journal.note(answered(4, Answer::Served));
     assert_eq!(rules(&journal), [2, 3, 4, 5].map(|id| (Rule::Lost, id)));
     // While the load runs, the one that is still open is not.
-    let open = judge(&journal, Terms { settled: false, ..Terms::default() });
+    let open = judge(&journal, AuditOptions { complete: false, ..AuditOptions::default() });
     assert!(open.iter().all(|b| b.id != 5), "{open:?}");
 }
 
@@ -60,8 +60,8 @@
 #[test]
 fn work_after_the_grace_of_a_drain_is_found_for_the_gateway_that_was_told() {
     let journal = Journal::new(100);
-    let terms = Terms { drain_grace: Duration::from_millis(20), ..Terms::default() };
-    let drain = |backend: &str, gateway| Event::Drained { backend: backend.to_string(), gateway };
+    let terms = AuditOptions { drain_grace: Duration::from_millis(20), ..AuditOptions::default() };
+    let drain = |backend: &str, gateway| Event::BackendDrained { backend: backend.to_string(), gateway };
     journal.note(drain("a", None));
     journal.note(drain("b", Some(1)));
     journal.note(asked(1, Class::Safe, 1));
@@ -71,7 +71,7 @@
     journal.note(arrived(&journal, 1, Class::Safe, "b", true));
     journal.note(asked(2, Class::Safe, 1));
     journal.note(arrived(&journal, 2, Class::Safe, "a", true));
-    journal.note(Event::Undrained { backend: "a".to_string() });
+    journal.note(Event::BackendUndrained { backend: "a".to_string() });
     journal.note(asked(3, Class::Safe, 1));
     journal.note(arrived(&journal, 3, Class::Safe, "a", true));
     (1..=3).for_each(|id| journal.note(answered(id, Answer::Served)));
@@ -84,7 +84,7 @@
 fn a_cold_backend_that_is_held_under_too_much_is_found_and_one_that_is_let_go_is_not() {
     for held in [true, false] {
         let journal = Journal::new(100);
-        journal.note(Event::Started { backend: "a".to_string(), slots: 1 });
+        journal.note(Event::BackendStarted { backend: "a".to_string(), slots: 1 });
         for id in 1..=6 {
             journal.note(asked(id, Class::Safe, 1));
             journal.note(arrived(&journal, id, Class::Safe, "a", true));
@@ -92,7 +92,11 @@
         }
         if !held {
             for id in 1..=6 {
-                journal.note(Event::Ended { id, backend: "a".to_string(), ended: Ended::Served });
+                journal.note(Event::AttemptEnded {
+                    id,
+                    backend: "a".to_string(),
+                    ended: AttemptResult::Served,
+                });
             }
         }
         sleep(Duration::from_secs_f64(platform::OVERLOAD_FOR_MS / 1000.0 + 0.1));
@@ -116,7 +120,7 @@
         journal.note(arrived(&journal, id, Class::Safe, "a", true));
         journal.note(answered(id, Answer::Served));
     }
-    let found = judge(&journal, Terms::default());
+    let found = judge(&journal, AuditOptions::default());
     let first = found.first().expect("found");
     assert_eq!(first.rule, Rule::Ceiling);
     assert!((burst..burst + burst / 2).contains(&first.id), "{first}");
@@ -127,7 +131,7 @@
 fn a_journal_that_ran_over_is_no_proof() {
     let journal = Journal::new(2);
     (1..=2).for_each(|id| journal.note(answered(id, Answer::Served)));
-    assert!(audit(&journal, Terms::default()).is_ok());
+    assert!(audit(&journal, AuditOptions::default()).is_ok());
     journal.note(answered(3, Answer::Served));
-    assert!(audit(&journal, Terms::default()).expect_err("one is missing").contains("1 events"));
+    assert!(audit(&journal, AuditOptions::default()).expect_err("one is missing").contains("1 events"));
 }
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -7,7 +7,7 @@
 use testbed::backend::{Backend, Spec};
 use testbed::counter::Counter;
 use testbed::discovery::Discovery;
-use testbed::journal::{Ended, Event, Journal};
+use testbed::journal::{AttemptResult, Event, Journal};
 use testbed::script::Script;
 use testbed::scripted::{call, command, words};
 use testbed::switch::{Fault, Switch};
@@ -62,11 +62,11 @@
     }
     backend.switch.set(Fault::Resetting);
     assert_eq!(ask(&mut client, 3), "(end)");
-    backend.switch.set(Fault::Well);
+    backend.switch.set(Fault::None);
     let mut client = connect(backend.address);
     assert_eq!(ask(&mut client, 4), "*3");
     assert_eq!((backend.arrived(), backend.served()), (6, 2));
-    let ran = |e: &Event| matches!(e, Event::Arrived { ran: true, .. });
+    let ran = |e: &Event| matches!(e, Event::AttemptReceived { ran: true, .. });
     assert_eq!(journal.events().iter().filter(|(_, e)| ran(e)).count(), 5, "one was turned away");
 }
 
@@ -79,7 +79,7 @@
     client.get_mut().set_read_timeout(Some(SHORT)).expect("a time-out");
     assert_eq!(ask(&mut client, 1), "(end)", "nothing came in time");
     client.get_mut().set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    backend.switch.set(Fault::Well);
+    backend.switch.set(Fault::None);
     assert_eq!(line(&mut client), "*3");
     rest(&mut client);
     backend.switch.set(Fault::Refusing);
@@ -87,7 +87,7 @@
     // Until its listener is closed, the system may still take one.
     let refused = std::iter::repeat_with(|| TcpStream::connect(backend.address).is_err());
     assert!(refused.take(1_000).any(|refused| refused));
-    backend.switch.set(Fault::Well);
+    backend.switch.set(Fault::None);
     let back = std::iter::repeat_with(|| {
         std::thread::sleep(Duration::from_millis(5));
         TcpStream::connect(backend.address).is_ok()
@@ -109,7 +109,7 @@
         wait += 1;
     }
     drop(client);
-    let broken = |e: &Event| matches!(e, Event::Ended { ended: Ended::Broken, .. });
+    let broken = |e: &Event| matches!(e, Event::AttemptEnded { ended: AttemptResult::Aborted, .. });
     while !journal.events().iter().any(|(_, e)| broken(e)) && wait < 8_000 {
         std::thread::sleep(Duration::from_millis(5));
         wait += 1;
@@ -120,7 +120,7 @@
 #[test]
 fn more_than_its_slots_and_as_many_waiting_are_turned_away() {
     let (runtime, journal) = (runtime(), Journal::new(1_000));
-    let spec = Spec { slots: 1, takes: Duration::from_secs(5), ..Spec::plain(0) };
+    let spec = Spec { slots: 1, service_time: Duration::from_secs(5), ..Spec::plain(0) };
     let backend = runtime.block_on(Backend::start(spec, journal)).expect("it starts");
     let mut all: Vec<_> = (0..3).map(|_| connect(backend.address)).collect();
     for (id, client) in (1..).zip(&mut all) {
@@ -187,7 +187,7 @@
     assert_eq!(bump("bump a 2.5 60000"), "ok 2.5");
     assert_eq!(bump("bump a 1 60000"), "ok 3.5");
     assert_eq!(bump("nonsense"), "error");
-    counter.empty();
+    counter.clear();
     assert_eq!(bump("bump a 1 60000"), "ok 1");
     counter.switch.set(Fault::Busy);
     assert_eq!(bump("bump a 1 60000"), "busy");
@@ -198,13 +198,13 @@
 
 #[test]
 fn a_script_is_its_seed() {
-    let (one, two) = (Script::draw(7, 3, 20), Script::draw(7, 3, 20));
+    let (one, two) = (Script::generate(7, 3, 20), Script::generate(7, 3, 20));
     assert_eq!(one, two);
-    assert_ne!(one.steps, Script::draw(8, 3, 20).steps);
+    assert_ne!(one.steps, Script::generate(8, 3, 20).steps);
     assert!(one.steps.iter().all(|s| s.which < 3));
     assert!(one.steps.windows(2).all(|w| w[0].at + w[0].lasts <= w[1].at), "two at once");
     assert!(one.to_string().starts_with("seed 0x7:"));
     let (switches, runtime) = ([Switch::default()], runtime());
-    runtime.block_on(Script::draw(7, 1, 1).play(&switches));
-    assert_eq!(switches[0].now(), Fault::Well);
+    runtime.block_on(Script::generate(7, 1, 1).play(&switches));
+    assert_eq!(switches[0].now(), Fault::None);
 }
