--- a/crates/endpoint-sources/tests/resolver.rs
+++ b/crates/endpoint-sources/tests/resolver.rs
@@ -5,7 +5,7 @@
 
 use dns_sd::{Answer, Name, NegativeAnswer, QueryType, Question};
 use endpoint_sources::Resolver;
-use testbed::dns::{Dns, Instance, Lie};
+use testbed::dns::{AnswerFault, Dns, Instance};
 use testbed::switch::Fault;
 
 const SERVICE: &str = "_till._tcp.ub-room.test";
@@ -22,7 +22,7 @@
     for i in 0..instances {
         let (label, service) = (format!("till-{i}"), (0, 1, 9_000));
         let instance = Instance { label, service, text: Vec::new(), address: Ipv4Addr::LOCALHOST };
-        dns.put(SERVICE, &instance);
+        dns.put_instance(SERVICE, &instance);
     }
     dns
 }
@@ -45,7 +45,7 @@
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
     let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
     assert_eq!((records(&answered.answer), answered.over_tcp), (2_000, true));
-    assert_eq!(dns.asked(), (1, 1));
+    assert_eq!(dns.question_counts(), (1, 1));
     let none = resolver.query(&question(QueryType::Srv), false).await.expect("an answer").answer;
     assert_eq!(none, Answer::None { why: NegativeAnswer::NoData, ttl_s: 30 });
 }
@@ -53,12 +53,12 @@
 #[tokio::test]
 async fn ignores_forged_answers() {
     let dns = zone(3).await;
-    dns.lie(Lie::Forged);
+    dns.set_answer_fault(AnswerFault::Forged);
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
     let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("an answer");
     assert_eq!(records(&answered.answer), 3);
     // With nothing true behind them there is no answer, and least of all "there is none".
-    dns.lie(Lie::OtherId);
+    dns.set_answer_fault(AnswerFault::WrongId);
     let resolver = Resolver::new(vec![dns.address], SHORT);
     let unanswered = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
     assert!(unanswered.to_string().contains("no answer in time"), "{unanswered}");
@@ -88,18 +88,18 @@
         assert!(why.to_lowercase().contains(&said.to_lowercase()), "{why}");
         assert!(of.contains("refused"), "{of}");
         // The one that answered is asked first from now on, but where its answer is doubted.
-        let before = bad.asked();
+        let before = bad.question_counts();
         assert_eq!(resolver.query(&question(QueryType::Ptr), false).await.expect("an answer").tries.len(), 0);
-        assert_eq!(bad.asked(), before);
+        assert_eq!(bad.question_counts(), before);
         assert_eq!(resolver.query(&question(QueryType::Ptr), true).await.expect("an answer").tries.len(), 2);
-        assert!(bad.asked() > before);
+        assert!(bad.question_counts() > before);
     }
 }
 
 #[tokio::test]
 async fn truncation_over_tcp_is_a_failure() {
     let dns = zone(3).await;
-    dns.lie(Lie::Cut);
+    dns.set_answer_fault(AnswerFault::Truncated);
     let resolver = Resolver::new(vec![dns.address], PATIENCE);
     let unanswered = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
     assert!(unanswered.to_string().contains("truncated"), "{unanswered}");
--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -7,7 +7,7 @@
 use dns_sd::{CacheLimits, Name};
 use endpoint_sources::{follow, serve, EndpointTable, Resolver, Settings, StatusRequest};
 use serde_json::Value;
-use testbed::dns::{Dns, Instance, Lie};
+use testbed::dns::{AnswerFault, Dns, Instance};
 use testbed::switch::Fault;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -100,7 +100,7 @@
 
 async fn zone(instances: u16) -> Dns {
     let dns = Dns::start(1, 1).await.expect("a port");
-    (0..instances).for_each(|i| dns.put(SERVICE, &instance(i)));
+    (0..instances).for_each(|i| dns.put_instance(SERVICE, &instance(i)));
     dns
 }
 
@@ -122,8 +122,8 @@
     let path = format!("/discovery/hosts?after={index}&wait_ms=20000");
     let (waited, ()) = tokio::join!(source.get(&path), async {
         sleep(Duration::from_millis(50)).await;
-        dns.put(SERVICE, &instance(7));
-        dns.unpoint(SERVICE, "t0");
+        dns.put_instance(SERVICE, &instance(7));
+        dns.remove_pointer(SERVICE, "t0");
     });
     let names = |news: &Value| -> Vec<String> {
         let all = news["endpoints"].as_array().expect("lines").iter();
@@ -196,11 +196,11 @@
     let (old, good) = (zone(4).await, zone(4).await);
     let mut source = Source::start(&[&old, &good], &[SERVICE]).await;
     source.until("four", |t| t.updates_after(None).endpoints.len() == 4).await;
-    old.lie(Lie::Empty);
+    old.set_answer_fault(AnswerFault::NameError);
     source.until_said("ALARM 4 instances would leave at once").await;
     source.until_said("no instance is held any more").await;
     assert_eq!(source.names(), ["t0", "t1", "t2", "t3"]);
     // Where both say so, it is so.
-    good.lie(Lie::Empty);
+    good.set_answer_fault(AnswerFault::NameError);
     source.until("nobody", |t| t.updates_after(None).endpoints.is_empty()).await;
 }
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -59,7 +59,10 @@
     let dns = Dns::start(1, 1).await.expect("a port");
     for i in 0..3 {
         let (label, address) = (format!("t{i}"), Ipv4Addr::LOCALHOST);
-        dns.put(SERVICE, &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address });
+        dns.put_instance(
+            SERVICE,
+            &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address },
+        );
     }
     let bounds =
         CacheLimits { min_ttl_ms: 100.0, min_retry_ms: 50.0, max_retry_ms: 200.0, ..CacheLimits::default() };
@@ -80,7 +83,7 @@
         assert!(timeout(PATIENCE, waiting).await.is_ok(), "not in time: {part}; {said:?}");
     };
     until("the list is known: 3 instances").await;
-    dns.unpoint(SERVICE, "t0");
+    dns.remove_pointer(SERVICE, "t0");
     until("- t0 by _till._tcp.ub-room.test. PTR").await;
     dns.switch.set(Fault::Silent);
     until("ALARM").await;
--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -15,7 +15,7 @@
 use support::{max_in_window, program, AnyError};
 use testbed::backend::Backend;
 use testbed::client::LoadProfile;
-use testbed::harness::fleet::{column, served_part, Fleet};
+use testbed::harness::fleet::{column, served_fraction, Fleet};
 use testbed::harness::Node;
 use testbed::journal::Event;
 use testbed::switch::Fault;
@@ -107,7 +107,7 @@
     let requests = |fleet: &Fleet| fleet.backends[gone.clone()].iter().map(Backend::arrived).sum::<u64>();
     let (begun, at_gone) = (fleet.journal.now(), requests(&fleet));
     let first = loading.load.counts();
-    let samples = loading.by_second(args.lasts_s);
+    let samples = loading.sample_every_second(args.lasts_s);
     if absent {
         fleet.backends[gone.clone()].iter().for_each(|b| b.switch.set(Fault::None));
     } else {
@@ -145,8 +145,8 @@
         requests_at_gone,
         share_at_gone: (0..5).map(share).collect(),
         all_ready_s: all_ready.as_secs_f64(),
-        served: samples.iter().zip(befores).take(10).map(|(now, was)| served_part(*now, *was)).collect(),
-        served_in_all: served_part(last, first),
+        served: samples.iter().zip(befores).take(10).map(|(now, was)| served_fraction(*now, *was)).collect(),
+        served_in_all: served_fraction(last, first),
         refused: last.refused - first.refused,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
--- a/crates/gatewayctl/examples/measure_cold_counter.rs
+++ b/crates/gatewayctl/examples/measure_cold_counter.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use support::{program, AnyError};
 use testbed::client::LoadProfile;
-use testbed::harness::fleet::{column, served_part, Fleet};
+use testbed::harness::fleet::{column, served_fraction, Fleet};
 use testbed::harness::Node;
 use tokio::time::sleep;
 
@@ -75,7 +75,7 @@
     fleet.nodes.iter_mut().for_each(Node::kill);
     sleep(Duration::from_secs(1)).await;
     let (begun, first) = (fleet.counter.now(), loading.load.counts());
-    let samples = loading.by_second(args.lasts_s);
+    let samples = loading.sample_every_second(args.lasts_s);
     fleet.start_all().await?;
     let samples = samples.await?;
     let last = loading.finish().await;
@@ -99,7 +99,7 @@
         late_in_5_s: late_part(five),
         late_in_all: late_part(of(0, args.lasts_s)),
         in_time_a_second: (five.0 - five.1) as f64 / 5.0,
-        served: samples.iter().zip(befores).take(8).map(|(now, was)| served_part(*now, *was)).collect(),
+        served: samples.iter().zip(befores).take(8).map(|(now, was)| served_fraction(*now, *was)).collect(),
         refused: last.refused - first.refused,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
--- a/crates/gatewayctl/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -120,7 +120,7 @@
     )?;
     let words =
         ["gateway", "--until-closed", "--operator", &operator.display().to_string()].map(str::to_string);
-    let program = Program { path: program.to_path_buf(), words: words.to_vec() };
+    let program = Program { path: program.to_path_buf(), args: words.to_vec() };
     let mut nodes = Vec::new();
     for (me, door) in service.addresses.iter().enumerate() {
         let mut config = platform::config(me, args.gateways, *door, counter.address, &known, None);
@@ -164,7 +164,7 @@
     let last = times.iter().copied().fold(0.0, f64::max);
     let last_at = if times.len() == args.gateways { begun + Duration::from_secs_f64(last) } else { told_by };
     let until = first.iter().filter(|c| c.at <= last_at).count();
-    let ended = nodes.iter_mut().map(|n| usize::from(!n.runs())).sum();
+    let ended = nodes.iter_mut().map(|n| usize::from(!n.is_running())).sum();
     Ok(Figures {
         start: start.name,
         law: if slots { "slots" } else { "pauses" },
--- a/crates/gatewayctl/examples/measure_dns_sd.rs
+++ b/crates/gatewayctl/examples/measure_dns_sd.rs
@@ -44,7 +44,7 @@
 async fn measure(instances: usize, ttl_s: u32) -> Result<(), AnyError> {
     let (dir, dns) = (tempfile::tempdir()?, Dns::start(ttl_s, 1).await?);
     let service = |i: usize| format!("_till._tcp.room-{}.test", i / EACH);
-    (0..instances).for_each(|i| dns.put(&service(i), &instance(format!("till-{i}"), 9_000)));
+    (0..instances).for_each(|i| dns.put_instance(&service(i), &instance(format!("till-{i}"), 9_000)));
     let services: Vec<String> =
         (0..instances.div_ceil(EACH)).map(|s| format!("{:?}", service(s * EACH))).collect();
     let at = dir.path().display();
@@ -69,16 +69,16 @@
     let (first, list) = (begun.elapsed(), list.unwrap_or_default());
     let listed = list["endpoints"].as_array().map_or(0, Vec::len);
     let (cpu_first, memory) = (cpu_us(pid)?, peak_memory_mb(pid)?);
-    let (asked, then) = (dns.asked().0, Instant::now());
+    let (asked, then) = (dns.question_counts().0, Instant::now());
     sleep(SETTLED).await;
-    let minute = (dns.asked().0 - asked) as f64 * 60.0 / then.elapsed().as_secs_f64();
+    let minute = (dns.question_counts().0 - asked) as f64 * 60.0 / then.elapsed().as_secs_f64();
     let cpu = (cpu_us(pid)? - cpu_first) / then.elapsed().as_secs_f64() / 10_000.0;
     let mut delays = Vec::new();
     for change in 0..CHANGES {
         let index =
             get(address, "/discovery/hosts").await?.unwrap_or_default()["index"].as_u64().unwrap_or(0);
         let (label, changed) = (format!("new-{change}"), Instant::now());
-        dns.put(&service(0), &instance(label, 9_001));
+        dns.put_instance(&service(0), &instance(label, 9_001));
         get(address, &format!("/discovery/hosts?after={index}&wait_ms=60000")).await?;
         delays.push(changed.elapsed().as_secs_f64() * 1_000.0);
     }
--- a/crates/gatewayctl/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -145,11 +145,11 @@
     fleet.start(fleet.all());
     fleet.sleep(ROUND / 4);
     fleet.timeline.note("all stopped for two rounds, and the backends are well");
-    fleet.nodes.iter_mut().for_each(testbed::harness::Node::stop);
+    fleet.nodes.iter_mut().for_each(testbed::harness::Node::suspend);
     fleet.sleep(ROUND * 2);
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::None));
     let since = fleet.journal.now();
-    fleet.nodes.iter_mut().for_each(testbed::harness::Node::go_on);
+    fleet.nodes.iter_mut().for_each(testbed::harness::Node::resume);
     fleet.wait_until_ready(fleet.all());
     let loading = fleet.load(RATE);
     fleet.wait_until_served(&loading, 300);
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -177,8 +177,8 @@
 fn slow_links_do_not_delay_other_gateways() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_07, ..FleetShape::default() });
     for link in &fleet.links[..3] {
-        let slow = Condition { delay: Duration::from_millis(900), lost: 0.2, ..Condition::WELL };
-        link.both(slow);
+        let slow = Condition { delay: Duration::from_millis(900), loss: 0.2, ..Condition::HEALTHY };
+        link.set_both(slow);
     }
     fleet.timeline.note("0, 1, 2 behind slow links");
     let since = fleet.service.now();
@@ -219,11 +219,11 @@
     // Some are stopped before their call, some between it and the answer.
     fleet.sleep(round() / 3);
     fleet.timeline.note("5 to 29 stopped");
-    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::stop);
+    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::suspend);
     fleet.sleep(round() * 3 / 2);
     fleet.timeline.note("they go on");
     let since = fleet.service.now();
-    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::go_on);
+    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::resume);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.sleep(round());
     let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
@@ -239,7 +239,7 @@
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.timeline.note("0 to 4 cut off on the way back; another service, versions from 3 on");
-    fleet.links[..5].iter().for_each(|link| link.set(Direction::Back, Condition::CUT));
+    fleet.links[..5].iter().for_each(|link| link.set(Direction::ToClient, Condition::CUT));
     fleet.service.restart_at_index(3);
     let since = fleet.service.now();
     let whole =
@@ -251,7 +251,7 @@
     fleet.wait_until("all but those cut off have its list", |fleet| (5..30).all(|place| whole(fleet, place)));
     fleet.timeline.note("healed, and their connections reset");
     for link in &fleet.links[..5] {
-        link.both(Condition::WELL);
+        link.set_both(Condition::HEALTHY);
         link.reset();
     }
     fleet.wait_until("those have it too", |fleet| (0..5).all(|place| whole(fleet, place)));
--- a/crates/gatewayctl/tests/dns_sd.rs
+++ b/crates/gatewayctl/tests/dns_sd.rs
@@ -36,7 +36,7 @@
         let text = vec![format!("zone={}", spec.zone), format!("type={}", spec.kind), group];
         let service = (0, 10, backend.address.port());
         let (label, address) = (spec.name.clone(), Ipv4Addr::LOCALHOST);
-        self.dns.put(SERVICE, &Instance { label, service, text, address });
+        self.dns.put_instance(SERVICE, &Instance { label, service, text, address });
     }
 }
 
@@ -67,7 +67,7 @@
     let zone = Zone::start();
     let fleet = fleet(&zone, 2, 5);
     let loading = fleet.load(2, 200.0);
-    zone.dns.unpoint(SERVICE, "till-0");
+    zone.dns.remove_pointer(SERVICE, "till-0");
     wait_until("both gateways were told", || (0..2).all(|g| !fleet.lists(g).contains(&"till-0".to_string())));
     fleet.journal.note(Event::BackendDrained { backend: "till-0".to_string(), gateway: None });
     sleep(Duration::from_millis(600));
@@ -127,7 +127,7 @@
     let loading = fleet.load(1, 100.0);
     zone.dns.switch.set(Fault::None);
     wait_until("it is known", || ran().json()["known"].as_bool() == Some(true));
-    zone.dns.unpoint(SERVICE, "till-1");
+    zone.dns.remove_pointer(SERVICE, "till-1");
     wait_until("and followed", || fleet.lists(0) == ["till-0", "till-2"]);
     let tally = fleet.finish(loading);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
@@ -145,7 +145,7 @@
     let put = |label: &str, text: &[&str]| {
         let text = text.iter().map(ToString::to_string).collect();
         let (label, service, address) = (label.to_string(), (3, 7, 9_000), Ipv4Addr::LOCALHOST);
-        zone.dns.put(SERVICE, &Instance { label, service, text, address });
+        zone.dns.put_instance(SERVICE, &Instance { label, service, text, address });
     };
     assert_eq!(run(&[SERVICE]).code, 1, "nobody is there");
     put("Till 1. by the door", &["zone=room"]);
--- a/crates/gatewayctl/tests/ordered_start.rs
+++ b/crates/gatewayctl/tests/ordered_start.rs
@@ -98,7 +98,7 @@
     let mut fleet = ColdFleet::new(shape(0x41f3));
     fleet.start_agent();
     fleet.timeline.note("the agent is stopped");
-    fleet.agent.stop();
+    fleet.agent.suspend();
     fleet.start(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.wait_until_ready(fleet.all());
@@ -108,7 +108,7 @@
     let most = max_in_window(&calls, SECOND);
     assert!(most <= 18, "{most} calls in a second where nine have slots");
     fleet.timeline.note("it goes on");
-    fleet.agent.go_on();
+    fleet.agent.resume();
     let (anew, moment) = (sixth(&fleet), fleet.service.now());
     fleet.start(anew.clone());
     fleet.wait_until_ready(anew.clone());
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -137,7 +137,7 @@
         let text = ["zone=a", "type=m", "group=3"].map(String::from).to_vec();
         let instance =
             Instance { label: label.to_string(), service: (0, 10, port), text, address: Ipv4Addr::LOCALHOST };
-        dns.put(service, &instance);
+        dns.put_instance(service, &instance);
     }
     let resolver = dns.address.to_string();
     let settings = format!(
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -117,7 +117,7 @@
         let program = |what: &str| {
             let words = [what, "--until-closed", "--operator", &file.display().to_string()];
             let path = PathBuf::from(env!("CARGO_BIN_EXE_gatewayctl"));
-            Program { path, words: words.map(str::to_string).to_vec() }
+            Program { path, args: words.map(str::to_string).to_vec() }
         };
         let (program, agents) = (program("gateway"), program("agent"));
         let agent = Node::new(folder.path(), &serde_json::json!({"name": "agent"})).expect("room");
@@ -163,7 +163,7 @@
         let (agent, program) = (&mut self.agent, &self.agents);
         self.runtime.block_on(async {
             agent.start(program).await.expect("it starts");
-            agent.says("overseeing ").await.expect("it listens");
+            agent.wait_for_line("overseeing ").await.expect("it listens");
         });
     }
 
--- a/crates/testbed/src/dns.rs
+++ b/crates/testbed/src/dns.rs
@@ -30,18 +30,18 @@
 
 /// How answers of an otherwise sound resolver are wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Lie {
+pub enum AnswerFault {
     /// They are right.
     #[default]
     None,
     /// Each is preceded by one with another id and another one to another question, which say "no such name".
     Forged,
     /// Each has another id, and nothing follows.
-    OtherId,
+    WrongId,
     /// Each name is said not to exist.
-    Empty,
+    NameError,
     /// All are truncated, over TCP as well.
-    Cut,
+    Truncated,
 }
 
 /// An instance of a service.
@@ -62,8 +62,8 @@
     /// Data of records by name, in lower case with the last dot, and type.
     records: BTreeMap<(String, u16), Vec<Vec<u8>>>,
     ttl_s: u32,
-    none_s: u32,
-    lie: Lie,
+    negative_ttl_s: u32,
+    answer_fault: AnswerFault,
 }
 
 /// A running resolver. It ends with the value.
@@ -75,7 +75,7 @@
     /// [`Fault::Garbled`] bytes that are no message.
     pub switch: Switch,
     zone: Arc<Mutex<Zone>>,
-    asked: Arc<(AtomicU64, AtomicU64)>,
+    question_counts: Arc<(AtomicU64, AtomicU64)>,
     tasks: [JoinHandle<()>; 2],
 }
 
@@ -84,14 +84,18 @@
     ///
     /// # Errors
     /// The system's, if there is no port.
-    pub async fn start(ttl_s: u32, none_s: u32) -> std::io::Result<Dns> {
-        let (udp, tcp) = both().await?;
+    pub async fn start(ttl_s: u32, negative_ttl_s: u32) -> std::io::Result<Dns> {
+        let (udp, tcp) = bind_udp_and_tcp().await?;
         let address = udp.local_addr()?;
-        let zone = Arc::new(Mutex::new(Zone { ttl_s, none_s, ..Zone::default() }));
-        let (switch, asked) = (Switch::default(), Arc::<(AtomicU64, AtomicU64)>::default());
-        let shared = Shared { zone: Arc::clone(&zone), switch: switch.clone(), asked: Arc::clone(&asked) };
+        let zone = Arc::new(Mutex::new(Zone { ttl_s, negative_ttl_s, ..Zone::default() }));
+        let (switch, question_counts) = (Switch::default(), Arc::<(AtomicU64, AtomicU64)>::default());
+        let shared = Shared {
+            zone: Arc::clone(&zone),
+            switch: switch.clone(),
+            question_counts: Arc::clone(&question_counts),
+        };
         let tasks = [tokio::spawn(by_udp(udp, shared.clone())), tokio::spawn(by_tcp(tcp, shared))];
-        Ok(Dns { address, switch, zone, asked, tasks })
+        Ok(Dns { address, switch, zone, question_counts, tasks })
     }
 
     fn with<R>(&self, change: impl FnOnce(&mut Zone) -> R) -> R {
@@ -99,8 +103,8 @@
     }
 
     /// Puts an instance of a service there, or replaces it.
-    pub fn put(&self, service: &str, instance: &Instance) {
-        let (service, name) = (folded(service), instance_name(&instance.label, service));
+    pub fn put_instance(&self, service: &str, instance: &Instance) {
+        let (service, name) = (fold_case(service), instance_name(&instance.label, service));
         let host = format!("{}.hosts.test.", instance.label.to_lowercase().replace([' ', '.'], "-"));
         let (priority, weight, port) = instance.service;
         let srv = [priority, weight, port].iter().flat_map(|n| n.to_be_bytes()).chain(wire(&host)).collect();
@@ -122,27 +126,27 @@
     }
 
     /// Takes an instance's pointer away, and nothing else.
-    pub fn unpoint(&self, service: &str, label: &str) {
-        let (service, pointer) = (folded(service), instance_wire(label, service));
+    pub fn remove_pointer(&self, service: &str, label: &str) {
+        let (service, pointer) = (fold_case(service), instance_wire(label, service));
         self.with(|zone| {
             zone.records.entry((service, PTR)).or_default().retain(|other| *other != pointer);
         });
     }
 
     /// Sets how its answers are wrong.
-    pub fn lie(&self, lie: Lie) {
-        self.with(|zone| zone.lie = lie);
+    pub fn set_answer_fault(&self, fault: AnswerFault) {
+        self.with(|zone| zone.answer_fault = fault);
     }
 
     /// Sets the lifetime of records, s.
-    pub fn live(&self, ttl_s: u32) {
+    pub fn set_ttl(&self, ttl_s: u32) {
         self.with(|zone| zone.ttl_s = ttl_s);
     }
 
     /// Questions that came so far, by UDP and by TCP.
     #[must_use]
-    pub fn asked(&self) -> (u64, u64) {
-        (self.asked.0.load(Ordering::Relaxed), self.asked.1.load(Ordering::Relaxed))
+    pub fn question_counts(&self) -> (u64, u64) {
+        (self.question_counts.0.load(Ordering::Relaxed), self.question_counts.1.load(Ordering::Relaxed))
     }
 }
 
@@ -153,7 +157,7 @@
 }
 
 /// A UDP and a TCP socket on one port.
-async fn both() -> std::io::Result<(UdpSocket, TcpListener)> {
+async fn bind_udp_and_tcp() -> std::io::Result<(UdpSocket, TcpListener)> {
     let mut last = None;
     for _ in 0..16 {
         let tcp = TcpListener::bind("127.0.0.1:0").await?;
@@ -165,12 +169,12 @@
     Err(last.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into()))
 }
 
-fn folded(name: &str) -> String {
+fn fold_case(name: &str) -> String {
     format!("{}.", name.trim_end_matches('.').to_lowercase())
 }
 
 fn instance_name(label: &str, service: &str) -> String {
-    format!("{}.{}", label.to_lowercase(), folded(service))
+    format!("{}.{}", label.to_lowercase(), fold_case(service))
 }
 
 /// A name of plain labels.
@@ -189,7 +193,7 @@
 struct Shared {
     zone: Arc<Mutex<Zone>>,
     switch: Switch,
-    asked: Arc<(AtomicU64, AtomicU64)>,
+    question_counts: Arc<(AtomicU64, AtomicU64)>,
 }
 
 async fn by_udp(socket: UdpSocket, shared: Shared) {
@@ -200,7 +204,7 @@
                 let Ok((length, from)) = received else { continue };
                 let (question, socket) = (buffer[..length].to_vec(), Arc::clone(&socket));
                 let shared = shared.clone();
-                shared.asked.0.fetch_add(1, Ordering::Relaxed);
+                shared.question_counts.0.fetch_add(1, Ordering::Relaxed);
                 tasks.spawn(async move {
                     for answer in shared.answers(&question, true).await {
                         // Fails only where nobody waits for it.
@@ -233,7 +237,7 @@
         let length = timeout(IDLE_TIMEOUT, stream.read_u16()).await.ok()?.ok()?;
         let mut question = vec![0; usize::from(length)];
         timeout(IDLE_TIMEOUT, stream.read_exact(&mut question)).await.ok()?.ok()?;
-        shared.asked.1.fetch_add(1, Ordering::Relaxed);
+        shared.question_counts.1.fetch_add(1, Ordering::Relaxed);
         let answer = shared.answers(&question, false).await.pop()?;
         let length = u16::try_from(answer.len()).ok()?;
         stream.write_all(&[&length.to_be_bytes()[..], &answer].concat()).await.ok()?;
@@ -261,12 +265,12 @@
             return vec![question.answer(question.id, code, &[], &[], false)];
         }
         let zone = self.zone.lock().unwrap_or_else(PoisonError::into_inner);
-        let truth = question.told(&zone, datagram);
+        let truth = question.answer_from_zone(&zone, datagram);
         let other = question.id.wrapping_add(1);
-        match zone.lie {
-            Lie::None | Lie::Empty | Lie::Cut => vec![truth],
-            Lie::OtherId => vec![question.answer(other, 3, &[], &[], false)],
-            Lie::Forged => {
+        match zone.answer_fault {
+            AnswerFault::None | AnswerFault::NameError | AnswerFault::Truncated => vec![truth],
+            AnswerFault::WrongId => vec![question.answer(other, 3, &[], &[], false)],
+            AnswerFault::Forged => {
                 let strange = Question { wire: wire("other.test."), ..question.clone() };
                 let forged = [(other, &question), (question.id, &strange)];
                 let forged = forged.map(|(id, q)| q.answer(id, 3, &[], &[], false));
@@ -316,23 +320,28 @@
     }
 
     /// What the zone says of it.
-    fn told(&self, zone: &Zone, datagram: bool) -> Vec<u8> {
-        if zone.lie == Lie::Cut {
+    fn answer_from_zone(&self, zone: &Zone, datagram: bool) -> Vec<u8> {
+        if zone.answer_fault == AnswerFault::Truncated {
             return self.answer(self.id, 0, &[], &[], true);
         }
         let none = Vec::new();
         let key = (self.name.clone(), self.kind);
-        let records = if zone.lie == Lie::Empty { &none } else { zone.records.get(&key).unwrap_or(&none) };
+        let records = if zone.answer_fault == AnswerFault::NameError {
+            &none
+        } else {
+            zone.records.get(&key).unwrap_or(&none)
+        };
         if records.is_empty() {
-            let known = zone.lie != Lie::Empty && zone.records.keys().any(|(name, _)| *name == self.name);
-            let soa = self.soa(zone.none_s);
+            let known = zone.answer_fault != AnswerFault::NameError
+                && zone.records.keys().any(|(name, _)| *name == self.name);
+            let soa = self.soa(zone.negative_ttl_s);
             return self.answer(self.id, if known { 0 } else { 3 }, &[], &[soa], false);
         }
         let record = |data: &Vec<u8>| {
             let mut bytes = vec![0xc0, 12];
             bytes.extend([self.kind, 1].iter().flat_map(|n| n.to_be_bytes()));
             bytes.extend(zone.ttl_s.to_be_bytes());
-            // A pointer's last labels are those that were asked for.
+            // A pointer's last labels are those that were question_counts for.
             let short = data.strip_suffix(&self.wire[..]).filter(|_| self.kind == PTR);
             let data = short.map_or(data.clone(), |first| [first, &[0xc0, 12]].concat());
             bytes.extend((data.len() as u16).to_be_bytes());
@@ -349,13 +358,13 @@
     }
 
     /// A start of authority at the root: of all names.
-    fn soa(&self, none_s: u32) -> Vec<u8> {
+    fn soa(&self, negative_ttl_s: u32) -> Vec<u8> {
         let mut bytes = vec![0];
         bytes.extend([SOA, 1].iter().flat_map(|n| n.to_be_bytes()));
-        bytes.extend(none_s.to_be_bytes());
+        bytes.extend(negative_ttl_s.to_be_bytes());
         bytes.extend(22u16.to_be_bytes());
         bytes.extend([0, 0]);
-        bytes.extend([1, 60, 60, 60, none_s].iter().flat_map(|n: &u32| n.to_be_bytes()));
+        bytes.extend([1, 60, 60, 60, negative_ttl_s].iter().flat_map(|n: &u32| n.to_be_bytes()));
         bytes
     }
 
--- a/crates/testbed/src/harness.rs
+++ b/crates/testbed/src/harness.rs
@@ -14,5 +14,5 @@
 mod timeline;
 
 pub use link::{Condition, Direction, Link};
-pub use node::{Failed, Node, Program};
+pub use node::{Node, NodeError, Program};
 pub use timeline::Timeline;
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use super::{Failed, Node, Program};
+use super::{Node, NodeError, Program};
 use crate::backend::{Backend, Spec};
 use crate::client::{Load, LoadCounts, LoadProfile};
 use crate::counter::Counter;
@@ -34,7 +34,7 @@
 }
 
 /// A load that runs until it is ended.
-pub struct Loading {
+pub struct RunningLoad {
     /// The load.
     pub load: Load,
     end: oneshot::Sender<()>,
@@ -54,7 +54,7 @@
         counter_takes: Duration,
         operator: &str,
         seed: u64,
-    ) -> Result<Fleet, Failed> {
+    ) -> Result<Fleet, NodeError> {
         let folder = tempfile::Builder::new().prefix("br-").tempdir()?;
         let each = Duration::from_millis(20);
         let service = Discovery::with_listeners(
@@ -76,7 +76,7 @@
         let path = program;
         let program = |what: &str| {
             let words = [what, "--until-closed", "--operator", &file.display().to_string()];
-            Program { path: path.clone(), words: words.map(str::to_string).to_vec() }
+            Program { path: path.clone(), args: words.map(str::to_string).to_vec() }
         };
         let (program, agents) = (program("gateway"), program("agent"));
         let agent = Node::new(folder.path(), &serde_json::json!({"name": "agent"}))?;
@@ -97,16 +97,16 @@
     ///
     /// # Errors
     /// The system's, and the agent's where it does not.
-    pub async fn start_agent(&mut self) -> Result<(), Failed> {
+    pub async fn start_agent(&mut self) -> Result<(), NodeError> {
         self.agent.start(&self.agents).await?;
-        self.agent.says("overseeing ").await.map(drop)
+        self.agent.wait_for_line("overseeing ").await.map(drop)
     }
 
     /// Starts all gateways at once, and waits until all are ready.
     ///
     /// # Errors
     /// The system's, and a gateway's that does not get ready.
-    pub async fn start_all(&mut self) -> Result<(), Failed> {
+    pub async fn start_all(&mut self) -> Result<(), NodeError> {
         self.start_some(0..self.nodes.len()).await
     }
 
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     /// The system's, and a gateway's that does not get ready.
-    pub async fn start_some(&mut self, some: impl Iterator<Item = usize> + Clone) -> Result<(), Failed> {
+    pub async fn start_some(&mut self, some: impl Iterator<Item = usize> + Clone) -> Result<(), NodeError> {
         for place in some.clone() {
             self.nodes[place].start(&self.program).await?;
         }
@@ -126,20 +126,20 @@
 
     /// Puts a load on all gateways.
     #[must_use]
-    pub fn load(&self, plan: LoadProfile) -> Loading {
+    pub fn load(&self, plan: LoadProfile) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, plan.seed << 40, self.journal.clone());
         let (end, ended) = oneshot::channel::<()>();
         let running = load.clone();
         let task = tokio::spawn(async move { running.run(&plan, async { drop(ended.await) }).await });
-        Loading { load, end, task }
+        RunningLoad { load, end, task }
     }
 }
 
-impl Loading {
+impl RunningLoad {
     /// The tally after each of so many seconds from now on.
     #[must_use]
-    pub fn by_second(&self, seconds: u64) -> JoinHandle<Vec<LoadCounts>> {
+    pub fn sample_every_second(&self, seconds: u64) -> JoinHandle<Vec<LoadCounts>> {
         let load = self.load.clone();
         tokio::spawn(async move {
             let mut samples = Vec::new();
@@ -162,7 +162,7 @@
 
 /// The part of what was asked between two moments that was served.
 #[must_use]
-pub fn served_part(now: LoadCounts, before: LoadCounts) -> f64 {
+pub fn served_fraction(now: LoadCounts, before: LoadCounts) -> f64 {
     (now.served - before.served) as f64 / (now.asked - before.asked).max(1) as f64
 }
 
--- a/crates/testbed/src/harness/link.rs
+++ b/crates/testbed/src/harness/link.rs
@@ -14,19 +14,19 @@
 use crate::Rng;
 
 /// Bytes that are read at once.
-const PIECE: usize = 8 * 1024;
+const CHUNK_BYTES: usize = 8 * 1024;
 /// Pieces of one direction of a connection that may be on their way.
-const ON_THE_WAY: usize = 64;
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 /// How much later a piece comes that is lost at first, as when it is sent again.
-const SENT_AGAIN: Duration = Duration::from_millis(200);
+const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
 /// One of the two ways over a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From who connects to who listens.
-    There,
+    ToServer,
     /// The other.
-    Back,
+    ToClient,
 }
 
 /// The state of one way over a link.
@@ -37,7 +37,7 @@
     /// Each piece comes so much later.
     pub delay: Duration,
     /// The part of the pieces that is lost at first and comes 0.2 s later, 0 to 1.
-    pub lost: f64,
+    pub loss: f64,
     /// Bytes a second at most; none: no bound.
     pub bytes_per_s: Option<u64>,
     /// The end of one side's sending is not passed on, so that the other side waits on a connection that
@@ -47,16 +47,16 @@
 
 impl Condition {
     /// Whole and quick.
-    pub const WELL: Condition =
-        Condition { cut: false, delay: Duration::ZERO, lost: 0.0, bytes_per_s: None, half_open: false };
+    pub const HEALTHY: Condition =
+        Condition { cut: false, delay: Duration::ZERO, loss: 0.0, bytes_per_s: None, half_open: false };
     /// Cut.
-    pub const CUT: Condition = Condition { cut: true, ..Condition::WELL };
+    pub const CUT: Condition = Condition { cut: true, ..Condition::HEALTHY };
 }
 
 #[derive(Clone, Copy, Debug)]
 struct State {
-    there: Condition,
-    back: Condition,
+    to_server: Condition,
+    to_client: Condition,
     /// Grows with each reset.
     resets: u64,
 }
@@ -81,7 +81,7 @@
     pub async fn to(party: SocketAddr, seed: u64) -> std::io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let well = State { there: Condition::WELL, back: Condition::WELL, resets: 0 };
+        let well = State { to_server: Condition::HEALTHY, to_client: Condition::HEALTHY, resets: 0 };
         let state = Arc::new(watch::Sender::new(well));
         let task = tokio::spawn(relay(listener, party, Arc::clone(&state), seed));
         Ok(Link { address, state, task })
@@ -90,14 +90,14 @@
     /// Sets one way.
     pub fn set(&self, way: Direction, condition: Condition) {
         self.state.send_modify(|state| match way {
-            Direction::There => state.there = condition,
-            Direction::Back => state.back = condition,
+            Direction::ToServer => state.to_server = condition,
+            Direction::ToClient => state.to_client = condition,
         });
     }
 
     /// Sets both ways.
-    pub fn both(&self, condition: Condition) {
-        self.state.send_modify(|state| (state.there, state.back) = (condition, condition));
+    pub fn set_both(&self, condition: Condition) {
+        self.state.send_modify(|state| (state.to_server, state.to_client) = (condition, condition));
     }
 
     /// Resets all connections that are open.
@@ -130,7 +130,7 @@
 async fn pair(from: TcpStream, party: SocketAddr, mut state: watch::Receiver<State>, seed: u64) {
     let resets = state.borrow().resets;
     // Nothing of a connection comes through while the way there is cut.
-    if state.wait_for(|s| !s.there.cut || s.resets != resets).await.is_err() {
+    if state.wait_for(|s| !s.to_server.cut || s.resets != resets).await.is_err() {
         return;
     }
     let Ok(to) = TcpStream::connect(party).await else {
@@ -139,15 +139,15 @@
     };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let ((from_reads, from_writes), (to_reads, to_writes)) = (from.into_split(), to.into_split());
-    let there = way(from_reads, to_writes, state.clone(), Direction::There, seed, resets);
-    let back = way(to_reads, from_writes, state, Direction::Back, seed ^ 1, resets);
-    tokio::join!(there, back);
+    let to_server = way(from_reads, to_writes, state.clone(), Direction::ToServer, seed, resets);
+    let to_client = way(to_reads, from_writes, state, Direction::ToClient, seed ^ 1, resets);
+    tokio::join!(to_server, to_client);
 }
 
-fn of(state: &State, way: Direction) -> Condition {
+fn condition(state: &State, way: Direction) -> Condition {
     match way {
-        Direction::There => state.there,
-        Direction::Back => state.back,
+        Direction::ToServer => state.to_server,
+        Direction::ToClient => state.to_client,
     }
 }
 
@@ -160,15 +160,15 @@
     seed: u64,
     resets: u64,
 ) {
-    let (sent, mut coming) = mpsc::channel::<(Instant, Vec<u8>)>(ON_THE_WAY);
+    let (sent, mut coming) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
     let (mut rng, reading, mut reset) = (Rng::new(seed), state.clone(), state.clone());
     let read = async move {
         loop {
-            let mut piece = vec![0; PIECE];
+            let mut piece = vec![0; CHUNK_BYTES];
             let Ok(n @ 1..) = from.read(&mut piece).await else { return };
             piece.truncate(n);
-            let now = of(&reading.borrow(), way);
-            let again = if rng.next_f64() < now.lost { SENT_AGAIN } else { Duration::ZERO };
+            let now = condition(&reading.borrow(), way);
+            let again = if rng.next_f64() < now.loss { RETRANSMISSION_DELAY } else { Duration::ZERO };
             if sent.send((Instant::now() + now.delay + again, piece)).await.is_err() {
                 return;
             }
@@ -178,16 +178,18 @@
     let write = async move {
         while let Some((at, piece)) = coming.recv().await {
             sleep_until(at).await;
-            if state.wait_for(|s| !of(s, way).cut).await.is_err() || writer.write_all(&piece).await.is_err() {
+            if state.wait_for(|s| !condition(s, way).cut).await.is_err()
+                || writer.write_all(&piece).await.is_err()
+            {
                 return;
             }
-            let bound = of(&state.borrow(), way).bytes_per_s;
+            let bound = condition(&state.borrow(), way).bytes_per_s;
             if let Some(bytes) = bound {
                 sleep(Duration::from_secs_f64(piece.len() as f64 / bytes.max(1) as f64)).await;
             }
         }
         // The sender's end is passed on, unless the link is to be left half open.
-        if state.wait_for(|s| !of(s, way).half_open && !of(s, way).cut).await.is_ok() {
+        if state.wait_for(|s| !condition(s, way).half_open && !condition(s, way).cut).await.is_ok() {
             let _ = writer.shutdown().await;
         }
     };
--- a/crates/testbed/src/harness/node.rs
+++ b/crates/testbed/src/harness/node.rs
@@ -18,27 +18,27 @@
 
 /// Why a process could not be had.
 #[derive(Debug)]
-pub enum Failed {
+pub enum NodeError {
     /// The system's reason.
-    System(io::Error),
-    /// It ended, or said nothing in time: its name and what it logged.
-    Silent(String, String),
+    Io(io::Error),
+    /// It ended, or output nothing in time: its name and what it logged.
+    NotReady(String, String),
 }
 
-impl std::fmt::Display for Failed {
+impl std::fmt::Display for NodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failed::System(e) => e.fmt(f),
-            Failed::Silent(name, logged) => write!(f, "{name} did not get ready: {logged}"),
+            NodeError::Io(e) => e.fmt(f),
+            NodeError::NotReady(name, logged) => write!(f, "{name} did not get ready: {logged}"),
         }
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for NodeError {}
 
-impl From<io::Error> for Failed {
-    fn from(e: io::Error) -> Failed {
-        Failed::System(e)
+impl From<io::Error> for NodeError {
+    fn from(e: io::Error) -> NodeError {
+        NodeError::Io(e)
     }
 }
 
@@ -48,7 +48,7 @@
     /// The program.
     pub path: PathBuf,
     /// Its words, such as `--operator FILE`; with `--until-closed` it ends with the process that started it.
-    pub words: Vec<String>,
+    pub args: Vec<String>,
 }
 
 /// A gateway's process. It is killed with the value.
@@ -61,8 +61,8 @@
     folder: PathBuf,
     running: Option<(Child, Option<Lines<BufReader<ChildStdout>>>)>,
     /// Killed, and perhaps not gone yet.
-    ending: Option<Child>,
-    stopped: bool,
+    killed: Option<Child>,
+    suspended: bool,
 }
 
 impl Node {
@@ -70,11 +70,11 @@
     ///
     /// # Errors
     /// The system's, if the configuration can't be written.
-    pub fn new(folder: &Path, config: &Value) -> Result<Node, Failed> {
+    pub fn new(folder: &Path, config: &Value) -> Result<Node, NodeError> {
         let name = config["name"].as_str().unwrap_or("unnamed").to_string();
         std::fs::write(folder.join(format!("{name}.json")), config.to_string())?;
         let (folder, running) = (folder.to_path_buf(), None);
-        Ok(Node { name, address: None, folder, running, ending: None, stopped: false })
+        Ok(Node { name, address: None, folder, running, killed: None, suspended: false })
     }
 
     fn file(&self, kind: &str) -> PathBuf {
@@ -85,33 +85,33 @@
     ///
     /// # Errors
     /// The system's.
-    pub async fn start(&mut self, program: &Program) -> Result<(), Failed> {
+    pub async fn start(&mut self, program: &Program) -> Result<(), NodeError> {
         self.kill();
         // Danger: an address that the process before still holds.
-        if let Some(mut ending) = self.ending.take() {
-            ending.wait().await?;
+        if let Some(mut killed) = self.killed.take() {
+            killed.wait().await?;
         }
         let log = File::options().append(true).create(true).open(self.file("log"))?;
         let mut command = Command::new(&program.path);
-        command.args(&program.words).env("GW_CONFIG", self.file("json")).kill_on_drop(true);
+        command.args(&program.args).env("GW_CONFIG", self.file("json")).kill_on_drop(true);
         // Danger: processes that outlive whoever started them. With `--until-closed` they end with this pipe.
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
         let mut child = command.spawn()?;
-        let said = child.stdout.take().map(|said| BufReader::new(said).lines());
-        (self.running, self.stopped) = (Some((child, said)), false);
+        let output = child.stdout.take().map(|output| BufReader::new(output).lines());
+        (self.running, self.suspended) = (Some((child, output)), false);
         Ok(())
     }
 
     /// Waits until it says a line that begins like this, and gives the rest of it.
     ///
     /// # Errors
-    /// [`Failed::Silent`] if it ends before that, or does not say it in time.
-    pub async fn says(&mut self, begin: &str) -> Result<String, Failed> {
-        let said = self.running.as_mut().and_then(|(_, said)| said.as_mut());
-        let rest = match said {
+    /// [`NodeError::NotReady`] if it ends before that, or does not say it in time.
+    pub async fn wait_for_line(&mut self, begin: &str) -> Result<String, NodeError> {
+        let output = self.running.as_mut().and_then(|(_, output)| output.as_mut());
+        let rest = match output {
             None => None,
-            Some(said) => timeout(READY_TIMEOUT, async {
-                while let Ok(Some(line)) = said.next_line().await {
+            Some(output) => timeout(READY_TIMEOUT, async {
+                while let Ok(Some(line)) = output.next_line().await {
                     if let Some(rest) = line.strip_prefix(begin) {
                         return Some(rest.to_string());
                     }
@@ -122,18 +122,20 @@
             .ok()
             .flatten(),
         };
-        rest.ok_or_else(|| Failed::Silent(self.name.clone(), self.logged()))
+        rest.ok_or_else(|| NodeError::NotReady(self.name.clone(), self.logged()))
     }
 
     /// Waits until it listens, and gives where.
     ///
     /// # Errors
-    /// [`Failed::Silent`] if it ends before that, or says nothing in time.
-    pub async fn ready(&mut self) -> Result<SocketAddr, Failed> {
-        let address: Option<SocketAddr> = self.says("listening on ").await?.parse().ok();
-        let Some(address) = address else { return Err(Failed::Silent(self.name.clone(), self.logged())) };
+    /// [`NodeError::NotReady`] if it ends before that, or says nothing in time.
+    pub async fn ready(&mut self) -> Result<SocketAddr, NodeError> {
+        let address: Option<SocketAddr> = self.wait_for_line("listening on ").await?.parse().ok();
+        let Some(address) = address else {
+            return Err(NodeError::NotReady(self.name.clone(), self.logged()));
+        };
         if self.address.is_none() {
-            self.change(|config| config["listen"] = address.to_string().into())?;
+            self.update_config(|config| config["listen"] = address.to_string().into())?;
         }
         self.address = Some(address);
         Ok(address)
@@ -143,10 +145,10 @@
     ///
     /// # Errors
     /// The system's.
-    pub fn change(&self, change: impl FnOnce(&mut Value)) -> Result<(), Failed> {
+    pub fn update_config(&self, update: impl FnOnce(&mut Value)) -> Result<(), NodeError> {
         let file = self.file("json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&file)?).map_err(io::Error::from)?;
-        change(&mut config);
+        update(&mut config);
         Ok(std::fs::write(file, config.to_string())?)
     }
 
@@ -172,7 +174,7 @@
     pub fn kill(&mut self) {
         if let Some((mut child, _)) = self.running.take() {
             let _ = child.start_kill();
-            self.ending = Some(child);
+            self.killed = Some(child);
         }
     }
 
@@ -182,22 +184,22 @@
     }
 
     /// SIGSTOP: it does nothing, and its sockets stay.
-    pub fn stop(&mut self) {
+    pub fn suspend(&mut self) {
         self.signal(Signal::STOP);
-        self.stopped = true;
+        self.suspended = true;
     }
 
-    /// SIGCONT after [`Node::stop`].
-    pub fn go_on(&mut self) {
+    /// SIGCONT after [`Node::suspend`].
+    pub fn resume(&mut self) {
         self.signal(Signal::CONT);
-        self.stopped = false;
+        self.suspended = false;
     }
 
-    /// Whether it runs and is not stopped.
+    /// Whether it runs and is not suspended.
     #[must_use]
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         let lives = self.running.as_mut().is_some_and(|(child, _)| matches!(child.try_wait(), Ok(None)));
-        lives && !self.stopped
+        lives && !self.suspended
     }
 
     /// What it has logged, over all its starts.
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -38,11 +38,11 @@
 #[tokio::test]
 async fn one_way_is_cut_and_the_other_not_and_what_was_written_comes_when_it_heals() {
     let (link, mut near, mut far) = connected().await;
-    link.set(Direction::Back, Condition::CUT);
+    link.set(Direction::ToClient, Condition::CUT);
     says(&mut near, &mut far, 100).await;
     far.write_all(b"later").await.expect("it is taken in");
     silent(&mut near).await;
-    link.both(Condition::WELL);
+    link.set_both(Condition::HEALTHY);
     let mut came = [0; 5];
     timeout(PATIENCE, near.read_exact(&mut came)).await.expect("in time").expect("it comes");
     assert_eq!(&came, b"later");
@@ -52,11 +52,11 @@
 async fn delay_loss_and_a_bound_on_bytes_make_it_later() {
     let (link, mut near, mut far) = connected().await;
     let delay = Duration::from_millis(200);
-    link.both(Condition { delay, ..Condition::WELL });
+    link.set_both(Condition { delay, ..Condition::HEALTHY });
     assert!(says(&mut near, &mut far, 10).await >= delay);
-    link.both(Condition { lost: 1.0, ..Condition::WELL });
+    link.set_both(Condition { loss: 1.0, ..Condition::HEALTHY });
     assert!(says(&mut far, &mut near, 10).await >= Duration::from_millis(200));
-    link.both(Condition { bytes_per_s: Some(10_000), ..Condition::WELL });
+    link.set_both(Condition { bytes_per_s: Some(10_000), ..Condition::HEALTHY });
     says(&mut near, &mut far, 4_000).await;
     // The first piece took 0.4 s of the bound, which the next waits for.
     assert!(says(&mut near, &mut far, 10).await >= Duration::from_millis(300));
@@ -76,9 +76,9 @@
 #[tokio::test]
 async fn a_half_open_link_keeps_the_end_of_one_side_from_the_other() {
     let (link, near, mut far) = connected().await;
-    link.both(Condition { half_open: true, ..Condition::WELL });
+    link.set_both(Condition { half_open: true, ..Condition::HEALTHY });
     drop(near);
     silent(&mut far).await;
-    link.both(Condition::WELL);
+    link.set_both(Condition::HEALTHY);
     assert_eq!(timeout(PATIENCE, far.read(&mut [0])).await.expect("in time").expect("an end"), 0);
 }
