--- a/crates/gateway/tests/backends.rs
+++ b/crates/gateway/tests/backends.rs
@@ -13,10 +13,10 @@
 fn unsafe_request_that_may_have_run_is_not_retried() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "unsafe", "free", 1, 8000)));
-    rig.next_request().1.say("-ERR failed used=0,cost=2\r\n");
+    client.send(&as_strs(&request_args(1, "unsafe", "free", 1, 8000)));
+    rig.next_request().1.reply("-ERR failed used=0,cost=2\r\n");
     assert!(client.read().starts_with("-ERR"));
-    client.send(&words(&call(2, "unsafe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(2, "unsafe", "free", 1, 8000)));
     // The backend reads the whole request, then closes the connection.
     rig.next_request().1.close();
     assert!(client.read().starts_with("-ERR"));
@@ -27,9 +27,9 @@
 fn unsafe_request_rejected_by_backend_is_retried_elsewhere() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "unsafe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "unsafe", "free", 1, 8000)));
     let (first, mut arrived) = rig.next_request();
-    arrived.say("-BUSY\r\n");
+    arrived.reply("-BUSY\r\n");
     let (second, mut arrived) = rig.next_request();
     assert_ne!(first, second);
     arrived.serve("fine");
@@ -38,14 +38,14 @@
 
 #[test]
 fn unsafe_request_is_retried_after_refused_connection() {
-    let (_held, refusing_address) = refusing();
+    let (_held, refusing_address) = refusing_address();
     let rig = Rig::with_config(1, |config| {
         let known = config["known"]["endpoints"].as_array_mut().expect("JSON array");
         known.push(endpoint("s-9", refusing_address, 1, "SERVING", 0.0));
     });
     let mut client = rig.gateway.client();
     for id in 1..=6 {
-        client.send(&words(&call(id, "unsafe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(id, "unsafe", "free", 1, 8000)));
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     }
@@ -56,7 +56,7 @@
     let rig = Rig::with_config(3, |config| config["known"]["endpoints"][2]["group"] = json!(2));
     let mut client = rig.gateway.client();
     for id in 1..=8 {
-        client.send(&words(&call(id, "keyed", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(id, "keyed", "free", 1, 8000)));
         let (first, arrived) = rig.next_request();
         arrived.close();
         if first == 2 {
@@ -75,11 +75,11 @@
 fn unsafe_request_to_silent_backend_fails_at_deadline() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "unsafe", "free", 1, 1500)));
+    client.send(&as_strs(&request_args(1, "unsafe", "free", 1, 1500)));
     let (_, arrived) = rig.next_request();
     assert!(client.read().starts_with("-ERR"), "a request that may still run must fail");
     // Abandoning the attempt closes the connection.
-    arrived.closed();
+    arrived.wait_until_closed();
     assert!(rig.backends_idle());
 }
 
@@ -95,7 +95,7 @@
     second.close();
     sleep(Duration::from_millis(30));
     // The request is unsafe: a reset after a write to the closed connection would leave open whether it ran.
-    client.send(&words(&call(3, "unsafe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(3, "unsafe", "free", 1, 8000)));
     let (_, mut third) = rig.next_request();
     assert_eq!(third.connection, 1);
     third.serve("fine");
@@ -108,7 +108,7 @@
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     assert_eq!(rig.serve_one(&mut client, 1).1.connection, 0);
-    rig.agent.tell(&list(42, false, &[endpoint("s-0", rig.backends[0].address, 1, "SERVING", 1000.0)]));
+    rig.agent.deliver(&list(42, false, &[endpoint("s-0", rig.backends[0].address, 1, "SERVING", 1000.0)]));
     assert_eq!(rig.serve_one(&mut client, 2).1.connection, 1);
 }
 
@@ -127,11 +127,11 @@
     // Responses that only probes get, bytes without a line end, and responses that are never completed.
     let more = ["+PONG\r\n", "$4\r\nfine\r\n", "noise", "*3\r\n$9\r\nfine", "-ERR", "-NOISE\r\n"];
     for (id, response) in (1..).zip(malformed.into_iter().chain(more)) {
-        client.send(&words(&call(id, "unsafe", "free", 1, 600_000)));
+        client.send(&as_strs(&request_args(id, "unsafe", "free", 1, 600_000)));
         let (_, mut arrived) = rig.next_request();
-        arrived.say(response);
+        arrived.reply(response);
         assert!(client.read().starts_with("-ERR"), "{response:?}");
-        arrived.closed();
+        arrived.wait_until_closed();
     }
 }
 
@@ -140,8 +140,8 @@
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     for (id, metadata) in (1..).zip([":7\r\n$-1\r\n", "$3\r\n=,=\r\n+odd\r\n", "$8\r\ncost=NaN\r\n$-1\r\n"]) {
-        client.send(&words(&call(id, "unsafe", "free", 1, 8000)));
-        rig.next_request().1.say(&format!("*3\r\n$4\r\nfine\r\n{metadata}"));
+        client.send(&as_strs(&request_args(id, "unsafe", "free", 1, 8000)));
+        rig.next_request().1.reply(&format!("*3\r\n$4\r\nfine\r\n{metadata}"));
         assert_eq!(client.read(), "fine", "{metadata:?}");
     }
 }
@@ -150,12 +150,12 @@
 fn duplicate_response_is_not_used_for_next_request() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut first) = rig.next_request();
     let copy = "*3\r\n$4\r\nfine\r\n$-1\r\n$-1\r\n";
-    first.say(&copy.repeat(2));
+    first.reply(&copy.repeat(2));
     assert_eq!(client.read(), "fine");
-    first.closed();
+    first.wait_until_closed();
     let (_, second) = rig.serve_one(&mut client, 2);
     assert_eq!(second.connection, 1);
 }
@@ -166,7 +166,7 @@
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     // The list still has the first endpoint, though another one, already draining, now has its address.
     let new = endpoint("s-new", rig.backends[0].address, 1, "DRAINING", 1000.0);
-    rig.agent.tell(&list(42, false, &[new]));
+    rig.agent.deliver(&list(42, false, &[new]));
     let mut client = rig.gateway.client();
     for id in 0..10 {
         assert_eq!(rig.serve_one(&mut client, id).0, 1);
--- a/crates/gateway/tests/basic_operation.rs
+++ b/crates/gateway/tests/basic_operation.rs
@@ -14,10 +14,10 @@
 fn request_is_forwarded_unchanged_except_for_deadline() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    let request = call(7, "keyed", "free", 2, 7000);
-    client.send(&words(&request));
+    let request = request_args(7, "keyed", "free", 2, 7000);
+    client.send(&as_strs(&request));
     let (_, mut arrived) = rig.next_request();
-    let wait = wait_of(&arrived.words[3]);
+    let wait = deadline_ms_of(&arrived.words[3]);
     assert!((1..7000).contains(&wait), "{wait}");
     let restored = arrived.words[3].replace(&format!("d={wait},"), "d=7000,");
     assert_eq!(arrived.words[..3], request[..3]);
@@ -30,10 +30,12 @@
 fn pipelined_commands_are_answered_in_order() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    let all: Vec<u8> =
-        [1, 2, 3].iter().flat_map(|i| command(&words(&call(*i, "safe", "free", 1, 8000)))).collect();
+    let all: Vec<u8> = [1, 2, 3]
+        .iter()
+        .flat_map(|i| command(&as_strs(&request_args(*i, "safe", "free", 1, 8000))))
+        .collect();
     client.write(&[all, command(&["PING"])].concat());
-    let mut arrived: Vec<Arrived> = (0..3).map(|_| rig.next_request().1).collect();
+    let mut arrived: Vec<IncomingMessage> = (0..3).map(|_| rig.next_request().1).collect();
     arrived.sort_by_key(|a| std::cmp::Reverse(a.words[2].clone()));
     for a in &mut arrived {
         let id = a.words[2].clone();
@@ -50,12 +52,12 @@
 fn customer_over_quota_is_rejected_with_retry_time() {
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "paid", 4, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "paid", 4, 8000)));
     let mut bump = rig.counter.next();
     assert_eq!(bump.words[0], "bump");
     assert_eq!(bump.words[2], "4");
     // Other gateways have charged more than the token bucket holds plus a whole window's refill.
-    bump.say("ok 100\r\n");
+    bump.reply("ok 100\r\n");
     let answer = client.read();
     let ms: u32 =
         answer.strip_prefix("-BUSY ").expect("rejection with a retry time").parse().expect("number");
@@ -68,10 +70,10 @@
     let rig = Rig::with_two_backends();
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (drained, mut held) = rig.next_request();
     let draining = endpoint(&format!("s-{drained}"), rig.backends[drained].address, 1, "DRAINING", 0.0);
-    rig.agent.tell(&list(42, false, &[draining]));
+    rig.agent.deliver(&list(42, false, &[draining]));
     let mut other = rig.gateway.client();
     for id in 2..12 {
         assert_ne!(rig.serve_one(&mut other, id).0, drained);
@@ -92,13 +94,13 @@
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     for _ in 0..3 {
         let before = rig.agent.calls().len();
-        rig.agent.answer(TURNED_AWAY);
-        rig.agent.asked(before + 1);
+        rig.agent.queue_answer(SERVICE_UNAVAILABLE);
+        rig.agent.wait_for_calls(before + 1);
     }
     let calls = rig.agent.calls();
     assert!(calls[1..].iter().all(|call| call.contains("after=41&wait_ms=")), "{calls:?}");
     // The list stays in force meanwhile, and later updates are applied.
-    rig.agent.tell(&list(42, false, &[endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0)]));
+    rig.agent.deliver(&list(42, false, &[endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0)]));
     let mut client = rig.gateway.client();
     for id in 1..6 {
         assert_eq!(rig.serve_one(&mut client, id).0, 1);
@@ -111,11 +113,11 @@
     let rig = Rig::with_config(2, |_| {});
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let deleted = endpoint("s-1", rig.backends[1].address, 1, "DELETED", 0.0);
-    rig.agent.tell(&list(3, false, &[deleted]));
+    rig.agent.deliver(&list(3, false, &[deleted]));
     let calls = rig.agent.calls();
     assert!(calls.last().is_some_and(|call| call.contains("/discovery/hosts HTTP")), "{calls:?}");
     // The delta, which belongs to another list, is not applied; the snapshot is.
-    rig.agent.tell(&list(3, true, &[serving(1, &rig.backends[1])]));
+    rig.agent.deliver(&list(3, true, &[serving(1, &rig.backends[1])]));
     let mut client = rig.gateway.client();
     for id in 1..6 {
         assert_eq!(rig.serve_one(&mut client, id).0, 1);
@@ -127,7 +129,7 @@
     let rig = Rig::with_config(3, |_| {});
     let deleted = endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0);
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
-    rig.agent.tell(&list(42, false, &[deleted]));
+    rig.agent.deliver(&list(42, false, &[deleted]));
     let mut client = rig.gateway.client();
     for id in 0..10 {
         assert_eq!(rig.serve_one(&mut client, id).0, 1);
@@ -140,7 +142,7 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let slow = runtime.block_on(async {
-        refusing().0.listen(1).expect("listen").into_std().expect("convert the listener")
+        refusing_address().0.listen(1).expect("listen").into_std().expect("convert the listener")
     });
     slow.set_nonblocking(false).expect("set the listener blocking");
     let address = slow.local_addr().expect("socket address");
@@ -150,10 +152,10 @@
     let rig = Rig::with_config(1, |config| config["known"]["endpoints"] = json!(only));
     rig.send_snapshot(&only);
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "unsafe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "unsafe", "free", 1, 8000)));
     // The gateway handles these updates after the request, so the request has been accepted.
-    rig.agent.tell(&list(42, false, &[endpoint("s-1", rig.backends[0].address, 1, "SERVING", 0.0)]));
-    rig.agent.tell(&list(43, false, &[endpoint("s-0", address, 1, "DRAINING", 0.0)]));
+    rig.agent.deliver(&list(42, false, &[endpoint("s-1", rig.backends[0].address, 1, "SERVING", 0.0)]));
+    rig.agent.deliver(&list(43, false, &[endpoint("s-0", address, 1, "DRAINING", 0.0)]));
     let slow = StandIn::backend_on(slow);
     let (_, mut arrived) = rig.next_request();
     arrived.serve("fine");
@@ -165,9 +167,9 @@
 #[test]
 fn malformed_discovery_responses_are_ignored() {
     let rig = Rig::with_config(1, |_| {});
-    rig.agent.answer("{\"index\": 4");
-    rig.agent.answer(&list(5, true, &[json!({"name": "s-0"})]).to_string());
-    rig.agent.asked(3);
+    rig.agent.queue_answer("{\"index\": 4");
+    rig.agent.queue_answer(&list(5, true, &[json!({"name": "s-0"})]).to_string());
+    rig.agent.wait_for_calls(3);
     rig.serve_one(&mut rig.gateway.client(), 1);
 }
 
@@ -206,20 +208,20 @@
 #[test]
 fn finished_request_does_not_cancel_timer_of_another() {
     let rig = Rig::with_config(2, |config| {
-        roomy(config);
+        set_large_burst(config);
         config["settings"]["policy-limits"]["second-copies"] = json!(true);
         config["settings"]["profiles"][0]["aim-ms"] = json!(8000.0);
     });
     let send_request = |id, plan| {
         let mut client = rig.gateway.client();
-        client.send(&words(&call(id, "safe", plan, 60, 30_000)));
+        client.send(&as_strs(&request_args(id, "safe", plan, 60, 30_000)));
         client
     };
     // The timers of the counter calls expire while the attempts are in flight.
-    let counted: Vec<(Client, Arrived)> = (1..4)
+    let counted: Vec<(Client, IncomingMessage)> = (1..4)
         .map(|id| {
             let client = send_request(id, "paid");
-            rig.counter.next().say(&format!("ok {}\r\n", id * 60));
+            rig.counter.next().reply(&format!("ok {}\r\n", id * 60));
             (client, rig.next_request().1)
         })
         .collect();
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -16,10 +16,10 @@
     let rig =
         Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 600_000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 600_000)));
     let (_, arrived) = rig.next_request();
     drop(client);
-    arrived.closed();
+    arrived.wait_until_closed();
 }
 
 #[test]
@@ -43,7 +43,7 @@
 fn invalid_commands_get_errors_and_connection_stays_open() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    let good = call(1, "safe", "free", 1, 8000);
+    let good = request_args(1, "safe", "free", 1, 8000);
     let with = |index: usize, from: &str, to: &str| {
         let mut changed = good.clone();
         changed[index] = changed[index].replace(from, to);
@@ -77,12 +77,12 @@
     ];
     for words in bad {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        assert!(client.ask(&words).starts_with("-ERR"), "{words:?}");
+        assert!(client.request(&words).starts_with("-ERR"), "{words:?}");
     }
     // A keyed class without an idempotency key.
-    let mut keyless = call(2, "keyed", "free", 1, 8000);
+    let mut keyless = request_args(2, "keyed", "free", 1, 8000);
     keyless[3] = keyless[3].replace(",k=5c0f6e1a2b3d4c59", "");
-    assert!(client.ask(&words(&keyless)).starts_with("-ERR"));
+    assert!(client.request(&as_strs(&keyless)).starts_with("-ERR"));
     assert!(rig.backends_idle(), "a command was forwarded");
     rig.serve_one(&mut client, 9);
 }
@@ -97,10 +97,10 @@
     let rig = Rig::with_config(1, limit_to_one_client);
     // The connection with which the rig checked readiness may still be closing.
     let mut kept = rig.gateway.client();
-    while kept.ask_or_end(&["PING"]) != "+PONG" {
+    while kept.request_or_end(&["PING"]) != "+PONG" {
         kept = rig.gateway.client();
     }
-    kept.send(&words(&call(1, "safe", "free", 1, 8000)));
+    kept.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     assert_eq!(rig.gateway.client().read(), "-BUSY");
     arrived.serve("fine");
@@ -112,7 +112,7 @@
     let rig = Rig::with_config(1, limit_to_one_client);
     // First a client that sends one command and stays, then one that sends nothing.
     let mut idle = rig.gateway.client();
-    while idle.ask_or_end(&["PING"]) != "+PONG" {
+    while idle.request_or_end(&["PING"]) != "+PONG" {
         idle = rig.gateway.client();
     }
     let mut silent = rig.gateway.client();
@@ -121,7 +121,7 @@
     }
     assert_eq!(idle.read(), "(end)");
     let mut client = rig.gateway.client();
-    while client.ask_or_end(&["PING"]) != "+PONG" {
+    while client.request_or_end(&["PING"]) != "+PONG" {
         client = rig.gateway.client();
     }
     rig.serve_one(&mut client, 1);
@@ -134,12 +134,12 @@
     let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
     let mut idle: Vec<Client> = (0..5).map(|_| rig.gateway.client()).collect();
     for client in &mut idle {
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
     }
     let since = Instant::now();
     sleep(Duration::from_millis(2_500));
     let mut new = rig.gateway.client();
-    assert_eq!(new.ask(&["PING"]), "+PONG");
+    assert_eq!(new.request(&["PING"]), "+PONG");
     assert_eq!(idle[0].read(), "(end)");
     // The idle timeout alone would close it after 15 s.
     assert!(since.elapsed() < Duration::from_secs(12));
@@ -151,18 +151,18 @@
 fn connection_used_once_is_closed_before_one_used_repeatedly() {
     let rig = Rig::with_config(1, |config| config["limits"]["sockets"] = json!(48));
     let (mut repeated, mut once) = (rig.gateway.client(), rig.gateway.client());
-    (0..2).for_each(|_| assert_eq!(repeated.ask(&["PING"]), "+PONG"));
-    assert_eq!(once.ask(&["PING"]), "+PONG");
+    (0..2).for_each(|_| assert_eq!(repeated.request(&["PING"]), "+PONG"));
+    assert_eq!(once.request(&["PING"]), "+PONG");
     let ended = std::thread::spawn(move || once.read());
     let mut others = Vec::new();
     while !ended.is_finished() {
         let mut new = rig.gateway.client();
-        let _ = new.ask_or_end(&["PING"]);
+        let _ = new.request_or_end(&["PING"]);
         others.push(new);
         sleep(Duration::from_millis(20));
     }
     assert_eq!(ended.join().expect("reader thread"), "(end)");
-    assert_eq!(repeated.ask_or_end(&["PING"]), "+PONG");
+    assert_eq!(repeated.request_or_end(&["PING"]), "+PONG");
 }
 
 #[test]
@@ -179,9 +179,9 @@
 fn duplicate_id_gets_error_and_open_request_is_served() {
     let rig = Rig::with_config(1, |_| {});
     let (mut client, mut other) = (rig.gateway.client(), rig.gateway.client());
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
-    assert!(other.ask(&words(&call(1, "safe", "free", 1, 8000))).starts_with("-ERR"));
+    assert!(other.request(&as_strs(&request_args(1, "safe", "free", 1, 8000))).starts_with("-ERR"));
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
     assert!(rig.backends_idle(), "forwarded twice");
@@ -194,19 +194,19 @@
     // The memory budget is 256 KiB.
     let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let large = |id| {
-        let mut large = call(id, "unsafe", "free", 1, 8000);
+        let mut large = request_args(id, "unsafe", "free", 1, 8000);
         large[4] = "x".repeat(60_000);
         large
     };
     let (mut client, mut other) = (rig.gateway.client(), rig.gateway.client());
-    (1..5).for_each(|id| client.send(&words(&large(id))));
-    let mut arrived: Vec<Arrived> = (1..5).map(|_| rig.next_request().1).collect();
-    assert_eq!(other.ask(&words(&large(5))), "-BUSY");
+    (1..5).for_each(|id| client.send(&as_strs(&large(id))));
+    let mut arrived: Vec<IncomingMessage> = (1..5).map(|_| rig.next_request().1).collect();
+    assert_eq!(other.request(&as_strs(&large(5))), "-BUSY");
     for a in &mut arrived {
         a.serve("fine");
     }
     (1..5).for_each(|_| assert_eq!(client.read(), "fine"));
-    other.send(&words(&large(6)));
+    other.send(&as_strs(&large(6)));
     rig.next_request().1.serve("fine");
     assert_eq!(other.read(), "fine");
     assert!(rig.backends_idle(), "a rejected request was forwarded");
@@ -217,8 +217,8 @@
     // The memory budget is 256 KiB; responses that wait behind an open request take most of it.
     let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let mut client = rig.gateway.client();
-    (1..31).for_each(|id| client.send(&words(&call(id, "unsafe", "free", 1, 8000))));
-    let mut arrived: Vec<Arrived> = (1..31).map(|_| rig.next_request().1).collect();
+    (1..31).for_each(|id| client.send(&as_strs(&request_args(id, "unsafe", "free", 1, 8000))));
+    let mut arrived: Vec<IncomingMessage> = (1..31).map(|_| rig.next_request().1).collect();
     arrived.sort_by_key(|a| a.words[2].clone());
     let value = "x".repeat(60_000);
     arrived.iter_mut().skip(1).for_each(|a| a.serve(&value));
--- a/crates/gateway/tests/counter_connections.rs
+++ b/crates/gateway/tests/counter_connections.rs
@@ -20,9 +20,9 @@
 fn send_requests(clients: &mut [Client], first: u64) {
     for (i, client) in (0..).zip(clients) {
         for id in first + i * REQUESTS_PER_CLIENT..first + (i + 1) * REQUESTS_PER_CLIENT {
-            let mut words = call(id, "safe", "paid", 60, 60_000);
+            let mut words = request_args(id, "safe", "paid", 60, 60_000);
             words[1] = format!("{id:016x}");
-            client.send(&gateway_rig::words(&words));
+            client.send(&gateway_rig::as_strs(&words));
         }
     }
 }
@@ -43,18 +43,19 @@
     // Long enough that every answered call is answered in time even on a slow machine.
     let wait = Duration::from_millis(2_000);
     let rig = Rig::with_config(1, |config| {
-        roomy(config);
+        set_large_burst(config);
         config["settings"]["family-info"]["count-wait-ms"] = json!(wait.as_millis() as f64);
         config["settings"]["profiles"][0]["aim-ms"] = json!(40_000.0);
         config["settings"]["profiles"][0]["deadline-ms"] = json!(60_000.0);
     });
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| rig.gateway.client()).collect();
-    let take_calls =
-        || -> Vec<Arrived> { (0..REQUESTS_PER_CLIENT * CLIENTS).map(|_| rig.counter.next()).collect() };
+    let take_calls = || -> Vec<IncomingMessage> {
+        (0..REQUESTS_PER_CLIENT * CLIENTS).map(|_| rig.counter.next()).collect()
+    };
     send_requests(&mut clients, 100);
     let mut first = take_calls();
     for bump in &mut first {
-        bump.say("ok 60\r\n");
+        bump.reply("ok 60\r\n");
     }
     serve_all(&rig, &mut clients);
     let silent = first[0].connection;
@@ -67,7 +68,7 @@
     let (unanswered, answered): (Vec<_>, Vec<_>) = pending.iter_mut().partition(|b| b.connection == silent);
     assert!(!unanswered.is_empty() && !answered.is_empty());
     for bump in answered.into_iter() {
-        bump.say("ok 60\r\n");
+        bump.reply("ok 60\r\n");
     }
     serve_all(&rig, &mut clients);
 
@@ -76,8 +77,8 @@
     let mut last = take_calls();
     assert!(last.iter().all(|bump| bump.connection != silent));
     for bump in &mut last {
-        bump.say("ok 60\r\n");
+        bump.reply("ok 60\r\n");
     }
     serve_all(&rig, &mut clients);
-    first[0].closed();
+    first[0].wait_until_closed();
 }
--- a/crates/gateway/tests/disconnect_and_shutdown_races.rs
+++ b/crates/gateway/tests/disconnect_and_shutdown_races.rs
@@ -24,7 +24,7 @@
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
         let listener = runtime.block_on(async {
-            refusing().0.listen(1).expect("listen").into_std().expect("convert the listener")
+            refusing_address().0.listen(1).expect("listen").into_std().expect("convert the listener")
         });
         listener.set_nonblocking(false).expect("set the listener blocking");
         let address = listener.local_addr().expect("socket address");
@@ -40,7 +40,7 @@
         let begun = Instant::now();
         // Established on the gateway's side.
         while !has_established(gateway.pid(), &port) {
-            assert!(begun.elapsed() < PATIENCE, "the gateway's connection was never established");
+            assert!(begun.elapsed() < MESSAGE_TIMEOUT, "the gateway's connection was never established");
             sleep(Duration::from_millis(5));
         }
         backend
@@ -88,7 +88,7 @@
         config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0);
     });
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 600_000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 600_000)));
     // The gateway handles the list after the request, so the request has been accepted when this returns.
     rig.send_snapshot(&only);
     (rig, client)
@@ -105,19 +105,19 @@
     });
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "keyed", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "keyed", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     let begun = Instant::now();
     // Another backend of the cell is added and the attempt fails: the retry goes there and waits for a
     // connection.
     let other = endpoint("s-1", stalled.address, 1, "SERVING", 0.0);
-    rig.agent.tell(&list(42, true, &[serving(0, &rig.backends[0]), other]));
+    rig.agent.deliver(&list(42, true, &[serving(0, &rig.backends[0]), other]));
     assert!(begun.elapsed() < Duration::from_millis(500), "the machine stalled, so no retry was attempted");
-    arrived.say("-ERR failed\r\n");
+    arrived.reply("-ERR failed\r\n");
     sleep(Duration::from_millis(700).saturating_sub(begun.elapsed()));
     let late = stalled.open(&rig.gateway);
     assert!(client.read().starts_with("-ERR"));
-    assert!(late.within(NO_MESSAGE_WAIT).is_none(), "retried after the window");
+    assert!(late.next_within(NO_MESSAGE_WAIT).is_none(), "retried after the window");
     assert!(rig.backends_idle());
 }
 
@@ -130,11 +130,11 @@
         let (rig, client) = send_to_stalled(&stalled, cancel);
         drop(client);
         // The gateway reads this command after the end of the first connection.
-        assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
+        assert_eq!(rig.gateway.client().request(&["PING"]), "+PONG");
         sleep(Duration::from_millis(100));
         let late = stalled.open(&rig.gateway);
         assert!(
-            late.within(NO_MESSAGE_WAIT).is_none(),
+            late.next_within(NO_MESSAGE_WAIT).is_none(),
             "forwarded after its client disconnected (cancel: {cancel})"
         );
     }
@@ -149,12 +149,13 @@
         let rig =
             Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
         let mut client = rig.gateway.client();
-        let all: Vec<u8> =
-            (1..=commands).flat_map(|id| command(&words(&call(id, "safe", "free", 1, 600_000)))).collect();
+        let all: Vec<u8> = (1..=commands)
+            .flat_map(|id| command(&as_strs(&request_args(id, "safe", "free", 1, 600_000))))
+            .collect();
         client.write(&all);
-        let arrived: Vec<Arrived> = (0..32).map(|_| rig.next_request().1).collect();
+        let arrived: Vec<IncomingMessage> = (0..32).map(|_| rig.next_request().1).collect();
         drop(client);
-        arrived.iter().for_each(Arrived::closed);
+        arrived.iter().for_each(IncomingMessage::wait_until_closed);
         assert!(rig.backends_idle(), "a later command was forwarded");
     }
 }
@@ -170,20 +171,20 @@
     });
     let mut large = rig.gateway.client();
     for id in 1..5 {
-        let mut request = call(id, "unsafe", "free", 1, 600_000);
+        let mut request = request_args(id, "unsafe", "free", 1, 600_000);
         request[4] = "x".repeat(60_000);
-        large.send(&words(&request));
+        large.send(&as_strs(&request));
     }
-    let _held: Vec<Arrived> = (1..5).map(|_| rig.next_request().1).collect();
+    let _held: Vec<IncomingMessage> = (1..5).map(|_| rig.next_request().1).collect();
     // Some commands get memory; each of the others waits for 0.25 s.
     let mut client = rig.gateway.client();
     let all: Vec<u8> =
-        (10..42).flat_map(|id| command(&words(&call(id, "safe", "free", 1, 600_000)))).collect();
+        (10..42).flat_map(|id| command(&as_strs(&request_args(id, "safe", "free", 1, 600_000)))).collect();
     client.write(&all);
     let (_, first) = rig.next_request();
     drop(client);
     let disconnected = Instant::now();
-    first.closed();
+    first.wait_until_closed();
     assert!(disconnected.elapsed() < Duration::from_millis(1_500), "{:?}", disconnected.elapsed());
 }
 
@@ -192,21 +193,24 @@
 #[test]
 fn request_of_disconnected_client_is_not_forwarded_on_total() {
     let rig = Rig::with_config(1, |config| {
-        roomy(config);
+        set_large_burst(config);
         config["settings"]["family-info"]["count-wait-ms"] = json!(20_000.0);
         for class in config["settings"]["profiles"].as_array_mut().expect("JSON array") {
             (class["aim-ms"], class["deadline-ms"]) = (json!(600_000.0), json!(600_000.0));
         }
     });
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "paid", 60, 600_000)));
+    client.send(&as_strs(&request_args(1, "safe", "paid", 60, 600_000)));
     let mut counter_call = rig.counter.next();
     assert!(rig.backends_idle(), "the request did not wait for the total");
     drop(client);
-    assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(rig.gateway.client().request(&["PING"]), "+PONG");
     sleep(Duration::from_millis(100));
-    counter_call.say("ok 60\r\n");
-    assert!(rig.backends[0].within(NO_MESSAGE_WAIT).is_none(), "forwarded after its client disconnected");
+    counter_call.reply("ok 60\r\n");
+    assert!(
+        rig.backends[0].next_within(NO_MESSAGE_WAIT).is_none(),
+        "forwarded after its client disconnected"
+    );
 }
 
 /// A client that shuts down only its sending side counts as disconnected: a fully closed connection looks the
@@ -216,10 +220,12 @@
     let rig =
         Rig::with_config(1, |config| config["settings"]["profiles"][0]["deadline-ms"] = json!(600_000.0));
     let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
-    stream.write_all(&command(&words(&call(1, "safe", "free", 1, 600_000)))).expect("write to the socket");
+    stream
+        .write_all(&command(&as_strs(&request_args(1, "safe", "free", 1, 600_000))))
+        .expect("write to the socket");
     let (_, arrived) = rig.next_request();
     stream.shutdown(std::net::Shutdown::Write).expect("socket is open");
-    arrived.closed();
+    arrived.wait_until_closed();
 }
 
 /// Guards against an unnoticed disconnect of a client that does not read a response, while its other requests
@@ -231,7 +237,7 @@
     let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
     for id in 1..3 {
         stream
-            .write_all(&command(&words(&call(id, "safe", "free", 1, 600_000))))
+            .write_all(&command(&as_strs(&request_args(id, "safe", "free", 1, 600_000))))
             .expect("write to the socket");
     }
     let (first, second) = (rig.next_request().1, rig.next_request().1);
@@ -246,7 +252,7 @@
     sleep(NO_MESSAGE_WAIT);
     let disconnected = Instant::now();
     stream.shutdown(std::net::Shutdown::Write).expect("socket is open");
-    second.closed();
+    second.wait_until_closed();
     // Without that detection, a client that does not read is disconnected after 10 s.
     assert!(disconnected.elapsed() < Duration::from_secs(5), "{:?}", disconnected.elapsed());
 }
@@ -260,7 +266,7 @@
     let mut reused_at_once = 0;
     let mut last: Option<(usize, Instant)> = None;
     for id in 0..50 {
-        client.send(&words(&call(id, "safe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
         let (_, mut arrived) = rig.next_request();
         // Measured from before the response to after the next request, so it exceeds the gateway's own pause.
         if last.is_some_and(|(connection, at)| {
@@ -283,11 +289,11 @@
     let mut client = rig.gateway.client();
     let mut duplicates_in_pause = 0;
     for id in 0..20 {
-        client.send(&words(&call(2 * id, "safe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(2 * id, "safe", "free", 1, 8000)));
         let (_, mut first) = rig.next_request();
         first.serve("first");
         assert_eq!(client.read(), "first");
-        client.send(&words(&call(2 * id + 1, "safe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(2 * id + 1, "safe", "free", 1, 8000)));
         first.serve("first");
         let (_, mut second) = rig.next_request();
         second.serve("second");
@@ -306,17 +312,18 @@
 fn command_at_end_of_drain_is_answered_or_not_forwarded() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     rig.gateway.terminate();
     // Twice as many commands as the gateway queues: the second half is read when the first half fails.
-    let all: Vec<u8> = (1..=64).flat_map(|id| command(&words(&call(id, "safe", "free", 1, 8000)))).collect();
+    let all: Vec<u8> =
+        (1..=64).flat_map(|id| command(&as_strs(&request_args(id, "safe", "free", 1, 8000)))).collect();
     client.write(&all);
     let mut answers = 0;
     while client.read() != "(end)" {
         answers += 1;
     }
     assert!(rig.gateway.wait_for_exit().success());
-    let forwarded = std::iter::from_fn(|| rig.backends[0].taken()).count();
+    let forwarded = std::iter::from_fn(|| rig.backends[0].try_next()).count();
     assert!(forwarded <= answers, "{forwarded} forwarded, {answers} answered");
     assert_eq!(forwarded, 32);
 }
@@ -326,13 +333,13 @@
 fn request_deadline_is_limited_to_remaining_shutdown_time() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     let begun = Instant::now();
     rig.gateway.terminate();
     let wait_ms = loop {
-        client.send(&words(&call(begun.elapsed().as_micros() as u64 + 1, "safe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(begun.elapsed().as_micros() as u64 + 1, "safe", "free", 1, 8000)));
         let (_, mut arrived) = rig.next_request();
-        let wait_ms = wait_of(&arrived.words[3]);
+        let wait_ms = deadline_ms_of(&arrived.words[3]);
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
         // The gateway may handle the signal after the first requests.
@@ -350,13 +357,13 @@
 }
 
 /// Starts a gateway whose only client connection is in use by an open request.
-fn rig_at_client_limit() -> (Rig, Client, Arrived) {
+fn rig_at_client_limit() -> (Rig, Client, IncomingMessage) {
     let rig = Rig::with_config(1, limit_to_one_client);
     let mut kept = rig.gateway.client();
-    while kept.ask_or_end(&["PING"]) != "+PONG" {
+    while kept.request_or_end(&["PING"]) != "+PONG" {
         kept = rig.gateway.client();
     }
-    kept.send(&words(&call(1, "safe", "free", 1, 8000)));
+    kept.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, arrived) = rig.next_request();
     (rig, kept, arrived)
 }
@@ -371,7 +378,7 @@
     let mut queued: Vec<Client> = (0..60)
         .map(|id| {
             let mut client = rig.gateway.client();
-            client.send(&words(&call(100 + id, "safe", "free", 1, 8000)));
+            client.send(&as_strs(&request_args(100 + id, "safe", "free", 1, 8000)));
             client
         })
         .collect();
@@ -386,8 +393,10 @@
 fn rejected_connection_closes_after_response_without_reset() {
     let (rig, _kept, _arrived) = rig_at_client_limit();
     let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
-    stream.write_all(&command(&words(&call(2, "safe", "free", 1, 8000)))).expect("write to the socket");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
+    stream
+        .write_all(&command(&as_strs(&request_args(2, "safe", "free", 1, 8000))))
+        .expect("write to the socket");
     let mut response = String::new();
     stream.read_to_string(&mut response).expect("end of stream without a reset");
     assert_eq!(response, "-BUSY\r\n");
@@ -414,8 +423,8 @@
     let mut client = gateway.client();
     let mut served = [0; 2];
     for id in 0..40 {
-        client.send(&words(&call(id, "safe", "free", 1, 8000)));
-        let (index, mut arrived) = next_of(&backends.iter().collect::<Vec<_>>());
+        client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
+        let (index, mut arrived) = next_from_any(&backends.iter().collect::<Vec<_>>());
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
         served[index] += 1;
@@ -442,7 +451,7 @@
     let (begun, mut last, mut id) = (Instant::now(), Instant::now(), 0);
     let mut clients: Vec<Client> = (0..8).map(|_| rig.gateway.client()).collect();
     loop {
-        assert!(begun.elapsed() < PATIENCE, "no probe was sent");
+        assert!(begun.elapsed() < MESSAGE_TIMEOUT, "no probe was sent");
         let connecting = is_connecting(pid, &port);
         if connecting && last.elapsed() > Duration::from_millis(1_000) {
             break;
@@ -450,24 +459,24 @@
         last = if connecting { Instant::now() } else { last };
         for client in &mut clients {
             id += 1;
-            client.send(&words(&call(id, "safe", "free", 1, 8000)));
+            client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
         }
         for client in &mut clients {
             while client.try_read().is_none() {
                 rig.backends[0]
-                    .within(Duration::from_millis(1))
+                    .next_within(Duration::from_millis(1))
                     .into_iter()
                     .for_each(|mut a| a.serve("fine"));
             }
         }
         sleep(Duration::from_millis(10));
     }
-    rig.agent.tell(&list(42, false, &[stalled_endpoint("DRAINING")]));
+    rig.agent.deliver(&list(42, false, &[stalled_endpoint("DRAINING")]));
     // The gateway's connection follows the two that fill the queue, and ends with nothing written.
     stalled.listener.set_nonblocking(true).expect("set the listener nonblocking");
     let (begun, mut accepted) = (Instant::now(), Vec::new());
     while accepted.len() < 3 {
-        assert!(begun.elapsed() < PATIENCE, "the gateway's connection was never established");
+        assert!(begun.elapsed() < MESSAGE_TIMEOUT, "the gateway's connection was never established");
         match stalled.listener.accept() {
             Ok((stream, _)) => accepted.push(stream),
             Err(_) => sleep(Duration::from_millis(5)),
@@ -475,7 +484,7 @@
     }
     let late = &mut accepted[2];
     late.set_nonblocking(false).expect("socket is open");
-    late.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    late.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     match late.read(&mut [0; 64]) {
         Ok(n) => assert_eq!(n, 0, "probe sent to a draining backend"),
         Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "{e}"),
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -18,8 +18,8 @@
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let begun = Instant::now();
     for round in 0..5 {
-        rig.agent.tell(&list(30 - round, false, &[]));
-        rig.agent.tell(&list(40 - round, true, &[serving(0, &rig.backends[0])]));
+        rig.agent.deliver(&list(30 - round, false, &[]));
+        rig.agent.deliver(&list(40 - round, true, &[serving(0, &rig.backends[0])]));
     }
     // A pause of 0.1 s in each round; the first call of a round is the watch that was already open.
     assert!(begun.elapsed() >= Duration::from_millis(450), "{:?}", begun.elapsed());
@@ -40,7 +40,7 @@
     malformed["group"] = "first".into();
     let (mut duplicate, third) = (serving(2, &rig.backends[2]), serving(2, &rig.backends[2]));
     duplicate["address"] = "127.0.0.1:1".into();
-    rig.agent.tell(&list(42, true, &[malformed, duplicate, third]));
+    rig.agent.deliver(&list(42, true, &[malformed, duplicate, third]));
     for part in ["endpoints[0] \"s-0\": invalid type", "endpoints[1] \"s-2\": named again by endpoints[2]"] {
         let line = rig.gateway.next_log_line();
         assert!(line.contains("discovery") && line.contains(part), "{line}");
@@ -64,8 +64,8 @@
     let whole = list(42, true, &ten_thousand).to_string();
     for _ in 0..3 {
         let before = rig.agent.calls().len();
-        rig.agent.answer(&whole[..whole.len() / 2]);
-        rig.agent.asked(before + 1);
+        rig.agent.queue_answer(&whole[..whole.len() / 2]);
+        rig.agent.wait_for_calls(before + 1);
     }
     let line = rig.gateway.next_log_line();
     assert!(line.contains("discovery: EOF while parsing") && line.contains("stays in force"), "{line}");
@@ -74,10 +74,10 @@
         rig.serve_one(&mut client, id);
     }
     // A complete response is applied. All 10,000 endpoints share an address, so only the last one holds it.
-    rig.agent.tell(&list(42, true, &ten_thousand));
+    rig.agent.deliver(&list(42, true, &ten_thousand));
     let mut malformed = ten_thousand[0].clone();
     malformed["weight"] = "much".into();
-    rig.agent.tell(&list(43, false, &[malformed]));
+    rig.agent.deliver(&list(43, false, &[malformed]));
     // This is the next line of the log: the second and third truncated responses were not logged.
     let line = rig.gateway.next_log_line();
     assert!(line.contains("\"t-0\": invalid type"), "{line}");
@@ -152,7 +152,7 @@
         });
         assert!(applied, "each call timed out before the next one arrived");
         let mut client = gateway.client();
-        client.send(&words(&call(1, "safe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
         backend.next().serve("fine");
         assert_eq!(client.read(), "fine");
     }
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -21,7 +21,7 @@
 /// Sends bytes to the management address and returns the response, which must be a single line.
 fn send_command(at: SocketAddr, line: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     stream.write_all(line).expect("write to the socket");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("read the response");
@@ -68,7 +68,7 @@
     let mut answer = String::new();
     half.read_to_string(&mut answer).expect("read the response");
     assert!(answer.starts_with("FAILURE"), "{answer}");
-    assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(rig.gateway.client().request(&["PING"]), "+PONG");
 }
 
 #[test]
@@ -85,7 +85,7 @@
         expect_success(at, "READY");
     }
     drop(silent);
-    assert_eq!(rig.gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(rig.gateway.client().request(&["PING"]), "+PONG");
 }
 
 #[test]
@@ -106,13 +106,13 @@
     };
     assert_not_served_by_banned(&mut client, 1);
     // The backend restarts, then a new snapshot arrives.
-    rig.agent.tell(&list(42, false, &both(1_000.0)[..1]));
+    rig.agent.deliver(&list(42, false, &both(1_000.0)[..1]));
     assert_not_served_by_banned(&mut client, 20);
-    rig.agent.tell(&list(43, true, &both(2_000.0)));
+    rig.agent.deliver(&list(43, true, &both(2_000.0)));
     assert_not_served_by_banned(&mut client, 40);
     // It is removed from the list and added again: the ban stays.
-    rig.agent.tell(&list(44, true, &both(0.0)[1..]));
-    rig.agent.tell(&list(45, true, &both(3_000.0)));
+    rig.agent.deliver(&list(44, true, &both(0.0)[1..]));
+    rig.agent.deliver(&list(45, true, &both(3_000.0)));
     assert_not_served_by_banned(&mut client, 60);
     expect_success(at, "ENABLE s-0");
     let mut served = false;
@@ -123,7 +123,7 @@
     // With all backends banned, requests are rejected at once instead of queued.
     expect_success(at, "DISABLE s-0");
     expect_success(at, "DISABLE s-1");
-    client.send(&words(&call(500, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(500, "safe", "free", 1, 8000)));
     assert_eq!(client.read(), "-BUSY");
 }
 
@@ -134,7 +134,7 @@
     let mut client = rig.gateway.client();
     let (_, before) = rig.serve_one(&mut client, 1);
     expect_success(at, "DISABLE s-0");
-    before.closed();
+    before.wait_until_closed();
     expect_success(at, "ENABLE s-0");
     let (_, after) = rig.serve_one(&mut client, 2);
     assert_ne!(before.connection, after.connection);
@@ -144,10 +144,10 @@
 fn drained_gateway_finishes_requests_and_serves_again_after_undrain() {
     let (rig, at) = managed_rig(1);
     let (mut client, mut idle) = (rig.gateway.client(), rig.gateway.client());
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     expect_success(at, "DRAIN");
-    assert!(rig.gateway.client().ask(&["PING"]).starts_with("-ERR"));
+    assert!(rig.gateway.client().request(&["PING"]).starts_with("-ERR"));
     assert!(expect_failure(at, "READY").contains("drained"));
     // The idle connection is closed; the other one still awaits a response.
     assert_eq!(idle.read(), "(end)");
@@ -156,18 +156,18 @@
     assert_eq!(client.read(), "(end)");
     // Later connections get an error and are then closed.
     let mut late = rig.gateway.client();
-    assert!(late.ask(&["PING"]).starts_with("-ERR"));
+    assert!(late.request(&["PING"]).starts_with("-ERR"));
     assert_eq!(late.read(), "(end)");
     expect_success(at, "UNDRAIN");
     expect_success(at, "READY");
     let mut again = rig.gateway.client();
-    assert_eq!(again.ask(&["PING"]), "+PONG");
+    assert_eq!(again.request(&["PING"]), "+PONG");
     rig.serve_one(&mut again, 2);
     // Commands in quick succession: the last one applies.
     expect_success(at, "DRAIN");
     expect_success(at, "UNDRAIN");
     expect_success(at, "DRAIN");
-    assert!(rig.gateway.client().ask(&["PING"]).starts_with("-ERR"));
+    assert!(rig.gateway.client().request(&["PING"]).starts_with("-ERR"));
     assert_eq!(again.read(), "(end)");
 }
 
@@ -180,8 +180,8 @@
     // There is always one more command sent than responses read.
     busy.send(&["PING"]);
     loop {
-        assert!(start.elapsed() < PATIENCE, "the connection is never closed");
-        if busy.ask_or_end(&["PING"]) == "(end)" {
+        assert!(start.elapsed() < MESSAGE_TIMEOUT, "the connection is never closed");
+        if busy.request_or_end(&["PING"]) == "(end)" {
             break;
         }
     }
@@ -193,7 +193,7 @@
     let mut clients: Vec<Client> = (0..64).map(|_| rig.gateway.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         for k in 0..32 {
-            client.send(&words(&call((i * 32 + k + 1) as u64, "safe", "free", 1, 8000)));
+            client.send(&as_strs(&request_args((i * 32 + k + 1) as u64, "safe", "free", 1, 8000)));
         }
     }
     let slowest = (0..20)
--- a/crates/gateway/tests/recorded_client_errors.rs
+++ b/crates/gateway/tests/recorded_client_errors.rs
@@ -19,7 +19,7 @@
 /// end of the connection.
 fn response_to(at: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     stream.write_all(&[bytes, &command(&["PING"])].concat()).expect("write to the socket");
     let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
     loop {
@@ -74,16 +74,16 @@
         "*1\r\n:1\r\n",
         "*1\r\n$0\r\n\r\n",
     ];
-    let good = call(1, "safe", "free", 1, 8000);
+    let good = request_args(1, "safe", "free", 1, 8000);
     let with = |index: usize, from: &str, to: &str| {
         let mut changed = good.clone();
         assert!(changed[index].contains(from), "{from} does not occur in the command");
         changed[index] = changed[index].replace(from, to);
         changed
     };
-    let mut keyless = call(1, "keyed", "free", 1, 8000);
+    let mut keyless = request_args(1, "keyed", "free", 1, 8000);
     keyless[3] = keyless[3].replace(",k=5c0f6e1a2b3d4c59", "");
-    let mut extra_argument = call(1, "unsafe", "free", 1, 8000);
+    let mut extra_argument = request_args(1, "unsafe", "free", 1, 8000);
     extra_argument.push("more".to_string());
     let calls = [
         with(0, "API.READ", "API.DELETE"),
@@ -128,7 +128,7 @@
         keyless,
         extra_argument,
     ];
-    let calls = calls.iter().map(|each| command(&words(each)));
+    let calls = calls.iter().map(|each| command(&as_strs(each)));
     let invalid_utf8 =
         b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000001\r\n$2\r\n\xff\xfe\r\n";
     plain.iter().map(|text| text.as_bytes().to_vec()).chain(calls).chain([invalid_utf8.to_vec()]).collect()
--- a/crates/gateway/tests/recorded_operator_protocol.rs
+++ b/crates/gateway/tests/recorded_operator_protocol.rs
@@ -23,7 +23,7 @@
 /// response.
 fn response_to(at: SocketAddr, bytes: &[u8], shut_down: bool) -> String {
     let mut stream = TcpStream::connect(at).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     stream.write_all(bytes).expect("write to the socket");
     if shut_down {
         stream.shutdown(Shutdown::Write).expect("socket is open");
@@ -82,7 +82,7 @@
     }
     // After SIGTERM, with an open request that keeps the process running.
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     rig.gateway.terminate();
     let mut last = response_to(at, b"READY\n", false);
@@ -119,11 +119,11 @@
     // One request is in flight, at the only backend that was on the list when it arrived.
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let mut arrived = rig.backends[0].next();
-    rig.agent.tell(&list(42, true, &[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]));
+    rig.agent.deliver(&list(42, true, &[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]));
     let mut stream = UnixStream::connect(&socket).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     let mut answers = BufReader::new(stream.try_clone().expect("duplicate the handle"));
     let mut actual = String::new();
     for ask in recorded::text("admin_asks.jsonl").lines() {
@@ -149,7 +149,7 @@
         },
     );
     let stream = UnixStream::connect(&socket).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     let mut writes = stream.try_clone().expect("duplicate the handle");
     // The gateway may stop reading before the whole line is written.
     let writer = std::thread::spawn(move || drop(writes.write_all(&vec![b'x'; (4 << 20) + 1])));
--- a/crates/gateway/tests/recorded_state_files.rs
+++ b/crates/gateway/tests/recorded_state_files.rs
@@ -53,7 +53,7 @@
     /// Sends a management command and returns the response.
     fn send_command(&self, line: &str) -> String {
         let mut stream = TcpStream::connect(self.at).expect("connect to the gateway");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+        stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
         stream.write_all(format!("{line}\n").as_bytes()).expect("write to the socket");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("read the response");
@@ -191,9 +191,9 @@
         config["counter"] = json!(unreachable.to_string());
     });
     let mut client = leaving.rig.gateway.client();
-    let mut request = call(1, "safe", "paid", 3, 8000);
+    let mut request = request_args(1, "safe", "paid", 3, 8000);
     request[1] = CUSTOMER.to_string();
-    client.send(&words(&request));
+    client.send(&as_strs(&request));
     leaving.rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
     leaving.rig.gateway.terminate();
@@ -226,20 +226,20 @@
     assert_eq!(managed.send_command("UNDRAIN"), "SUCCESS was not drained\r\n");
     let begun = Instant::now();
     while file_names(&directory) != ["book", "book.lock", "life-N"] {
-        assert!(begun.elapsed() < PATIENCE, "{:?}", file_names(&directory));
+        assert!(begun.elapsed() < MESSAGE_TIMEOUT, "{:?}", file_names(&directory));
         sleep(Duration::from_millis(5));
     }
     assert!(!directory.join("life-1").exists());
     // The customer's next counter call reports the three units of the charge left behind and its own one
     // unit; a little less, as the token bucket has refilled in between.
-    let mut request = call(100, "safe", "paid", 1, 8000);
+    let mut request = request_args(100, "safe", "paid", 1, 8000);
     request[1] = CUSTOMER.to_string();
-    client.send(&words(&request));
+    client.send(&as_strs(&request));
     let mut bump = managed.rig.counter.next();
     assert_eq!(bump.words[0], "bump");
     let reported: f64 = bump.words[2].parse().expect("number");
     assert!(reported > 3.5 && reported <= 4.0, "{:?}", bump.words);
-    bump.say("ok 4\r\n");
+    bump.reply("ok 4\r\n");
     managed.rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
 }
--- a/crates/gateway/tests/run_command.rs
+++ b/crates/gateway/tests/run_command.rs
@@ -43,9 +43,9 @@
 #[test]
 fn unanswered_discovery_call_is_repeated_without_pause() {
     let rig = Rig::with_config(1, |config| config["settings"]["group-size"] = json!(300));
-    rig.agent.asked(1);
+    rig.agent.wait_for_calls(1);
     let first = Instant::now();
-    rig.agent.asked(2);
+    rig.agent.wait_for_calls(2);
     // The call times out after 5 s. The pause after a failure would be at least 1 s in a fleet of 300.
     let next = first.elapsed();
     assert!(next < Duration::from_millis(5_950), "{next:?}");
@@ -62,7 +62,7 @@
     });
     // Endpoint list: the first call is a watch at a random time within half of the drain grace period, the
     // next follows within 0.2 s, and neither waits for a slot.
-    rig.agent.asked(1);
+    rig.agent.wait_for_calls(1);
     let first = begun.elapsed();
     assert!(first < Duration::from_secs(3), "waited for the slot at 6.6 s: {first:?}");
     let first_call = &rig.agent.calls()[0];
@@ -71,21 +71,21 @@
     // Backends: connections are not ramped; as many open at once as there are requests.
     let mut clients: Vec<Client> = (0..6).map(|_| rig.gateway.client()).collect();
     for (id, client) in (1..).zip(&mut clients) {
-        client.send(&words(&call(id, "safe", "free", 1, 8000)));
+        client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
     }
-    let mut arrived: Vec<Arrived> = clients.iter().map(|_| rig.next_request().1).collect();
+    let mut arrived: Vec<IncomingMessage> = clients.iter().map(|_| rig.next_request().1).collect();
     for a in &mut arrived {
         a.serve("fine");
     }
     assert!(clients.iter_mut().all(|c| c.read() == "fine"));
     // Shared counter: a call for each customer with a quota; none is skipped.
     for id in 11..15 {
-        let mut request = call(id, "safe", "paid", 1, 8000);
+        let mut request = request_args(id, "safe", "paid", 1, 8000);
         request[1] = format!("{:016x}", 0x1_0000 + id);
-        clients[0].send(&words(&request));
+        clients[0].send(&as_strs(&request));
         let mut bump = rig.counter.next();
         assert_eq!((bump.words[0].as_str(), bump.words[2].as_str()), ("bump", "1"));
-        bump.say("ok 1\r\n");
+        bump.reply("ok 1\r\n");
         rig.next_request().1.serve("fine");
         assert_eq!(clients[0].read(), "fine");
     }
--- a/crates/gateway/tests/settings_reload.rs
+++ b/crates/gateway/tests/settings_reload.rs
@@ -30,14 +30,14 @@
 
 /// Sends a request and returns the response. If the request reaches a backend, the backend serves it.
 fn send_request(rig: &Rig, client: &mut Client, id: u64, class: &str) -> String {
-    let mut request = call(id, "safe", "free", 1, 8000);
+    let mut request = request_args(id, "safe", "free", 1, 8000);
     request[3] = request[3].replace("c=safe", &format!("c={class}"));
-    client.send(&words(&request));
+    client.send(&as_strs(&request));
     let start = Instant::now();
     loop {
-        assert!(start.elapsed() < PATIENCE, "no answer");
+        assert!(start.elapsed() < MESSAGE_TIMEOUT, "no answer");
         for backend in &rig.backends {
-            if let Some(mut arrived) = backend.taken() {
+            if let Some(mut arrived) = backend.try_next() {
                 arrived.serve("fine");
                 return client.read();
             }
@@ -58,13 +58,13 @@
     assert_eq!(send_request(&rig, &mut client, 2, "new"), "fine");
     // A request is open while its class is removed.
     let mut open = rig.gateway.client();
-    let mut request = call(3, "safe", "free", 1, 8000);
+    let mut request = request_args(3, "safe", "free", 1, 8000);
     request[3] = request[3].replace("c=safe", "c=new");
-    open.send(&words(&request));
+    open.send(&as_strs(&request));
     let (_, mut arrived) = rig.next_request();
     assert!(reload(&mut rig, &without.to_string()).contains("in force"));
     assert!(send_request(&rig, &mut client, 4, "new").starts_with("-ERR unknown class"));
-    arrived.say("-ERR failed\r\n");
+    arrived.reply("-ERR failed\r\n");
     // The request is still safe to retry, as it was on arrival: there is another attempt.
     let (_, mut retry) = rig.next_request();
     retry.serve("fine");
@@ -75,18 +75,18 @@
 fn changed_attempt_limit_applies_to_later_requests_only() {
     let mut rig = Rig::with_config(2, |_| {});
     let (mut before, mut after) = (rig.gateway.client(), rig.gateway.client());
-    before.send(&words(&call(1, "safe", "free", 1, 8000)));
+    before.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut first) = rig.next_request();
     let mut one = rig.config.clone();
     one["settings"]["policy-limits"]["max-attempts"] = json!(1);
     assert!(reload(&mut rig, &one.to_string()).contains("in force"));
-    first.say("-ERR failed\r\n");
+    first.reply("-ERR failed\r\n");
     let (_, mut second) = rig.next_request();
     second.serve("fine");
     assert_eq!(before.read(), "fine");
-    after.send(&words(&call(2, "safe", "free", 1, 8000)));
+    after.send(&as_strs(&request_args(2, "safe", "free", 1, 8000)));
     let (_, mut only) = rig.next_request();
-    only.say("-ERR failed\r\n");
+    only.reply("-ERR failed\r\n");
     assert!(after.read().starts_with('-'), "there must be no second attempt");
     assert!(rig.backends_idle());
 }
@@ -99,11 +99,11 @@
     other["settings"]["profiles"][2]["effect"] = json!("idempotency_key");
     other["settings"]["profiles"][2]["group"] = json!("all");
     assert!(reload(&mut rig, &other.to_string()).contains("in force"));
-    let mut request = call(1, "unsafe", "free", 1, 8000);
+    let mut request = request_args(1, "unsafe", "free", 1, 8000);
     request[3] += ",k=5c0f6e1a2b3d4c59";
-    client.send(&words(&request));
+    client.send(&as_strs(&request));
     let (_, mut first) = rig.next_request();
-    first.say("-ERR failed\r\n");
+    first.reply("-ERR failed\r\n");
     let (_, mut second) = rig.next_request();
     second.serve("fine");
     assert_eq!(client.read(), "fine");
--- a/crates/gateway/tests/shared_counter.rs
+++ b/crates/gateway/tests/shared_counter.rs
@@ -17,11 +17,11 @@
 
 /// Serves requests until one leads to a counter call, and returns that call. While calls fail, the gateway
 /// skips some at random.
-fn serve_until_counter_call(rig: &Rig, client: &mut Client) -> Arrived {
+fn serve_until_counter_call(rig: &Rig, client: &mut Client) -> IncomingMessage {
     for id in 100..150 {
-        client.send(&words(&call(id, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(id, "safe", "paid", 60, 8000)));
         let all: Vec<&StandIn> = rig.backends.iter().chain([&rig.counter]).collect();
-        let (index, mut arrived) = next_of(&all);
+        let (index, mut arrived) = next_from_any(&all);
         if index == rig.backends.len() {
             return arrived;
         }
@@ -40,9 +40,9 @@
 #[test]
 fn silent_counter_delays_no_request_and_late_answer_is_ignored() {
     within_one_window(|| {
-        let rig = Rig::with_config(1, roomy);
+        let rig = Rig::with_config(1, set_large_burst);
         let mut client = rig.gateway.client();
-        client.send(&words(&call(1, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
         let mut late = rig.counter.next();
         // No answer in time: the token bucket decides alone.
         rig.next_request().1.serve("fine");
@@ -52,8 +52,8 @@
             return None;
         }
         assert_eq!(late.connection, bump.connection);
-        late.say("ok 5000\r\n");
-        bump.say("ok 180\r\n");
+        late.reply("ok 5000\r\n");
+        bump.reply("ok 180\r\n");
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         Some(())
@@ -64,27 +64,27 @@
 fn silent_counter_connection_is_replaced() {
     within_one_window(|| {
         let rig = Rig::with_config(1, |config| {
-            roomy(config);
+            set_large_burst(config);
             config["settings"]["family-info"]["count-wait-ms"] = json!(30.0);
         });
         let mut client = rig.gateway.client();
-        client.send(&words(&call(1, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
         let silent = rig.counter.next();
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         sleep(SILENT_CONNECTION_KEPT);
         // Calls made now queue behind the unanswered one.
         for id in 2..6 {
-            client.send(&words(&call(id, "safe", "paid", 60, 8000)));
+            client.send(&as_strs(&request_args(id, "safe", "paid", 60, 8000)));
             rig.next_request().1.serve("fine");
             assert_eq!(client.read(), "fine");
         }
-        while let Some(bump) = rig.counter.taken() {
+        while let Some(bump) = rig.counter.try_next() {
             if bump.words[1] != silent.words[1] {
                 return None;
             }
         }
-        silent.closed();
+        silent.wait_until_closed();
         sleep(COUNTER_BACKOFF);
         assert_ne!(serve_until_counter_call(&rig, &mut client).connection, silent.connection);
         Some(())
@@ -93,10 +93,10 @@
 
 #[test]
 fn charge_rejected_by_busy_counter_is_sent_again() {
-    let rig = Rig::with_config(1, roomy);
+    let rig = Rig::with_config(1, set_large_burst);
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "paid", 60, 8000)));
-    rig.counter.next().say("busy\r\n");
+    client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
+    rig.counter.next().reply("busy\r\n");
     rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
     let amount: f64 = serve_until_counter_call(&rig, &mut client).words[2].parse().expect("number");
@@ -107,24 +107,24 @@
 fn charge_with_unknown_result_is_not_sent_again() {
     // A connection that breaks after the call, malformed answers, and an answer that is never completed.
     for answer in ["", "ok NaN\r\n", "ok 1x\r\n", "oo"] {
-        let rig = Rig::with_config(1, roomy);
+        let rig = Rig::with_config(1, set_large_burst);
         let mut client = rig.gateway.client();
         // The first call is answered, so the counter has responded before the failure.
-        client.send(&words(&call(1, "safe", "paid", 60, 8000)));
-        rig.counter.next().say("ok 60\r\n");
+        client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
+        rig.counter.next().reply("ok 60\r\n");
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        client.send(&words(&call(2, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(2, "safe", "paid", 60, 8000)));
         let mut bump = rig.counter.next();
-        bump.say(answer);
+        bump.reply(answer);
         if answer.is_empty() {
             bump.close();
         }
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        bump.closed();
+        bump.wait_until_closed();
         // Each request makes a call as before, on a new connection: nothing indicates a busy counter.
-        client.send(&words(&call(3, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(3, "safe", "paid", 60, 8000)));
         let next = rig.counter.next();
         assert_ne!(next.connection, bump.connection, "{answer:?}");
         let amount: f64 = next.words[2].parse().expect("number");
@@ -134,7 +134,7 @@
 
 /// Returns a request for 60 units by the given customer.
 fn call_for_customer(customer: u64, id: u64) -> Vec<String> {
-    let mut words = call(id, "safe", "paid", 60, 8000);
+    let mut words = request_args(id, "safe", "paid", 60, 8000);
     words[1] = format!("{customer:016x}");
     words
 }
@@ -144,13 +144,13 @@
 #[test]
 fn burst_rejected_by_counter_reduces_calls_only_once() {
     const BURST: u64 = 8;
-    let rig = Rig::with_config(1, roomy);
+    let rig = Rig::with_config(1, set_large_burst);
     let mut client = rig.gateway.client();
     let mut serve_counted = |id| {
-        client.send(&words(&call_for_customer(1, id)));
+        client.send(&as_strs(&call_for_customer(1, id)));
         let mut bump = rig.counter.next();
         let amount = bump.words[2].clone();
-        bump.say(&format!("ok {amount}\r\n"));
+        bump.reply(&format!("ok {amount}\r\n"));
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     };
@@ -159,11 +159,11 @@
     serve_counted(2);
     let mut others: Vec<Client> = (0..BURST).map(|_| rig.gateway.client()).collect();
     for (customer, other) in (10..).zip(&mut others) {
-        other.send(&words(&call_for_customer(customer, customer)));
+        other.send(&as_strs(&call_for_customer(customer, customer)));
     }
-    let pending: Vec<Arrived> = (0..BURST).map(|_| rig.counter.next()).collect();
+    let pending: Vec<IncomingMessage> = (0..BURST).map(|_| rig.counter.next()).collect();
     for mut bump in pending.into_iter() {
-        bump.say("busy\r\n");
+        bump.reply("busy\r\n");
     }
     (0..BURST).for_each(|_| rig.next_request().1.serve("fine"));
     for other in &mut others {
@@ -177,14 +177,14 @@
 #[test]
 fn charge_of_request_rejected_by_total_is_reversed_at_once() {
     within_one_window(|| {
-        let rig = Rig::with_config(1, roomy);
+        let rig = Rig::with_config(1, set_large_burst);
         let mut client = rig.gateway.client();
-        client.send(&words(&call(1, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
         let mut bump = rig.counter.next();
-        bump.say("ok 5000\r\n");
+        bump.reply("ok 5000\r\n");
         assert!(client.read().starts_with("-BUSY"));
         // Nothing is reversed in a window that is over.
-        let reversal = rig.counter.within(Duration::from_secs(5))?;
+        let reversal = rig.counter.next_within(Duration::from_secs(5))?;
         assert_eq!((&reversal.words[1], reversal.words[2].as_str()), (&bump.words[1], "-60"));
         Some(())
     });
@@ -192,14 +192,14 @@
 
 #[test]
 fn requests_pass_on_token_bucket_while_counter_refuses_connections() {
-    let (_held, refusing_address) = refusing();
+    let (_held, refusing_address) = refusing_address();
     let rig = Rig::with_config(1, |config| {
-        roomy(config);
+        set_large_burst(config);
         config["counter"] = json!(refusing_address.to_string());
     });
     let mut client = rig.gateway.client();
     for id in 1..4 {
-        client.send(&words(&call(id, "safe", "paid", 60, 8000)));
+        client.send(&as_strs(&request_args(id, "safe", "paid", 60, 8000)));
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -13,8 +13,8 @@
 fn sigterm_finishes_open_requests_and_closes_idle_connections() {
     let mut rig = Rig::with_config(1, |_| {});
     let (mut client, mut idle) = (rig.gateway.client(), rig.gateway.client());
-    assert_eq!(idle.ask(&["PING"]), "+PONG");
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    assert_eq!(idle.request(&["PING"]), "+PONG");
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     rig.gateway.terminate();
     assert_eq!(idle.read(), "(end)");
@@ -32,11 +32,11 @@
     let start = Instant::now();
     rig.gateway.terminate();
     for id in 2.. {
-        if client.ask_or_end(&["PING"]) == "(end)" {
+        if client.request_or_end(&["PING"]) == "(end)" {
             break;
         }
-        client.send(&words(&call(id, "safe", "free", 1, 8000)));
-        let Some(mut arrived) = rig.backends[0].within(Duration::from_secs(1)) else { break };
+        client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
+        let Some(mut arrived) = rig.backends[0].next_within(Duration::from_secs(1)) else { break };
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
         sleep(Duration::from_millis(20));
@@ -50,11 +50,11 @@
 fn idle_connection_closes_after_next_response_once_sigterm_arrived() {
     let mut rig = Rig::with_config(1, |_| {});
     let (mut busy, mut idle) = (rig.gateway.client(), rig.gateway.client());
-    assert_eq!(idle.ask(&["PING"]), "+PONG");
+    assert_eq!(idle.request(&["PING"]), "+PONG");
     rig.gateway.terminate();
     // A connection in constant use is closed after a response as soon as the gateway closes connections.
-    while busy.ask_or_end(&["PING"]) != "(end)" {}
-    assert_eq!(idle.ask(&["PING"]), "+PONG", "closed while idle");
+    while busy.request_or_end(&["PING"]) != "(end)" {}
+    assert_eq!(idle.request(&["PING"]), "+PONG", "closed while idle");
     assert_eq!(idle.read(), "(end)");
     assert!(rig.gateway.wait_for_exit().success());
 }
@@ -63,7 +63,7 @@
 fn unfinished_request_fails_before_end_of_sigterm_grace_period() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let _silent = rig.next_request();
     rig.gateway.terminate();
     assert!(client.read().starts_with("-ERR"));
@@ -71,20 +71,20 @@
 }
 
 /// Sends a snapshot and waits until the gateway watches for later versions.
-fn send_snapshot(agent: &Agent, backend: &StandIn) {
-    agent.tell(&list(7, true, &[serving(0, backend)]));
+fn send_snapshot(agent: &DiscoveryStandIn, backend: &StandIn) {
+    agent.deliver(&list(7, true, &[serving(0, backend)]));
 }
 
 #[test]
 fn sighup_switches_to_new_discovery_and_counter_addresses() {
-    let mut rig = Rig::with_config(1, roomy);
+    let mut rig = Rig::with_config(1, set_large_burst);
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "paid", 60, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
     // The old counter never answers this call.
     let unanswered = rig.counter.next();
     for _ in 0..2 {
-        let (agent, counter, fresh) = (Agent::start(), StandIn::counter(), StandIn::backend());
+        let (agent, counter, fresh) = (DiscoveryStandIn::start(), StandIn::counter(), StandIn::backend());
         let mut config = rig.config.clone();
         config["discovery"] = json!(agent.address.to_string());
         config["counter"] = json!(counter.address.to_string());
@@ -97,11 +97,11 @@
     let (_, mut arrived) = rig.next_request();
     arrived.serve("fine");
     assert_eq!(client.read(), "fine");
-    unanswered.closed();
+    unanswered.wait_until_closed();
     // The last list has only the last backend, and counter calls go to the last counter.
     for id in 2..14 {
-        client.send(&words(&call(id, "safe", "paid", 60, 8000)));
-        let (index, mut arrived) = next_of(&[&rig.counter, &rig.backends[2]]);
+        client.send(&as_strs(&request_args(id, "safe", "paid", 60, 8000)));
+        let (index, mut arrived) = next_from_any(&[&rig.counter, &rig.backends[2]]);
         if index == 0 {
             assert_eq!(arrived.words[0], "bump");
             return;
@@ -126,7 +126,7 @@
 fn sighup_during_drain_does_not_end_drain() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     rig.gateway.terminate();
     rig.gateway.reload("{");
--- a/crates/gateway/tests/streamed_values.rs
+++ b/crates/gateway/tests/streamed_values.rs
@@ -19,8 +19,8 @@
 }
 
 /// Starts a response with the first `first` bytes of a value, and returns the part that is still to be sent.
-fn start_response<'a>(arrived: &mut Arrived, value: &'a str, first: usize) -> &'a str {
-    arrived.say(&format!("*3\r\n${}\r\n{}", value.len(), &value[..first]));
+fn start_response<'a>(arrived: &mut IncomingMessage, value: &'a str, first: usize) -> &'a str {
+    arrived.reply(&format!("*3\r\n${}\r\n{}", value.len(), &value[..first]));
     &value[first..]
 }
 
@@ -36,10 +36,12 @@
 }
 
 /// Sends a request on a new connection; returns the connection and the request as the backend received it.
-fn open_request(rig: &Rig, id: u64) -> (TcpStream, Arrived) {
+fn open_request(rig: &Rig, id: u64) -> (TcpStream, IncomingMessage) {
     let mut stream = TcpStream::connect(rig.gateway.address).expect("connect to the gateway");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
-    stream.write_all(&command(&words(&call(id, "safe", "free", 1, 8000)))).expect("write to the socket");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
+    stream
+        .write_all(&command(&as_strs(&request_args(id, "safe", "free", 1, 8000))))
+        .expect("write to the socket");
     (stream, rig.next_request().1)
 }
 
@@ -57,13 +59,15 @@
         (client, received)
     });
     for piece in rest.as_bytes().chunks(7_777) {
-        arrived.say(std::str::from_utf8(piece).expect("UTF-8 text"));
+        arrived.reply(std::str::from_utf8(piece).expect("UTF-8 text"));
     }
     let (mut client, received) = reader.join().expect("reader thread");
     assert!(received.ends_with(b"\r\n") && &received[..LONG_VALUE - 1] == rest.as_bytes());
-    arrived.say("\r\n$13\r\nused=0,cost=1\r\n$-1\r\n");
+    arrived.reply("\r\n$13\r\nused=0,cost=1\r\n$-1\r\n");
     // Both connections are reused; the backend's only after the metadata behind the value has been read.
-    client.write_all(&command(&words(&call(2, "safe", "free", 1, 8000)))).expect("write to the socket");
+    client
+        .write_all(&command(&as_strs(&request_args(2, "safe", "free", 1, 8000))))
+        .expect("write to the socket");
     let (_, mut next) = rig.next_request();
     next.serve("fine");
     let mut answer = [0; 10];
@@ -90,10 +94,10 @@
 fn small_response_in_pieces_is_assembled() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
-    client.send(&words(&call(1, "safe", "free", 1, 8000)));
+    client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     for byte in "*3\r\n$4\r\nfine\r\n$13\r\nused=0,cost=1\r\n$-1\r\n".chars() {
-        arrived.say(&byte.to_string());
+        arrived.reply(&byte.to_string());
         thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(client.read(), "fine");
@@ -111,7 +115,7 @@
         let value = value.clone();
         let writer = thread::spawn(move || {
             start_response(&mut arrived, &value, LONG_VALUE);
-            arrived.say("\r\n$13\r\nused=0,cost=1\r\n$-1\r\n");
+            arrived.reply("\r\n$13\r\nused=0,cost=1\r\n$-1\r\n");
         });
         assert_eq!(read_first_byte(&mut client), (LONG_VALUE, b'a'));
         readers.push((client, writer));
--- a/crates/gateway/tests/support/gateway_rig.rs
+++ b/crates/gateway/tests/support/gateway_rig.rs
@@ -70,7 +70,7 @@
         let address = address.parse().expect("socket address");
         let stderr = BufReader::new(process.stderr.take().expect("stderr of the gateway"));
         let gateway = Gateway { process, address, config_file: file, stderr };
-        assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+        assert_eq!(gateway.client().request(&["PING"]), "+PONG");
         gateway
     }
 
@@ -114,14 +114,14 @@
         line.trim().trim_end_matches(" kB").parse().expect("number")
     }
 
-    /// Waits until the process exits; panics after [`PATIENCE`].
+    /// Waits until the process exits; panics after [`MESSAGE_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.process.try_wait().expect("child process") {
                 return status;
             }
-            assert!(start.elapsed() < PATIENCE, "the gateway does not exit");
+            assert!(start.elapsed() < MESSAGE_TIMEOUT, "the gateway does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -142,7 +142,7 @@
 pub struct Rig {
     pub gateway: Gateway,
     pub config: Value,
-    pub agent: Agent,
+    pub agent: DiscoveryStandIn,
     pub counter: StandIn,
     pub backends: Vec<StandIn>,
 }
@@ -164,7 +164,7 @@
         change: impl FnOnce(&mut Value),
         customize: impl FnOnce(&mut Command),
     ) -> Rig {
-        let (agent, counter) = (Agent::start(), StandIn::counter());
+        let (agent, counter) = (DiscoveryStandIn::start(), StandIn::counter());
         let backends: Vec<StandIn> = (0..backends).map(|_| StandIn::backend()).collect();
         let known: Vec<Value> = (0..).zip(&backends).map(|(i, b)| serving(i, b)).collect();
         let mut config = config(agent.address, counter.address, &known);
@@ -173,8 +173,8 @@
     }
 
     /// Waits for the next request at any backend; returns the backend's index and the request.
-    pub fn next_request(&self) -> (usize, Arrived) {
-        next_of(&self.backends.iter().collect::<Vec<_>>())
+    pub fn next_request(&self) -> (usize, IncomingMessage) {
+        next_from_any(&self.backends.iter().collect::<Vec<_>>())
     }
 
     /// Returns whether no backend has a request that the test has not taken yet.
@@ -184,12 +184,12 @@
 
     /// Sends a snapshot with version 41 and waits until the gateway watches for later versions.
     pub fn send_snapshot(&self, endpoints: &[Value]) {
-        self.agent.tell(&list(41, true, endpoints));
+        self.agent.deliver(&list(41, true, endpoints));
     }
 
     /// Sends a request through the gateway and serves it; returns the backend's index and the request.
-    pub fn serve_one(&self, client: &mut Client, id: u64) -> (usize, Arrived) {
-        client.send(&words(&call(id, "safe", "free", 1, 8000)));
+    pub fn serve_one(&self, client: &mut Client, id: u64) -> (usize, IncomingMessage) {
+        client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
         let (index, mut arrived) = self.next_request();
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -51,7 +51,7 @@
     /// Sends a management command; returns the response, or `None` if the exchange fails.
     fn send_command(&self, line: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.management).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).ok()?;
@@ -68,7 +68,7 @@
     fn wait_until_ready(&mut self) {
         let start = Instant::now();
         while !self.send_command("READY").is_some_and(|a| a.starts_with("SUCCESS")) {
-            assert!(start.elapsed() < PATIENCE, "the process never becomes ready");
+            assert!(start.elapsed() < MESSAGE_TIMEOUT, "the process never becomes ready");
             assert!(self.child.try_wait().expect("child process").is_none(), "the process exited");
             thread::sleep(Duration::from_millis(5));
         }
@@ -86,7 +86,7 @@
             if let Some(status) = self.child.try_wait().expect("child process") {
                 return status.success();
             }
-            assert!(start.elapsed() < PATIENCE, "the process does not exit");
+            assert!(start.elapsed() < MESSAGE_TIMEOUT, "the process does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -117,7 +117,7 @@
     let (address, received) = (stand_in.address, Arc::new(Mutex::new(Vec::new())));
     let recorded = Arc::clone(&received);
     thread::spawn(move || {
-        while let Some(mut arrived) = stand_in.within(Duration::from_secs(120)) {
+        while let Some(mut arrived) = stand_in.next_within(Duration::from_secs(120)) {
             if arrived.words.len() > 2 {
                 recorded.lock().expect("lock not poisoned").push(arrived.words[2].clone());
                 arrived.serve("fine");
@@ -165,17 +165,17 @@
                 while !stop.load(Ordering::Relaxed) {
                     let id = last.fetch_add(1, Ordering::SeqCst) + 1;
                     current[index as usize].store(id, Ordering::SeqCst);
-                    let request = call(id, "unsafe", "free", 1, 8000);
+                    let request = request_args(id, "unsafe", "free", 1, 8000);
                     // If the gateway closed the connection meanwhile, the request is sent once more on a new
                     // one.
                     let mut answer = None;
                     for _ in 0..2 {
                         let mut stream = open.take().unwrap_or_else(|| {
                             let stream = TcpStream::connect(at).expect("connect to the inherited listener");
-                            stream.set_read_timeout(Some(PATIENCE)).expect("set the read timeout");
+                            stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
                             BufReader::new(stream)
                         });
-                        answer = send_request(&mut stream, &words(&request));
+                        answer = send_request(&mut stream, &as_strs(&request));
                         if answer.is_some() {
                             open = Some(stream);
                             break;
@@ -202,7 +202,7 @@
     fn wait_until_finished(&self, id: u64) {
         let start = Instant::now();
         while self.current.iter().any(|current| current.load(Ordering::SeqCst) <= id) {
-            assert!(start.elapsed() < PATIENCE, "the clients make no progress");
+            assert!(start.elapsed() < MESSAGE_TIMEOUT, "the clients make no progress");
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -221,13 +221,13 @@
     state_parent: tempfile::TempDir,
     config: Value,
     backends: Vec<Backend>,
-    _stand_ins: (Agent, StandIn),
+    _stand_ins: (DiscoveryStandIn, StandIn),
 }
 
 /// Prepares the stand-ins and the configuration. Deadlines are short, so that a process exits soon after
 /// SIGTERM.
 fn upgrade_rig() -> UpgradeRig {
-    let (agent, counter) = (Agent::start(), StandIn::counter());
+    let (agent, counter) = (DiscoveryStandIn::start(), StandIn::counter());
     let backends: Vec<Backend> = (0..3).map(|_| start_backend()).collect();
     let known: Vec<Value> = (0..)
         .zip(&backends)
--- a/crates/gatewayctl/examples/measure_operation.rs
+++ b/crates/gatewayctl/examples/measure_operation.rs
@@ -19,7 +19,7 @@
 
 use serde_json::{json, Value};
 use support::{cpu_us, own_address, program, AnyError, Process};
-use testbed::scripted::{call, command, config, endpoint, words, Agent, StandIn};
+use testbed::scripted::{as_strs, command, config, endpoint, request_args, DiscoveryStandIn, StandIn};
 
 const CLIENTS: usize = 8;
 const DEADLINE_MS: f64 = 700.0;
@@ -91,7 +91,7 @@
         thread::spawn(move || {
             let mut open: Option<BufReader<TcpStream>> = None;
             while !stop.load(Ordering::Relaxed) {
-                let request = call(last.fetch_add(1, Ordering::Relaxed) + 1, "safe", "free", 1, 700);
+                let request = request_args(last.fetch_add(1, Ordering::Relaxed) + 1, "safe", "free", 1, 700);
                 let (asked, mut answer) = (Instant::now(), String::new());
                 for tries in 0..2 {
                     seen.again.fetch_add(tries, Ordering::Relaxed);
@@ -100,7 +100,7 @@
                     else {
                         continue;
                     };
-                    let sent = stream.get_mut().write_all(&command(&words(&request)));
+                    let sent = stream.get_mut().write_all(&command(&as_strs(&request)));
                     if sent.is_ok() && stream.read_line(&mut answer).is_ok_and(|n| n > 0) {
                         if answer.starts_with('$') {
                             let _ = stream.read_line(&mut answer);
@@ -152,13 +152,13 @@
     let upgrades: usize = std::env::args().nth(1).map_or(Ok(20), |n| n.parse())?;
     let dir = tempfile::tempdir()?;
     std::fs::create_dir(dir.path().join("tmp"))?;
-    let (agent, counter) = (Agent::start(), StandIn::counter());
+    let (agent, counter) = (DiscoveryStandIn::start(), StandIn::counter());
     let mut known = Vec::new();
     for i in 0..3 {
         let backend = StandIn::backend();
         known.push(endpoint(&format!("s-{i}"), backend.address, 1, "SERVING", 0.0));
         thread::spawn(move || {
-            while let Some(mut arrived) = backend.within(Duration::from_secs(600)) {
+            while let Some(mut arrived) = backend.next_within(Duration::from_secs(600)) {
                 arrived.serve("fine");
             }
         });
--- a/crates/gatewayctl/tests/calls.rs
+++ b/crates/gatewayctl/tests/calls.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{json, Value};
 use support::{own_loopback, wait_until, Process, PROGRAM};
-use testbed::scripted::{config, endpoint, Agent, StandIn};
+use testbed::scripted::{config, endpoint, DiscoveryStandIn, StandIn};
 
 /// Runs a call; gives its exit code, its output and its errors.
 fn call(words: &[&str]) -> (i32, String, String) {
@@ -18,7 +18,7 @@
 
 #[test]
 fn gateway_commands_report_each_gateway_and_set_exit_codes() {
-    let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
+    let (agent, counter, backend) = (DiscoveryStandIn::start(), StandIn::counter(), StandIn::backend());
     let known = [endpoint("s-0", backend.address, 1, "SERVING", 0.0)];
     let mut told = config(agent.address, counter.address, &known);
     // An address of this process's own: nobody else takes its ports.
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -13,7 +13,7 @@
 use support::recorded::{compare, Normalizer, VOLATILE};
 use support::{own_loopback, wait_until, Fleet, Process, Ran, PROGRAM, TIMEOUT};
 use testbed::dns::{Dns, Instance};
-use testbed::scripted::{config, endpoint, Agent, StandIn};
+use testbed::scripted::{config, endpoint, DiscoveryStandIn, StandIn};
 
 /// What was seen of each command, by its words.
 struct Transcript<'a> {
@@ -165,7 +165,7 @@
 
 #[test]
 fn gateway_calls_print_recorded_json() {
-    let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
+    let (agent, counter, backend) = (DiscoveryStandIn::start(), StandIn::counter(), StandIn::backend());
     let known = [endpoint("s-0", backend.address, 1, "SERVING", 0.0)];
     let mut told = config(agent.address, counter.address, &known);
     // An address of this process's own: nobody else takes its ports.
--- a/crates/gatewayctl/tests/up.rs
+++ b/crates/gatewayctl/tests/up.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 use support::{wait_until, PROGRAM};
-use testbed::scripted::{call, words, Client};
+use testbed::scripted::{as_strs, request_args, Client};
 
 /// Whether a process is there and no zombie.
 fn runs(pid: &Value) -> bool {
@@ -34,9 +34,9 @@
     assert_eq!(up_told["backends"].as_array().expect("a list").len(), 3);
     let address = up_told["gateways"][0]["address"].as_str().expect("one").parse().expect("an address");
     let mut client = Client::connect(address);
-    let mut request = call(7, "safe", "free", 1, 3000);
+    let mut request = request_args(7, "safe", "free", 1, 3000);
     request[3] = request[3].replace("spread=2", "spread=1");
-    client.send(&words(&request));
+    client.send(&as_strs(&request));
     assert_eq!(client.read(), format!("{:016x}", 7));
     let status = || {
         let output = Command::new(PROGRAM).args(["--agent", &agent, "status"]).output();
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -12,13 +12,13 @@
 mod resp;
 mod stand_in;
 
-pub use client::{call, wait_of, words, Client};
-pub use discovery::{endpoint, list, serving, Agent, TURNED_AWAY};
+pub use client::{as_strs, deadline_ms_of, request_args, Client};
+pub use discovery::{endpoint, list, serving, DiscoveryStandIn, SERVICE_UNAVAILABLE};
 pub use resp::command;
-pub use stand_in::{next_of, refusing, Arrived, StandIn};
+pub use stand_in::{next_from_any, refusing_address, IncomingMessage, StandIn};
 
 /// How long anything that must come may take; long, so that a slow machine gives the same verdict.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Settings of classes `safe`, `keyed` (by cell) and `unsafe`, and of plans `free` (no limit) and
 /// `paid` (a store of 16 units that fills by 0.5 a second).
@@ -62,7 +62,7 @@
 }
 
 /// A store that needs a call for each request of 60 units, and holds many.
-pub fn roomy(config: &mut Value) {
+pub fn set_large_burst(config: &mut Value) {
     config["settings"]["tariffs"][1]["store-size"] = json!(1190.0);
     config["settings"]["family-info"]["units-top"] = json!(60);
 }
--- a/crates/testbed/src/scripted/client.rs
+++ b/crates/testbed/src/scripted/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::resp::{command, message};
-use super::PATIENCE;
+use super::MESSAGE_TIMEOUT;
 
 /// A client's connection.
 pub struct Client {
@@ -16,7 +16,7 @@
     /// Connects to a gateway.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("the gateway listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a time-out");
         Client { stream: BufReader::new(stream) }
     }
 
@@ -40,12 +40,12 @@
         let short = Some(Duration::from_millis(2));
         self.stream.get_ref().set_read_timeout(short).expect("a time-out");
         let some = self.stream.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
-        self.stream.get_ref().set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        self.stream.get_ref().set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a time-out");
         some.then(|| self.read())
     }
 
     /// Asks on a connection that the gateway may be about to close.
-    pub fn ask_or_end(&mut self, words: &[&str]) -> String {
+    pub fn request_or_end(&mut self, words: &[&str]) -> String {
         match self.stream.get_mut().write_all(&command(words)) {
             Ok(()) => self.read(),
             Err(_) => "(end)".to_string(),
@@ -53,14 +53,14 @@
     }
 
     /// Writes a command and reads its answer.
-    pub fn ask(&mut self, words: &[&str]) -> String {
+    pub fn request(&mut self, words: &[&str]) -> String {
         self.send(words);
         self.read()
     }
 }
 
 /// A request's words: of a class and plan, with so many units, and a body if it is a write.
-pub fn call(id: u64, class: &str, plan: &str, units: u32, wait_ms: u32) -> Vec<String> {
+pub fn request_args(id: u64, class: &str, plan: &str, units: u32, wait_ms: u32) -> Vec<String> {
     let write = class != "safe";
     let key = if class == "keyed" { ",k=5c0f6e1a2b3d4c59" } else { "" };
     let terms = format!("c={class},t={plan},d={wait_ms}{key},units={units},spread=2,first=0");
@@ -71,12 +71,12 @@
 }
 
 /// The words as slices.
-pub fn words(call: &[String]) -> Vec<&str> {
-    call.iter().map(String::as_str).collect()
+pub fn as_strs(args: &[String]) -> Vec<&str> {
+    args.iter().map(String::as_str).collect()
 }
 
 /// The waiting time in the terms of a request, ms.
-pub fn wait_of(terms: &str) -> u32 {
+pub fn deadline_ms_of(terms: &str) -> u32 {
     let wait = terms.split(',').find_map(|t| t.strip_prefix("d=")).expect("d");
     wait.parse().expect("a whole number")
 }
--- a/crates/testbed/src/scripted/discovery.rs
+++ b/crates/testbed/src/scripted/discovery.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{json, Value};
 
-use super::{StandIn, PATIENCE};
+use super::{StandIn, MESSAGE_TIMEOUT};
 
 /// A line of the list.
 pub fn endpoint(name: &str, address: SocketAddr, group: u32, status: &str, since_ms: f64) -> Value {
@@ -27,7 +27,7 @@
 }
 
 #[derive(Default)]
-struct Told {
+struct State {
     /// Answers still to be given, in order; texts, so that odd ones can be given too.
     answers: Vec<String>,
     calls: Vec<String>,
@@ -37,31 +37,31 @@
 
 /// A discovery agent that gives each call the next answer, and is silent when it has none.
 #[derive(Clone)]
-pub struct Agent {
+pub struct DiscoveryStandIn {
     /// Where it listens.
     pub address: SocketAddr,
-    told: Arc<(Mutex<Told>, Condvar)>,
+    state: Arc<(Mutex<State>, Condvar)>,
 }
 
 /// How often a call that waits for an answer is looked at.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Whether the gateway has ended a call, or its connection can't be looked at.
-fn given_up(stream: &TcpStream) -> bool {
+fn closed_by_gateway(stream: &TcpStream) -> bool {
     let ended = stream.set_nonblocking(true).is_ok() && matches!(stream.peek(&mut [0]), Ok(0));
     ended || stream.set_nonblocking(false).is_err()
 }
 
 /// An answer of an agent's that is none: it is too busy.
-pub const TURNED_AWAY: &str = "503 Service Unavailable";
+pub const SERVICE_UNAVAILABLE: &str = "503 Service Unavailable";
 
-impl Agent {
+impl DiscoveryStandIn {
     /// An agent on a port of its own, with no answer yet.
-    pub fn start() -> Agent {
+    pub fn start() -> DiscoveryStandIn {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let told = Arc::<(Mutex<Told>, Condvar)>::default();
-        let agent = Agent { address, told };
+        let state = Arc::<(Mutex<State>, Condvar)>::default();
+        let agent = DiscoveryStandIn { address, state };
         let serving = agent.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -79,20 +79,20 @@
             while !head.ends_with("\r\n\r\n") {
                 from.read_line(&mut head).ok().filter(|n| *n > 0)?;
             }
-            let (lock, changed) = &*self.told;
-            let mut told = lock.lock().expect("unpoisoned");
-            told.calls.push(head.lines().next().unwrap_or_default().to_string());
-            told.followed += usize::from(before > 0);
+            let (lock, changed) = &*self.state;
+            let mut state = lock.lock().expect("unpoisoned");
+            state.calls.push(head.lines().next().unwrap_or_default().to_string());
+            state.followed += usize::from(before > 0);
             changed.notify_all();
             // A call that was given up takes no answer.
-            while told.answers.is_empty() {
-                (told, _) = changed.wait_timeout(told, LOOK).expect("unpoisoned");
-                if given_up(&stream) {
+            while state.answers.is_empty() {
+                (state, _) = changed.wait_timeout(state, POLL_INTERVAL).expect("unpoisoned");
+                if closed_by_gateway(&stream) {
                     return None;
                 }
             }
-            let body = told.answers.remove(0);
-            if body == TURNED_AWAY {
+            let body = state.answers.remove(0);
+            if body == SERVICE_UNAVAILABLE {
                 write!(stream, "HTTP/1.1 {body}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").ok()?;
                 return None;
             }
@@ -103,35 +103,36 @@
     }
 
     /// Gives the text of one more answer.
-    pub fn answer(&self, body: &str) {
-        let (lock, changed) = &*self.told;
+    pub fn queue_answer(&self, body: &str) {
+        let (lock, changed) = &*self.state;
         lock.lock().expect("unpoisoned").answers.push(body.to_string());
         changed.notify_all();
     }
 
     /// Gives an answer and waits until the gateway has taken it in and asked again.
-    pub fn tell(&self, body: &Value) {
-        let (lock, changed) = &*self.told;
-        let mut told = lock.lock().expect("unpoisoned");
-        let before = told.followed;
-        told.answers.push(body.to_string());
+    pub fn deliver(&self, body: &Value) {
+        let (lock, changed) = &*self.state;
+        let mut state = lock.lock().expect("unpoisoned");
+        let before = state.followed;
+        state.answers.push(body.to_string());
         changed.notify_all();
-        let (told, _) =
-            changed.wait_timeout_while(told, PATIENCE, |t| t.followed <= before).expect("unpoisoned");
-        assert!(told.followed > before, "{:?}", told.calls);
+        let (state, _) =
+            changed.wait_timeout_while(state, MESSAGE_TIMEOUT, |t| t.followed <= before).expect("unpoisoned");
+        assert!(state.followed > before, "{:?}", state.calls);
     }
 
     /// The first line of each call so far.
     pub fn calls(&self) -> Vec<String> {
-        self.told.0.lock().expect("unpoisoned").calls.clone()
+        self.state.0.lock().expect("unpoisoned").calls.clone()
     }
 
     /// Waits until there were so many calls.
-    pub fn asked(&self, calls: usize) {
-        let (lock, changed) = &*self.told;
-        let told = lock.lock().expect("unpoisoned");
-        let (told, _) =
-            changed.wait_timeout_while(told, PATIENCE, |t| t.calls.len() < calls).expect("unpoisoned");
-        assert!(told.calls.len() >= calls, "{:?}", told.calls);
+    pub fn wait_for_calls(&self, calls: usize) {
+        let (lock, changed) = &*self.state;
+        let state = lock.lock().expect("unpoisoned");
+        let (state, _) = changed
+            .wait_timeout_while(state, MESSAGE_TIMEOUT, |t| t.calls.len() < calls)
+            .expect("unpoisoned");
+        assert!(state.calls.len() >= calls, "{:?}", state.calls);
     }
 }
--- a/crates/testbed/src/scripted/stand_in.rs
+++ b/crates/testbed/src/scripted/stand_in.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use super::resp::message;
-use super::PATIENCE;
+use super::MESSAGE_TIMEOUT;
 
 /// Something that came to a stand-in, and the connection to answer on.
-pub struct Arrived {
+pub struct IncomingMessage {
     /// Its words.
     pub words: Vec<String>,
     /// Number of the connection, in the order of their coming.
@@ -18,9 +18,9 @@
     stream: TcpStream,
 }
 
-impl Arrived {
+impl IncomingMessage {
     /// Writes a text as it stands.
-    pub fn say(&mut self, text: &str) {
+    pub fn reply(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("the gateway listens");
     }
 
@@ -29,7 +29,7 @@
         let units = self.words[3].split(',').find_map(|t| t.strip_prefix("units=")).expect("units");
         let used = format!("used=0,cost={units}");
         let (value_length, used_length) = (value.len(), used.len());
-        self.say(&format!("*3\r\n${value_length}\r\n{value}\r\n${used_length}\r\n{used}\r\n$-1\r\n"));
+        self.reply(&format!("*3\r\n${value_length}\r\n{value}\r\n${used_length}\r\n{used}\r\n$-1\r\n"));
     }
 
     /// Closes the connection in both directions.
@@ -38,8 +38,8 @@
     }
 
     /// Waits until the gateway closes the connection.
-    pub fn closed(&self) {
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    pub fn wait_until_closed(&self) {
+        self.stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a time-out");
         let mut byte = [0];
         match self.stream.peek(&mut byte) {
             Ok(n) => assert_eq!(n, 0, "more came on it"),
@@ -52,7 +52,7 @@
 pub struct StandIn {
     /// Where it listens.
     pub address: SocketAddr,
-    arrived: Receiver<Arrived>,
+    arrived: Receiver<IncomingMessage>,
 }
 
 impl StandIn {
@@ -69,12 +69,12 @@
                 let Ok(stream) = stream else { return };
                 // What is written comes at once, not with the gateway's next bytes.
                 stream.set_nodelay(true).expect("a connection");
-                let sender: Sender<Arrived> = sender.clone();
+                let sender: Sender<IncomingMessage> = sender.clone();
                 thread::spawn(move || {
                     let mut from = BufReader::new(stream.try_clone().expect("a handle"));
                     while let Some(words) = read(&mut from) {
                         let Ok(stream) = stream.try_clone() else { return };
-                        if sender.send(Arrived { words, connection, stream }).is_err() {
+                        if sender.send(IncomingMessage { words, connection, stream }).is_err() {
                             return;
                         }
                     }
@@ -104,28 +104,28 @@
     }
 
     /// The next message; a test fails without it.
-    pub fn next(&self) -> Arrived {
-        self.arrived.recv_timeout(PATIENCE).expect("something comes")
+    pub fn next(&self) -> IncomingMessage {
+        self.arrived.recv_timeout(MESSAGE_TIMEOUT).expect("something comes")
     }
 
     /// The next message, if one comes in time.
-    pub fn within(&self, time: Duration) -> Option<Arrived> {
+    pub fn next_within(&self, time: Duration) -> Option<IncomingMessage> {
         self.arrived.recv_timeout(time).ok()
     }
 
     /// What has come by now and was not taken yet.
-    pub fn taken(&self) -> Option<Arrived> {
+    pub fn try_next(&self) -> Option<IncomingMessage> {
         self.arrived.try_recv().ok()
     }
 
     /// Whether nothing has come that was not taken yet.
     pub fn idle(&self) -> bool {
-        self.taken().is_none()
+        self.try_next().is_none()
     }
 }
 
 /// An address that refuses connections for as long as the socket is held.
-pub fn refusing() -> (tokio::net::TcpSocket, SocketAddr) {
+pub fn refusing_address() -> (tokio::net::TcpSocket, SocketAddr) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = socket.local_addr().expect("an address");
@@ -133,9 +133,9 @@
 }
 
 /// The next message at any of some backends, with its place among them.
-pub fn next_of(backends: &[&StandIn]) -> (usize, Arrived) {
+pub fn next_from_any(backends: &[&StandIn]) -> (usize, IncomingMessage) {
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
+    while start.elapsed() < MESSAGE_TIMEOUT {
         for (place, backend) in backends.iter().enumerate() {
             if let Ok(arrived) = backend.arrived.recv_timeout(Duration::from_millis(2)) {
                 return (place, arrived);
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -9,7 +9,7 @@
 use testbed::discovery::Discovery;
 use testbed::journal::{AttemptResult, Event, Journal};
 use testbed::script::Script;
-use testbed::scripted::{call, command, words};
+use testbed::scripted::{as_strs, command, request_args};
 use testbed::switch::{Fault, Switch};
 
 const SHORT: Duration = Duration::from_millis(200);
@@ -36,8 +36,8 @@
 
 /// The first line of the answer to a request of this id.
 fn ask(from: &mut BufReader<TcpStream>, id: u64) -> String {
-    let request = call(id, "unsafe", "free", 1, 8000);
-    match from.get_mut().write_all(&command(&words(&request))) {
+    let request = request_args(id, "unsafe", "free", 1, 8000);
+    match from.get_mut().write_all(&command(&as_strs(&request))) {
         Ok(()) => line(from),
         Err(_) => "(end)".to_string(),
     }
@@ -102,7 +102,10 @@
     let backend = runtime.block_on(Backend::start(Spec::plain(0), journal.clone())).expect("it starts");
     backend.switch.set(Fault::Silent);
     let mut client = connect(backend.address);
-    client.get_mut().write_all(&command(&words(&call(1, "safe", "free", 1, 8000)))).expect("it reads");
+    client
+        .get_mut()
+        .write_all(&command(&as_strs(&request_args(1, "safe", "free", 1, 8000))))
+        .expect("it reads");
     let mut wait = 0;
     while backend.arrived() < 1 && wait < 4_000 {
         std::thread::sleep(Duration::from_millis(5));
@@ -124,7 +127,10 @@
     let backend = runtime.block_on(Backend::start(spec, journal)).expect("it starts");
     let mut all: Vec<_> = (0..3).map(|_| connect(backend.address)).collect();
     for (id, client) in (1..).zip(&mut all) {
-        client.get_mut().write_all(&command(&words(&call(id, "safe", "free", 1, 8000)))).expect("it reads");
+        client
+            .get_mut()
+            .write_all(&command(&as_strs(&request_args(id, "safe", "free", 1, 8000))))
+            .expect("it reads");
         while backend.arrived() < id {
             std::thread::sleep(Duration::from_millis(1));
         }
