--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend: a till server that takes so long for each request, so many at once.
+//! A backend stand-in with a fixed service time and a limited number of slots.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -16,29 +16,30 @@
 use crate::resp;
 use crate::switch::{Fault, Switch};
 
-/// How a backend is made.
+/// Properties of a backend.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Its name on the list.
+    /// Name on the endpoint list.
     pub name: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its type.
+    /// Instance type.
     pub kind: String,
-    /// Its group.
+    /// Group (cell) on the endpoint list.
     pub group: u32,
-    /// Requests that it works on at once; as many again may wait, and further ones are turned away.
+    /// Requests that run at once. As many again may wait; further ones are rejected.
     pub slots: usize,
-    /// How long a request takes once it has a slot.
+    /// Service time of a request once it has a slot.
     pub service_time: Duration,
-    /// A cold one takes as many times longer at its start, and gets to `takes` evenly over this time.
+    /// For a cold backend: the factor on `service_time` at its start, and the time over which it falls
+    /// linearly to 1.
     pub cold: Option<(f64, Duration)>,
-    /// It has so many connections at most; requests on one more are turned away, and it is closed.
+    /// Maximum number of open connections. A request on a further one is rejected, and the connection closed.
     pub connections: usize,
 }
 
 impl Spec {
-    /// A plain one of this number: groups of two, one zone, one type.
+    /// A backend with default properties: groups of two by number, one zone, one instance type.
     #[must_use]
     pub fn plain(number: usize) -> Spec {
         Spec {
@@ -54,16 +55,16 @@
     }
 }
 
-/// A running backend. It ends with the value.
+/// A running backend, stopped when dropped.
 #[derive(Debug)]
 pub struct Backend {
-    /// How it was made.
+    /// Properties that it was started with.
     pub spec: Spec,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// When it started, Unix time in ms; 0 if it was never cold.
+    /// Start time, Unix ms, for a backend that starts cold; otherwise 0.
     pub since_ms: f64,
-    /// What is wrong with it.
+    /// Sets the backend's fault.
     pub switch: Switch,
     counts: Arc<Counts>,
     task: JoinHandle<()>,
@@ -73,21 +74,21 @@
 struct Counts {
     arrived: AtomicU64,
     served: AtomicU64,
-    open: AtomicUsize,
+    in_flight: AtomicUsize,
     connections: AtomicUsize,
-    over: AtomicU64,
-    /// When connections came, by the journal's clock; the first [`MAX_ACCEPTED`] of them.
+    refused: AtomicU64,
+    /// Times of accepted connections by the journal's clock, up to [`MAX_ACCEPTED`].
     accepted: Mutex<Vec<Duration>>,
 }
 
-/// Moments of connections that are kept.
+/// Maximum number of recorded connection times.
 const MAX_ACCEPTED: usize = 100_000;
 
 impl Backend {
-    /// Starts one on a port of the system's choice.
+    /// Starts a backend on a port of the system's choice.
     ///
     /// # Errors
-    /// The system's, if there is no port.
+    /// Returns the system's error if no port can be bound.
     pub async fn start(spec: Spec, journal: Journal) -> std::io::Result<Backend> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -97,7 +98,7 @@
         if spec.cold.is_some() {
             journal.note(Event::BackendStarted { backend: spec.name.clone(), slots: spec.slots });
         }
-        let serving = Serving {
+        let server = Server {
             slots: Arc::new(Semaphore::new(spec.slots)),
             spec: spec.clone(),
             started: Instant::now(),
@@ -105,35 +106,35 @@
             counts: Arc::clone(&counts),
             journal,
         };
-        let task = tokio::spawn(Arc::new(serving).listen(listener, address));
+        let task = tokio::spawn(Arc::new(server).listen(listener, address));
         Ok(Backend { spec, address, since_ms, switch, counts, task })
     }
 
-    /// Requests that came whole.
+    /// Returns the number of completely received requests.
     #[must_use]
     pub fn arrived(&self) -> u64 {
         self.counts.arrived.load(Ordering::Relaxed)
     }
 
-    /// Requests that were served.
+    /// Returns the number of served requests.
     #[must_use]
     pub fn served(&self) -> u64 {
         self.counts.served.load(Ordering::Relaxed)
     }
 
-    /// When connections came, by the journal's clock; the first 100,000 of them.
+    /// Returns the times of the first 100,000 accepted connections by the journal's clock.
     #[must_use]
     pub fn accepted(&self) -> Vec<Duration> {
         self.counts.accepted.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Connections that came beyond those that it has.
+    /// Returns the number of connections beyond [`Spec::connections`].
     #[must_use]
     pub fn refused_connections(&self) -> u64 {
-        self.counts.over.load(Ordering::Relaxed)
+        self.counts.refused.load(Ordering::Relaxed)
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.counts.connections.load(Ordering::Relaxed)
@@ -146,7 +147,7 @@
     }
 }
 
-struct Serving {
+struct Server {
     spec: Spec,
     started: Instant,
     slots: Arc<Semaphore>,
@@ -155,11 +156,11 @@
     journal: Journal,
 }
 
-impl Serving {
+impl Server {
     async fn listen(self: Arc<Self>, listener: TcpListener, address: SocketAddr) {
         let mut open = Ok(listener);
-        // The connections end with their backend.
-        let mut talks = tokio::task::JoinSet::new();
+        // Dropping the set closes the connections with their backend.
+        let mut connections = tokio::task::JoinSet::new();
         loop {
             let listener = match open {
                 Ok(listener) => listener,
@@ -172,30 +173,30 @@
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
-                        talks.spawn(Arc::clone(&self).connection(stream));
+                        connections.spawn(Arc::clone(&self).connection(stream));
                     }
                     open = Ok(listener);
                 }
                 () = self.switch.until(|f| f == Fault::Refusing) => {
                     drop(listener);
                     open = Err(hold(address));
-                    talks.abort_all();
+                    connections.abort_all();
                 }
-                Some(_) = talks.join_next(), if !talks.is_empty() => open = Ok(listener),
+                Some(_) = connections.join_next(), if !connections.is_empty() => open = Ok(listener),
             }
         }
     }
 
     async fn connection(self: Arc<Self>, stream: TcpStream) {
-        let over = self.counts.connections.fetch_add(1, Ordering::Relaxed) >= self.spec.connections;
-        self.counts.over.fetch_add(u64::from(over), Ordering::Relaxed);
+        let refused = self.counts.connections.fetch_add(1, Ordering::Relaxed) >= self.spec.connections;
+        self.counts.refused.fetch_add(u64::from(refused), Ordering::Relaxed);
         {
             let mut accepted = self.counts.accepted.lock().unwrap_or_else(PoisonError::into_inner);
             if accepted.len() < MAX_ACCEPTED {
                 accepted.push(self.journal.now());
             }
         }
-        let _leaves = Leaves(Arc::clone(&self));
+        let _open = OpenConnection(Arc::clone(&self));
         let _ = stream.set_nodelay(true);
         let (mut stream, mut buffer) = (stream, BytesMut::new());
         while let Some(message) = resp::read(&mut stream, &mut buffer).await {
@@ -203,27 +204,27 @@
             let answer = if words.first().is_some_and(|w| w.starts_with("API.")) {
                 let began = self.journal.now().saturating_sub(message.took);
                 tokio::select! {
-                    answer = self.request(&words, began, over) => answer,
-                    // Its gateway has given up.
-                    () = gone(&stream) => return,
+                    answer = self.request(&words, began, refused) => answer,
+                    // The gateway has given up on the request.
+                    () = closed_by_peer(&stream) => return,
                 }
             } else {
                 self.switch.delay().await;
                 Some("+PONG\r\n".to_string())
             };
             let Some(answer) = answer else {
-                // A reset, not an end: what was sent may be lost on the way.
+                // Zero linger makes the close a reset; data already sent may be lost.
                 let _ = stream.set_zero_linger();
                 return;
             };
-            if stream.write_all(answer.as_bytes()).await.is_err() || over {
+            if stream.write_all(answer.as_bytes()).await.is_err() || refused {
                 return;
             }
         }
     }
 
-    /// Works on a request and gives the answer; `None` for a reset.
-    async fn request(&self, words: &[String], began: Duration, over: bool) -> Option<String> {
+    /// Works on a request and returns the answer, or `None` to reset the connection.
+    async fn request(&self, words: &[String], began: Duration, refused: bool) -> Option<String> {
         let terms = words.get(3)?;
         let id = u64::from_str_radix(words.get(2)?, 16).ok()?;
         let term = |name: &str| terms.split(',').find_map(|t| t.strip_prefix(name));
@@ -235,27 +236,27 @@
         };
         let (backend, group) = (self.spec.name.clone(), self.spec.group);
         let fault = self.switch.now();
-        let room = self.counts.open.fetch_add(1, Ordering::Relaxed) < 2 * self.spec.slots;
-        let ran = room && fault != Fault::Busy && !over;
+        let has_room = self.counts.in_flight.fetch_add(1, Ordering::Relaxed) < 2 * self.spec.slots;
+        let ran = has_room && fault != Fault::Busy && !refused;
         self.counts.arrived.fetch_add(1, Ordering::Relaxed);
         self.journal.note(Event::AttemptReceived { id, key, class, backend, group, began, ran });
-        let mut end = End { serving: self, id, ended: AttemptResult::Aborted };
+        let mut running = RunningRequest { server: self, id, ended: AttemptResult::Aborted };
         if !ran {
-            end.ended = AttemptResult::Rejected;
+            running.ended = AttemptResult::Rejected;
             return Some("-BUSY\r\n".to_string());
         }
         let Ok(_slot) = self.slots.acquire().await else { return None };
-        sleep(self.takes()).await;
+        sleep(self.service_time()).await;
         self.switch.delay().await;
         match self.switch.now() {
             Fault::Resetting => None,
             Fault::Garbled => Some("\u{1}\u{2}noise\r\n".to_string()),
             Fault::Failing => {
-                end.ended = AttemptResult::Failed;
+                running.ended = AttemptResult::Failed;
                 Some("-ERR failed\r\n".to_string())
             }
             _ => {
-                end.ended = AttemptResult::Served;
+                running.ended = AttemptResult::Served;
                 self.counts.served.fetch_add(1, Ordering::Relaxed);
                 let units = term("units=").unwrap_or("1");
                 let (value, used) = (format!("{id:016x}"), format!("used=0,cost={units}"));
@@ -264,56 +265,57 @@
         }
     }
 
-    fn takes(&self) -> Duration {
-        let Some((slower, warm_up)) = self.spec.cold else { return self.spec.service_time };
+    fn service_time(&self) -> Duration {
+        let Some((initial_factor, warm_up)) = self.spec.cold else { return self.spec.service_time };
         let cold = 1.0 - (self.started.elapsed().as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
-        self.spec.service_time.mul_f64(1.0 + (slower - 1.0).max(0.0) * cold)
+        self.spec.service_time.mul_f64(1.0 + (initial_factor - 1.0).max(0.0) * cold)
     }
 }
 
-/// Holds an address without listening there, so that connections are refused and nobody else takes it.
+/// Binds an address without listening, so that connections are refused and no other socket can take it.
 pub(crate) fn hold(address: SocketAddr) -> Option<TcpSocket> {
     let socket = TcpSocket::new_v4().ok()?;
     socket.set_reuseaddr(true).ok()?;
     socket.bind(address).ok().map(|()| socket)
 }
 
-/// Listens again; holds the address on if that fails.
+/// Listens again on a held address; on failure keeps holding it.
 pub(crate) fn reopen(held: Option<TcpSocket>, address: SocketAddr) -> Result<TcpListener, Option<TcpSocket>> {
     let listener = held.or_else(|| hold(address)).and_then(|socket| socket.listen(1024).ok());
     listener.ok_or_else(|| hold(address))
 }
 
-/// Waits until the other side has closed.
-async fn gone(stream: &TcpStream) {
+/// Waits until the peer has closed the connection.
+async fn closed_by_peer(stream: &TcpStream) {
     loop {
         let mut byte = [0];
         match stream.peek(&mut byte).await {
             Ok(0) | Err(_) => return,
-            // A command behind the one that is worked on.
+            // A pipelined command; the current one is still being worked on.
             Ok(_) => sleep(Duration::from_millis(5)).await,
         }
     }
 }
 
-/// Notes how a request ended, also when its connection ends first.
-struct End<'a> {
-    serving: &'a Serving,
+/// Records how a request ended when dropped, also if its connection ends first.
+struct RunningRequest<'a> {
+    server: &'a Server,
     id: u64,
     ended: AttemptResult,
 }
 
-impl Drop for End<'_> {
+impl Drop for RunningRequest<'_> {
     fn drop(&mut self) {
-        self.serving.counts.open.fetch_sub(1, Ordering::Relaxed);
-        let backend = self.serving.spec.name.clone();
-        self.serving.journal.note(Event::AttemptEnded { id: self.id, backend, ended: self.ended });
+        self.server.counts.in_flight.fetch_sub(1, Ordering::Relaxed);
+        let backend = self.server.spec.name.clone();
+        self.server.journal.note(Event::AttemptEnded { id: self.id, backend, ended: self.ended });
     }
 }
 
-struct Leaves(Arc<Serving>);
+/// Counts a connection as closed when dropped.
+struct OpenConnection(Arc<Server>);
 
-impl Drop for Leaves {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.counts.connections.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of backends by HTTP, with versions and watches.
+//! A discovery service stand-in: serves the endpoint list over HTTP, with versions and long polls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,43 +16,43 @@
 use crate::backend::{hold, reopen, Backend};
 use crate::switch::{Fault, Switch};
 
-/// The longest line of a request.
+/// Maximum length of a request line or header line, bytes.
 const MAX_LINE_BYTES: usize = 4096;
 
 #[derive(Clone, Debug, Default)]
 struct List {
     index: u64,
-    /// Lines by name, each with the version that changed it.
-    lines: BTreeMap<String, (u64, Value)>,
+    /// Endpoints by backend name, each with the version that changed it last.
+    endpoints: BTreeMap<String, (u64, Value)>,
 }
 
-/// What a list service bears.
+/// Call capacity of a discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryCapacity {
-    /// It works on one call after another, so long on each.
+    /// Time to work on a call; calls are worked on one after another.
     pub time_per_call: Duration,
-    /// So many calls may stand before it; it turns further ones away.
+    /// Calls that may be queued or in progress; further ones are rejected.
     pub max_queued: usize,
 }
 
-/// A call for the list that came whole.
+/// A completely received call for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryCall {
-    /// When, from the service's start.
+    /// Time of arrival since the service's start.
     pub at: Duration,
-    /// By which of its addresses.
+    /// Index in [`Discovery::addresses`] of the address that was called.
     pub listener_index: usize,
-    /// The version after which changes are wanted; none: the whole list.
+    /// Version after which changes are wanted; `None` asks for the whole list.
     pub after: Option<u64>,
-    /// How long it may wait for news.
+    /// Longest time that the call may wait for a change (long poll).
     pub wait: Duration,
-    /// When an answer with a list was written, from the service's start.
+    /// Time since the service's start at which an answer with a list was written.
     pub answered: Option<Duration>,
-    /// Whether it was turned away.
+    /// Whether the service rejected the call with status 503.
     pub rejected: bool,
 }
 
-/// Calls that are kept at most.
+/// Maximum number of recorded calls.
 const MAX_RECORDED_CALLS: usize = 400_000;
 
 struct Shared {
@@ -60,13 +60,13 @@
     switch: Switch,
     capacity: Option<DiscoveryCapacity>,
     list: watch::Sender<List>,
-    /// Grows when another service takes this one's place.
-    lives: watch::Sender<u64>,
+    /// Incremented by [`Discovery::restart_at_index`], which ends all connections.
+    restarts: watch::Sender<u64>,
     calls: Mutex<Vec<DiscoveryCall>>,
-    /// Calls of each listener.
-    by_door: Vec<AtomicU64>,
-    /// Calls that stand before the service, and when it is done with them.
-    standing: Mutex<(usize, Instant)>,
+    /// Number of calls on each listener.
+    calls_by_listener: Vec<AtomicU64>,
+    /// Number of queued calls, and when the service will have worked on all of them.
+    queue: Mutex<(usize, Instant)>,
 }
 
 impl Shared {
@@ -74,12 +74,12 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn standing(&self) -> MutexGuard<'_, (usize, Instant)> {
-        self.standing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queue(&self) -> MutexGuard<'_, (usize, Instant)> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a call, and gives its place among them.
-    fn note(&self, listener_index: usize, after: Option<u64>, wait: Duration) -> usize {
+    /// Records a call and returns its index among the recorded calls, or `usize::MAX` if there is no room.
+    fn record(&self, listener_index: usize, after: Option<u64>, wait: Duration) -> usize {
         let at = self.started.elapsed();
         let mut calls = self.calls();
         if calls.len() >= MAX_RECORDED_CALLS {
@@ -89,40 +89,40 @@
         calls.len() - 1
     }
 
-    /// Takes a place, and waits until the call was worked on; `false` if there is none.
+    /// Queues a call and waits until it has been worked on; returns `false` if the queue is full.
     async fn work(&self) -> bool {
         let Some(DiscoveryCapacity { time_per_call, max_queued }) = self.capacity else { return true };
         let done = {
-            let mut standing = self.standing();
-            if standing.0 >= max_queued {
+            let mut queue = self.queue();
+            if queue.0 >= max_queued {
                 return false;
             }
-            standing.0 += 1;
-            standing.1 = standing.1.max(Instant::now()) + time_per_call;
-            standing.1
+            queue.0 += 1;
+            queue.1 = queue.1.max(Instant::now()) + time_per_call;
+            queue.1
         };
-        let _leaves = Leaves(self);
+        let _queued = QueuedCall(self);
         sleep_until(done).await;
         true
     }
 }
 
-/// Gives a place back, also where the call's connection ends first.
-struct Leaves<'a>(&'a Shared);
+/// Removes a call from the queue when dropped, also if its connection ends first.
+struct QueuedCall<'a>(&'a Shared);
 
-impl Drop for Leaves<'_> {
+impl Drop for QueuedCall<'_> {
     fn drop(&mut self) {
-        self.0.standing().0 -= 1;
+        self.0.queue().0 -= 1;
     }
 }
 
-/// A running discovery. It ends with the value.
+/// A running discovery service, stopped when dropped.
 pub struct Discovery {
-    /// Where it listens.
+    /// First listen address.
     pub address: SocketAddr,
-    /// All addresses that it listens at, the first among them: one for each party, to tell their calls apart.
+    /// All listen addresses. Giving each caller its own tells their calls apart.
     pub addresses: Vec<SocketAddr>,
-    /// What is wrong with it.
+    /// Sets the service's fault.
     pub switch: Switch,
     shared: Arc<Shared>,
     tasks: Vec<JoinHandle<()>>,
@@ -135,18 +135,18 @@
 }
 
 impl Discovery {
-    /// Starts one with an empty list, that bears all calls.
+    /// Starts a service with an empty list, one address and unlimited capacity.
     ///
     /// # Errors
-    /// The system's, if there is no port.
+    /// Returns the system's error if no port can be bound.
     pub async fn start() -> std::io::Result<Discovery> {
         Discovery::with_listeners(1, None).await
     }
 
-    /// Starts one with so many addresses, one at least, and a bound on what it bears.
+    /// Starts a service with this many addresses (at least one) and, optionally, a limited capacity.
     ///
     /// # Errors
-    /// The system's, if there is no port.
+    /// Returns the system's error if no port can be bound.
     pub async fn with_listeners(
         listeners: usize,
         capacity: Option<DiscoveryCapacity>,
@@ -157,10 +157,10 @@
             switch: switch.clone(),
             capacity,
             list: watch::Sender::new(List::default()),
-            lives: watch::Sender::new(0),
+            restarts: watch::Sender::new(0),
             calls: Mutex::default(),
-            by_door: (0..listeners.max(1)).map(|_| AtomicU64::new(0)).collect(),
-            standing: Mutex::new((0, started)),
+            calls_by_listener: (0..listeners.max(1)).map(|_| AtomicU64::new(0)).collect(),
+            queue: Mutex::new((0, started)),
         });
         let (mut addresses, mut tasks) = (Vec::new(), Vec::new());
         for listener_index in 0..listeners.max(1) {
@@ -172,61 +172,62 @@
         Ok(Discovery { address: addresses[0], addresses: addresses, switch, shared, tasks })
     }
 
-    /// All calls so far, in the order of their coming.
+    /// Returns all recorded calls in order of arrival.
     #[must_use]
     pub fn calls(&self) -> Vec<DiscoveryCall> {
         self.shared.calls().clone()
     }
 
-    /// Time since it started, as its records have it.
+    /// Returns the time since the service's start, the clock of [`DiscoveryCall`].
     #[must_use]
     pub fn now(&self) -> Duration {
         self.shared.started.elapsed()
     }
 
-    /// Another service takes its place: all connections end, and its list is the same under this version.
+    /// Acts as a service that took this one's place: closes all connections and serves the same list under
+    /// this version.
     pub fn restart_at_index(&self, index: u64) {
         self.shared.list.send_modify(|list| {
             list.index = index;
-            list.lines.values_mut().for_each(|line| line.0 = index);
+            list.endpoints.values_mut().for_each(|endpoint| endpoint.0 = index);
         });
-        self.shared.lives.send_modify(|lives| *lives += 1);
+        self.shared.restarts.send_modify(|restarts| *restarts += 1);
     }
 
-    /// Lists a backend under a status: `SERVING` or `DRAINING`.
+    /// Lists a backend with a status: `SERVING` or `DRAINING`.
     pub fn list(&self, backend: &Backend, status: &str) {
         self.publish(&backend.spec.name, endpoint_json(backend, status));
     }
 
-    /// Takes a backend off the list.
+    /// Removes a backend from the list.
     pub fn delete(&self, backend: &Backend) {
         self.publish(&backend.spec.name, endpoint_json(backend, "DELETED"));
     }
 
-    /// Lists a backend in the place of another, in one version: whoever watches hears of both.
-    pub fn replace_backend(&self, new: &Backend, gone: &Backend) {
+    /// Replaces a backend by another in one version, so that a watch receives both changes at once.
+    pub fn replace_backend(&self, new: &Backend, old: &Backend) {
         self.publish_all([
-            (&gone.spec.name, endpoint_json(gone, "DELETED")),
+            (&old.spec.name, endpoint_json(old, "DELETED")),
             (&new.spec.name, endpoint_json(new, "SERVING")),
         ]);
     }
 
-    /// Tells a line as it stands.
-    pub fn publish(&self, name: &str, line: Value) {
-        self.publish_all([(name, line)]);
+    /// Publishes an endpoint unchecked, as the given JSON.
+    pub fn publish(&self, name: &str, endpoint: Value) {
+        self.publish_all([(name, endpoint)]);
     }
 
-    /// Tells lines as they stand, in one version.
-    fn publish_all<'a>(&self, lines: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>) {
+    /// Publishes endpoints unchecked, in one version.
+    fn publish_all<'a>(&self, endpoints: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>) {
         self.shared.list.send_modify(|list| {
             list.index += 1;
             let index = list.index;
-            let lines = lines.into_iter().map(|(name, line)| (name.as_ref().to_string(), (index, line)));
-            list.lines.extend(lines);
+            let endpoints = endpoints.into_iter().map(|(name, json)| (name.as_ref().to_string(), (index, json)));
+            list.endpoints.extend(endpoints);
         });
     }
 
-    /// Calls that were turned away, and those of them that asked for the whole list.
+    /// Returns the number of rejected calls, and of those among them that asked for the whole list.
     #[must_use]
     pub fn rejected_calls(&self) -> (u64, u64) {
         let calls = self.shared.calls();
@@ -234,10 +235,10 @@
         (all.clone().count() as u64, all.filter(|call| call.after.is_none()).count() as u64)
     }
 
-    /// The whole list, as a configuration's `known`.
+    /// Returns the whole list in the form of a configuration's `known`.
     #[must_use]
     pub fn known(&self) -> Value {
-        answer(&self.shared.list.borrow(), None)
+        list_json(&self.shared.list.borrow(), None)
     }
 }
 
@@ -247,7 +248,7 @@
     }
 }
 
-/// A backend's line of the list.
+/// Returns a backend's endpoint as it appears in the list.
 #[must_use]
 pub fn endpoint_json(backend: &Backend, status: &str) -> Value {
     let spec = &backend.spec;
@@ -255,17 +256,18 @@
            "group": spec.group, "status": status, "weight": 1.0, "since_ms": backend.since_ms})
 }
 
-fn answer(list: &List, after: Option<u64>) -> Value {
-    let deleted = |line: &Value| line["status"] == "DELETED";
-    let wanted = |at: u64, line: &Value| after.map_or(!deleted(line), |after| at > after);
-    let lines = list.lines.values().filter(|(at, line)| wanted(*at, line)).map(|(_, line)| line);
-    json!({"index": list.index, "snapshot": after.is_none(), "endpoints": lines.collect::<Vec<_>>()})
+fn list_json(list: &List, after: Option<u64>) -> Value {
+    let deleted = |endpoint: &Value| endpoint["status"] == "DELETED";
+    let wanted = |at: u64, endpoint: &Value| after.map_or(!deleted(endpoint), |after| at > after);
+    let endpoints =
+        list.endpoints.values().filter(|(at, endpoint)| wanted(*at, endpoint)).map(|(_, endpoint)| endpoint);
+    json!({"index": list.index, "snapshot": after.is_none(), "endpoints": endpoints.collect::<Vec<_>>()})
 }
 
 async fn listen(listener: TcpListener, address: SocketAddr, listener_index: usize, shared: Arc<Shared>) {
     let mut open = Ok(listener);
-    let mut talks = tokio::task::JoinSet::new();
-    let mut lives = shared.lives.subscribe();
+    let mut connections = tokio::task::JoinSet::new();
+    let mut restarts = shared.restarts.subscribe();
     loop {
         let listener = match open {
             Ok(listener) => listener,
@@ -278,20 +280,20 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    talks.spawn(serve(stream, listener_index, Arc::clone(&shared)));
+                    connections.spawn(serve(stream, listener_index, Arc::clone(&shared)));
                 }
                 open = Ok(listener);
             }
             () = shared.switch.until(|f| f == Fault::Refusing) => {
                 drop(listener);
                 open = Err(hold(address));
-                talks.abort_all();
+                connections.abort_all();
             }
-            Ok(()) = lives.changed() => {
-                talks.abort_all();
+            Ok(()) = restarts.changed() => {
+                connections.abort_all();
                 open = Ok(listener);
             }
-            Some(_) = talks.join_next(), if !talks.is_empty() => open = Ok(listener),
+            Some(_) = connections.join_next(), if !connections.is_empty() => open = Ok(listener),
         }
     }
 }
@@ -317,13 +319,13 @@
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?.parse().ok()
         };
         let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0).min(60_000));
-        let place = shared.note(listener_index, after, Duration::from_millis(wait));
-        // What came while it is silent is worked on afterwards.
+        let recorded = shared.record(listener_index, after, Duration::from_millis(wait));
+        // Calls received while the service is silent are worked on afterwards.
         switch.until(|f| f != Fault::Silent).await;
-        let odd = shared.by_door[listener_index].fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
-        let away = switch.now() == Fault::Busy || odd && switch.now() == Fault::AlternateBusy;
-        if away || !shared.work().await {
-            if let Some(call) = shared.calls().get_mut(place) {
+        let odd = shared.calls_by_listener[listener_index].fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
+        let rejected = switch.now() == Fault::Busy || odd && switch.now() == Fault::AlternateBusy;
+        if rejected || !shared.work().await {
+            if let Some(call) = shared.calls().get_mut(recorded) {
                 call.rejected = true;
             }
             let busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
@@ -343,14 +345,14 @@
         let body = if garbled {
             "{\"index\": 7, \"snap".to_string()
         } else {
-            answer(&shared.list.borrow(), after).to_string()
+            list_json(&shared.list.borrow(), after).to_string()
         };
         let failing = switch.now() == Fault::Failing;
         let status = if failing { "500 Failed" } else { "200 OK" };
         let length = body.len();
         let head = format!("HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {length}");
         stream.write_all(format!("{head}\r\n\r\n{body}").as_bytes()).await.ok()?;
-        if let Some(call) = shared.calls().get_mut(place).filter(|_| !garbled && !failing) {
+        if let Some(call) = shared.calls().get_mut(recorded).filter(|_| !garbled && !failing) {
             call.answered = Some(shared.started.elapsed());
         }
     }
