--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -50,7 +50,7 @@
 
 impl Default for AuditOptions {
     fn default() -> Self {
-        let drain_grace = Duration::from_secs_f64(platform::STOP_SENDING_MS / 1000.0);
+        let drain_grace = Duration::from_secs_f64(platform::DRAIN_GRACE_MS / 1000.0);
         AuditOptions { drain_grace, complete: true }
     }
 }
@@ -170,7 +170,7 @@
         over: Option<Duration>,
         told: bool,
     }
-    let most = Duration::from_secs_f64(platform::OVERLOAD_FOR_MS / 1000.0);
+    let most = Duration::from_secs_f64(platform::OVERLOAD_WINDOW_MS / 1000.0);
     let mut all: HashMap<&str, Cold> = HashMap::new();
     for (at, event) in events {
         let (name, id) = match event {
@@ -190,8 +190,8 @@
             _ => cold.open = cold.open.saturating_sub(1),
         }
         let grown = (at.saturating_sub(cold.since).as_secs_f64() * 1000.0 / platform::WARM_UP_MS).min(1.0);
-        let capacity = platform::START_CAPACITY + (1.0 - platform::START_CAPACITY) * grown;
-        if grown < 1.0 && cold.open as f64 > platform::TIP_MULTIPLE * capacity * cold.slots as f64 {
+        let capacity = platform::INITIAL_CAPACITY + (1.0 - platform::INITIAL_CAPACITY) * grown;
+        if grown < 1.0 && cold.open as f64 > platform::OVERLOAD_MULTIPLE * capacity * cold.slots as f64 {
             let over = *cold.over.get_or_insert(*at);
             if at.saturating_sub(over) > most && !cold.told {
                 cold.told = true;
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: a steady load over all gateways, open loop, with the final answer of each request noted.
+//! An open-loop load generator over all gateways, which records the final answer to each request.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -18,27 +18,27 @@
 use crate::switch::{Fault, Switch};
 use crate::Rng;
 
-/// How long past its deadline a request may stay without an answer before it counts as lost.
+/// Time after its deadline at which an unanswered request counts as lost.
 const GRACE: Duration = Duration::from_millis(1_500);
-/// How long a client that leaves stays.
-const LEAVE_AFTER: Duration = Duration::from_millis(5);
-/// Requests of one load that may be open; more are not begun, and counted as held back.
-const MAX_OPEN: usize = 512;
-/// Connections to one gateway that are kept while nothing is open on them.
+/// Time after which a client that abandons its request disconnects.
+const DISCONNECT_DELAY: Duration = Duration::from_millis(5);
+/// Maximum number of requests in flight per load; further ones are not sent and counted as held back.
+const MAX_IN_FLIGHT: usize = 512;
+/// Maximum number of idle connections kept per gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// What a load asks.
+/// Rate and mix of a load's requests.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Requests a second, over all gateways.
+    /// Requests per second over all gateways.
     pub rate: f64,
-    /// Customers that they belong to.
+    /// Number of customers that send the requests.
     pub customers: u64,
-    /// Part of the requests that belong to the plan with a quota.
+    /// Fraction of the requests on the plan with a quota.
     pub paid: f64,
-    /// Weights of the classes safe, keyed and unsafe.
+    /// Weights of the classes `safe`, `keyed` and `unsafe`.
     pub classes: [u64; 3],
-    /// The seed of customers and classes.
+    /// Seed for the choice of customers, classes and plans.
     pub seed: u64,
 }
 
@@ -48,22 +48,22 @@
     }
 }
 
-/// Answers so far.
+/// Numbers of requests by their answers so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounts {
-    /// Requests that were begun.
+    /// Requests that were started.
     pub asked: u64,
     /// Served with a value.
     pub served: u64,
-    /// Refused.
+    /// Rejected.
     pub refused: u64,
-    /// Failed, or no gateway took it.
+    /// Failed, or not accepted by any gateway.
     pub failed: u64,
-    /// Without a whole answer, or with an odd one.
+    /// Without a complete answer, or with a malformed one.
     pub lost: u64,
-    /// Left by their client, as its switch said.
+    /// Abandoned by their client because of its fault.
     pub left: u64,
-    /// Not begun, as too many were open.
+    /// Not sent, as [`MAX_IN_FLIGHT`] requests were in flight.
     pub held_back: u64,
 }
 
@@ -76,40 +76,40 @@
     lost: AtomicU64,
     left: AtomicU64,
     held_back: AtomicU64,
-    open: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
-/// A load over some gateways.
+/// A load on several gateways. Clones share its counts and connections.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// What is wrong with the clients: slow ones write a command in two halves, silent ones write half of it
-    /// and no more, resetting ones leave once it is written. All else is as well.
+    /// Sets the clients' fault: slow clients write a command in two halves, silent ones write half of it and
+    /// then disconnect, resetting ones disconnect once it is written. Other faults have no effect.
     pub switch: Switch,
     gateways: Arc<Vec<SocketAddr>>,
     idle: Arc<Vec<Mutex<Vec<TcpStream>>>>,
     counts: Arc<Counts>,
     latencies: Arc<Mutex<Histogram<u64>>>,
     journal: Journal,
-    /// Requests of all loads are numbered from here.
+    /// Id of the load's first request.
     first_id: u64,
 }
 
 impl Load {
-    /// A load over gateways at these addresses. Ids of requests begin at `first_id`: those of two loads must
-    /// not meet.
+    /// Creates a load on the gateways at these addresses. Request ids count up from `first_id`; the ids of
+    /// two loads must not overlap.
     #[must_use]
     pub fn new(gateways: Vec<SocketAddr>, first_id: u64, journal: Journal) -> Load {
         let idle = gateways.iter().map(|_| Mutex::default()).collect();
         let (gateways, idle) = (Arc::new(gateways), Arc::new(idle));
-        // Microseconds, up to a minute, to three digits.
+        // Microseconds up to one minute, with three significant digits.
         let latencies =
-            Histogram::new_with_max(60_000_000, 3).unwrap_or_else(|_| unreachable!("good bounds"));
+            Histogram::new_with_max(60_000_000, 3).unwrap_or_else(|_| unreachable!("the bounds are valid"));
         let latencies = Arc::new(Mutex::new(latencies));
         let (switch, counts) = (Switch::default(), Arc::default());
         Load { switch, gateways, idle, counts, latencies, journal, first_id }
     }
 
-    /// Answers so far.
+    /// Returns the numbers of requests by their answers so far.
     #[must_use]
     pub fn counts(&self) -> LoadCounts {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
@@ -125,44 +125,44 @@
         }
     }
 
-    /// Latency of what was served, ms, at a quantile from 0 to 1; 0 before any was.
+    /// Returns a quantile, from 0 to 1, of the latency of served requests, ms; 0 before any was served.
     #[must_use]
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         let latencies = self.latencies.lock().unwrap_or_else(PoisonError::into_inner);
         latencies.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Asks by the plan until `end`, then waits for the last answers. Cancelling begins nothing more, and
-    /// what is open goes on.
-    pub async fn run(&self, plan: &LoadProfile, end: impl std::future::Future<Output = ()>) {
-        let mut rng = Rng::new(plan.seed);
-        let mut tick = interval(Duration::from_secs_f64(1.0 / plan.rate.max(0.1)));
+    /// Sends requests by the profile until `end`, then waits for the remaining answers. Cancelling begins nothing
+    /// more, and what is open goes on.
+    pub async fn run(&self, profile: &LoadProfile, end: impl std::future::Future<Output = ()>) {
+        let mut rng = Rng::new(profile.seed);
+        let mut tick = interval(Duration::from_secs_f64(1.0 / profile.rate.max(0.1)));
         tick.set_missed_tick_behavior(MissedTickBehavior::Burst);
         let mut tasks = tokio::task::JoinSet::new();
         tokio::pin!(end);
-        let mut at = 0;
+        let mut next_gateway = 0;
         loop {
             tokio::select! {
                 () = &mut end => break,
                 _ = tick.tick() => {}
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => continue,
             }
-            if self.counts.open.load(Ordering::Relaxed) >= MAX_OPEN {
+            if self.counts.in_flight.load(Ordering::Relaxed) >= MAX_IN_FLIGHT {
                 self.counts.held_back.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
-            let all: u64 = plan.classes.iter().sum();
-            let mut draw = rng.below(all);
-            let class = plan.classes.iter().position(|w| {
-                let here = draw < *w;
+            let total_weight: u64 = profile.classes.iter().sum();
+            let mut draw = rng.below(total_weight);
+            let class = profile.classes.iter().position(|w| {
+                let chosen = draw < *w;
                 draw = draw.saturating_sub(*w);
-                here
+                chosen
             });
-            let customer = rng.below(plan.customers.max(1));
-            let paid = rng.next_f64() < plan.paid;
+            let customer = rng.below(profile.customers.max(1));
+            let paid = rng.next_f64() < profile.paid;
             let id = self.first_id + self.counts.asked.fetch_add(1, Ordering::Relaxed);
-            let (gateway, class) = (at % self.gateways.len().max(1), class.unwrap_or(0));
-            at += 1;
+            let (gateway, class) = (next_gateway % self.gateways.len().max(1), class.unwrap_or(0));
+            next_gateway += 1;
             let load = self.clone();
             tasks.spawn(
                 async move { load.send_request(gateway, id, customer, class, usize::from(paid)).await },
@@ -171,7 +171,7 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Asks one request and gives its answer.
+    /// Sends one request and returns its answer. `class` and `plan` index [`CLASSES`] and [`PLANS`].
     pub async fn send_request(
         &self,
         gateway: usize,
@@ -180,26 +180,26 @@
         class: usize,
         plan: usize,
     ) -> Answer {
-        self.counts.open.fetch_add(1, Ordering::Relaxed);
+        self.counts.in_flight.fetch_add(1, Ordering::Relaxed);
         let customer = customer + 1 + ((plan as u64) << 24);
-        let kind = [Class::Safe, Class::Keyed, Class::Unsafe][class.min(2)];
-        let key = if kind == Class::Keyed { format!(",k={id:016x}") } else { String::new() };
-        let (name, tariff, all) = (CLASSES[class.min(2)], PLANS[plan.min(1)], self.gateways.len());
-        let terms = format!("c={name},t={tariff},d={DEADLINE_MS}{key},units=1,spread={all},first=0");
-        let verb = if kind == Class::Safe { "API.READ" } else { "API.WRITE" };
+        let class_kind = [Class::Safe, Class::Keyed, Class::Unsafe][class.min(2)];
+        let key = if class_kind == Class::Keyed { format!(",k={id:016x}") } else { String::new() };
+        let (class_name, plan_name, gateways) = (CLASSES[class.min(2)], PLANS[plan.min(1)], self.gateways.len());
+        let terms = format!("c={class_name},t={plan_name},d={DEADLINE_MS}{key},units=1,spread={gateways},first=0");
+        let verb = if class_kind == Class::Safe { "API.READ" } else { "API.WRITE" };
         let (customer_word, id_word) = (format!("{customer:016x}"), format!("{id:016x}"));
         let mut words = vec![verb, &customer_word, &id_word, &terms];
-        if kind != Class::Safe {
+        if class_kind != Class::Safe {
             words.push("body");
         }
         let command = resp::command(&words);
-        self.journal.note(Event::RequestSent { id, customer, class: kind, units: 1.0, gateway });
-        let began = Instant::now();
-        let most = Duration::from_secs_f64(DEADLINE_MS / 1000.0) + GRACE;
+        self.journal.note(Event::RequestSent { id, customer, class: class_kind, units: 1.0, gateway });
+        let started = Instant::now();
+        let limit = Duration::from_secs_f64(DEADLINE_MS / 1000.0) + GRACE;
         let answer = match self.switch.now() {
-            Fault::Resetting => self.leave(gateway, &command).await,
-            Fault::Silent => self.leave(gateway, &command[..command.len() / 2]).await,
-            _ => timeout(most, self.exchange(gateway, &command, id)).await.unwrap_or(Answer::Missing),
+            Fault::Resetting => self.send_and_disconnect(gateway, &command).await,
+            Fault::Silent => self.send_and_disconnect(gateway, &command[..command.len() / 2]).await,
+            _ => timeout(limit, self.exchange(gateway, &command, id)).await.unwrap_or(Answer::Missing),
         };
         let count = match answer {
             Answer::Served => &self.counts.served,
@@ -210,51 +210,53 @@
         };
         count.fetch_add(1, Ordering::Relaxed);
         if answer == Answer::Served {
-            let micros = began.elapsed().as_micros() as u64;
+            let micros = started.elapsed().as_micros() as u64;
             self.latencies.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(micros);
         }
         self.journal.note(Event::AnswerReceived { id, answer: answer.clone() });
-        self.counts.open.fetch_sub(1, Ordering::Relaxed);
+        self.counts.in_flight.fetch_sub(1, Ordering::Relaxed);
         answer
     }
 
-    /// Writes some bytes of a command and closes with a reset, after a while in which nothing more comes.
-    async fn leave(&self, gateway: usize, bytes: &[u8]) -> Answer {
+    /// Writes these bytes of a command and resets the connection after [`DISCONNECT_DELAY`].
+    async fn send_and_disconnect(&self, gateway: usize, bytes: &[u8]) -> Answer {
         if let Ok(mut stream) = TcpStream::connect(self.gateways[gateway]).await {
             let _ = stream.write_all(bytes).await;
-            sleep(LEAVE_AFTER).await;
+            sleep(DISCONNECT_DELAY).await;
             let _ = stream.set_zero_linger();
         }
         Answer::Abandoned
     }
 
+    /// Sends a command on an idle or new connection, trying the other gateways if the chosen one does not
+    /// accept it, and returns the answer.
     async fn exchange(&self, gateway: usize, command: &[u8], id: u64) -> Answer {
         let idle = self.idle[gateway].lock().unwrap_or_else(PoisonError::into_inner).pop();
-        // A kept connection that the gateway closes as the request crosses has not read it: once more, on a
-        // new one.
+        // A gateway that closes an idle connection while the request is on its way has not read the request,
+        // so the request is sent again on a new connection.
         if let Some(stream) = idle {
-            if let Some(answer) = self.talk(gateway, stream, command, id).await {
+            if let Some(answer) = self.send_and_read(gateway, stream, command, id).await {
                 return answer;
             }
         }
-        // One that is down refuses the connection, and one that is drained says no: the front goes on to the
-        // next.
-        for next in 0..self.gateways.len() {
-            let place = (gateway + next) % self.gateways.len();
-            if let Ok(mut stream) = TcpStream::connect(self.gateways[place]).await {
+        // Acts as a front proxy: a gateway that is down refuses the connection and a drained one answers PING
+        // with an error; either way the next gateway is tried.
+        for offset in 0..self.gateways.len() {
+            let index = (gateway + offset) % self.gateways.len();
+            if let Ok(mut stream) = TcpStream::connect(self.gateways[index]).await {
                 let _ = stream.set_nodelay(true);
-                if !takes_clients(&mut stream).await {
+                if !accepts_clients(&mut stream).await {
                     continue;
                 }
-                return self.talk(place, stream, command, id).await.unwrap_or(Answer::Missing);
+                return self.send_and_read(index, stream, command, id).await.unwrap_or(Answer::Missing);
             }
         }
-        // Nobody took it, so there is nothing that could be lost.
+        // No gateway accepted the request, so it does not count as lost.
         Answer::NotAccepted
     }
 
-    /// `None` if the connection ended with no byte of an answer.
-    async fn talk(&self, gateway: usize, mut stream: TcpStream, command: &[u8], id: u64) -> Option<Answer> {
+    /// Sends a command and reads its answer; `None` if the connection ended before any byte of an answer.
+    async fn send_and_read(&self, gateway: usize, mut stream: TcpStream, command: &[u8], id: u64) -> Option<Answer> {
         let (first, second) = command.split_at(command.len() / 2);
         if let Fault::Slow(by) = self.switch.now() {
             stream.write_all(first).await.ok()?;
@@ -285,8 +287,8 @@
     }
 }
 
-/// Whether a gateway says yes to `PING`.
-async fn takes_clients(stream: &mut TcpStream) -> bool {
+/// Returns whether a gateway answers `PING` with `PONG`, as one that accepts clients does.
+async fn accepts_clients(stream: &mut TcpStream) -> bool {
     if stream.write_all(&resp::command(&["PING"])).await.is_err() {
         return false;
     }
--- a/crates/testbed/src/counter.rs
+++ b/crates/testbed/src/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter, with a true store beside what it tells.
+//! A shared counter stand-in. It keeps the true totals whatever its faults make it answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,125 +11,127 @@
 
 use crate::switch::{Fault, Switch};
 
-/// Names that it holds at most; a call for one more is turned away.
+/// Maximum number of counter names; a call for a further one is answered `busy`.
 const MAX_KEYS: usize = 100_000;
-/// The longest that it keeps a name.
+/// Maximum lifetime of a counter name.
 const MAX_KEY_TTL: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Default)]
 struct Store {
     totals: HashMap<String, (f64, Instant)>,
     calls: u64,
-    /// All that was ever added, whatever was told or forgotten.
+    /// Sum of all amounts ever added, whatever was answered or cleared.
     added: f64,
-    /// When calls came, and how long each stood before it was answered; the first [`MAX_RECORDED_WAITS`].
+    /// Arrival time of each call and its time until the answer, up to [`MAX_RECORDED_WAITS`].
     waits: Vec<(Duration, Duration)>,
 }
 
-/// Calls whose waits are kept.
+/// Maximum number of recorded waits.
 const MAX_RECORDED_WAITS: usize = 1_000_000;
-/// Calls that may stand on one connection.
+/// Maximum number of unanswered calls on one connection; reading pauses beyond it.
 const MAX_QUEUED: usize = 4_096;
 
-/// So much time lost by sleeps is made up for.
-const SLEEPS_LONGER: Duration = Duration::from_millis(20);
+/// Maximum time lost to oversleeping that later calls make up for.
+const MAX_CATCH_UP: Duration = Duration::from_millis(20);
 
-/// Works on one call after another, so long on each.
+/// Works on calls one after another, each for a fixed time.
 #[derive(Clone, Debug)]
-struct Work {
-    each: Duration,
-    turn: Arc<tokio::sync::Mutex<Instant>>,
+struct CallQueue {
+    time_per_call: Duration,
+    free_at: Arc<tokio::sync::Mutex<Instant>>,
 }
 
-impl Work {
-    /// Takes its turn and works. Turns come one `each` after another on the whole: what sleeps last too long
-    /// is made up for.
-    async fn done(&self) {
-        let mut free = self.turn.lock().await;
+impl CallQueue {
+    /// Waits for a call's turn and works on it. The average rate is one call per `time_per_call`: time lost
+    /// to sleeps that last too long is made up for, up to [`MAX_CATCH_UP`].
+    async fn work(&self) {
+        let mut free = self.free_at.lock().await;
         let now = Instant::now();
-        *free = (*free).max(now.checked_sub(SLEEPS_LONGER).unwrap_or(now)) + self.each;
+        *free = (*free).max(now.checked_sub(MAX_CATCH_UP).unwrap_or(now)) + self.time_per_call;
         tokio::time::sleep_until((*free).into()).await;
     }
 }
 
-/// A running counter. It ends with the value.
+/// A running counter, stopped when dropped.
 #[derive(Debug)]
 pub struct Counter {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// What is wrong with it.
+    /// Sets the counter's fault.
     pub switch: Switch,
     store: Arc<Mutex<Store>>,
-    begun: Instant,
+    started: Instant,
     task: JoinHandle<()>,
 }
 
 impl Counter {
-    /// Starts one that knows no names.
+    /// Starts an empty counter that works on all calls at once.
     ///
     /// # Errors
-    /// The system's, if there is no port.
+    /// Returns the system's error if no port can be bound.
     pub async fn start() -> std::io::Result<Counter> {
         Counter::with_time_per_call(Duration::ZERO).await
     }
 
-    /// Starts one that works on one call after another, so long on each; zero: on all at once.
+    /// Starts an empty counter that works on calls one after another, each for this time; zero works on all
+    /// calls at once.
     ///
     /// # Errors
-    /// The system's, if there is no port.
-    pub async fn with_time_per_call(each: Duration) -> std::io::Result<Counter> {
-        let work = Work { each, turn: Arc::new(tokio::sync::Mutex::new(Instant::now())) };
-        let begun = Instant::now();
+    /// Returns the system's error if no port can be bound.
+    pub async fn with_time_per_call(time_per_call: Duration) -> std::io::Result<Counter> {
+        let queue = CallQueue { time_per_call, free_at: Arc::new(tokio::sync::Mutex::new(Instant::now())) };
+        let started = Instant::now();
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (switch, store) = (Switch::default(), Arc::<Mutex<Store>>::default());
         let (faults, totals) = (switch.clone(), Arc::clone(&store));
         let task = tokio::spawn(async move {
-            let mut talks = tokio::task::JoinSet::new();
+            let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => match accepted {
                         Ok((stream, _)) if faults.now() != Fault::Refusing => {
-                            let (work, totals) = ((work.clone(), begun), Arc::clone(&totals));
-                            talks.spawn(serve(stream, faults.clone(), totals, work));
+                            let (queue, totals) = ((queue.clone(), started), Arc::clone(&totals));
+                            connections.spawn(serve(stream, faults.clone(), totals, queue));
                         }
                         _ => {}
                     },
-                    Some(_) = talks.join_next(), if !talks.is_empty() => {}
-                    () = faults.until(|f| f == Fault::Refusing), if !talks.is_empty() => {
-                        talks.shutdown().await;
+                    Some(_) = connections.join_next(), if !connections.is_empty() => {}
+                    () = faults.until(|f| f == Fault::Refusing), if !connections.is_empty() => {
+                        connections.shutdown().await;
                     }
                 }
             }
         });
-        Ok(Counter { address, switch, store, begun, task })
+        Ok(Counter { address, switch, store, started, task })
     }
 
-    /// Calls that came, whatever was answered.
+    /// Returns the number of well-formed `bump` calls, whatever was answered.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).calls
     }
 
-    /// Time since its start.
+    /// Returns the time since the counter's start.
     #[must_use]
     pub fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    /// When calls came, from its start, and how long each stood before it was answered; the first million.
+    /// Returns the arrival time since the counter's start and the time until the answer of the first million
+    /// calls.
     #[must_use]
     pub fn waits(&self) -> Vec<(Duration, Duration)> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).waits.clone()
     }
 
-    /// All that was ever added: the true count, beside what was told.
+    /// Returns the sum of all amounts ever added, whatever was answered.
     #[must_use]
     pub fn added(&self) -> f64 {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).added
     }
 
-    /// Forgets all names, as a counter that was replaced by an empty one.
+    /// Clears all totals, like a counter that was replaced by an empty one.
     pub fn clear(&self) {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).totals.clear();
     }
@@ -141,41 +143,41 @@
     }
 }
 
-async fn serve(stream: TcpStream, switch: Switch, store: Arc<Mutex<Store>>, (work, begun): (Work, Instant)) {
+async fn serve(stream: TcpStream, switch: Switch, store: Arc<Mutex<Store>>, (queue, started): (CallQueue, Instant)) {
     let (reader, mut writer) = stream.into_split();
-    let (stand, mut standing) = tokio::sync::mpsc::channel::<(String, Instant)>(MAX_QUEUED);
-    // Calls are read as they come, so that their waits are those of their senders.
+    let (sender, mut pending) = tokio::sync::mpsc::channel::<(String, Instant)>(MAX_QUEUED);
+    // Calls are read as they arrive, so that a recorded wait includes the time queued on the connection.
     let read = async move {
         let mut lines = BufReader::new(reader).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            if stand.send((line, Instant::now())).await.is_err() {
+            if sender.send((line, Instant::now())).await.is_err() {
                 return;
             }
         }
     };
     let answer = async move {
-        while let Some((line, came)) = standing.recv().await {
+        while let Some((line, arrived)) = pending.recv().await {
             switch.delay().await;
             let answer = match switch.now() {
                 Fault::Refusing | Fault::Resetting => return,
                 Fault::Busy => "busy\r\n".to_string(),
                 Fault::Failing => "error\r\n".to_string(),
                 now => {
-                    if !work.each.is_zero() {
-                        work.done().await;
+                    if !queue.time_per_call.is_zero() {
+                        queue.work().await;
                     }
-                    let said = call(&line, &store);
+                    let answer = call(&line, &store);
                     if now == Fault::Garbled {
                         "ok 1x\r\n".to_string()
                     } else {
-                        said
+                        answer
                     }
                 }
             };
             {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
                 if store.waits.len() < MAX_RECORDED_WAITS {
-                    store.waits.push((came.duration_since(begun), came.elapsed()));
+                    store.waits.push((arrived.duration_since(started), arrived.elapsed()));
                 }
             }
             if writer.write_all(answer.as_bytes()).await.is_err() {
@@ -184,20 +186,21 @@
         }
     };
     tokio::select! {
-        // What stands is answered after the other side's last word.
+        // Calls read before the caller closed its sending side are still answered.
         () = answer => {}
         () = async { read.await; std::future::pending::<()>().await } => {}
     }
 }
 
+/// Executes one call and returns its answer.
 fn call(line: &str, store: &Mutex<Store>) -> String {
     let words: Vec<&str> = line.split_whitespace().collect();
-    let (name, amount, life) = match words[..] {
+    let (name, amount, ttl_ms) = match words[..] {
         ["ping"] => return "pong\r\n".to_string(),
-        ["bump", name, amount, life] => (name, amount.parse::<f64>(), life.parse::<u64>()),
+        ["bump", name, amount, ttl_ms] => (name, amount.parse::<f64>(), ttl_ms.parse::<u64>()),
         _ => return "error\r\n".to_string(),
     };
-    let (Ok(amount), Ok(life)) = (amount, life) else { return "error\r\n".to_string() };
+    let (Ok(amount), Ok(ttl_ms)) = (amount, ttl_ms) else { return "error\r\n".to_string() };
     let now = Instant::now();
     let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
     store.calls += 1;
@@ -208,7 +211,7 @@
         }
     }
     store.added += amount;
-    let until = now + Duration::from_millis(life).min(MAX_KEY_TTL);
+    let until = now + Duration::from_millis(ttl_ms).min(MAX_KEY_TTL);
     let total = store.totals.entry(name.to_string()).or_insert((0.0, until));
     if total.1 <= now {
         *total = (0.0, until);
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -1,49 +1,49 @@
-//! What a platform gives a gateway: a configuration, for the classes and plans that the stand-ins know.
+//! The gateway configuration that a platform would supply, with the classes and plans that the stand-ins use.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-/// Classes, by their place in the settings.
+/// Class names in the order of the settings.
 pub const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
-/// Plans, by their place in the settings: without limits, and with a quota and a ceiling.
+/// Plan names in the order of the settings: one without limits, and one with a quota and a ceiling.
 pub const PLANS: [&str; 2] = ["free", "paid"];
-/// Units a second of the plan `paid`.
+/// Quota rate of the plan `paid`, units per second.
 pub const PAID_RATE: f64 = 40.0;
-/// Units that its store holds.
+/// Burst of the plan `paid`, units.
 pub const PAID_BURST: f64 = 80.0;
-/// Its ceiling, times rate and burst.
+/// Ceiling of the plan `paid`, as a multiple of its rate and burst.
 pub const PAID_CEILING: f64 = 3.0;
-/// How long a client waits for all its tries, ms.
+/// Deadline of a request over all its attempts, ms.
 pub const DEADLINE_MS: f64 = 3_000.0;
-/// Part of its capacity that a backend starts at, at least.
-pub const START_CAPACITY: f64 = 0.2;
-/// A backend is warm after this, ms.
+/// Fraction of its full capacity that a backend has at its start, at least.
+pub const INITIAL_CAPACITY: f64 = 0.2;
+/// Time after which a backend has its full capacity, ms.
 pub const WARM_UP_MS: f64 = 10_000.0;
-/// A cold backend falls under more than this multiple of its capacity ...
-pub const TIP_MULTIPLE: f64 = 3.0;
-/// ... for this long, ms.
-pub const OVERLOAD_FOR_MS: f64 = 2_000.0;
-/// A drained backend gets nothing new after this, ms.
-pub const STOP_SENDING_MS: f64 = 500.0;
+/// A warming backend fails under load above this multiple of its current capacity ...
+pub const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// ... that lasts this long, ms.
+pub const OVERLOAD_WINDOW_MS: f64 = 2_000.0;
+/// Time after its drain from which a backend receives no new attempts, ms.
+pub const DRAIN_GRACE_MS: f64 = 500.0;
 
-/// The settings of gateway `me` of `gateways`.
+/// Returns the settings of the gateway with index `me` of `gateways`.
 #[must_use]
 pub fn settings(me: usize, gateways: usize) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"aim-ms": 500.0, "credit": 1.0, "deadline-ms": DEADLINE_MS, "effect": effect, "group": "all",
                "late-worth": 0.0, "name": name, "streaming": false, "window-ms": 5000.0})
     };
-    let plan = |name: &str, rate: f64, store: f64, ceiling: f64| {
-        json!({"cap-depth": store * ceiling, "concurrency": 0, "hard-rate": rate * ceiling,
-               "hard-slack": store * ceiling / 10.0, "name": name, "over-cost": 0.5, "over-worth": 0.0,
-               "quota-rate": rate, "store-size": store, "value-factor": 1.0})
+    let plan = |name: &str, rate: f64, burst: f64, ceiling: f64| {
+        json!({"cap-depth": burst * ceiling, "concurrency": 0, "hard-rate": rate * ceiling,
+               "hard-slack": burst * ceiling / 10.0, "name": name, "over-cost": 0.5, "over-worth": 0.0,
+               "quota-rate": rate, "store-size": burst, "value-factor": 1.0})
     };
     json!({
         "clients": {"marks-retry": false},
-        "contract": {"answer-slack-ms": 16.0, "ask-within-ms": 10000.0, "overload-for-ms": OVERLOAD_FOR_MS,
-                     "start-capacity": START_CAPACITY, "stop-sending-within-ms": STOP_SENDING_MS,
-                     "tip-multiple": TIP_MULTIPLE, "warm-up-ms": WARM_UP_MS},
+        "contract": {"answer-slack-ms": 16.0, "ask-within-ms": 10000.0, "overload-for-ms": OVERLOAD_WINDOW_MS,
+                     "start-capacity": INITIAL_CAPACITY, "stop-sending-within-ms": DRAIN_GRACE_MS,
+                     "tip-multiple": OVERLOAD_MULTIPLE, "warm-up-ms": WARM_UP_MS},
         "family-info": {"count-fee": 0.01, "count-wait-ms": 50.0, "meter-period-ms": 0.0,
                         "peer-intake": 0.0, "settles": true, "shared-counter": true, "units-top": 4},
         "feedback": {"fields": [], "source": "none"},
@@ -61,8 +61,8 @@
     })
 }
 
-/// The configuration of gateway `me` of `gateways`, which listens on a port of the system's choice unless
-/// one is given.
+/// Returns the configuration of the gateway with index `me` of `gateways`. It listens on a port of the
+/// system's choice unless an address is given.
 #[must_use]
 pub fn config(
     me: usize,
--- a/crates/testbed/src/resp.rs
+++ b/crates/testbed/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2 as the stand-ins need it.
+//! Reads and writes RESP2 messages for the asynchronous stand-ins.
 
 use std::time::{Duration, Instant};
 
@@ -7,30 +7,30 @@
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The longest message that a stand-in takes.
+/// Maximum length of a message that a stand-in reads.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// A message, and how long before its end its first byte came.
+/// A message and the time from its first byte to its last.
 pub(crate) struct Message {
     pub(crate) frame: BytesFrame,
     pub(crate) took: Duration,
 }
 
-/// Reads the next message; `None` at the end of the connection or at what is no message.
+/// Reads the next message; `None` at the end of the connection or at invalid bytes.
 pub(crate) async fn read(from: &mut (impl AsyncRead + Unpin), buffer: &mut BytesMut) -> Option<Message> {
-    let mut began = (!buffer.is_empty()).then(Instant::now);
+    let mut started = (!buffer.is_empty()).then(Instant::now);
     loop {
         if let Some((frame, _, _)) = decode_bytes_mut(buffer).ok()? {
-            return Some(Message { frame, took: began.map_or(Duration::ZERO, |b| b.elapsed()) });
+            return Some(Message { frame, took: started.map_or(Duration::ZERO, |at| at.elapsed()) });
         }
         if buffer.len() > MAX_MESSAGE_BYTES || from.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
-        began = began.or_else(|| Some(Instant::now()));
+        started = started.or_else(|| Some(Instant::now()));
     }
 }
 
-/// The words of a command; `None` if it is none.
+/// Returns the words of a command, or `None` if the message is not a command.
 pub(crate) fn words(frame: BytesFrame) -> Option<Vec<String>> {
     let BytesFrame::Array(parts) = frame else { return None };
     let word = |part| match part {
@@ -40,7 +40,7 @@
     parts.into_iter().map(word).collect()
 }
 
-/// A command as bytes.
+/// Encodes a command.
 pub(crate) fn command(words: &[&str]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len());
     for w in words {
--- a/crates/testbed/src/rig.rs
+++ b/crates/testbed/src/rig.rs
@@ -23,7 +23,7 @@
 use gateway_policy::interface::SlowStart;
 use hdrhistogram::Histogram;
 
-use crate::platform::{OVERLOAD_FOR_MS, START_CAPACITY, TIP_MULTIPLE, WARM_UP_MS};
+use crate::platform::{OVERLOAD_WINDOW_MS, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, WARM_UP_MS};
 
 /// Who chooses the backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -181,10 +181,10 @@
             service_time_ms: 20.0,
             aim: (10.0, 40.0),
             slow_start: SlowStart {
-                initial_capacity: START_CAPACITY,
+                initial_capacity: INITIAL_CAPACITY,
                 warm_up_ms: WARM_UP_MS,
-                overload_multiple: TIP_MULTIPLE,
-                overload_window_ms: OVERLOAD_FOR_MS,
+                overload_multiple: OVERLOAD_MULTIPLE,
+                overload_window_ms: OVERLOAD_WINDOW_MS,
             },
             load: 0.6,
             duration_ms: 4_000.0,
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -1,4 +1,4 @@
-//! Faults by a seed: the same seed gives the same faults at the same moments.
+//! Fault scripts drawn from a seed: the same seed gives the same faults at the same times.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use crate::switch::{Fault, Switch};
 use crate::Rng;
 
-/// A fault of one stand-in for a while.
+/// A fault of one stand-in for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// When it begins, from the start of the script.
+    /// Time of its beginning since the script's start.
     pub at: Duration,
-    /// The place of the stand-in.
-    pub which: usize,
-    /// What is wrong.
+    /// Index of the stand-in.
+    pub stand_in: usize,
+    /// The fault.
     pub fault: Fault,
-    /// For how long.
-    pub lasts: Duration,
+    /// How long it lasts.
+    pub duration: Duration,
 }
 
-/// Faults of some stand-ins, one after the other, so that never more than one is not well.
+/// Faults of several stand-ins, one after another: at most one stand-in has a fault at any time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Script {
-    /// The seed that it was drawn from.
+    /// The seed that the faults were drawn from.
     pub seed: u64,
-    /// The faults, in their order.
+    /// The faults in order of time.
     pub steps: Vec<Step>,
 }
 
 impl Script {
-    /// Draws so many faults among `stand_ins`, each 200 to 700 ms long with 100 to 400 ms between.
+    /// Draws this many faults over `stand_ins` stand-ins, each 200 to 700 ms long with pauses of 100 to 400 ms.
     #[must_use]
     pub fn generate(seed: u64, stand_ins: usize, faults: usize) -> Script {
         let mut rng = Rng::new(seed);
@@ -39,7 +39,7 @@
         let mut steps = Vec::with_capacity(faults);
         for _ in 0..faults {
             at += Duration::from_millis(100 + rng.below(300));
-            let lasts = Duration::from_millis(200 + rng.below(500));
+            let duration = Duration::from_millis(200 + rng.below(500));
             let kinds = [
                 Fault::Slow(Duration::from_millis(50 + rng.below(200))),
                 Fault::Silent,
@@ -50,22 +50,22 @@
                 Fault::Garbled,
             ];
             let fault = kinds[rng.below(kinds.len() as u64) as usize];
-            steps.push(Step { at, which: rng.below(stand_ins as u64) as usize, fault, lasts });
-            at += lasts;
+            steps.push(Step { at, stand_in: rng.below(stand_ins as u64) as usize, fault, duration });
+            at += duration;
         }
         Script { seed, steps }
     }
 
-    /// Plays the faults on the switches, and leaves all of them well.
+    /// Applies the faults to the switches in real time, and leaves no fault set.
     pub async fn play(&self, switches: &[Switch]) {
         let mut now = Duration::ZERO;
         for step in &self.steps {
             sleep(step.at.saturating_sub(now)).await;
-            let Some(switch) = switches.get(step.which) else { continue };
+            let Some(switch) = switches.get(step.stand_in) else { continue };
             switch.set(step.fault);
-            sleep(step.lasts).await;
+            sleep(step.duration).await;
             switch.set(Fault::None);
-            now = step.at + step.lasts;
+            now = step.at + step.duration;
         }
     }
 }
@@ -73,6 +73,6 @@
 impl fmt::Display for Script {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "seed {:#x}:", self.seed)?;
-        self.steps.iter().try_for_each(|s| write!(f, " {:?}@{}", s.fault, s.which))
+        self.steps.iter().try_for_each(|s| write!(f, " {:?}@{}", s.fault, s.stand_in))
     }
 }
--- a/crates/testbed/src/switch.rs
+++ b/crates/testbed/src/switch.rs
@@ -1,35 +1,35 @@
-//! What is wrong with a stand-in, set from outside while it runs.
+//! Faults of a stand-in, set by the test while it runs.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// How a stand-in behaves.
+/// A fault of a stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// As it should.
+    /// No fault.
     #[default]
     None,
-    /// Each answer comes so much later.
+    /// Delays each answer by this time.
     Slow(Duration),
-    /// It reads, and says nothing. Connections stay open.
+    /// Reads but sends no answers. Connections stay open.
     Silent,
-    /// New connections are refused; open ones are reset.
+    /// Refuses new connections and closes open ones.
     Refusing,
-    /// Each message is answered by a reset.
+    /// Resets the connection instead of answering a message.
     Resetting,
-    /// Each message is answered by an error.
+    /// Answers each message with an error.
     Failing,
-    /// Each message is turned away unseen.
+    /// Rejects each message without working on it.
     Busy,
-    /// The list service turns the first, third and so on of each party's messages away unseen; others work.
+    /// Discovery only: rejects the first, third, fifth, ... call on each of its addresses.
     AlternateBusy,
-    /// Each message is answered by bytes that mean nothing.
+    /// Answers each message with invalid bytes.
     Garbled,
 }
 
-/// Sets the fault of one stand-in, or of several that share it.
+/// Holds the fault of a stand-in, or of several that share it. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Switch(Arc<watch::Sender<Fault>>);
 
@@ -40,24 +40,24 @@
 }
 
 impl Switch {
-    /// Sets the fault; it holds for what comes from now on, and silence for what has come as well.
+    /// Sets the fault. It applies to messages that arrive from now on, and silence also to those being worked on.
     pub fn set(&self, fault: Fault) {
         self.0.send_replace(fault);
     }
 
-    /// The fault now.
+    /// Returns the current fault.
     #[must_use]
     pub fn now(&self) -> Fault {
         *self.0.borrow()
     }
 
-    /// Waits until the fault is one of those wanted. Cancelling loses nothing.
-    pub async fn until(&self, wanted: impl Fn(Fault) -> bool) {
-        // Fails only when the sender is gone, which is here.
-        let _ = self.0.subscribe().wait_for(|f| wanted(*f)).await;
+    /// Waits until the fault satisfies the condition. Cancel safe.
+    pub async fn until(&self, condition: impl Fn(Fault) -> bool) {
+        // Fails only when the sender is dropped, and `self` holds it.
+        let _ = self.0.subscribe().wait_for(|f| condition(*f)).await;
     }
 
-    /// Waits while the stand-in is silent, and as long as it is slow.
+    /// Waits for the delay of a slow stand-in, and as long as the stand-in is silent.
     pub(crate) async fn delay(&self) {
         if let Fault::Slow(by) = self.now() {
             tokio::time::sleep(by).await;
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -99,7 +99,7 @@
                 });
             }
         }
-        sleep(Duration::from_secs_f64(platform::OVERLOAD_FOR_MS / 1000.0 + 0.1));
+        sleep(Duration::from_secs_f64(platform::OVERLOAD_WINDOW_MS / 1000.0 + 0.1));
         journal.note(asked(7, Class::Safe, 1));
         journal.note(arrived(&journal, 7, Class::Safe, "a", true));
         journal.note(answered(7, Answer::Served));
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -207,8 +207,8 @@
     let (one, two) = (Script::generate(7, 3, 20), Script::generate(7, 3, 20));
     assert_eq!(one, two);
     assert_ne!(one.steps, Script::generate(8, 3, 20).steps);
-    assert!(one.steps.iter().all(|s| s.which < 3));
-    assert!(one.steps.windows(2).all(|w| w[0].at + w[0].lasts <= w[1].at), "two at once");
+    assert!(one.steps.iter().all(|s| s.stand_in < 3));
+    assert!(one.steps.windows(2).all(|w| w[0].at + w[0].duration <= w[1].at), "two at once");
     assert!(one.to_string().starts_with("seed 0x7:"));
     let (switches, runtime) = ([Switch::default()], runtime());
     runtime.block_on(Script::generate(7, 1, 1).play(&switches));
