--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -1,4 +1,4 @@
-//! The auditor: checks the five rules from what passed on the sockets, and says which request broke which.
+//! The auditor: checks five rules against the event journal and reports which request violates which.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -10,41 +10,41 @@
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Every request that a gateway took gets exactly one final answer.
+    /// Every request accepted by a gateway gets exactly one final answer.
     Lost,
-    /// No effect happens twice.
+    /// No request takes effect twice.
     Twice,
-    /// Nothing new is sent to a drained backend after the grace.
+    /// No new attempt reaches a drained backend after the drain's grace period.
     Drain,
-    /// Cold backends are not pushed over.
+    /// No cold backend is overloaded.
     Cold,
-    /// The hard ceiling of a plan holds.
+    /// No customer exceeds the hard ceiling of its plan.
     Ceiling,
 }
 
-/// What broke a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// The request, or the last of several.
+    /// Id of the request; the last one where several are involved.
     pub id: u64,
-    /// What was seen.
-    pub seen: String,
+    /// What happened.
+    pub details: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: request {:016x}: {}", self.rule, self.id, self.seen)
+        write!(f, "{:?}: request {:016x}: {}", self.rule, self.id, self.details)
     }
 }
 
-/// What the auditor looks for.
+/// Parameters of an audit.
 #[derive(Clone, Copy, Debug)]
 pub struct AuditOptions {
-    /// A drained backend gets nothing new after this.
+    /// Time after its drain from which a backend must not receive new attempts.
     pub drain_grace: Duration,
-    /// Whether answers are owed to all requests by now: not while a load still runs.
+    /// Whether every request must have been answered by now; false while a load is still running.
     pub complete: bool,
 }
 
@@ -55,60 +55,63 @@
     }
 }
 
-/// Checks a journal.
+/// Checks a journal and returns the violations.
 ///
 /// # Errors
-/// A text, if the journal had no room for some events and so nothing can be said.
-pub fn audit(journal: &Journal, terms: AuditOptions) -> Result<Vec<Violation>, String> {
+/// Returns a message if the journal dropped events, as a result would then prove nothing.
+pub fn audit(journal: &Journal, options: AuditOptions) -> Result<Vec<Violation>, String> {
     let dropped = journal.dropped();
     if dropped > 0 {
         return Err(format!("the journal had no room for {dropped} events; nothing can be said"));
     }
     let events = journal.events();
-    let mut breaches = Vec::new();
-    lost(&events, terms, &mut breaches);
-    twice(&events, &mut breaches);
-    drains(&events, terms, &mut breaches);
-    cold(&events, &mut breaches);
-    ceilings(&events, &mut breaches);
-    Ok(breaches)
+    let mut violations = Vec::new();
+    check_answers(&events, options, &mut violations);
+    check_repeats(&events, &mut violations);
+    check_drains(&events, options, &mut violations);
+    check_cold_backends(&events, &mut violations);
+    check_ceilings(&events, &mut violations);
+    Ok(violations)
 }
 
 type Events = [(Duration, Event)];
 
-fn lost(events: &Events, terms: AuditOptions, breaches: &mut Vec<Violation>) {
+/// Checks that every request got exactly one complete answer.
+fn check_answers(events: &Events, options: AuditOptions, violations: &mut Vec<Violation>) {
     let mut answers: BTreeMap<u64, Vec<&Answer>> = BTreeMap::new();
-    let mut asked = HashSet::new();
+    let mut sent = HashSet::new();
     for (_, event) in events {
         match event {
-            Event::RequestSent { id, .. } if !asked.insert(*id) => {
-                breaches.push(breach(Rule::Lost, *id, "a client asked it twice: the load is at fault"));
+            Event::RequestSent { id, .. } if !sent.insert(*id) => {
+                violations.push(violation(Rule::Lost, *id, "sent twice by a client: an error of the load"));
             }
             Event::RequestSent { id, .. } => drop(answers.entry(*id).or_default()),
             Event::AnswerReceived { id, answer } => answers.entry(*id).or_default().push(answer),
             _ => {}
         }
     }
-    for (id, got) in answers {
-        match got[..] {
-            [] if terms.complete => breaches.push(breach(Rule::Lost, id, "never answered")),
-            [Answer::Missing] => breaches.push(breach(Rule::Lost, id, "its connection ended with no answer")),
+    for (id, received) in answers {
+        match received[..] {
+            [] if options.complete => violations.push(violation(Rule::Lost, id, "never answered")),
+            [Answer::Missing] => {
+                violations.push(violation(Rule::Lost, id, "its connection ended without an answer"))
+            }
             [Answer::Malformed] => {
-                breaches.push(breach(Rule::Lost, id, "answered by what no backend made for it"))
+                violations.push(violation(Rule::Lost, id, "answered with bytes that no backend sent for it"))
             }
             [] | [_] => {}
-            _ => breaches.push(breach(Rule::Lost, id, format!("{} answers", got.len()))),
+            _ => violations.push(violation(Rule::Lost, id, format!("{} answers", received.len()))),
         }
     }
 }
 
-fn breach(rule: Rule, id: u64, seen: impl Into<String>) -> Violation {
-    Violation { rule, id, seen: seen.into() }
+fn violation(rule: Rule, id: u64, details: impl Into<String>) -> Violation {
+    Violation { rule, id, details: details.into() }
 }
 
-/// A copy may follow one that never ran; one that may have run is the last for a class that must not run
-/// twice. Keyed ones may follow each other within the time in which their backends drop repeats.
-fn twice(events: &Events, breaches: &mut Vec<Violation>) {
+/// Checks that no request runs twice. An attempt may follow one that never ran. After an attempt that ran there
+/// may be no other in the class `unsafe`, and one in the class `keyed` only within the deduplication window of 5 s.
+fn check_repeats(events: &Events, violations: &mut Vec<Violation>) {
     let window = Duration::from_secs(5);
     let mut ran: HashMap<u64, Vec<Duration>> = HashMap::new();
     for (at, event) in events {
@@ -120,7 +123,7 @@
             Class::Keyed => before.first().is_some_and(|first| at.saturating_sub(*first) > window),
         };
         if again {
-            breaches.push(breach(
+            violations.push(violation(
                 Rule::Twice,
                 *id,
                 format!("ran {} times, last on {backend}", before.len() + 1),
@@ -130,24 +133,25 @@
     }
 }
 
-fn drains(events: &Events, terms: AuditOptions, breaches: &mut Vec<Violation>) {
-    // Which gateway a request came through, as a drain may have been told to one alone.
-    let mut through: HashMap<u64, usize> = HashMap::new();
+/// Checks that drained backends receive no new attempts after the grace period.
+fn check_drains(events: &Events, options: AuditOptions, violations: &mut Vec<Violation>) {
+    // The gateway of each request, as only one gateway may have been ordered to drain a backend.
+    let mut gateway_of: HashMap<u64, usize> = HashMap::new();
     let mut drained: HashMap<&str, Vec<(Duration, Option<usize>)>> = HashMap::new();
     for (at, event) in events {
         match event {
-            Event::RequestSent { id, gateway, .. } => drop(through.insert(*id, *gateway)),
+            Event::RequestSent { id, gateway, .. } => drop(gateway_of.insert(*id, *gateway)),
             Event::BackendDrained { backend, gateway } => {
                 drained.entry(backend).or_default().push((*at, *gateway));
             }
             Event::BackendUndrained { backend } => drop(drained.remove(backend.as_str())),
-            Event::AttemptReceived { id, backend, began, .. } => {
-                for (told, gateway) in drained.get(backend.as_str()).into_iter().flatten() {
-                    let late = began.saturating_sub(*told);
-                    let here = gateway.is_none_or(|g| through.get(id) == Some(&g));
-                    if here && late > terms.drain_grace {
+            Event::AttemptReceived { id, backend, first_byte_at, .. } => {
+                for (drained_at, gateway) in drained.get(backend.as_str()).into_iter().flatten() {
+                    let late = first_byte_at.saturating_sub(*drained_at);
+                    let ordered = gateway.is_none_or(|g| gateway_of.get(id) == Some(&g));
+                    if ordered && late > options.drain_grace {
                         let ms = late.as_millis();
-                        breaches.push(breach(
+                        violations.push(violation(
                             Rule::Drain,
                             *id,
                             format!("to {backend} {ms} ms after its drain"),
@@ -160,22 +164,28 @@
     }
 }
 
-/// A backend that started is pushed over where it holds more than the multiple of what it can work on, cold
-/// as it is, for the whole of the time that the rule gives.
-fn cold(events: &Events, breaches: &mut Vec<Violation>) {
+/// Checks that no warming backend is overloaded: its requests in flight must not exceed the overload multiple of
+/// its current capacity for longer than the overload window.
+fn check_cold_backends(events: &Events, violations: &mut Vec<Violation>) {
     struct Cold {
-        since: Duration,
+        started: Duration,
         slots: usize,
-        open: usize,
-        over: Option<Duration>,
-        told: bool,
+        in_flight: usize,
+        overloaded_since: Option<Duration>,
+        reported: bool,
     }
-    let most = Duration::from_secs_f64(platform::OVERLOAD_WINDOW_MS / 1000.0);
+    let window = Duration::from_secs_f64(platform::OVERLOAD_WINDOW_MS / 1000.0);
     let mut all: HashMap<&str, Cold> = HashMap::new();
     for (at, event) in events {
         let (name, id) = match event {
             Event::BackendStarted { backend, slots } => {
-                let cold = Cold { since: *at, slots: *slots, open: 0, over: None, told: false };
+                let cold = Cold {
+                    started: *at,
+                    slots: *slots,
+                    in_flight: 0,
+                    overloaded_since: None,
+                    reported: false,
+                };
                 all.insert(backend, cold);
                 continue;
             }
@@ -186,43 +196,53 @@
         };
         let Some(cold) = all.get_mut(name) else { continue };
         match event {
-            Event::AttemptReceived { .. } => cold.open += 1,
-            _ => cold.open = cold.open.saturating_sub(1),
+            Event::AttemptReceived { .. } => cold.in_flight += 1,
+            _ => cold.in_flight = cold.in_flight.saturating_sub(1),
         }
-        let grown = (at.saturating_sub(cold.since).as_secs_f64() * 1000.0 / platform::WARM_UP_MS).min(1.0);
-        let capacity = platform::INITIAL_CAPACITY + (1.0 - platform::INITIAL_CAPACITY) * grown;
-        if grown < 1.0 && cold.open as f64 > platform::OVERLOAD_MULTIPLE * capacity * cold.slots as f64 {
-            let over = *cold.over.get_or_insert(*at);
-            if at.saturating_sub(over) > most && !cold.told {
-                cold.told = true;
-                breaches.push(breach(Rule::Cold, id, format!("{} open on cold {name}", cold.open)));
+        let warmth = (at.saturating_sub(cold.started).as_secs_f64() * 1000.0 / platform::WARM_UP_MS).min(1.0);
+        let capacity = platform::INITIAL_CAPACITY + (1.0 - platform::INITIAL_CAPACITY) * warmth;
+        if warmth < 1.0 && cold.in_flight as f64 > platform::OVERLOAD_MULTIPLE * capacity * cold.slots as f64
+        {
+            let since = *cold.overloaded_since.get_or_insert(*at);
+            if at.saturating_sub(since) > window && !cold.reported {
+                cold.reported = true;
+                violations.push(violation(
+                    Rule::Cold,
+                    id,
+                    format!("{} in flight on cold {name}", cold.in_flight),
+                ));
             }
         } else {
-            cold.over = None;
+            cold.overloaded_since = None;
         }
     }
 }
 
-/// Each request takes its units from its customer's ceiling when its first attempt comes whole to a backend.
-fn ceilings(events: &Events, breaches: &mut Vec<Violation>) {
+/// Checks the ceiling of the plan `paid`. A request takes its units from its customer's token bucket when its
+/// first attempt reaches a backend.
+fn check_ceilings(events: &Events, violations: &mut Vec<Violation>) {
     let (rate, burst) =
         (platform::PAID_RATE * platform::PAID_CEILING, platform::PAID_BURST * platform::PAID_CEILING);
-    // What the ceiling's rate gives in the time by which stamps may be off, on top of the slack.
+    // A tenth of the burst, and what the ceiling's rate refills in 0.15 s, as journal times may be off by that much.
     let slack = burst / 10.0 + rate * 0.15;
-    let mut of: HashMap<u64, (u64, f64)> = HashMap::new();
-    let mut stores: HashMap<u64, (Duration, f64)> = HashMap::new();
+    let mut pending: HashMap<u64, (u64, f64)> = HashMap::new();
+    let mut buckets: HashMap<u64, (Duration, f64)> = HashMap::new();
     for (at, event) in events {
         match event {
             Event::RequestSent { id, customer, units, .. } if *customer >> 24 == 1 => {
-                of.insert(*id, (*customer, *units));
+                pending.insert(*id, (*customer, *units));
             }
             Event::AttemptReceived { id, .. } => {
-                let Some((customer, units)) = of.remove(id) else { continue };
-                let (then, level) = stores.entry(customer).or_insert((*at, burst));
-                *level = (*level + at.saturating_sub(*then).as_secs_f64() * rate).min(burst) - units;
-                *then = *at;
+                let Some((customer, units)) = pending.remove(id) else { continue };
+                let (updated_at, level) = buckets.entry(customer).or_insert((*at, burst));
+                *level = (*level + at.saturating_sub(*updated_at).as_secs_f64() * rate).min(burst) - units;
+                *updated_at = *at;
                 if *level < -slack {
-                    breaches.push(breach(Rule::Ceiling, *id, format!("customer {customer:x} at {level:.1}")));
+                    violations.push(violation(
+                        Rule::Ceiling,
+                        *id,
+                        format!("customer {customer:x} at {level:.1}"),
+                    ));
                 }
             }
             _ => {}
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -202,9 +202,9 @@
         while let Some(message) = resp::read(&mut stream, &mut buffer).await {
             let Some(words) = resp::words(message.frame) else { return };
             let answer = if words.first().is_some_and(|w| w.starts_with("API.")) {
-                let began = self.journal.now().saturating_sub(message.took);
+                let first_byte_at = self.journal.now().saturating_sub(message.took);
                 tokio::select! {
-                    answer = self.request(&words, began, refused) => answer,
+                    answer = self.request(&words, first_byte_at, refused) => answer,
                     // The gateway has given up on the request.
                     () = closed_by_peer(&stream) => return,
                 }
@@ -224,7 +224,7 @@
     }
 
     /// Works on a request and returns the answer, or `None` to reset the connection.
-    async fn request(&self, words: &[String], began: Duration, refused: bool) -> Option<String> {
+    async fn request(&self, words: &[String], first_byte_at: Duration, refused: bool) -> Option<String> {
         let terms = words.get(3)?;
         let id = u64::from_str_radix(words.get(2)?, 16).ok()?;
         let term = |name: &str| terms.split(',').find_map(|t| t.strip_prefix(name));
@@ -239,10 +239,10 @@
         let has_room = self.counts.in_flight.fetch_add(1, Ordering::Relaxed) < 2 * self.spec.slots;
         let ran = has_room && fault != Fault::Busy && !refused;
         self.counts.arrived.fetch_add(1, Ordering::Relaxed);
-        self.journal.note(Event::AttemptReceived { id, key, class, backend, group, began, ran });
-        let mut running = RunningRequest { server: self, id, ended: AttemptResult::Aborted };
+        self.journal.note(Event::AttemptReceived { id, key, class, backend, group, first_byte_at, ran });
+        let mut running = RunningRequest { server: self, id, result: AttemptResult::Aborted };
         if !ran {
-            running.ended = AttemptResult::Rejected;
+            running.result = AttemptResult::Rejected;
             return Some("-BUSY\r\n".to_string());
         }
         let Ok(_slot) = self.slots.acquire().await else { return None };
@@ -252,11 +252,11 @@
             Fault::Resetting => None,
             Fault::Garbled => Some("\u{1}\u{2}noise\r\n".to_string()),
             Fault::Failing => {
-                running.ended = AttemptResult::Failed;
+                running.result = AttemptResult::Failed;
                 Some("-ERR failed\r\n".to_string())
             }
             _ => {
-                running.ended = AttemptResult::Served;
+                running.result = AttemptResult::Served;
                 self.counts.served.fetch_add(1, Ordering::Relaxed);
                 let units = term("units=").unwrap_or("1");
                 let (value, used) = (format!("{id:016x}"), format!("used=0,cost={units}"));
@@ -301,14 +301,14 @@
 struct RunningRequest<'a> {
     server: &'a Server,
     id: u64,
-    ended: AttemptResult,
+    result: AttemptResult,
 }
 
 impl Drop for RunningRequest<'_> {
     fn drop(&mut self) {
         self.server.counts.in_flight.fetch_sub(1, Ordering::Relaxed);
         let backend = self.server.spec.name.clone();
-        self.server.journal.note(Event::AttemptEnded { id: self.id, backend, ended: self.ended });
+        self.server.journal.note(Event::AttemptEnded { id: self.id, backend, result: self.result });
     }
 }
 
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -184,8 +184,10 @@
         let customer = customer + 1 + ((plan as u64) << 24);
         let class_kind = [Class::Safe, Class::Keyed, Class::Unsafe][class.min(2)];
         let key = if class_kind == Class::Keyed { format!(",k={id:016x}") } else { String::new() };
-        let (class_name, plan_name, gateways) = (CLASSES[class.min(2)], PLANS[plan.min(1)], self.gateways.len());
-        let terms = format!("c={class_name},t={plan_name},d={DEADLINE_MS}{key},units=1,spread={gateways},first=0");
+        let (class_name, plan_name, gateways) =
+            (CLASSES[class.min(2)], PLANS[plan.min(1)], self.gateways.len());
+        let terms =
+            format!("c={class_name},t={plan_name},d={DEADLINE_MS}{key},units=1,spread={gateways},first=0");
         let verb = if class_kind == Class::Safe { "API.READ" } else { "API.WRITE" };
         let (customer_word, id_word) = (format!("{customer:016x}"), format!("{id:016x}"));
         let mut words = vec![verb, &customer_word, &id_word, &terms];
@@ -256,7 +258,13 @@
     }
 
     /// Sends a command and reads its answer; `None` if the connection ended before any byte of an answer.
-    async fn send_and_read(&self, gateway: usize, mut stream: TcpStream, command: &[u8], id: u64) -> Option<Answer> {
+    async fn send_and_read(
+        &self,
+        gateway: usize,
+        mut stream: TcpStream,
+        command: &[u8],
+        id: u64,
+    ) -> Option<Answer> {
         let (first, second) = command.split_at(command.len() / 2);
         if let Fault::Slow(by) = self.switch.now() {
             stream.write_all(first).await.ok()?;
--- a/crates/testbed/src/counter.rs
+++ b/crates/testbed/src/counter.rs
@@ -143,7 +143,12 @@
     }
 }
 
-async fn serve(stream: TcpStream, switch: Switch, store: Arc<Mutex<Store>>, (queue, started): (CallQueue, Instant)) {
+async fn serve(
+    stream: TcpStream,
+    switch: Switch,
+    store: Arc<Mutex<Store>>,
+    (queue, started): (CallQueue, Instant),
+) {
     let (reader, mut writer) = stream.into_split();
     let (sender, mut pending) = tokio::sync::mpsc::channel::<(String, Instant)>(MAX_QUEUED);
     // Calls are read as they arrive, so that a recorded wait includes the time queued on the connection.
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -218,11 +218,15 @@
     }
 
     /// Publishes endpoints unchecked, in one version.
-    fn publish_all<'a>(&self, endpoints: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>) {
+    fn publish_all<'a>(
+        &self,
+        endpoints: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>,
+    ) {
         self.shared.list.send_modify(|list| {
             list.index += 1;
             let index = list.index;
-            let endpoints = endpoints.into_iter().map(|(name, json)| (name.as_ref().to_string(), (index, json)));
+            let endpoints =
+                endpoints.into_iter().map(|(name, json)| (name.as_ref().to_string(), (index, json)));
             list.endpoints.extend(endpoints);
         });
     }
--- a/crates/testbed/src/gateway_stand_in.rs
+++ b/crates/testbed/src/gateway_stand_in.rs
@@ -1,5 +1,4 @@
-//! A gateway that is nothing but its admin listener: it takes orders in as a real one does, and serves
-//! nobody.
+//! A gateway reduced to its admin listener: it applies orders like a real gateway and serves no clients.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -14,36 +13,37 @@
 
 use crate::switch::Switch;
 
-/// A running one. It ends with the value.
+/// A running gateway stand-in, stopped when dropped.
 #[derive(Debug)]
 pub struct GatewayStandIn {
-    /// What is wrong with it: slow and silent are known here.
+    /// Sets the stand-in's fault; only [`Fault::Slow`](crate::switch::Fault::Slow) and
+    /// [`Fault::Silent`](crate::switch::Fault::Silent) have an effect.
     pub switch: Switch,
-    held: Arc<Mutex<Held>>,
+    state: Arc<Mutex<State>>,
     task: JoinHandle<()>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct State {
     name: String,
-    boot: u64,
+    incarnation: u64,
     desired: DesiredState,
     backends: Vec<BackendState>,
 }
 
 impl GatewayStandIn {
-    /// Starts one that lists so many backends, `till-0` and on.
+    /// Starts a stand-in that lists this many backends, named `till-0` and up.
     ///
     /// # Errors
-    /// A [`BindError`], if its socket can't be had.
+    /// Returns a [`BindError`] if its socket can't be bound.
     pub async fn start(
         name: &str,
-        boot: u64,
+        incarnation: u64,
         at: &Address,
         backends: usize,
     ) -> Result<GatewayStandIn, BindError> {
         let listener = Listener::bind(at, None, MAX_LINE_BYTES).await?;
-        let row = |i: usize| BackendState {
+        let backend = |i: usize| BackendState {
             name: format!("till-{i}"),
             address: format!("127.0.0.1:{}", 1 + i % 60_000),
             group: (i / 8) as u32,
@@ -57,31 +57,31 @@
             capacity_fraction: 1.0,
             in_flight: 0,
         };
-        let backends = (0..backends).map(row).collect();
+        let backends = (0..backends).map(backend).collect();
         let (name, desired) = (name.to_string(), DesiredState::default());
-        let held = Arc::new(Mutex::new(Held { name, boot, desired, backends }));
-        let (switch, serving) = (Switch::default(), Arc::clone(&held));
+        let state = Arc::new(Mutex::new(State { name, incarnation, desired, backends }));
+        let (switch, shared) = (Switch::default(), Arc::clone(&state));
         let faults = switch.clone();
         let task = tokio::spawn(async move {
-            let mut talks = tokio::task::JoinSet::new();
+            let mut connections = tokio::task::JoinSet::new();
             while let Ok(arrival) = listener.accept().await {
-                let (held, faults) = (Arc::clone(&serving), faults.clone());
-                talks.spawn(async move {
+                let (state, faults) = (Arc::clone(&shared), faults.clone());
+                connections.spawn(async move {
                     if let Ok(lines) = arrival.open().await {
-                        talk(lines, &held, &faults).await;
+                        serve(lines, &state, &faults).await;
                     }
                 });
-                while talks.try_join_next().is_some() {}
+                while connections.try_join_next().is_some() {}
             }
         });
-        Ok(GatewayStandIn { switch, held, task })
+        Ok(GatewayStandIn { switch, state, task })
     }
 
-    /// Whether an order drains a backend here.
+    /// Returns whether an applied order drains a backend.
     #[must_use]
     pub fn drained(&self, backend: &str) -> bool {
-        let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        held.desired.effective_state(backend, u32::MAX, "").drained_by.is_some()
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.desired.effective_state(backend, u32::MAX, "").drained_by.is_some()
     }
 }
 
@@ -91,37 +91,37 @@
     }
 }
 
-async fn talk(mut lines: JsonLines, held: &Mutex<Held>, faults: &Switch) {
-    while let Ok(Some(Envelope { request_id: n, body })) = lines.next::<Envelope<GatewayRequest>>().await {
+async fn serve(mut lines: JsonLines, state: &Mutex<State>, faults: &Switch) {
+    while let Ok(Some(Envelope { request_id, body })) = lines.next::<Envelope<GatewayRequest>>().await {
         faults.delay().await;
-        let body = held.lock().unwrap_or_else(PoisonError::into_inner).answer(body);
-        if lines.send(&Envelope { request_id: n, body }).await.is_err() {
+        let body = state.lock().unwrap_or_else(PoisonError::into_inner).answer(body);
+        if lines.send(&Envelope { request_id, body }).await.is_err() {
             return;
         }
     }
 }
 
-impl Held {
-    fn answer(&mut self, ask: GatewayRequest) -> GatewayResponse {
-        match ask {
+impl State {
+    fn answer(&mut self, request: GatewayRequest) -> GatewayResponse {
+        match request {
             GatewayRequest::Inflight { .. } => GatewayResponse::Inflight(0),
             GatewayRequest::Adopt { snapshot } => {
                 self.desired.adopt(&snapshot);
                 self.applied(Vec::new())
             }
             GatewayRequest::Apply { orders } => {
-                let verdict = |order: &fleet::Order| OrderResult {
+                let result = |order: &fleet::Order| OrderResult {
                     id: order.id.clone(),
                     outcome: self.desired.apply(order),
                     matched: 1,
                 };
-                let verdicts = orders.iter().map(verdict).collect();
-                self.applied(verdicts)
+                let results = orders.iter().map(result).collect();
+                self.applied(results)
             }
             GatewayRequest::State { backends } => GatewayResponse::State(GatewayState {
                 name: self.name.clone(),
                 version: env!("CARGO_PKG_VERSION").to_string(),
-                incarnation: self.boot,
+                incarnation: self.incarnation,
                 applied_revision: self.desired.revision(),
                 last_order: None,
                 drained_by: None,
@@ -136,11 +136,11 @@
         }
     }
 
-    fn applied(&self, verdicts: Vec<OrderResult>) -> GatewayResponse {
+    fn applied(&self, results: Vec<OrderResult>) -> GatewayResponse {
         GatewayResponse::Applied(Applied {
-            incarnation: self.boot,
+            incarnation: self.incarnation,
             applied_revision: self.desired.revision(),
-            results: verdicts,
+            results,
         })
     }
 }
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -1,173 +1,173 @@
-//! What passed on the sockets, with the time of each.
+//! A journal of the messages on the sockets, with their times.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The class of a request, as far as the rules know classes.
+/// The class of a request, as the auditor's rules distinguish them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Safe to repeat.
+    /// May run several times.
     Safe,
-    /// Repeats with the same key are dropped by the backends of one group.
+    /// Backends of one group drop repeats with the same idempotency key.
     Keyed,
-    /// Must never run twice.
+    /// Must run at most once.
     Unsafe,
 }
 
-/// How a backend ended a request.
+/// How an attempt ended at its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// With its value.
+    /// Answered with a value.
     Served,
-    /// With an error, after it ran.
+    /// Answered with an error after it ran.
     Failed,
-    /// Turned away unseen; it never ran.
+    /// Rejected; it never ran.
     Rejected,
-    /// The connection broke, or its gateway gave up, after it began.
+    /// The connection ended, or the gateway gave up, after it began to run.
     Aborted,
 }
 
-/// The final answer that a client got.
+/// The final answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The value.
+    /// A value.
     Served,
-    /// Refused; when to come again, ms.
+    /// Rejected, with the advised wait until a retry, ms.
     Rejected(Option<u64>),
-    /// Failed.
+    /// An error.
     Failed,
-    /// The connection ended with no whole answer.
+    /// No complete answer before the connection ended or the deadline had passed.
     Missing,
-    /// Bytes that are no answer.
+    /// Bytes that are not a valid answer to the request.
     Malformed,
-    /// None is owed: the client left before one came.
+    /// No answer is expected: the client disconnected before one arrived.
     Abandoned,
-    /// No gateway accepted the connection, so none has taken the request.
+    /// No gateway accepted the connection, so none has received the request.
     NotAccepted,
 }
 
-/// Something that passed.
+/// A journal event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client wrote a request whole.
+    /// A client is about to send a request.
     RequestSent {
-        /// The request.
+        /// Id of the request.
         id: u64,
         /// Its customer.
         customer: u64,
         /// Its class.
         class: Class,
-        /// Units that it takes.
+        /// Units that it is charged.
         units: f64,
-        /// The place of the gateway that got it.
+        /// Index of the gateway that it is sent to.
         gateway: usize,
     },
-    /// A client got an answer, or the end of the connection.
+    /// A client received the answer, or gave up waiting for it.
     AnswerReceived {
-        /// The request.
+        /// Id of the request.
         id: u64,
         /// The answer.
         answer: Answer,
     },
-    /// A request came whole to a backend.
+    /// A backend received an attempt completely.
     AttemptReceived {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// Its key, in a keyed class.
+        /// Its idempotency key, in a keyed class.
         key: Option<String>,
         /// Its class.
         class: Class,
         /// The backend.
         backend: String,
-        /// Its group.
+        /// The backend's group.
         group: u32,
-        /// When the first byte came.
-        began: Duration,
-        /// Whether the backend began to run it.
+        /// Time of its first byte.
+        first_byte_at: Duration,
+        /// Whether the backend accepted it to run.
         ran: bool,
     },
-    /// A backend has ended a request.
+    /// An attempt ended at its backend.
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         id: u64,
         /// The backend.
         backend: String,
-        /// How.
-        ended: AttemptResult,
+        /// How it ended.
+        result: AttemptResult,
     },
-    /// Nothing new is to go to a backend from now on; `gateway` says to which it was told, none to all.
+    /// A backend was drained: it is to receive no new attempts.
     BackendDrained {
         /// The backend.
         backend: String,
-        /// The place of the gateway that was told.
+        /// Index of the only gateway that was ordered to drain it; `None` if all were.
         gateway: Option<usize>,
     },
-    /// A backend takes new work again.
+    /// A backend was undrained and may receive new attempts.
     BackendUndrained {
         /// The backend.
         backend: String,
     },
-    /// A backend has started, cold.
+    /// A backend started cold.
     BackendStarted {
         /// The backend.
         backend: String,
-        /// Requests at once that it bears warm.
+        /// Number of requests that it runs at once.
         slots: usize,
     },
 }
 
-/// What passed, in the order of its coming, up to a bound. Clones share it.
+/// Events in the order in which they were recorded, up to a maximum number. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Journal {
-    begun: Instant,
-    most: usize,
-    kept: Arc<Mutex<Kept>>,
+    started: Instant,
+    capacity: usize,
+    records: Arc<Mutex<Records>>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Records {
     events: Vec<(Duration, Event)>,
     dropped: u64,
 }
 
 impl Journal {
-    /// Keeps at most so many events; further ones are only counted, and an audit says so.
+    /// Creates a journal with room for this many events. Further ones are only counted, and an audit then fails.
     #[must_use]
-    pub fn new(most: usize) -> Journal {
-        Journal { begun: Instant::now(), most, kept: Arc::default() }
+    pub fn new(capacity: usize) -> Journal {
+        Journal { started: Instant::now(), capacity, records: Arc::default() }
     }
 
-    /// Time since it began.
+    /// Returns the time since the journal's creation.
     #[must_use]
     pub fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    /// Notes something, now.
+    /// Records an event at the current time.
     pub fn note(&self, event: Event) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = self.begun.elapsed();
-        if kept.events.len() < self.most {
-            kept.events.push((at, event));
+        let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
+        let at = self.started.elapsed();
+        if records.events.len() < self.capacity {
+            records.events.push((at, event));
         } else {
-            kept.dropped += 1;
+            records.dropped += 1;
         }
     }
 
-    /// All events so far.
+    /// Returns all events so far with their times.
     #[must_use]
     pub fn events(&self) -> Vec<(Duration, Event)> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner).events.clone()
+        self.records.lock().unwrap_or_else(PoisonError::into_inner).events.clone()
     }
 
-    /// Events that there was no room for.
+    /// Returns the number of events that were dropped for lack of room.
     #[must_use]
     pub fn dropped(&self) -> u64 {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner).dropped
+        self.records.lock().unwrap_or_else(PoisonError::into_inner).dropped
     }
 
-    /// Forgets all events so far.
+    /// Removes all events so far.
     pub fn clear(&self) {
-        *self.kept.lock().unwrap_or_else(PoisonError::into_inner) = Kept::default();
+        *self.records.lock().unwrap_or_else(PoisonError::into_inner) = Records::default();
     }
 }
--- a/crates/testbed/src/rig.rs
+++ b/crates/testbed/src/rig.rs
@@ -23,7 +23,7 @@
 use gateway_policy::interface::SlowStart;
 use hdrhistogram::Histogram;
 
-use crate::platform::{OVERLOAD_WINDOW_MS, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, WARM_UP_MS};
+use crate::platform::{INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS, WARM_UP_MS};
 
 /// Who chooses the backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -13,7 +13,7 @@
 
 fn arrived(journal: &Journal, id: u64, class: Class, backend: &str, ran: bool) -> Event {
     let (key, backend) = ((class == Class::Keyed).then(|| "k".to_string()), backend.to_string());
-    Event::AttemptReceived { id, key, class, backend, group: 0, began: journal.now(), ran }
+    Event::AttemptReceived { id, key, class, backend, group: 0, first_byte_at: journal.now(), ran }
 }
 
 fn answered(id: u64, answer: Answer) -> Event {
@@ -95,7 +95,7 @@
                 journal.note(Event::AttemptEnded {
                     id,
                     backend: "a".to_string(),
-                    ended: AttemptResult::Served,
+                    result: AttemptResult::Served,
                 });
             }
         }
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -112,7 +112,7 @@
         wait += 1;
     }
     drop(client);
-    let broken = |e: &Event| matches!(e, Event::AttemptEnded { ended: AttemptResult::Aborted, .. });
+    let broken = |e: &Event| matches!(e, Event::AttemptEnded { result: AttemptResult::Aborted, .. });
     while !journal.events().iter().any(|(_, e)| broken(e)) && wait < 8_000 {
         std::thread::sleep(Duration::from_millis(5));
         wait += 1;
