--- a/crates/testbed/src/harness.rs
+++ b/crates/testbed/src/harness.rs
@@ -1,12 +1,12 @@
-//! Many processes of the program on one machine, with links between any two parties that can fail.
+//! Runs many gateway processes on one machine, connected by links that can fail.
 //!
 //! ```text
-//!  gateway ──▶ Link ──▶ list service      Link: cut, delayed, thinned, throttled, reset, half open
-//!     ▲    ──▶ Link ──▶ counter           Node: a process; SIGKILL, SIGSTOP, SIGCONT, a start anew
-//!     └─────── Link ◀── clients           Timeline: what was done when, with its seed
+//!  gateway ──▶ Link ──▶ discovery         Link: cut, delayed, lossy, throttled, reset, half open
+//!     ▲    ──▶ Link ──▶ counter           Node: a process; SIGKILL, SIGSTOP, SIGCONT, restart
+//!     └─────── Link ◀── clients           Timeline: the steps of a test with times and seed
 //! ```
 //!
-//! Nothing listens on any address but loopback, and no process is ended that was not started here.
+//! Everything listens on loopback, and only processes started here are killed.
 
 pub mod fleet;
 mod link;
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real gateways that measurements start, kill and start again, and a load on all of them.
+//! A fleet of gateway processes for measurements, with the servers around them and a load on all of them.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,130 +14,143 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Gateways of one operators' file, and what stands round them.
+/// Gateways that share an operator file, and the servers around them.
 pub struct Fleet {
-    /// The gateways, by their numbers.
+    /// The gateways by index.
     pub nodes: Vec<Node>,
-    /// The list service, with an address for each gateway.
+    /// The discovery service, with an address for each gateway.
     pub service: Discovery,
     /// The shared counter.
     pub counter: Counter,
-    /// The backends, by their numbers.
+    /// The backends by index.
     pub backends: Vec<Backend>,
-    /// What passed on clients' and backends' sockets.
+    /// Events on the clients' and backends' sockets.
     pub journal: Journal,
-    /// The agent's process, which runs once it is started.
+    /// The agent's process, not started by [`Fleet::start`].
     pub agent: Node,
-    program: Program,
-    agents: Program,
+    gateway_program: Program,
+    agent_program: Program,
     _folder: tempfile::TempDir,
 }
 
-/// A load that runs until it is ended.
+/// A load that runs until it is stopped.
 pub struct RunningLoad {
-    /// The load.
+    /// The load generator.
     pub load: Load,
-    end: oneshot::Sender<()>,
+    stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
 
 impl Fleet {
-    /// Starts all of it by the built `gatewayctl` at a path, and waits until all gateways are ready. They
-    /// know the list, which comes from a service of 50 calls a second; the counter works on one call after
-    /// another, so long on each, or on all at once (zero). `{folder}` in the operators' file is the fleet's.
+    /// Starts all servers and gateways and waits until the gateways are ready.
+    ///
+    /// `program` is the path of the built `gatewayctl`. The gateways' configuration contains the endpoint list,
+    /// and the discovery service answers 50 calls per second. The counter works on calls one after another,
+    /// `counter_time_per_call` each, or on all at once if that is zero. `{folder}` in the operator file stands
+    /// for the fleet's folder.
     ///
     /// # Errors
-    /// The system's, and a gateway's that does not get ready.
+    /// Returns the system's error, or that a gateway did not become ready.
     pub async fn start(
         program: PathBuf,
         (gateways, backends): (usize, usize),
-        counter_takes: Duration,
+        counter_time_per_call: Duration,
         operator: &str,
         seed: u64,
     ) -> Result<Fleet, NodeError> {
         let folder = tempfile::Builder::new().prefix("br-").tempdir()?;
-        let each = Duration::from_millis(20);
-        let service = Discovery::with_listeners(
-            gateways,
-            Some(DiscoveryCapacity { time_per_call: each, max_queued: 50 }),
-        )
-        .await?;
-        let (counter, journal) = (Counter::with_time_per_call(counter_takes).await?, Journal::new(4_000_000));
-        let mut all = Vec::new();
+        let time_per_call = Duration::from_millis(20);
+        let service =
+            Discovery::with_listeners(gateways, Some(DiscoveryCapacity { time_per_call, max_queued: 50 }))
+                .await?;
+        let (counter, journal) =
+            (Counter::with_time_per_call(counter_time_per_call).await?, Journal::new(4_000_000));
+        let mut started = Vec::new();
         for i in 0..backends {
-            all.push(Backend::start(Spec::plain(i), journal.clone()).await?);
+            started.push(Backend::start(Spec::plain(i), journal.clone()).await?);
         }
-        for b in &all {
+        for b in &started {
             service.list(b, "SERVING");
         }
         let known = service.known();
         let file = folder.path().join("operator.toml");
         std::fs::write(&file, operator.replace("{folder}", &folder.path().display().to_string()))?;
-        let path = program;
-        let program = |what: &str| {
-            let words = [what, "--until-closed", "--operator", &file.display().to_string()];
-            Program { path: path.clone(), args: words.map(str::to_string).to_vec() }
+        let command = |subcommand: &str| {
+            let args = [subcommand, "--until-closed", "--operator", &file.display().to_string()];
+            Program { path: program.clone(), args: args.map(str::to_string).to_vec() }
         };
-        let (program, agents) = (program("gateway"), program("agent"));
+        let (gateway_program, agent_program) = (command("gateway"), command("agent"));
         let agent = Node::new(folder.path(), &serde_json::json!({"name": "agent"}))?;
         let mut nodes = Vec::new();
-        for (me, door) in service.addresses.iter().enumerate() {
-            let mut config = platform::config(me, gateways, *door, counter.address, &known, None);
+        for (me, discovery) in service.addresses.iter().enumerate() {
+            let mut config = platform::config(me, gateways, *discovery, counter.address, &known, None);
             config["seed"] = format!("{:016x}", (seed << 32) + me as u64).into();
             nodes.push(Node::new(folder.path(), &config)?);
         }
-        let backends = all;
-        let mut fleet =
-            Fleet { nodes, service, counter, backends, journal, agent, program, agents, _folder: folder };
+        let backends = started;
+        let mut fleet = Fleet {
+            nodes,
+            service,
+            counter,
+            backends,
+            journal,
+            agent,
+            gateway_program,
+            agent_program,
+            _folder: folder,
+        };
         fleet.start_all().await?;
         Ok(fleet)
     }
 
-    /// Starts the agent, and waits until it listens.
+    /// Starts the agent and waits until it listens.
     ///
     /// # Errors
-    /// The system's, and the agent's where it does not.
+    /// Returns the system's error, or that the agent did not become ready.
     pub async fn start_agent(&mut self) -> Result<(), NodeError> {
-        self.agent.start(&self.agents).await?;
+        self.agent.start(&self.agent_program).await?;
         self.agent.wait_for_line("overseeing ").await.map(drop)
     }
 
-    /// Starts all gateways at once, and waits until all are ready.
+    /// Starts all gateways at once and waits until they are ready.
     ///
     /// # Errors
-    /// The system's, and a gateway's that does not get ready.
+    /// Returns the system's error, or that a gateway did not become ready.
     pub async fn start_all(&mut self) -> Result<(), NodeError> {
         self.start_some(0..self.nodes.len()).await
     }
 
-    /// Starts some at once, by their numbers, and waits until they are ready.
+    /// Starts the gateways with these indices at once and waits until they are ready.
     ///
     /// # Errors
-    /// The system's, and a gateway's that does not get ready.
-    pub async fn start_some(&mut self, some: impl Iterator<Item = usize> + Clone) -> Result<(), NodeError> {
-        for place in some.clone() {
-            self.nodes[place].start(&self.program).await?;
+    /// Returns the system's error, or that a gateway did not become ready.
+    pub async fn start_some(
+        &mut self,
+        indices: impl Iterator<Item = usize> + Clone,
+    ) -> Result<(), NodeError> {
+        for index in indices.clone() {
+            self.nodes[index].start(&self.gateway_program).await?;
         }
-        for place in some {
-            self.nodes[place].ready().await?;
+        for index in indices {
+            self.nodes[index].ready().await?;
         }
         Ok(())
     }
 
-    /// Puts a load on all gateways.
+    /// Starts a load on all gateways.
     #[must_use]
-    pub fn load(&self, plan: LoadProfile) -> RunningLoad {
+    pub fn load(&self, profile: LoadProfile) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
-        let load = Load::new(addresses, plan.seed << 40, self.journal.clone());
-        let (end, ended) = oneshot::channel::<()>();
+        let load = Load::new(addresses, profile.seed << 40, self.journal.clone());
+        let (stop, stopped) = oneshot::channel::<()>();
         let running = load.clone();
-        let task = tokio::spawn(async move { running.run(&plan, async { drop(ended.await) }).await });
-        RunningLoad { load, end, task }
+        let task = tokio::spawn(async move { running.run(&profile, async { drop(stopped.await) }).await });
+        RunningLoad { load, stop, task }
     }
 }
 
 impl RunningLoad {
-    /// The tally after each of so many seconds from now on.
+    /// Samples the load's counts after each of the next `seconds` seconds.
     #[must_use]
     pub fn sample_every_second(&self, seconds: u64) -> JoinHandle<Vec<LoadCounts>> {
         let load = self.load.clone();
@@ -151,30 +164,31 @@
         })
     }
 
-    /// Ends it and waits for its last answers.
+    /// Stops the load, waits for the remaining answers and returns the counts.
     pub async fn finish(self) -> LoadCounts {
-        let _ = self.end.send(());
-        // Fails only where the load has panicked, which it says by itself.
+        let _ = self.stop.send(());
+        // Fails only if the load has panicked, which prints its own message.
         let _ = self.task.await;
         self.load.counts()
     }
 }
 
-/// The part of what was asked between two moments that was served.
+/// Returns the fraction served of the requests sent between two samples.
 #[must_use]
 pub fn served_fraction(now: LoadCounts, before: LoadCounts) -> f64 {
     (now.served - before.served) as f64 / (now.asked - before.asked).max(1) as f64
 }
 
-/// Parts by second, as a column of a table shows them.
+/// Formats fractions as one cell of a table, separated by spaces.
 #[must_use]
-pub fn column(parts: &[f64]) -> String {
-    parts.iter().map(|part| format!("{part:.2}")).collect::<Vec<_>>().join(" ")
+pub fn column(fractions: &[f64]) -> String {
+    fractions.iter().map(|fraction| format!("{fraction:.2}")).collect::<Vec<_>>().join(" ")
 }
 
-/// The built `gatewayctl` beside the folder of an example that runs; none where that has no folder.
+/// Returns the path of the built `gatewayctl`, next to the folder of the running example; `None` if that has no
+/// parent folder.
 #[must_use]
 pub fn built_program() -> Option<PathBuf> {
-    let here = std::env::current_exe().ok()?;
-    Some(here.parent()?.parent()?.join("gatewayctl"))
+    let example = std::env::current_exe().ok()?;
+    Some(example.parent()?.parent()?.join("gatewayctl"))
 }
--- a/crates/testbed/src/harness/node.rs
+++ b/crates/testbed/src/harness/node.rs
@@ -1,4 +1,4 @@
-//! A process of the program, which a test can kill, stop, let go on and start anew.
+//! A process that a test can kill, suspend, resume and restart.
 
 use std::fs::File;
 use std::io;
@@ -13,13 +13,13 @@
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::timeout;
 
-/// How long a process may take until it says that it is ready.
+/// Maximum time until a process prints the expected line.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a process could not be had.
+/// Why a process could not be started or did not become ready.
 #[derive(Debug)]
 pub enum NodeError {
-    /// The system's reason.
+    /// The system's error.
     Io(io::Error),
     /// It ended, or output nothing in time: its name and what it logged.
     NotReady(String, String),
@@ -42,34 +42,34 @@
     }
 }
 
-/// What to start for each gateway.
+/// The program to start for a node.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program.
+    /// Path of the program.
     pub path: PathBuf,
-    /// Its words, such as `--operator FILE`; with `--until-closed` it ends with the process that started it.
+    /// Its arguments, such as `--operator FILE`; with `--until-closed` it exits with the process that started it.
     pub args: Vec<String>,
 }
 
-/// A gateway's process. It is killed with the value.
+/// A gateway or agent process, killed when dropped.
 #[derive(Debug)]
 pub struct Node {
-    /// Its name.
+    /// Name from its configuration.
     pub name: String,
-    /// Where it listens; the same after each start.
+    /// Listen address, kept over restarts; `None` until it was ready for the first time.
     pub address: Option<SocketAddr>,
     folder: PathBuf,
     running: Option<(Child, Option<Lines<BufReader<ChildStdout>>>)>,
-    /// Killed, and perhaps not gone yet.
+    /// A killed process that may not have exited yet.
     killed: Option<Child>,
     suspended: bool,
 }
 
 impl Node {
-    /// One that does not run yet, by this configuration; what it says goes to files in a folder.
+    /// Creates a node that does not run yet. Its configuration and log are files in this folder.
     ///
     /// # Errors
-    /// The system's, if the configuration can't be written.
+    /// Returns the system's error if the configuration can't be written.
     pub fn new(folder: &Path, config: &Value) -> Result<Node, NodeError> {
         let name = config["name"].as_str().unwrap_or("unnamed").to_string();
         std::fs::write(folder.join(format!("{name}.json")), config.to_string())?;
@@ -81,20 +81,20 @@
         self.folder.join(format!("{}.{kind}", self.name))
     }
 
-    /// Starts it; it is ready when [`Node::ready`] says so. One that runs is killed first.
+    /// Starts the process, killing a running one first. [`Node::ready`] waits until it is ready.
     ///
     /// # Errors
-    /// The system's.
+    /// Returns the system's error.
     pub async fn start(&mut self, program: &Program) -> Result<(), NodeError> {
         self.kill();
-        // Danger: an address that the process before still holds.
+        // Until the previous process has exited, it holds the listen address.
         if let Some(mut killed) = self.killed.take() {
             killed.wait().await?;
         }
         let log = File::options().append(true).create(true).open(self.file("log"))?;
         let mut command = Command::new(&program.path);
         command.args(&program.args).env("GW_CONFIG", self.file("json")).kill_on_drop(true);
-        // Danger: processes that outlive whoever started them. With `--until-closed` they end with this pipe.
+        // With `--until-closed` the process exits when this pipe closes, so it does not outlive a killed test.
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
         let mut child = command.spawn()?;
         let output = child.stdout.take().map(|output| BufReader::new(output).lines());
@@ -102,17 +102,17 @@
         Ok(())
     }
 
-    /// Waits until it says a line that begins like this, and gives the rest of it.
+    /// Waits until the process prints a line with this prefix, and returns the rest of the line.
     ///
     /// # Errors
-    /// [`NodeError::NotReady`] if it ends before that, or does not say it in time.
-    pub async fn wait_for_line(&mut self, begin: &str) -> Result<String, NodeError> {
+    /// Returns [`NodeError::NotReady`] if it exits before, or does not print the line in time.
+    pub async fn wait_for_line(&mut self, prefix: &str) -> Result<String, NodeError> {
         let output = self.running.as_mut().and_then(|(_, output)| output.as_mut());
         let rest = match output {
             None => None,
             Some(output) => timeout(READY_TIMEOUT, async {
                 while let Ok(Some(line)) = output.next_line().await {
-                    if let Some(rest) = line.strip_prefix(begin) {
+                    if let Some(rest) = line.strip_prefix(prefix) {
                         return Some(rest.to_string());
                     }
                 }
@@ -125,10 +125,10 @@
         rest.ok_or_else(|| NodeError::NotReady(self.name.clone(), self.logged()))
     }
 
-    /// Waits until it listens, and gives where.
+    /// Waits until the gateway listens, and returns its address.
     ///
     /// # Errors
-    /// [`NodeError::NotReady`] if it ends before that, or says nothing in time.
+    /// Returns [`NodeError::NotReady`] if it exits before, or is not ready in time.
     pub async fn ready(&mut self) -> Result<SocketAddr, NodeError> {
         let address: Option<SocketAddr> = self.wait_for_line("listening on ").await?.parse().ok();
         let Some(address) = address else {
@@ -141,10 +141,10 @@
         Ok(address)
     }
 
-    /// Changes its configuration, for its next start.
+    /// Changes the configuration for the next start.
     ///
     /// # Errors
-    /// The system's.
+    /// Returns the system's error if the configuration can't be read or written.
     pub fn update_config(&self, update: impl FnOnce(&mut Value)) -> Result<(), NodeError> {
         let file = self.file("json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&file)?).map_err(io::Error::from)?;
@@ -157,7 +157,7 @@
         Pid::from_raw(child.id()? as i32)
     }
 
-    /// Its process's number, while it runs.
+    /// Returns the process id while it runs.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.running.as_ref().and_then(|(child, _)| child.id())
@@ -165,12 +165,12 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            // Fails only where it has ended.
+            // Fails only if the process has exited.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// SIGKILL. Nothing happens to one that does not run.
+    /// Sends SIGKILL; has no effect on a node that does not run.
     pub fn kill(&mut self) {
         if let Some((mut child, _)) = self.running.take() {
             let _ = child.start_kill();
@@ -178,31 +178,31 @@
         }
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// SIGSTOP: it does nothing, and its sockets stay.
+    /// Sends SIGSTOP: the process does nothing, and its sockets stay open.
     pub fn suspend(&mut self) {
         self.signal(Signal::STOP);
         self.suspended = true;
     }
 
-    /// SIGCONT after [`Node::suspend`].
+    /// Sends SIGCONT, after [`Node::suspend`].
     pub fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.suspended = false;
     }
 
-    /// Whether it runs and is not suspended.
+    /// Returns whether the process runs and is not suspended.
     #[must_use]
     pub fn is_running(&mut self) -> bool {
-        let lives = self.running.as_mut().is_some_and(|(child, _)| matches!(child.try_wait(), Ok(None)));
-        lives && !self.suspended
+        let alive = self.running.as_mut().is_some_and(|(child, _)| matches!(child.try_wait(), Ok(None)));
+        alive && !self.suspended
     }
 
-    /// What it has logged, over all its starts.
+    /// Returns the log of all its runs.
     #[must_use]
     pub fn logged(&self) -> String {
         std::fs::read_to_string(self.file("log")).unwrap_or_default()
--- a/crates/testbed/src/harness/timeline.rs
+++ b/crates/testbed/src/harness/timeline.rs
@@ -1,4 +1,4 @@
-//! What was done to a fleet, and when, so that a failure can be read and played again.
+//! A log of a test's steps with their times and seed, to understand and reproduce a failure.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,37 +6,37 @@
 
 use crate::Rng;
 
-/// A record of what was done, and the seed that moments and targets are drawn from. Clones share it.
+/// A log of steps, and the seed from which their times and targets are drawn. Clones share the steps.
 #[derive(Clone, Debug)]
 pub struct Timeline {
-    /// The seed.
+    /// Seed of the test.
     pub seed: u64,
     started: Instant,
     steps: Arc<Mutex<Vec<(Duration, String)>>>,
 }
 
 impl Timeline {
-    /// An empty one that begins now.
+    /// Creates an empty timeline that starts now.
     #[must_use]
     pub fn new(seed: u64) -> Timeline {
         Timeline { seed, started: Instant::now(), steps: Arc::default() }
     }
 
-    /// The source of chance for what is done, the same for the same seed.
+    /// Returns a random number generator seeded with the timeline's seed.
     #[must_use]
     pub fn rng(&self) -> Rng {
         Rng::new(self.seed)
     }
 
-    /// Time since it began.
+    /// Returns the time since the start.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Notes what is done now.
-    pub fn note(&self, what: impl Into<String>) {
-        let step = (self.now(), what.into());
+    /// Records a step at the current time.
+    pub fn note(&self, step: impl Into<String>) {
+        let step = (self.now(), step.into());
         self.steps.lock().unwrap_or_else(PoisonError::into_inner).push(step);
     }
 }
@@ -45,6 +45,6 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "seed {:#x}", self.seed)?;
         let steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
-        steps.iter().try_for_each(|(at, what)| write!(f, "\n  {:>9.3} s  {what}", at.as_secs_f64()))
+        steps.iter().try_for_each(|(at, step)| write!(f, "\n  {:>9.3} s  {step}", at.as_secs_f64()))
     }
 }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -1,6 +1,6 @@
-//! Stand-ins whose every message a test answers by hand, in threads of their own. They panic where a test
-//! is to fail.
-#![allow(clippy::missing_panics_doc)] // For tests alone.
+//! Servers that hand every message to the test, which writes the answer. They run in threads of their own and panic
+//! where the test is to fail.
+#![allow(clippy::missing_panics_doc)] // Only tests use this module.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 pub use resp::command;
 pub use stand_in::{next_from_any, refusing_address, IncomingMessage, StandIn};
 
-/// How long anything that must come may take; long, so that a slow machine gives the same verdict.
+/// Maximum wait for any expected message; long, so that a slow machine does not fail a test.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings of classes `safe`, `keyed` (by cell) and `unsafe`, and of plans `free` (no limit) and
-/// `paid` (a store of 16 units that fills by 0.5 a second).
+/// Returns settings with the classes `safe`, `keyed` (deduplicated per cell) and `unsafe`, and the plans `free`
+/// (no limit) and `paid` (a burst of 16 units, refilled by 0.5 per second).
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, group: &str| {
         json!({"aim-ms": 4000.0, "credit": 3.0, "deadline-ms": 8000.0, "effect": effect, "group": group,
                "late-worth": 0.0, "name": name, "streaming": false, "window-ms": 5000.0})
     };
-    let plan = |name: &str, rate: f64, store: f64| {
+    let plan = |name: &str, rate: f64, burst: f64| {
         json!({"cap-depth": 0.0, "concurrency": 0, "hard-rate": 0.0, "hard-slack": 0.0, "name": name,
-               "over-cost": 1.0, "over-worth": 0.0, "quota-rate": rate, "store-size": store,
+               "over-cost": 1.0, "over-worth": 0.0, "quota-rate": rate, "store-size": burst,
                "value-factor": 1.0})
     };
     json!({
@@ -54,14 +54,15 @@
     })
 }
 
-/// A configuration; what a test needs otherwise it changes.
-pub fn config(agent: SocketAddr, counter: SocketAddr, known: &[Value]) -> Value {
-    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": agent.to_string(),
+/// Returns a default configuration, which tests change as needed.
+pub fn config(discovery: SocketAddr, counter: SocketAddr, known: &[Value]) -> Value {
+    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "counter": counter.to_string(), "known": list(1, true, known), "settings": settings()})
 }
 
-/// A store that needs a call for each request of 60 units, and holds many.
+/// Sets a burst of 1190 units and a maximum request of 60 units, so that each request of 60 units needs a counter
+/// call and many of them fit the burst.
 pub fn set_large_burst(config: &mut Value) {
     config["settings"]["tariffs"][1]["store-size"] = json!(1190.0);
     config["settings"]["family-info"]["units-top"] = json!(60);
--- a/crates/testbed/src/scripted/client.rs
+++ b/crates/testbed/src/scripted/client.rs
@@ -1,4 +1,4 @@
-//! A client of the gateway, and the requests that it sends.
+//! A blocking client of the gateway, and the requests that it sends.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +7,7 @@
 use super::resp::{command, message};
 use super::MESSAGE_TIMEOUT;
 
-/// A client's connection.
+/// A connection to a gateway.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
@@ -16,11 +16,11 @@
     /// Connects to a gateway.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("the gateway listens");
-        stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a time-out");
+        stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
         Client { stream: BufReader::new(stream) }
     }
 
-    /// Writes bytes as they stand.
+    /// Writes raw bytes.
     pub fn write(&mut self, bytes: &[u8]) {
         self.stream.get_mut().write_all(bytes).expect("the gateway reads");
     }
@@ -30,21 +30,21 @@
         self.write(&command(words));
     }
 
-    /// The next answer: a value, or a line as it stands; `(end)` if the connection ends.
+    /// Reads the next answer: a value, or a raw line; `(end)` if the connection ends.
     pub fn read(&mut self) -> String {
         message(&mut self.stream).map_or("(end)".to_string(), |words| words.concat())
     }
 
-    /// The next answer, if something has come within 2 ms.
+    /// Reads the next answer if any of it arrives within 2 ms.
     pub fn try_read(&mut self) -> Option<String> {
-        let short = Some(Duration::from_millis(2));
-        self.stream.get_ref().set_read_timeout(short).expect("a time-out");
-        let some = self.stream.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
-        self.stream.get_ref().set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a time-out");
-        some.then(|| self.read())
+        let brief = Some(Duration::from_millis(2));
+        self.stream.get_ref().set_read_timeout(brief).expect("set the read timeout");
+        let arrived = self.stream.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
+        self.stream.get_ref().set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
+        arrived.then(|| self.read())
     }
 
-    /// Asks on a connection that the gateway may be about to close.
+    /// Writes a command on a connection that the gateway may be closing, and reads its answer or `(end)`.
     pub fn request_or_end(&mut self, words: &[&str]) -> String {
         match self.stream.get_mut().write_all(&command(words)) {
             Ok(()) => self.read(),
@@ -59,24 +59,24 @@
     }
 }
 
-/// A request's words: of a class and plan, with so many units, and a body if it is a write.
-pub fn request_args(id: u64, class: &str, plan: &str, units: u32, wait_ms: u32) -> Vec<String> {
+/// Returns the arguments of a request of this class, plan and number of units; with a body if it is a write.
+pub fn request_args(id: u64, class: &str, plan: &str, units: u32, deadline_ms: u32) -> Vec<String> {
     let write = class != "safe";
     let key = if class == "keyed" { ",k=5c0f6e1a2b3d4c59" } else { "" };
-    let terms = format!("c={class},t={plan},d={wait_ms}{key},units={units},spread=2,first=0");
+    let terms = format!("c={class},t={plan},d={deadline_ms}{key},units={units},spread=2,first=0");
     let verb = if write { "API.WRITE" } else { "API.READ" };
     let mut words = vec![verb.to_string(), "00000000b4d65521".to_string(), format!("{id:016x}"), terms];
     words.extend(write.then(|| "the body".to_string()));
     words
 }
 
-/// The words as slices.
+/// Borrows each argument.
 pub fn as_strs(args: &[String]) -> Vec<&str> {
     args.iter().map(String::as_str).collect()
 }
 
-/// The waiting time in the terms of a request, ms.
+/// Returns the deadline in the terms of a request, ms.
 pub fn deadline_ms_of(terms: &str) -> u32 {
-    let wait = terms.split(',').find_map(|t| t.strip_prefix("d=")).expect("d");
-    wait.parse().expect("a whole number")
+    let deadline = terms.split(',').find_map(|t| t.strip_prefix("d=")).expect("d");
+    deadline.parse().expect("a whole number")
 }
--- a/crates/testbed/src/scripted/resp.rs
+++ b/crates/testbed/src/scripted/resp.rs
@@ -1,8 +1,8 @@
-//! RESP and line messages, as the scripted stand-ins read and write them.
+//! Reads and writes RESP messages for the scripted servers.
 
 use std::io::BufRead;
 
-/// Reads one RESP message: its bytes as text, line ends and lengths left out.
+/// Reads one RESP message and returns its values as text, without line ends and lengths.
 pub(super) fn message(from: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
     if from.read_line(&mut line).ok()? == 0 {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A command as RESP.
+/// Encodes a command.
 pub fn command(words: &[&str]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len());
     for w in words {
--- a/crates/testbed/src/scripted/stand_in.rs
+++ b/crates/testbed/src/scripted/stand_in.rs
@@ -1,4 +1,4 @@
-//! Servers that hand every message to the test, which answers it.
+//! Backends and counters that hand every message to the test.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,22 +9,22 @@
 use super::resp::message;
 use super::MESSAGE_TIMEOUT;
 
-/// Something that came to a stand-in, and the connection to answer on.
+/// A message received by a stand-in, and the connection to answer on.
 pub struct IncomingMessage {
-    /// Its words.
+    /// Its words: the arguments of a command, or the words of a line.
     pub words: Vec<String>,
-    /// Number of the connection, in the order of their coming.
+    /// Index of the connection, in order of acceptance.
     pub connection: usize,
     stream: TcpStream,
 }
 
 impl IncomingMessage {
-    /// Writes a text as it stands.
+    /// Writes raw text.
     pub fn reply(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("the gateway listens");
     }
 
-    /// Answers as a backend that served, for as many units as were guessed.
+    /// Answers as a backend that served the request at the cost of its estimated units.
     pub fn serve(&mut self, value: &str) {
         let units = self.words[3].split(',').find_map(|t| t.strip_prefix("units=")).expect("units");
         let used = format!("used=0,cost={units}");
@@ -39,35 +39,38 @@
 
     /// Waits until the gateway closes the connection.
     pub fn wait_until_closed(&self) {
-        self.stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a time-out");
+        self.stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
         let mut byte = [0];
         match self.stream.peek(&mut byte) {
-            Ok(n) => assert_eq!(n, 0, "more came on it"),
+            Ok(n) => assert_eq!(n, 0, "more data on the connection"),
             Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "{e}"),
         }
     }
 }
 
-/// A server whose every message is handed to the test.
+/// A server that hands every message to the test.
 pub struct StandIn {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    arrived: Receiver<IncomingMessage>,
+    messages: Receiver<IncomingMessage>,
 }
 
 impl StandIn {
     fn start(read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>) -> StandIn {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        StandIn::over(listener, read)
+        StandIn::start_on(listener, read)
     }
 
-    fn over(listener: TcpListener, read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>) -> StandIn {
+    fn start_on(
+        listener: TcpListener,
+        read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
+    ) -> StandIn {
         let address = listener.local_addr().expect("an address");
-        let (sender, arrived) = channel();
+        let (sender, messages) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else { return };
-                // What is written comes at once, not with the gateway's next bytes.
+                // Without this an answer could be delayed until the gateway sends its next bytes.
                 stream.set_nodelay(true).expect("a connection");
                 let sender: Sender<IncomingMessage> = sender.clone();
                 thread::spawn(move || {
@@ -81,20 +84,20 @@
                 });
             }
         });
-        StandIn { address, arrived }
+        StandIn { address, messages }
     }
 
-    /// A backend on a port of its own.
+    /// Starts a backend on a port of the system's choice.
     pub fn backend() -> StandIn {
         StandIn::start(message)
     }
 
-    /// A backend that begins to accept only now.
+    /// Starts a backend on a listener that has not accepted connections so far.
     pub fn backend_on(listener: TcpListener) -> StandIn {
-        StandIn::over(listener, message)
+        StandIn::start_on(listener, message)
     }
 
-    /// A shared counter, whose messages are lines.
+    /// Starts a shared counter, whose messages are lines.
     pub fn counter() -> StandIn {
         StandIn::start(|from| {
             let mut line = String::new();
@@ -103,28 +106,28 @@
         })
     }
 
-    /// The next message; a test fails without it.
+    /// Waits for the next message; panics if none arrives within [`MESSAGE_TIMEOUT`].
     pub fn next(&self) -> IncomingMessage {
-        self.arrived.recv_timeout(MESSAGE_TIMEOUT).expect("something comes")
+        self.messages.recv_timeout(MESSAGE_TIMEOUT).expect("a message arrives")
     }
 
-    /// The next message, if one comes in time.
+    /// Waits up to `time` for the next message.
     pub fn next_within(&self, time: Duration) -> Option<IncomingMessage> {
-        self.arrived.recv_timeout(time).ok()
+        self.messages.recv_timeout(time).ok()
     }
 
-    /// What has come by now and was not taken yet.
+    /// Returns the next message if it has already arrived.
     pub fn try_next(&self) -> Option<IncomingMessage> {
-        self.arrived.try_recv().ok()
+        self.messages.try_recv().ok()
     }
 
-    /// Whether nothing has come that was not taken yet.
+    /// Returns whether no message is waiting; a waiting one is consumed.
     pub fn idle(&self) -> bool {
         self.try_next().is_none()
     }
 }
 
-/// An address that refuses connections for as long as the socket is held.
+/// Returns an address that refuses connections while the returned socket is held.
 pub fn refusing_address() -> (tokio::net::TcpSocket, SocketAddr) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -132,15 +135,15 @@
     (socket, address)
 }
 
-/// The next message at any of some backends, with its place among them.
+/// Waits for the next message at any of several backends, and returns it with the backend's index.
 pub fn next_from_any(backends: &[&StandIn]) -> (usize, IncomingMessage) {
     let start = Instant::now();
     while start.elapsed() < MESSAGE_TIMEOUT {
-        for (place, backend) in backends.iter().enumerate() {
-            if let Ok(arrived) = backend.arrived.recv_timeout(Duration::from_millis(2)) {
-                return (place, arrived);
+        for (index, backend) in backends.iter().enumerate() {
+            if let Ok(message) = backend.messages.recv_timeout(Duration::from_millis(2)) {
+                return (index, message);
             }
         }
     }
-    panic!("nothing came");
+    panic!("no message arrived");
 }
