--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -62,7 +62,7 @@
 pub fn audit(journal: &Journal, options: AuditOptions) -> Result<Vec<Violation>, String> {
     let dropped = journal.dropped();
     if dropped > 0 {
-        return Err(format!("the journal had no room for {dropped} events; nothing can be said"));
+        return Err(format!("the journal dropped {dropped} events, so the audit proves nothing"));
     }
     let events = journal.events();
     let mut violations = Vec::new();
@@ -94,10 +94,10 @@
         match received[..] {
             [] if options.complete => violations.push(violation(Rule::Lost, id, "never answered")),
             [Answer::Missing] => {
-                violations.push(violation(Rule::Lost, id, "its connection ended without an answer"))
+                violations.push(violation(Rule::Lost, id, "its connection ended without an answer"));
             }
             [Answer::Malformed] => {
-                violations.push(violation(Rule::Lost, id, "answered with bytes that no backend sent for it"))
+                violations.push(violation(Rule::Lost, id, "answered with bytes that no backend sent for it"));
             }
             [] | [_] => {}
             _ => violations.push(violation(Rule::Lost, id, format!("{} answers", received.len()))),
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -63,7 +63,7 @@
     pub lost: u64,
     /// Abandoned by their client because of its fault.
     pub left: u64,
-    /// Not sent, as [`MAX_IN_FLIGHT`] requests were in flight.
+    /// Not sent, as 512 requests of the load were in flight.
     pub held_back: u64,
 }
 
--- a/crates/testbed/src/counter.rs
+++ b/crates/testbed/src/counter.rs
@@ -106,7 +106,7 @@
         Ok(Counter { address, switch, store, started, task })
     }
 
-    /// Returns the number of well-formed `bump` calls, whatever was answered.
+    /// Returns the number of executed `bump` calls, without those answered by a busy or failing counter.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).calls
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -169,7 +169,7 @@
             addresses.push(address);
             tasks.push(tokio::spawn(listen(listener, address, listener_index, Arc::clone(&shared))));
         }
-        Ok(Discovery { address: addresses[0], addresses: addresses, switch, shared, tasks })
+        Ok(Discovery { address: addresses[0], addresses, switch, shared, tasks })
     }
 
     /// Returns all recorded calls in order of arrival.
--- a/crates/testbed/src/rig/node.rs
+++ b/crates/testbed/src/rig/node.rs
@@ -8,14 +8,14 @@
 
 use super::Scenario;
 
-/// Minimum and maximum pause between calls to discovery after one was rejected; these and the next three
-/// values are those of a gateway.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1_000));
+/// First and longest delay between rejected calls to discovery. This and the next three values are those of a
+/// gateway.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1_000));
 /// Assumed time of a discovery call.
 const TIME_PER_CALL: Duration = Duration::from_millis(20);
-/// Limit of the pause for large fleets.
-const MAX_PAUSE: Duration = Duration::from_millis(3_000);
-/// Limit of the delay before the first call.
+/// Upper limit of the delay, also in large fleets.
+const DELAY_LIMIT: Duration = Duration::from_millis(3_000);
+/// Upper limit of the delay before the first call.
 const MAX_INITIAL_DELAY: Duration = Duration::from_millis(250);
 
 /// An idle connection: the time since when, and the incarnation of its backend at its opening.
@@ -45,10 +45,10 @@
             list_position: 0,
             gateways: scenario.gateways,
             backoff: Backoff::new(
-                RETRY_PAUSE.0,
-                RETRY_PAUSE.1,
+                RETRY_DELAYS.0,
+                RETRY_DELAYS.1,
                 TIME_PER_CALL,
-                MAX_PAUSE,
+                DELAY_LIMIT,
                 scenario.gateways,
                 seed,
             ),
