--- a/crates/endpoint-sources/tests/resolver.rs
+++ b/crates/endpoint-sources/tests/resolver.rs
@@ -6,7 +6,7 @@
 
 use dns_sd::{Answer, Name, NegativeAnswer, QueryType, Question};
 use endpoint_sources::Resolver;
-use testbed::dns::{Dns, Instance, Lie};
+use testbed::dns::{AnswerFault, Dns, Instance};
 use testbed::switch::Fault;
 
 const SERVICE: &str = "_till._tcp.ub-room.test";
@@ -24,7 +24,7 @@
     for i in 0..instances {
         let (label, service) = (format!("till-{i}"), (0, 1, 9_000));
         let instance = Instance { label, service, text: Vec::new(), address: Ipv4Addr::LOCALHOST };
-        dns.put(SERVICE, &instance);
+        dns.put_instance(SERVICE, &instance);
     }
     dns
 }
@@ -47,7 +47,7 @@
     let resolver = Resolver::new(vec![dns.address], TIMEOUT);
     let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("answered");
     assert_eq!((records(&answered.answer), answered.over_tcp), (2_000, true));
-    assert_eq!(dns.asked(), (1, 1));
+    assert_eq!(dns.question_counts(), (1, 1));
     let none = resolver.query(&question(QueryType::Srv), false).await.expect("answered").answer;
     assert_eq!(none, Answer::Negative { kind: NegativeAnswer::NoData, ttl_s: 30 });
 }
@@ -55,12 +55,12 @@
 #[tokio::test]
 async fn ignores_forged_answers() {
     let dns = zone(3).await;
-    dns.lie(Lie::Forged);
+    dns.set_answer_fault(AnswerFault::Forged);
     let resolver = Resolver::new(vec![dns.address], TIMEOUT);
     let answered = resolver.query(&question(QueryType::Ptr), false).await.expect("answered");
     assert_eq!(records(&answered.answer), 3);
     // Without a genuine answer after them the query fails; it does not yield a negative answer.
-    dns.lie(Lie::OtherId);
+    dns.set_answer_fault(AnswerFault::WrongId);
     let resolver = Resolver::new(vec![dns.address], SHORT_TIMEOUT);
     let failure = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
     assert!(failure.to_string().contains("no answer in time"), "{failure}");
@@ -91,24 +91,24 @@
         assert!(first_error.to_lowercase().contains(&text.to_lowercase()), "{first_error}");
         assert!(second_error.contains("refused"), "{second_error}");
         // The server that answered is asked first from now on, except by a confirmation query.
-        let queries_before = faulty.asked();
+        let queries_before = faulty.question_counts();
         assert_eq!(
             resolver.query(&question(QueryType::Ptr), false).await.expect("answered").attempts.len(),
             0
         );
-        assert_eq!(faulty.asked(), queries_before);
+        assert_eq!(faulty.question_counts(), queries_before);
         assert_eq!(
             resolver.query(&question(QueryType::Ptr), true).await.expect("answered").attempts.len(),
             2
         );
-        assert!(faulty.asked() > queries_before);
+        assert!(faulty.question_counts() > queries_before);
     }
 }
 
 #[tokio::test]
 async fn truncation_over_tcp_is_a_failure() {
     let dns = zone(3).await;
-    dns.lie(Lie::Cut);
+    dns.set_answer_fault(AnswerFault::Truncated);
     let resolver = Resolver::new(vec![dns.address], TIMEOUT);
     let failure = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
     assert!(failure.to_string().contains("truncated"), "{failure}");
--- a/crates/endpoint-sources/tests/source.rs
+++ b/crates/endpoint-sources/tests/source.rs
@@ -7,7 +7,7 @@
 use dns_sd::{CacheLimits, Name};
 use endpoint_sources::{follow, serve, EndpointTable, Resolver, Settings, StatusRequest};
 use serde_json::Value;
-use testbed::dns::{Dns, Instance, Lie};
+use testbed::dns::{AnswerFault, Dns, Instance};
 use testbed::switch::Fault;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -100,7 +100,7 @@
 
 async fn zone(instances: u16) -> Dns {
     let dns = Dns::start(1, 1).await.expect("listening");
-    (0..instances).for_each(|i| dns.put(SERVICE, &instance(i)));
+    (0..instances).for_each(|i| dns.put_instance(SERVICE, &instance(i)));
     dns
 }
 
@@ -122,8 +122,8 @@
     let path = format!("/discovery/hosts?after={index}&wait_ms=20000");
     let (delta, ()) = tokio::join!(source.get(&path), async {
         sleep(Duration::from_millis(50)).await;
-        dns.put(SERVICE, &instance(7));
-        dns.unpoint(SERVICE, "t0");
+        dns.put_instance(SERVICE, &instance(7));
+        dns.remove_pointer(SERVICE, "t0");
     });
     let names = |update: &Value| -> Vec<String> {
         let endpoints = update["endpoints"].as_array().expect("an array").iter();
@@ -158,7 +158,7 @@
     dns.switch.set(Fault::Failing);
     source.until_logged("ALARM").await;
     assert_eq!(source.get("/discovery/hosts").await.0, 503);
-    dns.switch.set(Fault::Well);
+    dns.switch.set(Fault::None);
     source.until("the list", |t| t.updates_after(None).endpoints.len() == 3).await;
     assert!(source.has_logged("answered again"));
 }
@@ -175,7 +175,7 @@
         // Longer than the lifetime of any record.
         sleep(Duration::from_millis(1_300)).await;
         assert_eq!(source.names(), ["t0", "t1", "t2", "t3"], "{fault:?}");
-        dns.switch.set(Fault::Well);
+        dns.switch.set(Fault::None);
         source.until_logged("answered again").await;
     }
     assert!(!source.lines.lock().expect("not poisoned").iter().any(|line| line.starts_with('-')));
@@ -201,11 +201,11 @@
     let (outdated, healthy) = (zone(4).await, zone(4).await);
     let mut source = Source::start(&[&outdated, &healthy], &[SERVICE]).await;
     source.until("four endpoints", |t| t.updates_after(None).endpoints.len() == 4).await;
-    outdated.lie(Lie::Empty);
+    outdated.set_answer_fault(AnswerFault::NameError);
     source.until_logged("ALARM 4 instances would leave at once").await;
     source.until_logged("no instance is held any more").await;
     assert_eq!(source.names(), ["t0", "t1", "t2", "t3"]);
     // If both resolvers agree, the instances are removed.
-    healthy.lie(Lie::Empty);
+    healthy.set_answer_fault(AnswerFault::NameError);
     source.until("an empty list", |t| t.updates_after(None).endpoints.is_empty()).await;
 }
--- a/crates/endpoint-sources/tests/texts.rs
+++ b/crates/endpoint-sources/tests/texts.rs
@@ -61,7 +61,10 @@
     let dns = Dns::start(1, 1).await.expect("a socket");
     for i in 0..3 {
         let (label, address) = (format!("t{i}"), Ipv4Addr::LOCALHOST);
-        dns.put(SERVICE, &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address });
+        dns.put_instance(
+            SERVICE,
+            &Instance { label, service: (0, 10, 9_000 + i), text: Vec::new(), address },
+        );
     }
     let cache_limits =
         CacheLimits { min_ttl_ms: 100.0, min_retry_ms: 50.0, max_retry_ms: 200.0, ..CacheLimits::default() };
@@ -82,11 +85,11 @@
         assert!(timeout(TIMEOUT, waiting).await.is_ok(), "timed out: {part}; {logged:?}");
     };
     until_logged("the list is known: 3 instances").await;
-    dns.unpoint(SERVICE, "t0");
+    dns.remove_pointer(SERVICE, "t0");
     until_logged("- t0 by _till._tcp.ub-room.test. PTR").await;
     dns.switch.set(Fault::Silent);
     until_logged("ALARM").await;
-    dns.switch.set(Fault::Well);
+    dns.switch.set(Fault::None);
     until_logged("all questions are answered again").await;
     let mut lines = logged.lock().expect("not poisoned").clone();
     lines[..3].sort();
--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -15,8 +15,8 @@
 use serde::Serialize;
 use support::{max_in_window, program, AnyError};
 use testbed::backend::Backend;
-use testbed::client::Plan;
-use testbed::harness::fleet::{column, served_part, Fleet};
+use testbed::client::LoadProfile;
+use testbed::harness::fleet::{column, served_fraction, Fleet};
 use testbed::harness::Node;
 use testbed::journal::Event;
 use testbed::switch::Fault;
@@ -102,7 +102,7 @@
     let program = program()?;
     let mut fleet =
         Fleet::start(program, (args.gateways, args.backends), Duration::ZERO, &operator_config, seed).await?;
-    let load = fleet.load(Plan { rate: args.rate, customers: 2_000, seed, ..Plan::default() });
+    let load = fleet.load(LoadProfile { rate: args.rate, customers: 2_000, seed, ..LoadProfile::default() });
     // Each seed restarts the fleet at a different time within the round of slots.
     sleep(Duration::from_secs(8) + Duration::from_millis(seed * 1_237 % 7_000)).await;
 
@@ -122,10 +122,10 @@
     let requests_to_lost =
         |fleet: &Fleet| fleet.backends[lost.clone()].iter().map(Backend::arrived).sum::<u64>();
     let (restarted_at, before) = (fleet.journal.now(), requests_to_lost(&fleet));
-    let first = load.load.tally();
-    let samples = load.by_second(args.duration_s);
+    let first = load.load.counts();
+    let samples = load.sample_every_second(args.duration_s);
     if has_outage {
-        fleet.backends[lost.clone()].iter().for_each(|b| b.switch.set(Fault::Well));
+        fleet.backends[lost.clone()].iter().for_each(|b| b.switch.set(Fault::None));
     } else {
         fleet.start_all().await?;
     }
@@ -146,7 +146,7 @@
         let from = restarted_at + Duration::from_secs(second);
         let mut counts = std::collections::HashMap::new();
         for (_, event) in events.iter().filter(|(at, _)| (from..from + Duration::from_secs(1)).contains(at)) {
-            if let Event::Arrived { backend, .. } = event {
+            if let Event::AttemptReceived { backend, .. } = event {
                 *counts.entry(backend.clone()).or_insert(0u64) += 1;
             }
         }
@@ -166,8 +166,8 @@
         requests_to_lost,
         share_of_lost: (0..5).map(share).collect(),
         all_ready_s: all_ready.as_secs_f64(),
-        served: samples.iter().zip(previous).take(10).map(|(now, was)| served_part(*now, *was)).collect(),
-        served_in_all: served_part(last, first),
+        served: samples.iter().zip(previous).take(10).map(|(now, was)| served_fraction(*now, *was)).collect(),
+        served_in_all: served_fraction(last, first),
         refused: last.refused - first.refused,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
--- a/crates/gatewayctl/examples/measure_cold_counter.rs
+++ b/crates/gatewayctl/examples/measure_cold_counter.rs
@@ -12,8 +12,8 @@
 use clap::Parser;
 use serde::Serialize;
 use support::{program, AnyError};
-use testbed::client::Plan;
-use testbed::harness::fleet::{column, served_part, Fleet};
+use testbed::client::LoadProfile;
+use testbed::harness::fleet::{column, served_fraction, Fleet};
 use testbed::harness::Node;
 use tokio::time::sleep;
 
@@ -76,13 +76,13 @@
         format!("[start]\nlist_calls_per_s = 50\n{}", if is_limited { limit.as_str() } else { "" });
     let program = program()?;
     let mut fleet = Fleet::start(program, (args.gateways, 20), call_time, &operator_config, seed).await?;
-    let plan = Plan { rate: args.rate, customers: 400, paid: 1.0, seed, ..Plan::default() };
+    let plan = LoadProfile { rate: args.rate, customers: 400, paid: 1.0, seed, ..LoadProfile::default() };
     let load = fleet.load(plan);
     sleep(Duration::from_secs(8) + Duration::from_millis(seed * 1_237 % 3_000)).await;
     fleet.nodes.iter_mut().for_each(Node::kill);
     sleep(Duration::from_secs(1)).await;
-    let (restarted_at, first) = (fleet.counter.now(), load.load.tally());
-    let samples = load.by_second(args.duration_s);
+    let (restarted_at, first) = (fleet.counter.now(), load.load.counts());
+    let samples = load.sample_every_second(args.duration_s);
     fleet.start_all().await?;
     let samples = samples.await?;
     let last = load.finish().await;
@@ -106,7 +106,7 @@
         late_in_5_s: late_fraction(first_5_s),
         late_in_all: late_fraction(calls_between(0, args.duration_s)),
         in_time_per_s: (first_5_s.0 - first_5_s.1) as f64 / 5.0,
-        served: samples.iter().zip(previous).take(8).map(|(now, was)| served_part(*now, *was)).collect(),
+        served: samples.iter().zip(previous).take(8).map(|(now, was)| served_fraction(*now, *was)).collect(),
         refused: last.refused - first.refused,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
--- a/crates/gatewayctl/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -14,7 +14,7 @@
 use support::{max_in_window, program, AnyError};
 use testbed::backend::{Backend, Spec};
 use testbed::counter::Counter;
-use testbed::discovery::{Bears, Discovery};
+use testbed::discovery::{Discovery, DiscoveryCapacity};
 use testbed::harness::{Node, Program};
 use testbed::journal::Journal;
 use testbed::platform;
@@ -116,8 +116,8 @@
 ) -> Result<Results, AnyError> {
     let directory = tempfile::Builder::new().prefix("br-").tempdir()?;
     let call_time = Duration::from_millis(args.call_time_ms);
-    let bears = Bears { each: call_time, places: args.max_waiting };
-    let service = Discovery::with(args.gateways, Some(bears)).await?;
+    let capacity = DiscoveryCapacity { time_per_call: call_time, max_queued: args.max_waiting };
+    let service = Discovery::with_listeners(args.gateways, Some(capacity)).await?;
     let counter = Counter::start().await?;
     let mut backends = Vec::new();
     for i in 0..args.backends {
@@ -135,10 +135,10 @@
     )?;
     let args_of_gateway = ["gateway", "--until-closed", "--operator", &operator_config.display().to_string()]
         .map(str::to_string);
-    let program = Program { path: program.to_path_buf(), words: args_of_gateway.to_vec() };
+    let program = Program { path: program.to_path_buf(), args: args_of_gateway.to_vec() };
     let mut nodes = Vec::new();
-    for (index, door) in service.doors.iter().enumerate() {
-        let mut config = platform::config(index, args.gateways, *door, counter.address, &known, None);
+    for (index, address) in service.addresses.iter().enumerate() {
+        let mut config = platform::config(index, args.gateways, *address, counter.address, &known, None);
         config["seed"] = format!("{:016x}", (seed << 32) + index as u64).into();
         nodes.push(Node::new(directory.path(), &config)?);
     }
@@ -153,7 +153,7 @@
     }
     if let Some((_, duration)) = start.outage {
         sleep((started_at + duration).saturating_sub(service.now())).await;
-        service.switch.set(Fault::Well);
+        service.switch.set(Fault::None);
     }
     let outage = start.outage.map_or(Duration::ZERO, |(_, duration)| duration);
     let measured_until =
@@ -172,7 +172,7 @@
     let mut received = vec![None; args.gateways];
     for call in &first {
         if let Some(at) = call.answered {
-            let first = received[call.door].get_or_insert(at);
+            let first = received[call.listener_index].get_or_insert(at);
             *first = (*first).min(at);
         }
     }
@@ -186,7 +186,7 @@
         measured_until
     };
     let calls_until_last = first.iter().filter(|c| c.at <= last_at).count();
-    let exited = nodes.iter_mut().map(|n| usize::from(!n.runs())).sum();
+    let exited = nodes.iter_mut().map(|n| usize::from(!n.is_running())).sum();
     Ok(Results {
         start: start.name,
         variant: if has_slots { "slots" } else { "pauses" },
@@ -196,7 +196,7 @@
         max_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
         in_first_10_s: first.iter().filter(|c| c.at < started_at + Duration::from_secs(10)).count(),
         calls: first.len(),
-        rejected: first.iter().filter(|c| c.turned_away).count(),
+        rejected: first.iter().filter(|c| c.rejected).count(),
         full_lists: first.iter().filter(|c| c.after.is_none()).count(),
         received: times.len(),
         last_received_s: (times.len() == args.gateways).then_some(last),
--- a/crates/gatewayctl/examples/measure_dns_sd.rs
+++ b/crates/gatewayctl/examples/measure_dns_sd.rs
@@ -49,7 +49,7 @@
 async fn measure(instances: usize, ttl_s: u32) -> Result<(), AnyError> {
     let (dir, dns) = (tempfile::tempdir()?, Dns::start(ttl_s, 1).await?);
     let service = |i: usize| format!("_till._tcp.room-{}.test", i / INSTANCES_PER_SERVICE);
-    (0..instances).for_each(|i| dns.put(&service(i), &instance(format!("till-{i}"), 9_000)));
+    (0..instances).for_each(|i| dns.put_instance(&service(i), &instance(format!("till-{i}"), 9_000)));
     let services: Vec<String> = (0..instances.div_ceil(INSTANCES_PER_SERVICE))
         .map(|s| format!("{:?}", service(s * INSTANCES_PER_SERVICE)))
         .collect();
@@ -75,16 +75,17 @@
     let (first_list_after, list) = (started.elapsed(), list.unwrap_or_default());
     let listed = list["endpoints"].as_array().map_or(0, Vec::len);
     let (cpu_first, memory) = (cpu_us(pid)?, peak_memory_mb(pid)?);
-    let (queries_before, idle_since) = (dns.asked().0, Instant::now());
+    let (queries_before, idle_since) = (dns.question_counts().0, Instant::now());
     sleep(IDLE_PERIOD).await;
-    let per_minute = (dns.asked().0 - queries_before) as f64 * 60.0 / idle_since.elapsed().as_secs_f64();
+    let per_minute =
+        (dns.question_counts().0 - queries_before) as f64 * 60.0 / idle_since.elapsed().as_secs_f64();
     let cpu = (cpu_us(pid)? - cpu_first) / idle_since.elapsed().as_secs_f64() / 10_000.0;
     let mut delays = Vec::new();
     for change in 0..CHANGES {
         let index =
             fetch_list(address, "/discovery/hosts").await?.unwrap_or_default()["index"].as_u64().unwrap_or(0);
         let (label, changed) = (format!("new-{change}"), Instant::now());
-        dns.put(&service(0), &instance(label, 9_001));
+        dns.put_instance(&service(0), &instance(label, 9_001));
         fetch_list(address, &format!("/discovery/hosts?after={index}&wait_ms=60000")).await?;
         delays.push(changed.elapsed().as_secs_f64() * 1_000.0);
     }
--- a/crates/gatewayctl/examples/measure_gateway.rs
+++ b/crates/gatewayctl/examples/measure_gateway.rs
@@ -91,8 +91,8 @@
             let (mut id, mut served) = (first_id + (client << 24), 0);
             while started.elapsed() < ROUND {
                 // The forwarder passes on the backend's answer unchanged, which the client counts as odd.
-                let answer = load.one(0, id, client, 0, 0).await;
-                served += u64::from(matches!(answer, Answer::Served | Answer::Odd));
+                let answer = load.send_request(0, id, client, 0, 0).await;
+                served += u64::from(matches!(answer, Answer::Served | Answer::Malformed));
                 id += 1;
             }
             served
@@ -107,7 +107,7 @@
     let (dir, journal) = (tempfile::tempdir()?, Journal::new(0));
     let mut backends = Vec::new();
     for i in 0..8 {
-        let spec = Spec { takes: Duration::ZERO, slots: 64, ..Spec::plain(i) };
+        let spec = Spec { service_time: Duration::ZERO, slots: 64, ..Spec::plain(i) };
         backends.push(Backend::start(spec, journal.clone()).await?);
     }
     for memory_mb in [32, 1 << 20] {
@@ -121,13 +121,13 @@
                 let mut customer = client << 26;
                 while started.elapsed() < FLOOD {
                     // Plan 1 is the one with a quota.
-                    load.one(0, 1 << 40 | customer, customer, 0, 1).await;
+                    load.send_request(0, 1 << 40 | customer, customer, 0, 1).await;
                     customer += 1;
                 }
             });
         }
         while tasks.join_next().await.is_some() {}
-        let (tally, peak) = (load.tally(), peak_memory_mb(proxy.process.id())?);
+        let (tally, peak) = (load.counts(), peak_memory_mb(proxy.process.id())?);
         let (p99, seconds) = (load.latency_ms(0.99), FLOOD.as_secs());
         let budget = if memory_mb == 32 { "32 MB" } else { "no end" };
         println!(
@@ -159,7 +159,7 @@
     let (dir, journal) = (tempfile::tempdir()?, Journal::new(0));
     let mut backends = Vec::new();
     for i in 0..lengths.iter().copied().max().unwrap_or(8) {
-        let spec = Spec { takes: Duration::ZERO, slots: 64, ..Spec::plain(i) };
+        let spec = Spec { service_time: Duration::ZERO, slots: 64, ..Spec::plain(i) };
         backends.push(Backend::start(spec, journal.clone()).await?);
     }
     let mut command = Command::new(std::env::current_exe()?);
--- a/crates/gatewayctl/examples/measure_ordered_start.rs
+++ b/crates/gatewayctl/examples/measure_ordered_start.rs
@@ -12,7 +12,7 @@
 use clap::Parser;
 use serde::Serialize;
 use support::{max_in_window, program, AnyError};
-use testbed::discovery::Called;
+use testbed::discovery::DiscoveryCall;
 use testbed::harness::fleet::Fleet;
 use tokio::time::sleep;
 
@@ -83,11 +83,11 @@
     restarted.clone().for_each(|place| fleet.nodes[place].kill());
     fleet.start_some(restarted.clone()).await?;
     sleep(round + Duration::from_secs(2)).await;
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
     let mut first_answers: HashMap<usize, Duration> = HashMap::new();
-    for call in calls.iter().filter(|c| c.door % args.one_in.max(1) == 0) {
+    for call in calls.iter().filter(|c| c.listener_index % args.one_in.max(1) == 0) {
         if let Some(at) = call.answered {
-            first_answers.entry(call.door).or_insert(at - since);
+            first_answers.entry(call.listener_index).or_insert(at - since);
         }
     }
     let received_s: Vec<f64> = first_answers.values().map(Duration::as_secs_f64).collect();
@@ -101,7 +101,7 @@
         last_received_s: received_s.iter().copied().fold(0.0, f64::max),
         mean_received_s: received_s.iter().sum::<f64>() / received_s.len().max(1) as f64,
         max_calls_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
-        rejected: calls.iter().filter(|c| c.turned_away).count(),
+        rejected: calls.iter().filter(|c| c.rejected).count(),
         full_lists: calls.iter().filter(|c| c.after.is_none()).count(),
     })
 }
--- a/crates/gatewayctl/tests/agent_crashes.rs
+++ b/crates/gatewayctl/tests/agent_crashes.rs
@@ -12,9 +12,9 @@
 use fleet::{Change, Subject};
 use operator_config::Address;
 use support::{wait_until, Fleet, TIMEOUT};
-use testbed::overseen::Overseen;
+use testbed::gateway_stand_in::GatewayStandIn;
 use testbed::switch::Fault;
-use testbed::Dice;
+use testbed::Rng;
 use transport::Connector;
 
 /// Number of times that the agent is killed.
@@ -22,7 +22,7 @@
 
 /// Sends orders over one connection until it closes, and records which were sent and which were acknowledged.
 async fn send_orders(address: Address, tool: u64, round: u64, record: Arc<Mutex<OrderRecord>>) {
-    let mut dice = Dice::new(tool << 32 | round);
+    let mut dice = Rng::new(tool << 32 | round);
     let Ok(mut lines) = Connector::default().connect(&address, TIMEOUT, MAX_LINE_BYTES).await else {
         return;
     };
@@ -87,7 +87,7 @@
 fn killed_agent_keeps_every_acknowledged_order() {
     let seed = 0xbeec_0010;
     println!("seed {seed:#x}");
-    let mut dice = Dice::new(seed);
+    let mut dice = Rng::new(seed);
     let mut fleet = Fleet::start(2, 4);
     fleet.wait_until_healthy();
     let running_load = fleet.start_load(2, 60.0);
@@ -189,7 +189,7 @@
     assert_rejected("bit flipped");
     // Flip random bits: the log is either rejected or has the same orders, never fewer or other ones.
     let seed = 0xbeec_0011;
-    let (mut dice, mut detected) = (Dice::new(seed), 0);
+    let (mut dice, mut detected) = (Rng::new(seed), 0);
     let orders = |contents: &Contents| contents.orders.iter().map(|l| l.order.clone()).collect::<Vec<_>>();
     fs::write(fleet.log_path(), &intact).expect("the file is written");
     let expected = orders(&Log::open(&fleet.log_path()).expect("the log opens").1);
@@ -242,7 +242,7 @@
 fn next_agent_finishes_interrupted_fan_out() {
     let mut fleet = Fleet::start_with(1, 4, &["slow"], "answer_ms = 20000");
     let address = Address::Unix(fleet.dir.path().join("slow.sock"));
-    let slow = fleet.runtime.block_on(Overseen::start("slow", 7, &address, 4)).expect("it starts");
+    let slow = fleet.runtime.block_on(GatewayStandIn::start("slow", 7, &address, 4)).expect("it starts");
     fleet.wait_until_healthy();
     slow.switch.set(Fault::Silent);
     let output = fleet.cli_json(&["drain", "till-0", "--deadline", "1s"]);
@@ -253,7 +253,7 @@
     );
     fleet.kill_agent();
     assert!(fleet.is_drained(0, "till-0") && !slow.drained("till-0"));
-    slow.switch.set(Fault::Well);
+    slow.switch.set(Fault::None);
     fleet.start_agent();
     fleet.wait_until_healthy();
     wait_until("the slow gateway has applied the order", || slow.drained("till-0"));
--- a/crates/gatewayctl/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -43,7 +43,7 @@
 fn arrived_requests(fleet: &ColdFleet, names: &[String], since: Duration) -> usize {
     let events = fleet.journal.events();
     let is_counted = |entry: &&(Duration, Event)| match &entry.1 {
-        Event::Arrived { backend, .. } => entry.0 >= since && names.contains(backend),
+        Event::AttemptReceived { backend, .. } => entry.0 >= since && names.contains(backend),
         _ => false,
     };
     events.iter().filter(is_counted).count()
@@ -71,8 +71,8 @@
     fleet.backends.iter().for_each(|b| assert_spread(b, since, ROUND));
     // The backends recover and receive requests again.
     fleet.timeline.note("all recovered");
-    fleet.service.switch.set(Fault::Well);
-    fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::Well));
+    fleet.service.switch.set(Fault::None);
+    fleet.backends[..4].iter().for_each(|b| b.switch.set(Fault::None));
     fleet.wait_until("the recovered backends receive requests", |fleet| {
         let arrived = |name: &String| arrived_requests(fleet, std::slice::from_ref(name), since);
         silent.iter().all(|name| arrived(name) > 10)
@@ -95,7 +95,7 @@
     let spec = Spec { cold: Some((4.0, Duration::from_secs(4))), ..Spec::plain(8) };
     let new = fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts");
     let (since, failed) = (fleet.journal.now(), fleet.backends.remove(0));
-    fleet.service.list_for(&new, &failed);
+    fleet.service.replace_backend(&new, &failed);
     drop(failed);
     let name = [new.spec.name.clone()];
     fleet.wait_until("the new backend receives requests", |fleet| arrived_requests(fleet, &name, since) > 50);
@@ -145,11 +145,11 @@
     fleet.start(fleet.all());
     fleet.sleep(ROUND / 4);
     fleet.timeline.note("all gateways stopped for two rounds; backends recover");
-    fleet.nodes.iter_mut().for_each(testbed::harness::Node::stop);
+    fleet.nodes.iter_mut().for_each(testbed::harness::Node::suspend);
     fleet.sleep(ROUND * 2);
-    fleet.backends.iter().for_each(|b| b.switch.set(Fault::Well));
+    fleet.backends.iter().for_each(|b| b.switch.set(Fault::None));
     let since = fleet.journal.now();
-    fleet.nodes.iter_mut().for_each(testbed::harness::Node::go_on);
+    fleet.nodes.iter_mut().for_each(testbed::harness::Node::resume);
     fleet.wait_until_ready(fleet.all());
     let running_load = fleet.start_load(RATE);
     fleet.wait_until_served(&running_load, 300);
@@ -170,10 +170,10 @@
     fleet.wait_until_ready(fleet.all());
     assert!(fleet.journal.now() - since >= ROUND * 2 / 3, "ready too early, without a backend");
     let running_load = fleet.start_load(100.0);
-    fleet.wait_until("requests are rejected", |_| running_load.tally().refused > 50);
-    assert_eq!(running_load.tally().served, 0);
+    fleet.wait_until("requests are rejected", |_| running_load.counts().refused > 50);
+    assert_eq!(running_load.counts().served, 0);
     fleet.timeline.note("two backends recover");
-    fleet.backends[..2].iter().for_each(|b| b.switch.set(Fault::Well));
+    fleet.backends[..2].iter().for_each(|b| b.switch.set(Fault::None));
     fleet.wait_until_served(&running_load, 200);
     let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
--- a/crates/gatewayctl/tests/cold_counter.rs
+++ b/crates/gatewayctl/tests/cold_counter.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use support::cold_fleet::{ColdFleet, FleetShape};
-use testbed::client::Plan;
+use testbed::client::LoadProfile;
 use testbed::switch::Fault;
 
 /// Requests per second of customers with quotas: six times as many as the counter handles calls.
@@ -21,8 +21,8 @@
     }
 }
 
-fn plan() -> Plan {
-    Plan { rate: RATE, paid: 1.0, customers: 100, ..Plan::default() }
+fn plan() -> LoadProfile {
+    LoadProfile { rate: RATE, paid: 1.0, customers: 100, ..LoadProfile::default() }
 }
 
 /// Number of calls that the counter received within `duration` from a time on its clock.
@@ -66,7 +66,7 @@
     fleet.wait_until_served(&running_load, 100);
     assert_eq!(fleet.counter.calls(), 0);
     fleet.timeline.note("counter recovers");
-    fleet.counter.switch.set(Fault::Well);
+    fleet.counter.switch.set(Fault::None);
     fleet.wait_until("the counter is called", |fleet| fleet.counter.calls() > 100);
     let tally = fleet.finish_load(running_load);
     assert_eq!(tally.lost, 0, "{tally:?}");
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -6,7 +6,7 @@
 
 use support::cold_fleet::{max_in_window, ColdFleet, FleetShape, LIST_CALL_TIME};
 use testbed::backend::{Backend, Spec};
-use testbed::discovery::Called;
+use testbed::discovery::DiscoveryCall;
 use testbed::harness::{Condition, Direction};
 use testbed::switch::Fault;
 
@@ -14,7 +14,7 @@
 
 /// Asserts that the calls in any second are those of the slots, with a margin for a slow machine. Without
 /// slots the thirty gateways call within the first quarter of a second.
-fn assert_spread(calls: &[Called]) {
+fn assert_spread(calls: &[DiscoveryCall]) {
     let max = max_in_window(calls, SECOND);
     assert!(max <= 18, "{max} calls in a second to a service that handles ten");
 }
@@ -27,7 +27,7 @@
 /// Number of calls of each gateway since a time.
 fn calls_by_gateway(fleet: &ColdFleet, since: Duration) -> Vec<usize> {
     let mut calls = vec![0; fleet.nodes.len()];
-    fleet.service.calls().iter().filter(|c| c.at >= since).for_each(|c| calls[c.door] += 1);
+    fleet.service.calls().iter().filter(|c| c.at >= since).for_each(|c| calls[c.listener_index] += 1);
     calls
 }
 
@@ -56,11 +56,11 @@
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_served(&running_load, 50);
     let last = fleet.wait_until_all_answered(fleet.all(), since);
-    let calls: Vec<Called> =
+    let calls: Vec<DiscoveryCall> =
         fleet.service.calls().into_iter().filter(|c| c.at >= since && c.at <= last).collect();
     assert_spread(&calls);
     assert!(calls.len() as f64 <= 1.3 * 30.0, "{} calls until all gateways had the list", calls.len());
-    assert_eq!(calls.iter().filter(|c| c.turned_away || c.after.is_none()).count(), 0, "{calls:?}");
+    assert_eq!(calls.iter().filter(|c| c.rejected || c.after.is_none()).count(), 0, "{calls:?}");
     fleet.wait_until_served(&running_load, 100);
     let tally = fleet.finish_load(running_load);
     assert!(tally.served > 200, "{tally:?}");
@@ -96,7 +96,7 @@
     fleet.sleep(round() * 2);
     let recovered_at = fleet.service.now();
     fleet.timeline.note("list service recovers");
-    fleet.service.switch.set(Fault::Well);
+    fleet.service.switch.set(Fault::None);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     assert_spread(&fleet.service.calls());
     // Each gateway calls once per round during the fault and until it has its answer.
@@ -129,14 +129,14 @@
 #[test]
 fn rejecting_every_second_call_delays_but_reaches_all() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_0c, ..FleetShape::default() });
-    fleet.service.switch.set(Fault::EverySecond);
+    fleet.service.switch.set(Fault::AlternateBusy);
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     let calls = fleet.service.calls();
     assert_spread(&calls);
     // The first call of each gateway is rejected and its second is answered.
-    let rejected = calls.iter().filter(|c| c.turned_away).count();
+    let rejected = calls.iter().filter(|c| c.rejected).count();
     assert!(rejected >= 30, "{rejected} of {} calls were rejected", calls.len());
 }
 
@@ -147,13 +147,13 @@
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
     let last = fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at <= last).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at <= last).collect();
     assert_spread(&calls);
     // A gateway that gave a call up would call again before the answer.
-    let second_call = |door| calls.iter().filter(|c| c.door == door).nth(1).map(|c| c.at);
+    let second_call = |listener| calls.iter().filter(|c| c.listener_index == listener).nth(1).map(|c| c.at);
     let first_answers = fleet.first_answers(Duration::ZERO);
     assert!(
-        fleet.all().all(|door| second_call(door).is_none_or(|at| at >= first_answers[&door])),
+        fleet.all().all(|listener| second_call(listener).is_none_or(|at| at >= first_answers[&listener])),
         "{calls:?}"
     );
     assert_eq!(calls.iter().filter(|c| c.after.is_none()).count(), 0);
@@ -187,8 +187,8 @@
 fn slow_links_do_not_delay_other_gateways() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_07, ..FleetShape::default() });
     for link in &fleet.links[..3] {
-        let slow = Condition { delay: Duration::from_millis(900), lost: 0.2, ..Condition::WELL };
-        link.both(slow);
+        let slow = Condition { delay: Duration::from_millis(900), loss: 0.2, ..Condition::HEALTHY };
+        link.set_both(slow);
     }
     fleet.timeline.note("gateways 0 to 2 behind slow links");
     let since = fleet.service.now();
@@ -198,7 +198,8 @@
     fleet.wait_until_all_answered(0..3, since);
     assert_spread(&fleet.service.calls());
     // Late answers are used instead of repeating the call.
-    let slow_calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.door < 3).collect();
+    let slow_calls: Vec<DiscoveryCall> =
+        fleet.service.calls().into_iter().filter(|c| c.listener_index < 3).collect();
     assert!(slow_calls.iter().all(|c| c.after.is_some()), "a full list was requested: {slow_calls:?}");
 }
 
@@ -228,14 +229,14 @@
     // Some gateways are stopped before their call and some between the call and its answer.
     fleet.sleep(round() / 3);
     fleet.timeline.note("gateways 5 to 29 stopped");
-    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::stop);
+    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::suspend);
     fleet.sleep(round() * 3 / 2);
     fleet.timeline.note("gateways 5 to 29 resumed");
     let since = fleet.service.now();
-    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::go_on);
+    fleet.nodes[5..].iter_mut().for_each(testbed::harness::Node::resume);
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.sleep(round());
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
     assert_spread(&calls);
     let max = max_in_window(&calls[..calls.len().min(40)], Duration::from_millis(300));
     assert!(max <= 10, "{max} calls within 0.3 s: {calls:?}");
@@ -248,22 +249,21 @@
     fleet.wait_until_ready(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.timeline.note("gateways 0 to 4 receive no answers; another list service with versions from 3");
-    fleet.links[..5].iter().for_each(|link| link.set(Direction::Back, Condition::CUT));
-    fleet.service.replace(3);
+    fleet.links[..5].iter().for_each(|link| link.set(Direction::ToClient, Condition::CUT));
+    fleet.service.restart_at_index(3);
     let since = fleet.service.now();
-    let has_full_list = |fleet: &ColdFleet, index: usize| {
-        fleet
-            .service
-            .calls()
-            .iter()
-            .any(|c| c.door == index && c.at >= since && c.after.is_none() && c.answered.is_some())
-    };
+    let has_full_list =
+        |fleet: &ColdFleet, index: usize| {
+            fleet.service.calls().iter().any(|c| {
+                c.listener_index == index && c.at >= since && c.after.is_none() && c.answered.is_some()
+            })
+        };
     fleet.wait_until("all connected gateways have the new list", |fleet| {
         (5..30).all(|index| has_full_list(fleet, index))
     });
     fleet.timeline.note("links restored and connections reset");
     for link in &fleet.links[..5] {
-        link.both(Condition::WELL);
+        link.set_both(Condition::HEALTHY);
         link.reset();
     }
     fleet.wait_until("the other gateways have the new list", |fleet| {
@@ -287,19 +287,22 @@
     // A watch is a call that may wait and has no answer yet.
     fleet.wait_until("all gateways have an open watch", |fleet| {
         let calls = fleet.service.calls();
-        (0..30).all(|door| calls.iter().any(|c| c.door == door && !c.wait.is_zero() && c.answered.is_none()))
+        (0..30).all(|listener| {
+            calls.iter().any(|c| c.listener_index == listener && !c.wait.is_zero() && c.answered.is_none())
+        })
     });
     let since = fleet.service.now();
     fleet.timeline.note("backend till-0 is listed as draining");
     fleet.service.list(&fleet.backends[0], "DRAINING");
     fleet.wait_until("all gateways receive the change", |fleet| {
         let calls = fleet.service.calls();
-        let received =
-            |door| calls.iter().any(|c| c.door == door && c.answered.is_some_and(|at| at >= since));
+        let received = |listener| {
+            calls.iter().any(|c| c.listener_index == listener && c.answered.is_some_and(|at| at >= since))
+        };
         (0..30).all(received)
     });
     fleet.sleep(round());
-    let calls: Vec<Called> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
+    let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
     assert_spread(&calls);
     assert!(calls.len() >= 20, "{} calls in a round", calls.len());
 }
--- a/crates/gatewayctl/tests/dns_sd.rs
+++ b/crates/gatewayctl/tests/dns_sd.rs
@@ -37,7 +37,7 @@
         let text = vec![format!("zone={}", spec.zone), format!("type={}", spec.kind), group];
         let service = (0, 10, backend.address.port());
         let (label, address) = (spec.name.clone(), Ipv4Addr::LOCALHOST);
-        self.dns.put(SERVICE, &Instance { label, service, text, address });
+        self.dns.put_instance(SERVICE, &Instance { label, service, text, address });
     }
 }
 
@@ -70,18 +70,18 @@
     let zone = Zone::start();
     let fleet = start_fleet(&zone, 2, 5);
     let running_load = fleet.start_load(2, 200.0);
-    zone.dns.unpoint(SERVICE, "till-0");
+    zone.dns.remove_pointer(SERVICE, "till-0");
     wait_until("both gateways drop the backend", || {
         (0..2).all(|g| !fleet.listed_backends(g).contains(&"till-0".to_string()))
     });
-    fleet.journal.note(Event::Drained { backend: "till-0".to_string(), gateway: None });
+    fleet.journal.note(Event::BackendDrained { backend: "till-0".to_string(), gateway: None });
     sleep(Duration::from_millis(600));
     let earlier = fleet.backends[0].arrived();
-    let served = running_load.load.tally().served;
-    wait_until("the other backends serve requests", || running_load.load.tally().served > served + 200);
+    let served = running_load.load.counts().served;
+    wait_until("the other backends serve requests", || running_load.load.counts().served > served + 200);
     assert_eq!(fleet.backends[0].arrived(), earlier);
     // The backend returns at the same address.
-    fleet.journal.note(Event::Undrained { backend: "till-0".to_string() });
+    fleet.journal.note(Event::BackendUndrained { backend: "till-0".to_string() });
     zone.put(&fleet.backends[0]);
     wait_until("the backend receives requests again", || fleet.backends[0].arrived() > earlier + 20);
     let tally = fleet.finish_load(running_load);
@@ -103,7 +103,7 @@
             output.code == 3 && list.len() == 4 && list.iter().all(|l| l["stale_ms"].as_f64() > Some(500.0))
         });
         assert!((0..2).all(|g| fleet.listed_backends(g).len() == 4));
-        zone.dns.switch.set(Fault::Well);
+        zone.dns.switch.set(Fault::None);
         wait_until("all entries are fresh", || fleet.cli_json(&["sources"]).code == 0);
     }
     let log = fleet.agent.as_ref().expect("it runs").log_text();
@@ -130,9 +130,9 @@
     sleep(Duration::from_millis(500));
     assert_eq!(fleet.listed_backends(0).len(), 3);
     let running_load = fleet.start_load(1, 100.0);
-    zone.dns.switch.set(Fault::Well);
+    zone.dns.switch.set(Fault::None);
     wait_until("the list is known", || sources().json()["known"].as_bool() == Some(true));
-    zone.dns.unpoint(SERVICE, "till-1");
+    zone.dns.remove_pointer(SERVICE, "till-1");
     wait_until("the gateway follows the change", || fleet.listed_backends(0) == ["till-0", "till-2"]);
     let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
@@ -150,7 +150,7 @@
     let put = |label: &str, text: &[&str]| {
         let text = text.iter().map(ToString::to_string).collect();
         let (label, service, address) = (label.to_string(), (3, 7, 9_000), Ipv4Addr::LOCALHOST);
-        zone.dns.put(SERVICE, &Instance { label, service, text, address });
+        zone.dns.put_instance(SERVICE, &Instance { label, service, text, address });
     };
     assert_eq!(run(&[SERVICE]).code, 1, "the service has no instances");
     put("Till 1. by the door", &["zone=room"]);
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -18,7 +18,7 @@
     wait_until("the backend receives requests", || fleet.backends[0].arrived() > 5);
     let output = fleet.cli_json(&["drain", "till-0", "--wait"]);
     // All gateways have applied the order, so the auditor may count requests that start half a second later.
-    fleet.journal.note(Event::Drained { backend: "till-0".to_string(), gateway: None });
+    fleet.journal.note(Event::BackendDrained { backend: "till-0".to_string(), gateway: None });
     assert_eq!(output.code, 0, "{}", output.stderr);
     for name in ["n0", "n1", "n2"] {
         assert_eq!(
@@ -37,7 +37,7 @@
     wait_until("the other backends serve requests", || others() > now + 100);
     assert_eq!(fleet.backends[0].arrived(), earlier, "a request arrived while the others served the load");
     // Noted before the order, because gateways may send requests before the command has finished.
-    fleet.journal.note(Event::Undrained { backend: "till-0".to_string() });
+    fleet.journal.note(Event::BackendUndrained { backend: "till-0".to_string() });
     assert_eq!(fleet.cli_json(&["undrain", "till-0"]).code, 0);
     wait_until("the backend receives requests again", || fleet.backends[0].arrived() > earlier + 20);
     let tally = fleet.finish_load(running_load);
@@ -89,7 +89,7 @@
     fleet.wait_until_healthy();
     assert_eq!(fleet.cli_json(&["weight", "till-0", "0.2"]).code, 0);
     let running_load = fleet.start_load(2, 400.0);
-    wait_until("enough requests are served", || running_load.load.tally().served > 1_200);
+    wait_until("enough requests are served", || running_load.load.counts().served > 1_200);
     fleet.finish_load(running_load);
     let [reduced, others @ ..] = &fleet.backends[..] else { panic!("four") };
     let mean = others.iter().map(testbed::backend::Backend::arrived).sum::<u64>() as f64 / 3.0;
@@ -128,8 +128,8 @@
         fleet.state(1).statistics.client_connections == 0
     });
     // The other gateways serve the load.
-    let earlier = running_load.load.tally().served;
-    wait_until("the load is served", || running_load.load.tally().served > earlier + 100);
+    let earlier = running_load.load.counts().served;
+    wait_until("the load is served", || running_load.load.counts().served > earlier + 100);
     let too_few = fleet.cli_json(&["drain", "gateway/n0"]);
     assert_eq!(too_few.code, 4);
     assert!(too_few.stderr.contains("1 of 3 gateways"), "{}", too_few.stderr);
--- a/crates/gatewayctl/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -16,14 +16,14 @@
 #[test]
 fn faults_and_orders_under_load_lose_no_request() {
     let seed = 0xbeec_0020;
-    let script = Script::draw(seed, 5, FAULTS);
+    let script = Script::generate(seed, 5, FAULTS);
     println!("{script}");
     let mut fleet = Fleet::start(3, 6);
     fleet.wait_until_healthy();
     let running_load = fleet.start_load(3, 150.0);
     // The last backend stays drained throughout and has no faults.
     assert_eq!(fleet.cli_json(&["drain", "till-5", "--wait"]).code, 0);
-    fleet.journal.note(Event::Drained { backend: "till-5".to_string(), gateway: None });
+    fleet.journal.note(Event::BackendDrained { backend: "till-5".to_string(), gateway: None });
     let switches: Vec<Switch> = fleet.backends[..5].iter().map(|b| b.switch.clone()).collect();
     let script_task = {
         let script = script.clone();
@@ -49,11 +49,11 @@
         round += 1;
     }
     assert!(round > 6, "the script ended before all steps output: {round}");
-    fleet.discovery.switch.set(Fault::Well);
-    fleet.counter.switch.set(Fault::Well);
+    fleet.discovery.switch.set(Fault::None);
+    fleet.counter.switch.set(Fault::None);
     fleet.wait_until_healthy();
-    let earlier = running_load.load.tally().served;
-    wait_until("requests are served again", || running_load.load.tally().served > earlier + 150);
+    let earlier = running_load.load.counts().served;
+    wait_until("requests are served again", || running_load.load.counts().served > earlier + 150);
     let tally = fleet.finish_load(running_load);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{seed:#x}: {tally:?}");
@@ -70,12 +70,12 @@
     let (faulty, healthy) = (fleet.start_load(2, 100.0), fleet.start_load_from(2, 100.0, 1 << 41));
     for fault in [Fault::Resetting, Fault::Silent, Fault::Slow(Duration::from_millis(50)), Fault::Resetting] {
         faulty.load.switch.set(fault);
-        let earlier = healthy.load.tally().served;
-        wait_until("the healthy clients are served", || healthy.load.tally().served > earlier + 60);
+        let earlier = healthy.load.counts().served;
+        wait_until("the healthy clients are served", || healthy.load.counts().served > earlier + 60);
     }
-    faulty.load.switch.set(Fault::Well);
-    let earlier = faulty.load.tally().served;
-    wait_until("the recovered clients are served", || faulty.load.tally().served > earlier + 30);
+    faulty.load.switch.set(Fault::None);
+    let earlier = faulty.load.counts().served;
+    wait_until("the recovered clients are served", || faulty.load.counts().served > earlier + 30);
     let (faulty, healthy) = (fleet.finish_load(faulty), fleet.finish_load(healthy));
     assert!(faulty.left > 60, "{faulty:?}");
     assert_eq!((faulty.lost, healthy.lost, healthy.left), (0, 0, 0), "{faulty:?} {healthy:?}");
--- a/crates/gatewayctl/tests/gateway_commands.rs
+++ b/crates/gatewayctl/tests/gateway_commands.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{json, Value};
 use support::{own_loopback, wait_until, Process, PROGRAM};
-use testbed::scripted::{config, endpoint, Agent, StandIn};
+use testbed::scripted::{config, endpoint, DiscoveryStandIn, StandIn};
 
 /// Runs a `gateway` command. Returns its exit code, standard output and standard error.
 fn run(args: &[&str]) -> (i32, String, String) {
@@ -18,7 +18,7 @@
 
 #[test]
 fn gateway_commands_report_each_gateway_and_set_exit_codes() {
-    let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
+    let (agent, counter, backend) = (DiscoveryStandIn::start(), StandIn::counter(), StandIn::backend());
     let known = [endpoint("s-0", backend.address, 1, "SERVING", 0.0)];
     let mut gateway_config = config(agent.address, counter.address, &known);
     // No other test process binds ports of this address.
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -7,7 +7,7 @@
 
 use support::{wait_until, Fleet};
 use testbed::backend::{Backend, Spec};
-use testbed::discovery::line;
+use testbed::discovery::endpoint_json;
 use testbed::journal::Event;
 use testbed::platform::WARM_UP_MS;
 use testbed::switch::Fault;
@@ -24,19 +24,19 @@
         fleet.restart(index);
     }
     let running_load = fleet.start_load(GATEWAYS, 300.0);
-    wait_until("requests are served from the known list", || running_load.load.tally().served > 300);
-    let before = fleet.discovery.turned_away().0;
+    wait_until("requests are served from the known list", || running_load.load.counts().served > 300);
+    let before = fleet.discovery.rejected_calls().0;
     wait_until("the list service rejects two calls per gateway", || {
-        fleet.discovery.turned_away().0 > before + 2 * GATEWAYS as u64
+        fleet.discovery.rejected_calls().0 > before + 2 * GATEWAYS as u64
     });
     // No gateway requests the full list, because it needs only the changes to its known list.
-    let (all, full) = fleet.discovery.turned_away();
+    let (all, full) = fleet.discovery.rejected_calls();
     assert_eq!(full, 0, "of {all} calls");
     // All gateways receive a change made in the meantime soon after the list service recovers.
     let new_backend = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let new_backend = new_backend.expect("it starts");
     fleet.discovery.list(&new_backend, "SERVING");
-    fleet.discovery.switch.set(Fault::Well);
+    fleet.discovery.switch.set(Fault::None);
     wait_until("all gateways list the new backend", || {
         (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&new_backend.spec.name))
     });
@@ -57,11 +57,11 @@
         fleet.restart(index);
     }
     let running_load = fleet.start_load(GATEWAYS, 300.0);
-    wait_until("requests are served from the known list", || running_load.load.tally().served > 300);
+    wait_until("requests are served from the known list", || running_load.load.counts().served > 300);
     let new_backend = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
     let new_backend = new_backend.expect("it starts");
     fleet.discovery.list(&new_backend, "SERVING");
-    fleet.discovery.switch.set(Fault::Well);
+    fleet.discovery.switch.set(Fault::None);
     wait_until("all gateways list the new backend", || {
         (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&new_backend.spec.name))
     });
@@ -82,7 +82,7 @@
     let mut fleet = Fleet::start(GATEWAYS, 6);
     fleet.wait_until_healthy();
     let running_load = fleet.start_load(GATEWAYS, 300.0);
-    wait_until("requests are served", || running_load.load.tally().served > 300);
+    wait_until("requests are served", || running_load.load.counts().served > 300);
     // Half of the replacements have new names, half keep the name with a new start time. All have new
     // addresses.
     let old = std::mem::take(&mut fleet.backends);
@@ -91,7 +91,7 @@
         let new = start_cold_backend(&fleet, &name, number);
         fleet.discovery.list(&new, "SERVING");
         if number % 2 == 0 {
-            fleet.journal.note(Event::Drained { backend: before.spec.name.clone(), gateway: None });
+            fleet.journal.note(Event::BackendDrained { backend: before.spec.name.clone(), gateway: None });
             fleet.discovery.delete(before);
         }
         fleet.backends.push(new);
@@ -110,8 +110,10 @@
         before == old.iter().map(Backend::arrived).sum::<u64>()
     });
     drop(old);
-    let served = running_load.load.tally().served;
-    wait_until("requests are served by the replacements", || running_load.load.tally().served > served + 600);
+    let served = running_load.load.counts().served;
+    wait_until("requests are served by the replacements", || {
+        running_load.load.counts().served > served + 600
+    });
     assert!(fleet.backends.iter().all(|b| b.served() > 0));
     let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
@@ -132,13 +134,15 @@
         (0..GATEWAYS).all(|index| fleet.listed_backends(index).len() == 6)
     });
     let running_load = fleet.start_load(GATEWAYS, 300.0);
-    wait_until("a backend reaches its connection limit", || fleet.backends.iter().any(|b| b.over() > 0));
-    let served = running_load.load.tally().served;
-    wait_until("requests are still served", || running_load.load.tally().served > served + 1_500);
+    wait_until("a backend reaches its connection limit", || {
+        fleet.backends.iter().any(|b| b.refused_connections() > 0)
+    });
+    let served = running_load.load.counts().served;
+    wait_until("requests are still served", || running_load.load.counts().served > served + 1_500);
     let tally = fleet.finish_load(running_load);
     println!(
         "{tally:?}, connections over the limit {:?}",
-        fleet.backends.iter().map(Backend::over).collect::<Vec<_>>()
+        fleet.backends.iter().map(Backend::refused_connections).collect::<Vec<_>>()
     );
     assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
     assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
@@ -167,15 +171,15 @@
     wait_until("both gateways have the new list", || {
         (0..2).all(|index| fleet.listed_backends(index) == names)
     });
-    let mut invalid = line(&fleet.backends[0], "SERVING");
+    let mut invalid = endpoint_json(&fleet.backends[0], "SERVING");
     invalid["address"] = "nowhere".into();
-    fleet.discovery.tell("till-3", invalid);
-    let mut future = line(&fleet.backends[1], "SERVING");
+    fleet.discovery.publish("till-3", invalid);
+    let mut future = endpoint_json(&fleet.backends[1], "SERVING");
     future["since_ms"] = 4e15.into();
-    fleet.discovery.tell("till-4", future);
-    let mut renamed = line(&fleet.backends[2], "SERVING");
+    fleet.discovery.publish("till-4", future);
+    let mut renamed = endpoint_json(&fleet.backends[2], "SERVING");
     (renamed["name"], renamed["address"]) = ("till-9".into(), "[::1]:9".into());
-    fleet.discovery.tell("till-9", renamed);
+    fleet.discovery.publish("till-9", renamed);
     wait_until("the invalid entry is logged", || {
         (0..2).all(|index| {
             fleet.gateways[index].process.log_text().contains("\"till-3\": invalid socket address")
--- a/crates/gatewayctl/tests/large_list.rs
+++ b/crates/gatewayctl/tests/large_list.rs
@@ -34,18 +34,18 @@
     for (i, backend) in fleet.backends.iter().enumerate().filter(|(i, _)| i % 3 == 0) {
         backend.switch.set(faults[i / 3 % faults.len()]);
     }
-    let earlier = running_load.load.tally();
+    let earlier = running_load.load.counts();
     wait_until("requests are served despite the faults", || {
-        running_load.load.tally().served > earlier.served + 1_500
+        running_load.load.counts().served > earlier.served + 1_500
     });
     let before = (arrived(true), arrived(false));
-    wait_until("further requests are served", || running_load.load.tally().served > earlier.served + 2_500);
+    wait_until("further requests are served", || running_load.load.counts().served > earlier.served + 2_500);
     let (to_faulty, to_healthy) = (arrived(true) - before.0, arrived(false) - before.1);
     // Gateways that had not reacted to the faults would send a third of the requests to faulty backends.
     assert!(to_faulty * 6 < to_healthy, "{to_faulty} to faulty backends, {to_healthy} to healthy ones");
-    fleet.backends.iter().for_each(|b| b.switch.set(Fault::Well));
-    let now = running_load.load.tally().served;
-    wait_until("requests are served after recovery", || running_load.load.tally().served > now + 500);
+    fleet.backends.iter().for_each(|b| b.switch.set(Fault::None));
+    let now = running_load.load.counts().served;
+    wait_until("requests are served after recovery", || running_load.load.counts().served > now + 500);
     let tally = fleet.finish_load(running_load);
     println!("{tally:?}");
     assert_eq!(tally.lost, 0, "{tally:?}");
--- a/crates/gatewayctl/tests/ordered_start.rs
+++ b/crates/gatewayctl/tests/ordered_start.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use support::cold_fleet::{max_in_window, ColdFleet, FleetShape};
-use testbed::discovery::Called;
+use testbed::discovery::DiscoveryCall;
 use testbed::switch::Fault;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -29,13 +29,13 @@
 }
 
 /// Returns the list calls made at or after a time.
-fn calls_since(fleet: &ColdFleet, since: Duration) -> Vec<Called> {
+fn calls_since(fleet: &ColdFleet, since: Duration) -> Vec<DiscoveryCall> {
     fleet.service.calls().into_iter().filter(|c| c.at >= since).collect()
 }
 
 /// Asserts the rate of calls from slots and start batches together: at most 1.35 times the rate that the
 /// service handles, with a margin for a slow machine.
-fn assert_spread(calls: &[Called]) {
+fn assert_spread(calls: &[DiscoveryCall]) {
     let max = max_in_window(calls, SECOND);
     assert!(max <= 22, "{max} calls in a second to a service that handles ten");
 }
@@ -56,7 +56,7 @@
     let calls = fleet.service.calls();
     assert_spread(&calls);
     // Only gateways whose slot came before the agent had the list request it themselves.
-    let full_lists = |calls: &[Called]| calls.iter().filter(|c| c.after.is_none()).count();
+    let full_lists = |calls: &[DiscoveryCall]| calls.iter().filter(|c| c.after.is_none()).count();
     assert!(full_lists(&calls) <= 14, "{} full lists for thirty gateways", full_lists(&calls));
     // Six gateways restart without a list while the list service is silent; they serve from the agent's list.
     let restarted = every_fifth(&fleet);
@@ -69,7 +69,7 @@
     let running_load = fleet.start_load(100.0);
     fleet.wait_until_served(&running_load, 100);
     fleet.timeline.note("list service recovers");
-    fleet.service.switch.set(Fault::Well);
+    fleet.service.switch.set(Fault::None);
     fleet.wait_until_all_answered(restarted, since);
     let tally = fleet.finish_load(running_load);
     assert_eq!((tally.lost, tally.refused), (0, 0), "{tally:?}");
@@ -100,17 +100,17 @@
     let mut fleet = ColdFleet::new(shape(0x41f3));
     fleet.start_agent();
     fleet.timeline.note("agent stopped");
-    fleet.agent.stop();
+    fleet.agent.suspend();
     fleet.start(fleet.all());
     fleet.wait_until_all_answered(fleet.all(), Duration::ZERO);
     fleet.wait_until_ready(fleet.all());
     let calls = fleet.service.calls();
-    assert_eq!(calls.iter().filter(|c| c.turned_away).count(), 0);
+    assert_eq!(calls.iter().filter(|c| c.rejected).count(), 0);
     // Without start batches only slots allow calls.
     let max = max_in_window(&calls, SECOND);
     assert!(max <= 18, "{max} calls in a second with nine slots");
     fleet.timeline.note("agent resumed");
-    fleet.agent.go_on();
+    fleet.agent.resume();
     let (restarted, since) = (every_fifth(&fleet), fleet.service.now());
     fleet.start(restarted.clone());
     fleet.wait_until_ready(restarted.clone());
@@ -138,7 +138,7 @@
     // restarts within its slot.
     let rounds = ((fleet.service.now() - since).as_secs_f64() / (30.0 / 9.0)).ceil() as usize;
     for index in loops {
-        let count = calls.iter().filter(|c| c.door == index).count();
+        let count = calls.iter().filter(|c| c.listener_index == index).count();
         assert!(count <= 2 * (rounds + 1) + 1, "{count} calls of gateway {index} in {rounds} rounds");
     }
 }
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -13,7 +13,7 @@
 use support::recorded::{compare, Normalizer, VOLATILE};
 use support::{own_loopback, wait_until, CommandOutput, Fleet, Process, PROGRAM, TIMEOUT};
 use testbed::dns::{Dns, Instance};
-use testbed::scripted::{config, endpoint, Agent, StandIn};
+use testbed::scripted::{config, endpoint, DiscoveryStandIn, StandIn};
 
 /// Normalized outcome of each command, by its arguments.
 struct Transcript<'a> {
@@ -144,7 +144,7 @@
         let text = ["zone=a", "type=m", "group=3"].map(String::from).to_vec();
         let instance =
             Instance { label: label.to_string(), service: (0, 10, port), text, address: Ipv4Addr::LOCALHOST };
-        dns.put(service, &instance);
+        dns.put_instance(service, &instance);
     }
     let resolver = dns.address.to_string();
     let settings = format!(
@@ -172,7 +172,7 @@
 
 #[test]
 fn gateway_commands_print_recorded_json() {
-    let (agent, counter, backend) = (Agent::start(), StandIn::counter(), StandIn::backend());
+    let (agent, counter, backend) = (DiscoveryStandIn::start(), StandIn::counter(), StandIn::backend());
     let known = [endpoint("s-0", backend.address, 1, "SERVING", 0.0)];
     let mut gateway_config = config(agent.address, counter.address, &known);
     // No other test process binds ports of this address.
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use tempfile::TempDir;
-use testbed::audit::{audit, Rule, Terms};
+use testbed::audit::{audit, AuditOptions, Rule};
 use testbed::backend::{Backend, Spec};
-use testbed::client::{Load, Plan, Tally};
+use testbed::client::{Load, LoadCounts, LoadProfile};
 use testbed::counter::Counter;
-use testbed::discovery::{Bears, Called, Discovery};
+use testbed::discovery::{Discovery, DiscoveryCall, DiscoveryCapacity};
 use testbed::harness::{Link, Node, Program, Timeline};
 use testbed::journal::{Event, Journal};
 use testbed::platform;
@@ -95,17 +95,22 @@
         let (runtime, journal) = (runtime.expect("the runtime starts"), Journal::new(1_000_000));
         let directory = tempfile::Builder::new().prefix("br-").tempdir().expect("a temporary directory");
         let (service, counter, backends, links) = runtime.block_on(async {
-            let bears = Bears { each: LIST_CALL_TIME, places: LIST_CALLS_MAX };
-            let service = Discovery::with(gateways, Some(bears)).await.expect("it starts");
+            let capacity = DiscoveryCapacity { time_per_call: LIST_CALL_TIME, max_queued: LIST_CALLS_MAX };
+            let service = Discovery::with_listeners(gateways, Some(capacity)).await.expect("it starts");
             let mut started = Vec::new();
             for i in 0..backends {
                 started.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
             }
             let mut links = Vec::new();
-            for (index, door) in service.doors.iter().enumerate() {
-                links.push(Link::to(*door, seed ^ index as u64).await.expect("it starts"));
+            for (index, address) in service.addresses.iter().enumerate() {
+                links.push(Link::to(*address, seed ^ index as u64).await.expect("it starts"));
             }
-            (service, Counter::with(counter_call_time).await.expect("it starts"), started, links)
+            (
+                service,
+                Counter::with_time_per_call(counter_call_time).await.expect("it starts"),
+                started,
+                links,
+            )
         });
         let empty_list = service.known();
         for b in &backends {
@@ -118,7 +123,7 @@
         let program = |command: &str| {
             let args = [command, "--until-closed", "--operator", &file.display().to_string()];
             let path = PathBuf::from(env!("CARGO_BIN_EXE_gatewayctl"));
-            Program { path, words: args.map(str::to_string).to_vec() }
+            Program { path, args: args.map(str::to_string).to_vec() }
         };
         let (gateway_program, agent_program) = (program("gateway"), program("agent"));
         let agent =
@@ -165,7 +170,7 @@
         let (agent, program) = (&mut self.agent, &self.agent_program);
         self.runtime.block_on(async {
             agent.start(program).await.expect("it starts");
-            agent.says("overseeing ").await.expect("it listens");
+            agent.wait_for_line("overseeing ").await.expect("it listens");
         });
     }
 
@@ -213,7 +218,7 @@
         let mut first_answers = HashMap::new();
         for call in self.service.calls().iter().filter(|c| c.at >= since) {
             if let Some(at) = call.answered {
-                let first = first_answers.entry(call.door).or_insert(at);
+                let first = first_answers.entry(call.listener_index).or_insert(at);
                 *first = (*first).min(at);
             }
         }
@@ -238,11 +243,11 @@
 
     /// Starts a load on all gateways that are ready.
     pub fn start_load(&self, rate: f64) -> RunningLoad {
-        self.start_load_with(Plan { rate, ..Plan::default() })
+        self.start_load_with(LoadProfile { rate, ..LoadProfile::default() })
     }
 
     /// Starts a load with the given plan on all gateways that are ready.
-    pub fn start_load_with(&self, plan: Plan) -> RunningLoad {
+    pub fn start_load_with(&self, plan: LoadProfile) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, 1 << 40, self.journal.clone());
         RunningLoad::start(&self.runtime, load, plan)
@@ -250,25 +255,25 @@
 
     /// Waits until more than `more` further requests are served.
     pub fn wait_until_served(&mut self, load: &RunningLoad, more: u64) {
-        let served_before = load.tally().served;
-        self.wait_until("the load is served", |_| load.tally().served > served_before + more);
+        let served_before = load.counts().served;
+        self.wait_until("the load is served", |_| load.counts().served > served_before + more);
     }
 
     /// Stops a load, waits for the outstanding answers and returns the counts.
-    pub fn finish_load(&self, load: RunningLoad) -> Tally {
+    pub fn finish_load(&self, load: RunningLoad) -> LoadCounts {
         load.finish(&self.runtime)
     }
 
     /// Asserts that the auditor finds no breach, except where a gateway was killed: its open requests may be
     /// lost, and a request may run twice, because the client sends it again after its connection has closed.
     pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, Terms::default()).expect("the journal is complete");
+        let breaches = audit(&self.journal, AuditOptions::default()).expect("the journal is complete");
         let sent: HashMap<u64, (usize, Duration)> = self
             .journal
             .events()
             .iter()
             .filter_map(|(at, event)| match event {
-                Event::Asked { id, gateway, .. } => Some((*id, (*gateway, *at))),
+                Event::RequestSent { id, gateway, .. } => Some((*id, (*gateway, *at))),
                 _ => None,
             })
             .collect();
@@ -292,7 +297,7 @@
 }
 
 /// Returns the maximum number of calls within any window of this length.
-pub fn max_in_window(calls: &[Called], window: Duration) -> usize {
+pub fn max_in_window(calls: &[DiscoveryCall], window: Duration) -> usize {
     let within = |i: usize| calls[i..].iter().take_while(|c| c.at < calls[i].at + window).count();
     (0..calls.len()).map(within).max().unwrap_or(0)
 }
--- a/crates/gatewayctl/tests/support/fleet.rs
+++ b/crates/gatewayctl/tests/support/fleet.rs
@@ -10,9 +10,9 @@
 use operator_config::Address;
 use serde_json::Value;
 use tempfile::TempDir;
-use testbed::audit::{audit, Terms};
+use testbed::audit::{audit, AuditOptions};
 use testbed::backend::{Backend, Spec};
-use testbed::client::{Load, Plan, Tally};
+use testbed::client::{Load, LoadCounts, LoadProfile};
 use testbed::counter::Counter;
 use testbed::discovery::Discovery;
 use testbed::journal::Journal;
@@ -260,20 +260,20 @@
     pub fn start_load_from(&self, gateways: usize, rate: f64, first_id: u64) -> RunningLoad {
         let addresses = self.gateways.iter().take(gateways).map(|g| g.address).collect();
         let load = Load::new(addresses, first_id, self.journal.clone());
-        let plan = Plan { rate, ..Plan::default() };
+        let plan = LoadProfile { rate, ..LoadProfile::default() };
         let running = RunningLoad::start(&self.runtime, load, plan);
-        wait_until("the load is served", || running.tally().served > 20);
+        wait_until("the load is served", || running.counts().served > 20);
         running
     }
 
     /// Stops a load, waits for the outstanding answers and returns the counts.
-    pub fn finish_load(&self, running: RunningLoad) -> Tally {
+    pub fn finish_load(&self, running: RunningLoad) -> LoadCounts {
         running.finish(&self.runtime)
     }
 
     /// Asserts that the auditor finds no breach in the journal.
     pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, Terms::default()).expect("the journal is complete");
+        let breaches = audit(&self.journal, AuditOptions::default()).expect("the journal is complete");
         let shown: Vec<String> = breaches.iter().map(ToString::to_string).take(10).collect();
         assert!(breaches.is_empty(), "{} breaches: {shown:#?}", breaches.len());
     }
--- a/crates/gatewayctl/tests/support/load.rs
+++ b/crates/gatewayctl/tests/support/load.rs
@@ -1,6 +1,6 @@
 //! Load that runs in the background of a test.
 
-use testbed::client::{Load, Plan, Tally};
+use testbed::client::{Load, LoadCounts, LoadProfile};
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -14,7 +14,7 @@
 
 impl RunningLoad {
     /// Starts a load as its plan describes.
-    pub fn start(runtime: &Runtime, load: Load, plan: Plan) -> RunningLoad {
+    pub fn start(runtime: &Runtime, load: Load, plan: LoadProfile) -> RunningLoad {
         let (stop, stopped) = oneshot::channel::<()>();
         let generator = load.clone();
         let task = runtime.spawn(async move {
@@ -24,14 +24,14 @@
     }
 
     /// Returns the counts of answers so far.
-    pub fn tally(&self) -> Tally {
-        self.load.tally()
+    pub fn counts(&self) -> LoadCounts {
+        self.load.counts()
     }
 
     /// Stops sending requests, waits for the outstanding answers and returns the counts.
-    pub fn finish(self, runtime: &Runtime) -> Tally {
+    pub fn finish(self, runtime: &Runtime) -> LoadCounts {
         let _ = self.stop.send(());
         runtime.block_on(self.task).expect("it ends");
-        self.load.tally()
+        self.load.counts()
     }
 }
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -72,7 +72,7 @@
     assert_eq!(status.code, 5, "{}", status.stderr);
     assert!(status.stderr.contains("no agent: unix:"), "{}", status.stderr);
     let running_load = fleet.start_load(2, 200.0);
-    wait_until("requests are served", || running_load.load.tally().served > 200);
+    wait_until("requests are served", || running_load.load.counts().served > 200);
     assert!(fleet.is_drained(0, "till-0") && fleet.is_drained(1, "till-0"));
     assert_eq!(fleet.backends[0].arrived(), 0);
     // A gateway that restarts without an agent has no orders until the agent sends them.
--- a/crates/gatewayctl/tests/up.rs
+++ b/crates/gatewayctl/tests/up.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 use support::{wait_until, PROGRAM};
-use testbed::scripted::{call, words, Client};
+use testbed::scripted::{as_strs, request_args, Client};
 
 /// Whether a process exists and is not a zombie.
 fn is_running(pid: &Value) -> bool {
@@ -36,9 +36,9 @@
     let address =
         description["gateways"][0]["address"].as_str().expect("a string").parse().expect("an address");
     let mut client = Client::connect(address);
-    let mut request = call(7, "safe", "free", 1, 3000);
+    let mut request = request_args(7, "safe", "free", 1, 3000);
     request[3] = request[3].replace("spread=2", "spread=1");
-    client.send(&words(&request));
+    client.send(&as_strs(&request));
     assert_eq!(client.read(), format!("{:016x}", 7));
     let status = || {
         let output = Command::new(PROGRAM).args(["--agent", &agent, "status"]).output();
