--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -29,8 +29,10 @@
 pub struct Call {
     /// Returned with the outcome. Numbers increase from call to call.
     pub number: u64,
+    /// Key of the total in the counter.
     pub key: u64,
     pub amount: f64,
+    /// Time after which the counter discards the total, ms.
     pub ttl_ms: f64,
     /// When the call was made.
     pub made_at: Instant,
@@ -39,6 +41,7 @@
 /// The outcome of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterReply {
+    /// Number of the call.
     pub number: u64,
     pub outcome: Outcome,
     /// Total of the key after the call if the outcome is [`Outcome::Ok`]; not finite if the reply was
--- a/crates/gateway/src/counter/connection.rs
+++ b/crates/gateway/src/counter/connection.rs
@@ -51,7 +51,7 @@
     unwritten: Option<Call>,
 }
 
-/// Error: the stream can't be used any more.
+/// An error: the stream can't be used any more.
 struct StreamUnusable;
 
 impl<T: From<CounterReply>> CounterConnection<T> {
@@ -68,7 +68,7 @@
         CounterConnection { index, address, call_timeout, queue, inbox, in_flight, activity }
     }
 
-    /// Makes the queued calls until all senders are gone.
+    /// Makes the queued calls until all senders are dropped.
     pub async fn run(mut self) {
         let mut backoff = MIN_BACKOFF;
         let mut next = self.queue.recv().await;
@@ -132,14 +132,14 @@
                     Ok(_) => {
                         responded = true;
                         self.activity.record_received(self.index);
-                        if self.read_answers(&mut buffer).await.is_err() {
+                        if self.read_replies(&mut buffer).await.is_err() {
                             return StreamEnd { responded, unwritten: None };
                         }
                         line_deadline = (!buffer.is_empty()).then(|| Instant::now() + self.call_timeout);
                     }
                 },
                 () = sleep_until(line_deadline.unwrap_or_else(Instant::now)), if line_deadline.is_some() => {
-                    let StreamUnusable = self.settle_unreadable_answer().await;
+                    let StreamUnusable = self.complete_unreadable_call().await;
                     return StreamEnd { responded: true, unwritten: None };
                 }
                 call = self.queue.recv() => {
@@ -194,25 +194,25 @@
     }
 
     /// Processes the complete lines in the buffer.
-    async fn read_answers(&mut self, buffer: &mut BytesMut) -> Result<(), StreamUnusable> {
+    async fn read_replies(&mut self, buffer: &mut BytesMut) -> Result<(), StreamUnusable> {
         while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
             let line = buffer.split_to(end + 1);
-            let answer = std::str::from_utf8(&line).ok().and_then(|line| Answer::read(line.trim_end()));
-            let Some(Answer { outcome, total }) = answer else {
-                return Err(self.settle_unreadable_answer().await);
+            let reply = std::str::from_utf8(&line).ok().and_then(|line| ReplyLine::parse(line.trim_end()));
+            let Some(ReplyLine { outcome, total }) = reply else {
+                return Err(self.complete_unreadable_call().await);
             };
             let call = self.in_flight.pop_front().ok_or(StreamUnusable)?;
             self.report(call.number, outcome, total).await;
         }
         if buffer.len() > MAX_LINE_BYTES {
-            return Err(self.settle_unreadable_answer().await);
+            return Err(self.complete_unreadable_call().await);
         }
         Ok(())
     }
 
     /// Completes the call whose reply is malformed: it was counted, but the total is unknown. Later
     /// replies on the stream can't be matched to their calls.
-    async fn settle_unreadable_answer(&mut self) -> StreamUnusable {
+    async fn complete_unreadable_call(&mut self) -> StreamUnusable {
         if let Some(call) = self.in_flight.pop_front() {
             self.report(call.number, Outcome::Ok, f64::NAN).await;
         }
@@ -226,19 +226,20 @@
 }
 
 /// A reply line of the counter.
-struct Answer {
+struct ReplyLine {
     outcome: Outcome,
     total: f64,
 }
 
-impl Answer {
-    fn read(line: &str) -> Option<Answer> {
+impl ReplyLine {
+    /// Parses a line without its line end; `None` if it is malformed.
+    fn parse(line: &str) -> Option<ReplyLine> {
         let (outcome, total) = match line.split_once(' ') {
             Some(("ok", total)) => (Outcome::Ok, total.parse().ok().filter(|t: &f64| t.is_finite())?),
             _ if line == "busy" => (Outcome::Rejected, 0.0),
             _ if line == "error" => (Outcome::Error, 0.0),
             _ => return None,
         };
-        Some(Answer { outcome, total })
+        Some(ReplyLine { outcome, total })
     }
 }
--- a/crates/gateway/src/counter/silence.rs
+++ b/crates/gateway/src/counter/silence.rs
@@ -1,17 +1,17 @@
-//! Distinguishes a single silent connection from a counter that is slow or gone. No I/O and no clock:
-//! times are durations up to now.
+//! Distinguishes a single silent connection from a counter that is slow or has stopped responding. No
+//! I/O and no clock: times are durations up to now.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// Number of timeouts without data, with a call in flight, after which a connection is replaced whatever the
-/// state of the others.
+/// A connection on which no data arrives for this many call timeouts, while a call is in flight, is replaced
+/// even if the other connections are silent as well.
 pub const REPLACE_AFTER_TIMEOUTS: u32 = 3;
-/// Divisor of the timeout: data on another connection counts only if it arrived at least this part of a
-/// timeout after the call was made. The last reply of a counter that then stops responding does not prove
-/// it alive.
+/// Divisor of the call timeout. Data on another connection shows that the counter responds only if it arrived
+/// at least this fraction of the timeout after the call was made: shortly after the call, it may be the last
+/// reply of a counter that then stopped responding.
 const MIN_RECEIVED_AFTER_DIVISOR: u32 = 4;
 
 /// How long a connection with a call in flight has been silent, and how long the others have.
--- a/crates/gateway/src/counter/tests.rs
+++ b/crates/gateway/src/counter/tests.rs
@@ -3,15 +3,15 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-const WAIT: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Silence is checked when a call arrives: with so many unanswered calls that the queue stays full, a silent
 /// connection would never be replaced.
 #[tokio::test]
-async fn a_connection_full_of_unanswered_calls_is_replaced() {
+async fn connection_full_of_unanswered_calls_is_replaced() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (inbox, mut outcomes) = mpsc::channel::<CounterReply>(1_024);
-    let counter = Counter::start(listener.local_addr().expect("bound"), WAIT, &inbox);
+    let counter = Counter::start(listener.local_addr().expect("bound"), CALL_TIMEOUT, &inbox);
     let call = |number| Call { number, key: 0, amount: 1.0, ttl_ms: 100.0, made_at: Instant::now() };
     // More calls than may be in flight and queued. The connection task runs between two calls.
     let flood = async {
@@ -24,19 +24,20 @@
     };
     let (silent, ()) = tokio::join!(listener.accept(), flood);
     let (_silent, _) = silent.expect("the first connection is accepted");
-    sleep(WAIT * (silence::REPLACE_AFTER_TIMEOUTS + 1)).await;
+    sleep(CALL_TIMEOUT * (silence::REPLACE_AFTER_TIMEOUTS + 1)).await;
     let mut next = 1_000;
-    let fresh = async {
+    let replacement = async {
         loop {
             next += 1;
             counter.call(call(next));
-            if let Ok(fresh) = timeout(WAIT, listener.accept()).await {
-                return fresh.expect("the replacement is accepted").0;
+            if let Ok(replacement) = timeout(CALL_TIMEOUT, listener.accept()).await {
+                return replacement.expect("the replacement is accepted").0;
             }
         }
     };
-    let mut fresh = timeout(Duration::from_secs(20), fresh).await.expect("the connection is replaced");
-    fresh.write_all(b"ok 7\r\n").await.expect("the gateway reads");
+    let mut replacement =
+        timeout(Duration::from_secs(20), replacement).await.expect("the connection is replaced");
+    replacement.write_all(b"ok 7\r\n").await.expect("the gateway reads");
     while let Some(CounterReply { outcome, total, .. }) = outcomes.recv().await {
         if outcome == Outcome::Ok {
             assert!((total - 7.0).abs() < f64::EPSILON);
@@ -51,7 +52,7 @@
 async fn timeout_outcome_depends_on_the_write_and_on_other_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (inbox, mut outcomes) = mpsc::channel::<CounterReply>(16);
-    let counter = Counter::start(listener.local_addr().expect("bound"), WAIT * 100, &inbox);
+    let counter = Counter::start(listener.local_addr().expect("bound"), CALL_TIMEOUT * 100, &inbox);
     let made_at = Instant::now();
     let call = |number, key| Call { number, key, amount: 1.0, ttl_ms: 100.0, made_at: Instant::now() };
     assert!(counter.call(call(1, 0)));
@@ -60,8 +61,8 @@
     assert!(silent.read_u8().await.is_ok());
     // The connection records the written call before it does anything else.
     let mut counter = counter;
-    counter.timeout = WAIT;
-    sleep(WAIT * 2).await;
+    counter.timeout = CALL_TIMEOUT;
+    sleep(CALL_TIMEOUT * 2).await;
     assert_eq!(counter.timeout_outcome(1, 0, made_at), Outcome::Timeout);
     assert_eq!(counter.timeout_outcome(2, 0, made_at), Outcome::ConnectFailed);
     assert!(counter.call(call(3, 1)));
