--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -54,7 +54,7 @@
 }
 
 /// Follows the list and sends updates to the event loop, until the task is aborted or, with slots, the inbox
-/// closes. With slots, `start` tells which agent to ask for the slot of the first call.
+/// closes. `start` identifies the agent that assigns the slot of the first call; it is used only with slots.
 pub async fn follow<T: From<EndpointUpdate>>(
     address: SocketAddr,
     options: FollowOptions,
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -44,9 +44,9 @@
 }
 
 impl ListConnection {
-    /// Opens a connection; `None` if it fails or takes longer than `within`.
-    pub async fn open(address: SocketAddr, within: Duration) -> Option<ListConnection> {
-        let stream = timeout(within, TcpStream::connect(address)).await.ok()?.ok()?;
+    /// Opens a connection; `None` if it fails or takes longer than `connect_timeout`.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> Option<ListConnection> {
+        let stream = timeout(connect_timeout, TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         Some(ListConnection {
@@ -61,12 +61,12 @@
         self.sender.is_closed()
     }
 
-    /// Makes one call: for the whole list, or a long poll for the changes since a version, with its wait
-    /// time.
-    pub async fn get(&mut self, changed: Option<(u64, Duration)>) -> ListResponse {
-        let path = match changed {
+    /// Makes one call: for the whole list, or, with `since`, a long poll for the changes since a version that
+    /// waits for up to the given time.
+    pub async fn get(&mut self, since: Option<(u64, Duration)>) -> ListResponse {
+        let path = match since {
             None => "/discovery/hosts".to_string(),
-            Some((i, wait)) => format!("/discovery/hosts?after={i}&wait_ms={}", wait.as_millis()),
+            Some((version, wait)) => format!("/discovery/hosts?after={version}&wait_ms={}", wait.as_millis()),
         };
         let request = Request::get(path).header(HOST, self.address.to_string()).body(Empty::new());
         let Ok(request) = request else { return ListResponse::Lost };
@@ -87,19 +87,19 @@
 }
 
 /// Fetches the whole list from a discovery service that stopped responding, until a call completes. Each
-/// call uses its own connection and stays open for `within`; calls start every `apart`, but at most
-/// [`MAX_CALLS_IN_FLIGHT`] run at once. Returns `None` if a connection can't be opened.
+/// call uses its own connection and times out after `call_timeout`. Calls start every `call_interval`, but at
+/// most [`MAX_CALLS_IN_FLIGHT`] run at once. Returns `None` if a connection can't be opened.
 ///
 /// Calls overlap because a call that was sent during the outage is not answered when the service is back,
-/// while updates sent in the meantime count as delivered. The cost is that a service slower than `apart`
-/// is asked for up to four lists instead of one.
+/// while updates sent in the meantime count as delivered. The cost is that a service slower than
+/// `call_interval` receives up to [`MAX_CALLS_IN_FLIGHT`] calls instead of one.
 pub async fn reconnect(
     address: SocketAddr,
-    apart: Duration,
-    within: Duration,
+    call_interval: Duration,
+    call_timeout: Duration,
 ) -> Option<(ListConnection, ListResponse)> {
     let mut calls = JoinSet::new();
-    let mut next = interval(apart.max(within / MAX_CALLS_IN_FLIGHT));
+    let mut next = interval(call_interval.max(call_timeout / MAX_CALLS_IN_FLIGHT));
     // A suspended process must not make up for all missed calls when it resumes.
     next.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -111,8 +111,8 @@
                 }
             }
             _ = next.tick() => {
-                calls.spawn(timeout(within, async move {
-                    let mut connection = ListConnection::open(address, within).await?;
+                calls.spawn(timeout(call_timeout, async move {
+                    let mut connection = ListConnection::open(address, call_timeout).await?;
                     let response = connection.get(None).await;
                     Some((connection, response))
                 }));
--- a/crates/gateway/src/discovery/coordinated_start.rs
+++ b/crates/gateway/src/discovery/coordinated_start.rs
@@ -18,8 +18,8 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// Timeout for a response of the agent: a start must not wait for an agent that is gone. The gateway's
-/// own slots continue meanwhile.
+/// Timeout for a response of the agent, so that a start does not wait for an agent that does not respond. The
+/// gateway's own slots continue meanwhile.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest accepted delay until a slot or the next request, ms.
 const MAX_CALL_DELAY_MS: f64 = 10_000.0;
@@ -32,6 +32,7 @@
     pub name: Name,
     /// Incarnation of this process.
     pub incarnation: u64,
+    /// Number of gateways in the fleet, including this one.
     pub gateways: u32,
 }
 
@@ -110,7 +111,7 @@
     let _ = request(&start, ToolRequest::Started { name, incarnation, call }).await;
 }
 
-/// Asks the agent until it assigns a slot or ends the exchange.
+/// Sends requests to the agent until it assigns a slot or ends the exchange.
 async fn request_slot(
     start: &CoordinatedStart,
     mut held: Option<u64>,
@@ -131,14 +132,14 @@
             // Fails only if the gateway is ending, as does the send below.
             let _ = messages.send(AgentMessage::List(list)).await;
         }
-        let time = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, MAX_CALL_DELAY_MS) / 1_000.0);
+        let delay = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, MAX_CALL_DELAY_MS) / 1_000.0);
         match (call_in_ms, ask_in_ms) {
             (Some(ms), _) => {
-                sleep(time(ms)).await;
+                sleep(delay(ms)).await;
                 let _ = messages.send(AgentMessage::Slot { fetch }).await;
                 return Ok(());
             }
-            (None, Some(ms)) => sleep(time(ms)).await,
+            (None, Some(ms)) => sleep(delay(ms)).await,
             (None, None) => return Ok(()),
         }
     }
@@ -150,7 +151,7 @@
         let mut lines = lines.map_err(AgentError::Connect)?;
         lines.send(&Envelope { request_id: 1, body }).await.map_err(AgentError::Line)?;
         match lines.next::<Envelope<ToolResponse>>().await.map_err(AgentError::Line)? {
-            Some(Envelope { body: ToolResponse::Error(fault), .. }) => Err(AgentError::Rejected(fault)),
+            Some(Envelope { body: ToolResponse::Error(error), .. }) => Err(AgentError::Rejected(error)),
             Some(response) => Ok(response.body),
             None => Err(AgentError::Closed),
         }
@@ -174,10 +175,10 @@
         match self {
             AgentError::Connect(e) => e.fmt(f),
             AgentError::Line(e) => e.fmt(f),
-            AgentError::Rejected(fault) => f.write_str(&fault.message),
+            AgentError::Rejected(error) => f.write_str(&error.message),
             AgentError::Unexpected => f.write_str("unexpected response"),
             AgentError::Closed => f.write_str("connection closed by the agent"),
-            AgentError::TimedOut => f.write_str("timed out"),
+            AgentError::TimedOut => write!(f, "no response within {RESPONSE_TIMEOUT:?}"),
         }
     }
 }
--- a/crates/gateway/src/discovery/slots.rs
+++ b/crates/gateway/src/discovery/slots.rs
@@ -20,7 +20,7 @@
 struct Poller {
     address: SocketAddr,
     state: ListState,
-    /// Reused for the next call while it is open.
+    /// Connection of the last call, reused for the next one while it is open.
     connection: Option<ListConnection>,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the next message of the agent; `None` if it was not asked or there are no more.
+/// Returns the next message of the agent; `None` if no slot was requested or there are no more messages.
 async fn next_message(slot_request: &mut Option<SlotRequest>) -> Option<AgentMessage> {
     slot_request.as_mut()?.messages.recv().await
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -75,11 +75,11 @@
 /// Why a connection to discovery ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EndReason {
-    /// It could not be opened.
+    /// The connection could not be opened.
     NeverOpened,
-    /// It broke, or a response could not be parsed.
+    /// The connection broke, or a response could not be parsed.
     Lost,
-    /// A call on it timed out.
+    /// A call on the connection timed out.
     Silent,
     /// Discovery rejected a call.
     Rejected,
@@ -110,7 +110,7 @@
         let reason = self.watch(connection, first, &mut answered).await;
         match reason {
             EndReason::Lost | EndReason::Silent => self.state.forget(),
-            // A service too busy for this call must not be asked for the whole list instead.
+            // The version stays: fetching the whole list would add load to a service that is too busy.
             EndReason::NeverOpened | EndReason::Rejected => {}
         }
         SessionEnd { reason, answered }
@@ -125,7 +125,7 @@
         answered: &mut bool,
     ) -> EndReason {
         loop {
-            let called = Instant::now();
+            let called_at = Instant::now();
             let response = match first.take() {
                 Some(response) => response,
                 None => match self.call(&mut connection).await {
@@ -156,7 +156,7 @@
                 return EndReason::Lost;
             }
             // The pause prevents a busy loop with a service that answers watches immediately.
-            if is_same && called.elapsed() < MIN_WATCH_INTERVAL {
+            if is_same && called_at.elapsed() < MIN_WATCH_INTERVAL {
                 sleep(MIN_WATCH_INTERVAL).await;
             }
         }
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -36,10 +36,13 @@
     /// Instance type, which orders may refer to.
     #[serde(default, rename = "type")]
     pub instance_type: String,
+    /// Cell of the backend.
     pub group: u32,
     pub status: Status,
+    /// Size relative to the other backends; 0 if unknown.
     #[serde(default)]
     pub weight: f64,
+    /// Start of the backend, Unix time in ms; 0 if discovery does not report it.
     #[serde(default)]
     pub since_ms: f64,
 }
@@ -77,9 +80,9 @@
 /// Why an entry was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointProblem {
-    /// It is not a valid entry; with the parser's message.
+    /// The entry can't be parsed. Holds the parser's message.
     Unreadable(String),
-    /// Its name is empty.
+    /// The name is empty.
     Unnamed,
     /// A later entry, at this index, has the same name and is used instead.
     DuplicateName(usize),
--- a/crates/gateway/src/endpoint_list/tests.rs
+++ b/crates/gateway/src/endpoint_list/tests.rs
@@ -16,15 +16,15 @@
 #[test]
 fn rejects_invalid_entries_by_name_and_keeps_the_others() {
     let mut entries = vec![entry("a", 1), entry("b", 2), entry("c", 3), entry("d", 4), entry("e", 5)];
-    entries[1]["address"] = "till:80".into();
-    entries[2]["status"] = "RESTING".into();
+    entries[1]["address"] = "backend:80".into();
+    entries[2]["status"] = "IDLE".into();
     entries[3] = 7.into();
     entries[4]["name"] = "".into();
     let list = parse(&entries);
     assert_eq!(list.endpoints.iter().map(|e| e.name.as_str()).collect::<Vec<_>>(), ["a"]);
     let messages: Vec<String> = list.rejected.iter().map(ToString::to_string).collect();
     assert!(messages[0].starts_with("endpoints[1] \"b\": invalid socket address"), "{messages:?}");
-    assert!(messages[1].starts_with("endpoints[2] \"c\": unknown variant `RESTING`"), "{messages:?}");
+    assert!(messages[1].starts_with("endpoints[2] \"c\": unknown variant `IDLE`"), "{messages:?}");
     assert!(messages[2].starts_with("endpoints[3]: invalid type"), "{messages:?}");
     assert!(messages[3].contains("its name is empty"), "{messages:?}");
     assert_eq!(list.unreadable_names(), ["b", "c", ""]);
@@ -53,7 +53,7 @@
 
 #[test]
 fn parses_ten_thousand_entries_and_rejects_a_truncated_list() {
-    let entries: Vec<Value> = (0..10_000).map(|n| entry(&format!("till-{n}"), 80)).collect();
+    let entries: Vec<Value> = (0..10_000).map(|n| entry(&format!("backend-{n}"), 80)).collect();
     let text = json!({"index": 7, "snapshot": true, "endpoints": entries}).to_string();
     assert_eq!(EndpointList::parse(text.as_bytes()).expect("a list").endpoints.len(), 10_000);
     assert!(EndpointList::parse(&text.as_bytes()[..text.len() / 2]).is_err());
@@ -63,9 +63,9 @@
     /// Invalid entries never fail the list as a whole.
     #[test]
     fn each_entry_is_kept_or_rejected(entries in prop::collection::vec((0u8..4, 0u16..5), 0..40)) {
-        let entries: Vec<Value> = entries.into_iter().map(|(what, n)| {
+        let entries: Vec<Value> = entries.into_iter().map(|(kind, n)| {
             let mut entry = entry(&format!("n{n}"), n);
-            match what {
+            match kind {
                 0 => entry["since_ms"] = Value::Null,
                 1 => entry = json!([n]),
                 _ => {}
