--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -30,9 +30,9 @@
 /// The effect of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It changed the state.
+    /// The command changed the state.
     Changed,
-    /// No change: the requested state was already in force.
+    /// The command changed nothing: the requested state was already in force.
     AlreadyInForce,
 }
 
--- a/crates/maintenance/tests/state.rs
+++ b/crates/maintenance/tests/state.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn one_enable_ends_a_repeated_ban_and_the_backend_warms_up() {
+fn one_enable_ends_repeated_ban_and_backend_warms_up() {
     let mut state = MaintenanceState::default();
     let (disable, enable) = (command("DISABLE a"), command("ENABLE a"));
     assert_eq!(state.execute(&enable, true, 1.0), Ok(CommandOutcome::AlreadyInForce));
