--- a/crates/gateway/src/maintenance/controller.rs
+++ b/crates/gateway/src/maintenance/controller.rs
@@ -80,8 +80,8 @@
         self.state.clone()
     }
 
-    /// Executes commands until all senders are gone. A request on `handover_requests` is sent before this
-    /// process ends, and is answered when the unreported charges have been handed over.
+    /// Executes commands until all senders are dropped. The shutdown sends a request on `handover_requests`,
+    /// which is answered when the unreported charges have been handed over.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<PendingCommand>,
@@ -97,7 +97,7 @@
                 },
                 Some(done) = handover_requests.recv() => {
                     self.hand_over_unreported().await;
-                    // Fails only if the requester is gone.
+                    // Fails only if the requester no longer waits.
                     let _ = done.send(());
                 }
                 _ = poll.tick(), if self.directory.is_some() => self.poll().await,
@@ -206,7 +206,7 @@
             });
             return;
         }
-        // Fails only if the caller is gone.
+        // Fails only if the caller no longer waits for the result.
         let _ = reply.send(result);
     }
 
--- a/crates/gateway/src/maintenance/listener.rs
+++ b/crates/gateway/src/maintenance/listener.rs
@@ -23,11 +23,11 @@
 const RESULT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time allowed for writing the response and for the caller to close the connection afterwards.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after accepting a connection failed.
+/// Pause after a failed `accept`.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Number of bytes read at once.
+/// Maximum number of bytes of a command line per read.
 const LINE_CHUNK: usize = 512;
-/// Number and size of the reads that discard what a caller sends after its line.
+/// Maximum number of reads that discard what a caller sends after its line, and bytes per read.
 const DISCARD_READS: usize = 64;
 const DISCARD_CHUNK: usize = 1024;
 
@@ -92,7 +92,7 @@
 ) -> CommandResult {
     let command = Command::parse(text).map_err(CommandFailure::Malformed)?;
     let changes = command != Command::Ready;
-    let shown = command.to_string();
+    let command_text = command.to_string();
     let (reply, result) = oneshot::channel();
     let executed = async {
         let pending = PendingCommand { command, reply };
@@ -102,8 +102,8 @@
     let result = timeout(RESULT_TIMEOUT, executed).await.unwrap_or(Err(CommandFailure::TimedOut));
     if changes {
         match &result {
-            Ok(done) => tracing::info!(%caller, call = %shown, "command executed: {done}"),
-            Err(e) => tracing::warn!(%caller, call = %shown, "command failed: {e}"),
+            Ok(done) => tracing::info!(%caller, call = %command_text, "command executed: {done}"),
+            Err(e) => tracing::warn!(%caller, call = %command_text, "command failed: {e}"),
         }
     }
     result
--- a/crates/gateway/src/maintenance/partition.rs
+++ b/crates/gateway/src/maintenance/partition.rs
@@ -14,6 +14,7 @@
     resource: Arc<Semaphore>,
     /// Number of permits of the whole resource.
     total: usize,
+    /// Number of processes that share the resource, including this one.
     processes: usize,
     /// Permits withheld from this process for the others.
     reserved: Vec<OwnedSemaphorePermit>,
@@ -34,13 +35,14 @@
         self.reserve();
     }
 
-    /// Reserves as many of the other processes' permits as are free now. Called again for the rest.
+    /// Reserves those of the other processes' permits that are free now. Must be called repeatedly until the
+    /// rest are free as well.
     pub fn reserve(&mut self) {
         let reserved: usize = self.reserved.iter().map(OwnedSemaphorePermit::num_permits).sum();
-        let due = (self.total - self.total / self.processes).saturating_sub(reserved);
-        let now = due.min(self.resource.available_permits()) as u32;
-        if now > 0 {
-            self.reserved.extend(Arc::clone(&self.resource).try_acquire_many_owned(now).ok());
+        let missing = (self.total - self.total / self.processes).saturating_sub(reserved);
+        let count = missing.min(self.resource.available_permits()) as u32;
+        if count > 0 {
+            self.reserved.extend(Arc::clone(&self.resource).try_acquire_many_owned(count).ok());
         }
     }
 }
--- a/crates/gateway/src/maintenance/partition/tests.rs
+++ b/crates/gateway/src/maintenance/partition/tests.rs
@@ -6,7 +6,7 @@
     let mut partition = Partition::new(Arc::clone(&resource), 10);
     let used = Arc::clone(&resource).try_acquire_many_owned(8).expect("free");
     partition.set_process_count(2);
-    assert_eq!(resource.available_permits(), 0, "two are reserved, three are still due");
+    assert_eq!(resource.available_permits(), 0, "two are reserved, three are still missing");
     drop(used);
     partition.reserve();
     assert_eq!(resource.available_permits(), 5);
--- a/crates/gateway/src/maintenance/process.rs
+++ b/crates/gateway/src/maintenance/process.rs
@@ -10,7 +10,7 @@
     Starting,
     /// Accepting clients.
     Serving,
-    /// Asked to shut down.
+    /// Shutting down after SIGTERM.
     ShuttingDown,
 }
 
@@ -31,7 +31,7 @@
         self.stage.store(ProcessStatus::SERVING, Ordering::Relaxed);
     }
 
-    /// Records that the process was asked to shut down.
+    /// Records that the shutdown of the process has begun.
     pub fn set_shutting_down(&self) {
         self.stage.store(ProcessStatus::SHUTTING_DOWN, Ordering::Relaxed);
     }
--- a/crates/gateway/src/maintenance/state_directory.rs
+++ b/crates/gateway/src/maintenance/state_directory.rs
@@ -47,14 +47,14 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it can't be decoded.
         source: DecodeError,
     },
     /// The state can't be encoded.
     Unencodable {
         /// The kind of state.
         kind: String,
-        /// What is wrong with it.
+        /// Why it can't be encoded.
         source: DecodeError,
     },
 }
@@ -89,10 +89,10 @@
         // Locked before it gets its final name: an unlocked file with that name would be taken for one of a
         // process that has ended.
         let unlocked = path.join(format!("new-{incarnation}"));
-        let life = File::create(&unlocked)?;
-        life.lock()?;
+        let lock_file = File::create(&unlocked)?;
+        lock_file.lock()?;
         fs::rename(unlocked, path.join(format!("{LIVENESS_PREFIX}{incarnation}")))?;
-        Ok(StateDirectory { path, incarnation, _liveness_lock: life })
+        Ok(StateDirectory { path, incarnation, _liveness_lock: lock_file })
     }
 
     /// Returns the incarnations of the other running processes of this gateway, and removes the files of
@@ -106,7 +106,7 @@
             let Some(incarnation) = incarnation_of(&file).filter(|n| *n != self.incarnation) else {
                 continue;
             };
-            match File::open(file.path()).map(|life| life.try_lock_shared()) {
+            match File::open(file.path()).map(|lock_file| lock_file.try_lock_shared()) {
                 Ok(Err(TryLockError::WouldBlock)) => others.push(incarnation),
                 Ok(Ok(())) => drop(fs::remove_file(file.path())),
                 // Removed by another process in the meantime, or it can't be locked.
@@ -161,12 +161,12 @@
                 continue;
             }
             // Of several processes that see the file, the rename succeeds for only one.
-            let mine = self.path.join(format!("claimed-{}", self.incarnation));
-            if fs::rename(file.path(), &mine).is_err() {
+            let claimed = self.path.join(format!("claimed-{}", self.incarnation));
+            if fs::rename(file.path(), &claimed).is_err() {
                 continue;
             }
-            let bytes = read_bounded(&mine).unwrap_or_default();
-            let _ = fs::remove_file(&mine);
+            let bytes = read_bounded(&claimed).unwrap_or_default();
+            let _ = fs::remove_file(&claimed);
             match checksummed::decode(kind, &bytes) {
                 Ok(state) => all.push(state),
                 Err(e) => tracing::warn!("{}: {e}; its contents are lost", file.path().display()),
--- a/crates/gateway/src/maintenance/state_directory/tests.rs
+++ b/crates/gateway/src/maintenance/state_directory/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_handed_over_state_is_claimed_once_and_lost_if_corrupted() {
+fn handed_over_state_is_claimed_once_and_lost_if_corrupted() {
     let parent = tempfile::tempdir().expect("a directory");
     let (first, second) = (open(parent.path(), 1), open(parent.path(), 2));
     first.hand_over("untold", &vec![(7u64, 1.5f64)]).expect("the file is written");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn truncated_states_are_rejected_and_the_lock_has_one_holder() {
+fn truncated_state_is_rejected_and_lock_has_one_holder() {
     let parent = tempfile::tempdir().expect("a directory");
     let (first, second) = (open(parent.path(), 1), open(parent.path(), 2));
     assert_eq!(first.read::<u64>("book").expect("readable"), None);
