--- a/crates/gateway/src/backend_table.rs
+++ b/crates/gateway/src/backend_table.rs
@@ -27,11 +27,11 @@
     pub number: u32,
     /// The latest entry from discovery.
     pub endpoint: Endpoint,
-    /// Effect of the orders that cover it.
+    /// Combined effect of all orders that cover the backend.
     pub effect: EffectiveState,
     /// Start of its ban by a command, Unix time in ms; `None` if it is not banned.
     pub banned_ms: Option<f64>,
-    /// When its last ban ended, Unix time in ms; 0 for never.
+    /// End of its last ban, Unix time in ms; 0 if no ban of it has ended.
     reenabled_ms: f64,
 }
 
@@ -45,13 +45,14 @@
     fn update_overrides(&mut self, overrides: Overrides<'_>) -> bool {
         let e = &self.endpoint;
         let effect = overrides.desired.effective_state(&e.name, e.group, &e.instance_type);
-        let (banned, returned) =
+        let (banned_ms, reenabled_ms) =
             (overrides.maintenance.banned_ms(&e.name), overrides.maintenance.reenabled_ms(&e.name));
-        // The end of a ban is forgotten only after the backend has warmed up, so an earlier time is no
-        // change.
-        let changed = effect != self.effect || banned != self.banned_ms || returned > self.reenabled_ms;
-        (self.effect, self.banned_ms) = (effect, banned);
-        self.reenabled_ms = self.reenabled_ms.max(returned);
+        // The maintenance state forgets the end of a ban once the backend has warmed up. It then reports an
+        // earlier time, which is not a change.
+        let changed =
+            effect != self.effect || banned_ms != self.banned_ms || reenabled_ms > self.reenabled_ms;
+        (self.effect, self.banned_ms) = (effect, banned_ms);
+        self.reenabled_ms = self.reenabled_ms.max(reenabled_ms);
         changed
     }
 }
@@ -59,7 +60,8 @@
 /// All backends on the list, by name.
 #[derive(Debug, Default)]
 pub struct BackendTable {
-    /// Boxed because a growing hash table reserves space for as many entries again.
+    /// Rows are boxed because a hash table doubles its capacity when it grows, and without boxes each unused
+    /// entry would take the size of a row.
     rows: HashMap<String, Box<BackendRow>>,
     /// The last number assigned. Numbers are never reused.
     last_number: u32,
--- a/crates/gateway/src/backend_table/tests.rs
+++ b/crates/gateway/src/backend_table/tests.rs
@@ -3,7 +3,7 @@
 
 fn endpoint(name: &str, status: Status) -> Endpoint {
     let address = "127.0.0.1:1".parse().expect("an address");
-    let (zone, instance_type) = ("room".to_string(), "m".to_string());
+    let (zone, instance_type) = ("zone-a".to_string(), "type-a".to_string());
     let name = name.to_string();
     Endpoint { name, address, zone, instance_type, group: 3, status, weight: 1.0, since_ms: 0.0 }
 }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn discovery_draining_beats_undrain_and_drain_order_beats_serving() {
+fn discovery_draining_overrides_undrain_and_drain_order_overrides_serving() {
     let (mut table, mut desired) = (BackendTable::new(), DesiredState::default());
     order(&mut desired, 1, "a", Change::Drain);
     order(&mut desired, 2, "b", Change::Undrain);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_ban_outlasts_a_restart_and_a_reenabled_backend_warms_up() {
+fn ban_outlasts_restart_and_reenabled_backend_warms_up() {
     let (mut table, desired, mut maintenance) =
         (BackendTable::new(), DesiredState::default(), MaintenanceState::default());
     let command = |line: &str| maintenance::Command::parse(line.as_bytes()).expect("a command");
--- a/crates/gateway/src/client/admission.rs
+++ b/crates/gateway/src/client/admission.rs
@@ -29,7 +29,7 @@
     idle_from_ms: AtomicU64,
     /// Number of commands received.
     commands: AtomicU64,
-    /// Asks the connection to close if it is still idle.
+    /// Notified to make the connection's task close it, if it is still idle.
     pub close_requested: Notify,
 }
 
@@ -87,6 +87,7 @@
     permits: Arc<Semaphore>,
     /// Number of all permits, free and taken.
     total: usize,
+    /// Activity of the admitted connections; entries of closed ones are removed lazily.
     connections: Vec<Weak<Activity>>,
 }
 
@@ -113,12 +114,12 @@
     }
 
     async fn wait_for_permit(&mut self) -> Option<OwnedSemaphorePermit> {
-        let until = Instant::now() + PERMIT_TIMEOUT;
+        let deadline = Instant::now() + PERMIT_TIMEOUT;
         loop {
             self.close_idle();
             match timeout(PERMIT_RETRY_INTERVAL, Arc::clone(&self.permits).acquire_owned()).await {
                 Ok(permit) => return permit.ok(),
-                Err(_) if Instant::now() < until => {}
+                Err(_) if Instant::now() < deadline => {}
                 Err(_) => return None,
             }
         }
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -47,7 +47,7 @@
 /// Result of writing the available answers.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteResult {
-    /// No answer was available.
+    /// No answer was available, so nothing was written.
     Nothing,
     /// Answers were written. More may be available, and input that was already read may now be parsed.
     MayHaveMore,
@@ -261,7 +261,7 @@
     /// arrived.
     fn track_activity(&mut self, reading: bool) -> bool {
         let partly_read = reading && !self.input.is_empty();
-        let begins = partly_read && self.command_since.is_none();
+        let starts_command = partly_read && self.command_since.is_none();
         self.command_since = partly_read.then(|| self.command_since.unwrap_or_else(Instant::now));
         if partly_read || !self.pending.is_empty() {
             self.idle_since = None;
@@ -270,14 +270,15 @@
             self.idle_since = Some(Instant::now());
             self.activity.set_idle();
         }
-        begins
+        starts_command
     }
 
     /// Whether the connection is draining and may close now: it is idle, the client had time for a first
     /// command, and has either just received an answer or had time for one more command.
     fn may_close(&self, just_answered: bool) -> bool {
-        let fresh = !self.activity.has_commands() && self.activity.opened().elapsed() < FIRST_COMMAND_TIMEOUT;
-        self.idle_since.is_some() && !fresh && self.state.may_close_idle(just_answered)
+        let awaits_first_command =
+            !self.activity.has_commands() && self.activity.opened().elapsed() < FIRST_COMMAND_TIMEOUT;
+        self.idle_since.is_some() && !awaits_first_command && self.state.may_close_idle(just_answered)
     }
 
     /// Returns when the connection has been idle, or a command partly read, for too long; `None` if neither
--- a/crates/gateway/src/client/idle_policy/tests.rs
+++ b/crates/gateway/src/client/idle_policy/tests.rs
@@ -30,7 +30,7 @@
 
 proptest! {
     #[test]
-    fn idle_limit_falls_in_small_steps_with_each_permit_taken(total in 2usize..2_000) {
+    fn idle_limit_falls_in_small_steps_per_permit(total in 2usize..2_000) {
         for usage in ConnectionUsage::ALL {
             prop_assert!(usage.idle_limit(0, total) <= usage.idle_max());
             for taken in 1..=total + 1 {
--- a/crates/gateway/src/client/shutdown.rs
+++ b/crates/gateway/src/client/shutdown.rs
@@ -30,8 +30,8 @@
         /// When draining began.
         since: Instant,
     },
-    /// Nothing more is read, after input that was malformed or an incomplete command that timed out. Pending
-    /// answers are still written.
+    /// The input was malformed, or an incomplete command timed out. Nothing more is read, but pending answers
+    /// are still written.
     Closing,
     /// All answers are written. Further input is discarded until the client closes as well.
     Lingering,
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -207,7 +207,7 @@
             Input::TimerExpired(TimerKind::ConnectionRamp) => self.ramp_timer_expired(),
             Input::AdminRequest { request, reply } => {
                 let response = self.admin_request(request);
-                // Fails only if the requester is gone.
+                // Fails only if the requester no longer waits.
                 let _ = reply.send(response);
             }
             Input::ShuttingDown { answer_by_ms } => self.answer_by_ms = answer_by_ms,
@@ -231,8 +231,8 @@
             Action::CancelAttempt { id, attempt } => self.cancel(AttemptKey { request: id, number: attempt }),
             Action::Reject { id, retry_after_ms } => {
                 // Rounded up: rounding down would allow the retry too early.
-                let after = retry_after_ms.map(|ms| ms.ceil().max(1.0) as u64);
-                self.answer(id, Answer::Rejected(after));
+                let retry_after_ms = retry_after_ms.map(|ms| ms.ceil().max(1.0) as u64);
+                self.answer(id, Answer::Rejected(retry_after_ms));
             }
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Probe { backend } => self.probe(backend, ProbePurpose::Health),
@@ -272,7 +272,7 @@
         };
         match self.requests.admit(id, call, expires_ms, reply) {
             Ok(()) => self.handle_event(Event::Request(request)),
-            // Fails only if the client is gone.
+            // Fails only if the client has disconnected.
             Err(Duplicate { reply }) => drop(reply.send(Answer::Invalid("id is open already"))),
         }
     }
@@ -287,7 +287,7 @@
     /// Sends the final answer of a request, unless one was already sent.
     fn answer(&mut self, id: u64, answer: Answer) {
         if let Some(reply) = self.requests.take_reply(id) {
-            // Fails only if the client has disconnected, which is an input of its own.
+            // Fails only if the client has disconnected, which arrives as a separate input.
             let _ = reply.send(answer);
             self.release(id);
         }
--- a/crates/gateway/src/event_loop/attempts.rs
+++ b/crates/gateway/src/event_loop/attempts.rs
@@ -27,7 +27,7 @@
 pub(super) enum Phase {
     /// Waiting for a connection. Nothing was written, so the backend cannot have run the request.
     Connecting,
-    /// Writing has begun. Aborting the task closes the connection.
+    /// Being written, or awaiting its answer. Aborting the task closes the connection.
     Writing(AbortHandle),
 }
 
@@ -53,7 +53,7 @@
         self.in_flight.get_mut(&key)
     }
 
-    /// Removes an attempt that has ended and returns it.
+    /// Removes an attempt that has ended and returns it; `None` if it has already been removed.
     pub fn remove(&mut self, key: AttemptKey) -> Option<Attempt> {
         self.in_flight.remove(&key)
     }
--- a/crates/gateway/src/event_loop/control_plane.rs
+++ b/crates/gateway/src/event_loop/control_plane.rs
@@ -1,4 +1,4 @@
-//! The control plane's view of the event loop: applies orders of operators and the agent, and reports state.
+//! The control plane of the event loop: applies orders of operators and the agent, and reports state.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
 
     /// Executes a request of the maintenance controller or of a reload, then replies.
     pub(super) fn handle_control_request(&mut self, request: ControlRequest) {
-        // Sending a reply fails only if the requester is gone.
+        // Sending a reply fails only if the requester no longer waits for it.
         match request {
             ControlRequest::IsListed { id, reply } => drop(reply.send(self.table.contains(&id))),
             ControlRequest::SetOtherProcesses { other_processes, reply } => {
@@ -263,6 +263,7 @@
 /// The policy's view of a backend.
 struct Health {
     ejected: bool,
+    /// Estimated fraction of its full capacity, above 0, at most 1.
     capacity_fraction: f64,
 }
 
--- a/crates/gateway/src/event_loop/endpoints.rs
+++ b/crates/gateway/src/event_loop/endpoints.rs
@@ -71,10 +71,10 @@
             }
         }
         if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
-            let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
-            self.pool.retain(|id| named.contains(&id));
+            let listed: HashSet<u32> = entries.iter().map(|e| e.id).collect();
+            self.pool.retain(|id| listed.contains(&id));
         }
-        // Backends that are gone are dropped from the table. Their numbers are never reused.
+        // Drops the rows of backends that the pool no longer has. Their numbers are never reused.
         let pool = &self.pool;
         self.table.retain(|id| pool.contains(id));
         self.hold_back(scope, &mut entries);
--- a/crates/gateway/src/event_loop/ramp.rs
+++ b/crates/gateway/src/event_loop/ramp.rs
@@ -56,9 +56,9 @@
     pub(super) fn hold_back(&mut self, scope: UpdateScope, entries: &mut [BackendEndpoint]) {
         let Some(StartRamp { schedule, held_back, .. }) = &mut self.ramp else { return };
         if matches!(scope, UpdateScope::Full | UpdateScope::Cached) {
-            let named: HashSet<u32> = entries.iter().map(|e| e.id).collect();
-            schedule.retain(|id| named.contains(&id));
-            held_back.retain(|id, _| named.contains(id));
+            let listed: HashSet<u32> = entries.iter().map(|e| e.id).collect();
+            schedule.retain(|id| listed.contains(&id));
+            held_back.retain(|id, _| listed.contains(id));
         }
         for entry in entries {
             if entry.state != EndpointState::Ready {
--- a/crates/gateway/src/event_loop/requests.rs
+++ b/crates/gateway/src/event_loop/requests.rs
@@ -15,6 +15,7 @@
 /// A request that awaits a final answer or has attempts in flight.
 struct InFlight {
     call: Arc<Call>,
+    /// Deadline, Unix time in ms.
     expires_ms: f64,
     attempts_made: u32,
     attempts_in_flight: u32,
@@ -28,6 +29,7 @@
 pub(super) struct NewAttempt {
     pub key: AttemptKey,
     pub call: Arc<Call>,
+    /// Deadline of the request, Unix time in ms.
     pub expires_ms: f64,
 }
 
--- a/crates/gateway/src/event_loop/sending.rs
+++ b/crates/gateway/src/event_loop/sending.rs
@@ -33,7 +33,7 @@
         self.set_ramp_timer();
     }
 
-    /// Acquires a connection for an attempt: writes it at once, or when the connection is available.
+    /// Acquires a connection for an attempt, and writes the attempt as soon as the connection is available.
     fn acquire_connection(&mut self, key: AttemptKey, backend: u32) {
         let inbox = self.inbox.clone();
         match self.pool.check_out(backend, Instant::now()) {
@@ -196,8 +196,8 @@
     }
 }
 
-/// Notifies the event loop that an answer has begun. `length` is that of a streamed value, for which the
-/// writer is returned.
+/// Notifies the event loop that an answer has begun. With the `length` of a streamed value, in bytes, returns
+/// the writer for that value.
 async fn start_response(
     key: AttemptKey,
     backend: u32,
--- a/crates/gateway/src/event_loop/timers.rs
+++ b/crates/gateway/src/event_loop/timers.rs
@@ -24,15 +24,15 @@
         Timers { queue: DelayQueue::new(), clock }
     }
 
-    /// Sets a timer that expires at `at_ms`, Unix time.
-    pub fn set_at_ms(&mut self, due: TimerKind, at_ms: f64) -> TimerKey {
+    /// Sets a timer that expires at `at_ms`, Unix time in ms.
+    pub fn set_at_ms(&mut self, kind: TimerKind, at_ms: f64) -> TimerKey {
         let at = self.clock.instant(at_ms);
-        self.set_at(due, at)
+        self.set_at(kind, at)
     }
 
     /// Sets a timer that expires at `at`.
-    pub fn set_at(&mut self, due: TimerKind, at: Instant) -> TimerKey {
-        self.queue.insert_at(due, at)
+    pub fn set_at(&mut self, kind: TimerKind, at: Instant) -> TimerKey {
+        self.queue.insert_at(kind, at)
     }
 
     /// Cancels a pending timer.
--- a/crates/gateway/src/input.rs
+++ b/crates/gateway/src/input.rs
@@ -60,7 +60,8 @@
 pub enum ProbePurpose {
     /// Tests for the policy whether an ejected backend answers again.
     Health,
-    /// Opens the first connection to the incarnation of a backend that started at `started_ms`, Unix time.
+    /// Opens the first connection to the incarnation of a backend that started at `started_ms`, Unix time
+    /// in ms.
     FirstConnection { started_ms: f64 },
 }
 
--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -240,7 +240,7 @@
     fn apply_known_list(&mut self, event_loop: &mut EventLoop, slots: Option<SlotSchedule>) -> FollowOptions {
         let known = std::mem::replace(&mut self.config.known_list, EndpointList::empty());
         discovery::log_rejected("known", &known);
-        // With a version, discovery is asked for the changes since then instead of the whole list.
+        // With a version, the first call to discovery is for the changes since then, not for the whole list.
         let known_version = Some(known.version).filter(|_| !known.endpoints.is_empty());
         event_loop.handle_input(Input::EndpointUpdate(EndpointUpdate {
             scope: UpdateScope::Cached,
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Returns how the agent orders this start; `None` if that is disabled, or no agent is configured.
+    /// Returns the agent that coordinates this start; `None` if that is disabled, or no agent is configured.
     fn coordinated_start(&self) -> Result<Option<CoordinatedStart>, StartError> {
         let ordered = self.start.is_some_and(|start| start.ordered_by_agent);
         let Some(admin) = self.admin.as_ref().filter(|_| ordered) else { return Ok(None) };
@@ -297,7 +297,9 @@
 fn state_directory(listen: SocketAddr, incarnation: u64) -> Option<StateDirectory> {
     let parent = std::env::var_os("TMPDIR")?;
     StateDirectory::open(Path::new(&parent), listen, incarnation)
-        .inspect_err(|e| tracing::warn!("no state directory under TMPDIR: {e}; bans end with this process"))
+        .inspect_err(|e| {
+            tracing::warn!("state directory under TMPDIR can't be opened: {e}; bans end with this process")
+        })
         .ok()
 }
 
--- a/crates/gateway/src/server/reload.rs
+++ b/crates/gateway/src/server/reload.rs
@@ -24,7 +24,7 @@
     pub counter_timeout: Duration,
     /// Options for following discovery from the endpoint list of the configuration.
     pub follow_options: FollowOptions,
-    /// The agent that orders the start; taken by the first task that follows discovery.
+    /// The agent that coordinates the start; taken by the first task that follows discovery.
     pub coordinated_start: Option<CoordinatedStart>,
     pub inbox: mpsc::Sender<Input>,
     pub control: mpsc::Sender<ControlRequest>,
@@ -71,7 +71,7 @@
         AbortOnDropHandle::new(tokio::spawn(following))
     }
 
-    /// Asks the event loop to apply those settings that can change without a restart.
+    /// Makes the event loop apply those settings that can change without a restart, and waits for it.
     async fn change_settings(&self, config: &Config) -> Result<(), Rejected> {
         let (reply, changed) = oneshot::channel();
         let change = ControlRequest::ChangeSettings {
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -14,7 +14,8 @@
 
 /// Upper bound of the time that requests have left after SIGTERM, ms. It is less if the longest deadline is.
 const MAX_OPEN_REQUESTS_MS: f64 = 3_000.0;
-/// Time added to that: part of the 0.7 s left until the platform kills the process.
+/// Time added to [`MAX_OPEN_REQUESTS_MS`] or the longest deadline: part of the 0.7 s left until the platform
+/// kills the process.
 const MARGIN: Duration = Duration::from_millis(300);
 /// Minimum time for which connections are served as before after SIGTERM, since new ones still arrive.
 const MIN_ACCEPTING: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -44,8 +44,10 @@
 struct BackendPool {
     /// Whether the backend accepts requests, and is not draining.
     ready: bool,
+    /// Start of the backend, Unix time in ms.
     started_ms: f64,
     address: SocketAddr,
+    /// Generation of the connections that may be used. Older ones are stale.
     generation: u64,
     /// Idle connections, in the order in which they became idle.
     idle: VecDeque<Connection>,
