--- a/crates/gateway/src/server/builder.rs
+++ b/crates/gateway/src/server/builder.rs
@@ -297,9 +297,7 @@
 fn state_directory(listen: SocketAddr, incarnation: u64) -> Option<StateDirectory> {
     let parent = std::env::var_os("TMPDIR")?;
     StateDirectory::open(Path::new(&parent), listen, incarnation)
-        .inspect_err(|e| {
-            tracing::warn!("state directory under TMPDIR can't be opened: {e}; bans end with this process")
-        })
+        .inspect_err(|e| tracing::warn!("no state directory under TMPDIR: {e}; bans end with this process"))
         .ok()
 }
 
