--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -17,7 +17,8 @@
 /// Upper bound of the jitter factor.
 const MAX_JITTER: f64 = 1.5;
 
-/// Delays of one gateway between calls that fail.
+/// Delays of one gateway after calls that fail: before jitter, each is twice the one before, up to a
+/// maximum.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Duration,
--- a/crates/bounded-cache/src/lib.rs
+++ b/crates/bounded-cache/src/lib.rs
@@ -1,8 +1,8 @@
 //! A cache with a fixed capacity. When it is full, it evicts a record whose loss costs little.
 //!
 //! The crate does no I/O and reads no clock. Each record reports what its loss would cost, or that it must
-//! not be evicted. The key of an evicted record starts with a new record when it is seen again. While no
-//! record can be evicted, new keys get none.
+//! not be evicted. While none of the sampled records can be evicted, insertions of new keys fail. An
+//! evicted key starts with a new record when it is inserted again.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -31,7 +31,7 @@
     pub cost: f64,
 }
 
-/// A record that can be evicted.
+/// The record selected for eviction.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     /// Index of its key in the sampling order.
@@ -129,11 +129,11 @@
         self.records.get_mut(key)?.eviction_cost(now)
     }
 
-    /// Checks the next `count` records in sampling order and removes those that are `empty`.
-    pub fn sweep(&mut self, count: usize, mut empty: impl FnMut(&mut T) -> bool) {
+    /// Checks the next `count` records in sampling order and removes those for which `is_empty` returns true.
+    pub fn sweep(&mut self, count: usize, mut is_empty: impl FnMut(&mut T) -> bool) {
         for _ in 0..count {
             let Some(key) = self.sampling_order.pop_front() else { return };
-            if self.records.get_mut(&key).is_some_and(&mut empty) {
+            if self.records.get_mut(&key).is_some_and(&mut is_empty) {
                 self.records.remove(&key);
             } else {
                 self.sampling_order.push_back(key);
--- a/crates/bounded-cache/tests/records.rs
+++ b/crates/bounded-cache/tests/records.rs
@@ -27,9 +27,9 @@
     ) {
         let (mut cache, mut unevictable, mut cost) =
             (BoundedCache::<Record>::new(capacity), HashMap::new(), 0.0);
-        for (key, eviction_cost, becomes_free) in steps {
+        for (key, eviction_cost, becomes_evictable) in steps {
             if let Some(record) = cache.get_mut(key) {
-                if becomes_free {
+                if becomes_evictable {
                     record.0 = Some(0.0);
                     unevictable.remove(&key);
                 }
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -5,36 +5,36 @@
 pub enum Action {
     /// Starts an attempt. The attempts of a request are numbered from 0.
     SendAttempt {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
-        /// Target of the attempt.
+        /// Number of the backend that the attempt is sent to.
         backend: u32,
-        /// Write deadline, ms: the last byte is written by then, or the attempt is not sent. `None`: as long
-        /// as the client waits.
+        /// Write deadline, ms: unless its last byte is written by then, the attempt is not sent. `None`: only
+        /// the request's own deadline applies.
         write_deadline_ms: Option<f64>,
     },
     /// Cancels an attempt.
     CancelAttempt {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
         /// Number of the attempt.
         attempt: u32,
     },
     /// Final answer "rejected": the client can safely retry.
     Reject {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
-        /// Advice to the client when to retry, ms.
+        /// Time after which the client should retry, ms from now; `None` for no advice.
         retry_after_ms: Option<f64>,
     },
     /// Final answer "failed": the request may have been executed.
     Fail {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
     },
     /// Probes a backend.
     Probe {
-        /// Backend to probe.
+        /// Number of the backend to probe.
         backend: u32,
     },
     /// Counter call: adds to a total of the shared counter.
@@ -48,9 +48,9 @@
     },
     /// Sets a timer.
     ScheduleTimer {
-        /// Returned with [`TimerExpired`](super::Event::TimerExpired).
+        /// Token that [`TimerExpired`](super::Event::TimerExpired) returns.
         token: u64,
-        /// Time at which it expires.
+        /// Time at which it expires, ms.
         at_ms: f64,
     },
     /// Sends a message to all other gateways.
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -19,13 +19,13 @@
     pub id: u32,
     /// Key of the backend, the same at all gateways.
     pub key: u64,
-    /// State.
+    /// State on the list.
     pub state: EndpointState,
-    /// Cell.
+    /// Number of its cell.
     pub cell: u32,
-    /// Zone.
+    /// Number of its zone.
     pub zone: u32,
-    /// Instance type.
+    /// Number of its instance type.
     pub instance_type: u32,
     /// Time at which it started, ms; 0 for long ago.
     pub started_ms: f64,
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -46,7 +46,7 @@
     pub units: f64,
     /// Fan-out: number of gateways that can receive requests of this customer.
     pub fan_out: f64,
-    /// Time at which the client gives up, ms.
+    /// Deadline: time at which the client gives up, ms.
     pub deadline_ms: f64,
     /// Whether the client marked it as a retry.
     pub retry: bool,
@@ -79,11 +79,11 @@
     Request(Request),
     /// An attempt ended.
     AttemptEnded {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Backend of the attempt.
+        /// Number of the attempt's backend.
         backend: u32,
         /// Result.
         outcome: Outcome,
@@ -101,21 +101,21 @@
     },
     /// The answer of an attempt has started to be streamed to the client.
     StreamStarted {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
         /// Number of the attempt.
         attempt: u32,
-        /// Backend of the attempt.
+        /// Number of the attempt's backend.
         backend: u32,
     },
     /// The client has disconnected; no answer is due any more.
     ClientDisconnected {
-        /// Request.
+        /// Identifier of the request.
         id: u64,
     },
     /// A probe ended.
     ProbeEnded {
-        /// Probed backend.
+        /// Number of the probed backend.
         backend: u32,
         /// Result.
         outcome: Outcome,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -103,7 +103,7 @@
     pub probes: bool,
     /// Whether rejected clients are told when to retry.
     pub retry_advice: bool,
-    /// Longest such advice, ms.
+    /// Longest time after which a rejected client is told to retry, ms.
     pub max_retry_after_ms: f64,
     /// Time after which a connection that is not established counts as failed, ms.
     pub connect_timeout_ms: f64,
@@ -112,13 +112,13 @@
 /// Slow start: the warm-up of backends, and the load that overloads them.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Least fraction of its capacity that a backend has at its start.
+    /// Minimum fraction of its full capacity that a backend has at its start: above 0, at most 1.
     pub initial_capacity: f64,
     /// Longest time until it has its full capacity, ms.
     pub warm_up_ms: f64,
-    /// Multiple of its present capacity above which work overloads it if it lasts.
+    /// Multiple of its present capacity above which sustained work overloads it.
     pub overload_multiple: f64,
-    /// Time that such work has to last to overload it, ms.
+    /// Time for which such work must be sustained to overload it, ms.
     pub overload_window_ms: f64,
 }
 
@@ -131,7 +131,7 @@
     pub choices: usize,
     /// Size of a gateway's subset, without the backends that are added for `coverage`.
     pub subset_size: u32,
-    /// Least number of gateways that have each backend in their subset, if there are as many.
+    /// Minimum number of gateways that have each backend in their subset, if there are as many.
     pub coverage: u32,
 }
 
--- a/crates/policy/src/policy/endpoint_selection.rs
+++ b/crates/policy/src/policy/endpoint_selection.rs
@@ -1,5 +1,5 @@
-//! Selection of the backend for an attempt: the one with the least expected finish among a few candidates
-//! drawn at random.
+//! Selection of the backend for an attempt: the one that is expected to complete it first, among a few
+//! candidates drawn at random.
 
 use routing::Scope;
 
@@ -32,7 +32,7 @@
 pub(super) struct Selection {
     /// The backend's slot in the index.
     pub(super) slot: usize,
-    /// Expected finish, as a multiple of that of an idle backend.
+    /// Expected completion time, as a multiple of that of an idle backend; 0 if the backend is idle.
     pub(super) slowness: f64,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl Policy {
-    /// Selects the backend with the least expected finish for another attempt of a request.
+    /// Selects the backend that is expected to complete another attempt of a request first.
     pub(super) fn select_backend(&mut self, now: f64, id: u64) -> Option<Selection> {
         self.backends.advance(now);
         let mut random = self.random;
@@ -184,7 +184,7 @@
             Eligibility::Preferred => 0.0,
             _ => slowness * load * noise * zone_cost / preference,
         };
-        let selection = Selection { slot, slowness: self.expected_finish(backend, slowness) };
+        let selection = Selection { slot, slowness: self.expected_completion(backend, slowness) };
         let tried = open.attempts.iter().any(|attempt| attempt.backend == backend.entry.id);
         Some(Candidate { selection, tried, score })
     }
@@ -305,9 +305,9 @@
         [request.plan.min(plans), plans + 1 + request.class]
     }
 
-    /// Returns the expected finish at a backend with the given slowness, as a multiple of that of an idle
-    /// backend; 0 if the backend is idle.
-    fn expected_finish(&self, backend: &Backend, slowness: f64) -> f64 {
+    /// Returns the expected completion time at a backend with the given slowness, as a multiple of that of an
+    /// idle backend; 0 if the backend is idle.
+    fn expected_completion(&self, backend: &Backend, slowness: f64) -> f64 {
         if backend.in_flight <= 0.0 {
             return 0.0;
         }
--- a/crates/policy/src/policy/fleet_load.rs
+++ b/crates/policy/src/policy/fleet_load.rs
@@ -6,10 +6,10 @@
 
 /// Number of mean requests after which a backend's own answers weigh as much as the fleet's slowness.
 pub(crate) const PRIOR_REQUESTS: f64 = 2.0;
-/// Fraction of the latency objective that an expected finish may take; the rest allows for the variance of
-/// the work. If the work is exponentially distributed, 6 of 7 requests are in time at this limit. At a
-/// quarter, 49 of 50 would be; but if objectives are only a few times the work, a fleet that is half busy is
-/// already that slow, and requests would be rejected although there is capacity for them.
+/// Fraction of the latency objective that an expected completion time may take; the rest allows for the
+/// variance of the work. If the work is exponentially distributed, 6 of 7 requests are in time at this limit.
+/// At a quarter, 49 of 50 would be; but if objectives are only a few times the work, a fleet that is half
+/// busy is already that slow, and requests would be rejected although there is capacity for them.
 pub(crate) const OBJECTIVE_FRACTION: f64 = 0.5;
 /// Number of gateways up to which the attempts in flight of one gateway represent the load of all.
 pub(crate) const REPRESENTATIVE_GATEWAYS: f64 = 2.0;
--- a/crates/policy/src/policy/quota/mod.rs
+++ b/crates/policy/src/policy/quota/mod.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Sets the number of processes that serve as this gateway and divide its allowances. Whatever exceeds
-    /// the new part is lost; a part that grows fills at its usual rate.
+    /// Sets the number of processes that serve as this gateway and divide its allowances. If this process's
+    /// part shrinks, its levels shrink in proportion; if it grows, they fill at the usual rate.
     pub(super) fn set_process_count(&mut self, process_count: f64) {
         let factor = (self.process_count / process_count).min(1.0);
         self.ceiling.level *= factor;
@@ -207,13 +207,12 @@
             (self.local_allowance + refilled * LOCAL_ALLOWANCE_FRACTION * even_share).min(max_allowance);
     }
 
-    /// Returns the fraction of past observations that remains after a refill of so many units.
+    /// Returns the fraction of past observations that remains after a refill of `refilled` units.
     fn decay_factor(&self, refilled: f64) -> f64 {
         (-refilled / (self.plan.burst * DECAY_FILL_TIMES).max(f64::MIN_POSITIVE)).exp()
     }
 
-    /// Checks a request of so many units against the limits. For `share_prior`, see
-    /// [`CustomerQuota::own_share`].
+    /// Checks a request against the limits. For `share_prior`, see [`CustomerQuota::own_share`].
     pub(super) fn check(&self, units: f64, share_prior: f64) -> QuotaCheck {
         let has_ceiling = self.plan.ceiling_rate > 0.0;
         let ceiling_scarce = has_ceiling && self.ceiling.level < units;
@@ -285,12 +284,12 @@
         self.demand.with_prior(1.0, units)
     }
 
-    /// Returns the time until the bucket covers so many units, ms.
+    /// Returns the time until the bucket covers `units`, ms.
     pub(super) fn time_to_cover_ms(&self, units: f64) -> f64 {
         (units - self.level) / self.plan.rate * 1000.0
     }
 
-    /// Returns whether at least half of the burst remains after so many units are charged.
+    /// Returns whether at least half of the burst remains after `units` are charged.
     pub(super) fn is_half_full_after(&self, units: f64) -> bool {
         self.level - units >= self.plan.burst / 2.0
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -173,7 +173,7 @@
     SettingsError { field, problem }
 }
 
-/// Stands in for a missing section.
+/// Value of a missing section, so that reading can continue after the error.
 static MISSING_SECTION: Value = Value::Null;
 
 /// Reads a JSON value and reports errors with its path.
--- a/crates/policy/tests/ceiling.rs
+++ b/crates/policy/tests/ceiling.rs
@@ -149,7 +149,7 @@
                 }
             }
         }
-        // Requests of 200 other customers, each of them rare.
+        // A request of one of 200 other customers, each of which sends only once a second on average.
         let other = 1_000 + fleet.random_below(200);
         fleet.submit(now, other, 1.0, lost);
         if now < 20 || now >= quiet_ms && now % 20 == 0 {
@@ -174,8 +174,8 @@
     })]
 
     /// While a customer is quiet, the refill of its full bucket is lost. If the gateways cannot report that
-    /// because the counter is overloaded, each of them would admit it once more. The tolerance of the rule is
-    /// 14 units here, of 66.
+    /// because the counter is overloaded, each of them would admit it once more. The tolerated
+    /// excess is 14 units, with a burst of 66.
     #[test]
     fn ceiling_holds_after_a_quiet_period(
         gateways in 2u32..=8, quiet in 1u64..=24, lost in 0u64..=30, seed in any::<u64>(),
--- a/crates/policy/tests/records.rs
+++ b/crates/policy/tests/customer_records.rs
@@ -7,7 +7,7 @@
 use support::*;
 
 const MAX_CUSTOMERS: usize = 500;
-/// Size of a customer in all tables.
+/// Memory of a customer's record, bytes: the hash table's slot and the key in the sampling order.
 const RECORD_BYTES: usize = 273;
 
 fn rig(shared_counter: bool) -> Rig {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn flood_of_new_customers_is_served_within_capacity() {
+fn many_new_customers_are_served_within_capacity() {
     let (mut rig, mut counter, mut served) = (rig(true), Counter::default(), 0);
     for id in 0..50_000 {
         rig.now += 1.0 / 26.0;
@@ -38,13 +38,13 @@
         assert!(rig.gateway.customer_count() <= MAX_CUSTOMERS, "{} records", rig.gateway.customer_count());
     }
     let (evicted, units) = rig.gateway.evictions();
-    // Each eviction gave back at most the units of its customer's serve_one request.
+    // Each eviction gave back at most the units of its customer's only request.
     assert!(served > 45_000 && evicted > 40_000, "{served} served, {evicted} evicted");
     assert!(units <= evicted as f64 * 0.501, "{units} units for {evicted} records");
 }
 
 #[test]
-fn spent_ceiling_survives_a_flood() {
+fn spent_ceiling_survives_many_new_customers() {
     let (mut rig, mut counter) = (rig(true), Counter::default());
     rig.now += 60_000.0;
     // Plan 1 has a ceiling of 40 units over two gateways, so 20 here.
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn unreported_charges_survive_a_rejected_flood() {
+fn unreported_charges_survive_many_rejected_customers() {
     // Without a counter, charges cannot be reported, so no record may be evicted before its bucket is full.
     let (mut rig, mut counter, mut kept) = (rig(false), Counter::default(), Vec::new());
     for id in 0..5_000 {
@@ -76,7 +76,7 @@
     // Records become evictable as their buckets refill.
     rig.now += 20_000.0;
     let served = (10_000..12_000).filter(|id| serve_one(&mut rig, &mut counter, *id, *id, 0, 1.0)).count();
-    assert!(served >= MAX_CUSTOMERS, "{served} served after that");
+    assert!(served >= MAX_CUSTOMERS, "{served} served after the refill");
 }
 
 #[test]
@@ -92,8 +92,8 @@
     assert!(again <= spent, "{again} after {spent}");
 }
 
-/// The limit that a gateway derives from its memory budget. Operators read this number, and it follows from
-/// the size of a record.
+/// The gateway derives its maximum number of customers from its memory budget and the size of a record. A
+/// larger record would lower that number, which operators rely on.
 #[test]
 fn customer_capacity_follows_from_the_bytes_of_a_record() {
     assert_eq!(Policy::customers_fitting(0), 1);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -10,6 +10,7 @@
     Request { customer: id, deadline_ms: rig.now + 4_000.0, ..request(id, 0, 3, 1.0) }
 }
 
+/// Ends the first attempt of a request successfully.
 fn answer(rig: &mut Rig, id: u64, backend: u32, latency_ms: f64) -> Vec<Action> {
     let (metered_use, actual_units) = (None, None);
     let outcome = Outcome::Ok;
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn slow_backend_gets_less_and_light_load_causes_no_rejections() {
+fn slow_backend_gets_less_work_under_light_load() {
     let mut rig = Rig::new(settings(), 2);
     let backends = serve(&mut rig, 400, 0, |backend| if backend == 0 { 10.0 } else { 30.0 });
     let slow = backends[100..].iter().filter(|b| **b == 1).count();
@@ -360,7 +361,8 @@
     let mut s = Settings { gateway_count: 3, ..settings() };
     s.load_fields = vec![LoadField::Waiting];
     let mut rig = Rig::new(s, 4);
-    let mut to_slow = [0; 2];
+    // Requests sent while the reports are wrong: to backend 0, and to all backends.
+    let mut sent = [0; 2];
     for id in 0..600 {
         rig.now += 25.0;
         let (since, slow) = (rig.now - T0, |at: f64| at > 5_000.0);
@@ -373,10 +375,10 @@
         answer(&mut rig, id, backend, latency);
         // From one second after the slowdown, while the reports still show an empty queue.
         let reported_empty = since > 6_000.0 && since < 5_000.0 + late_ms;
-        to_slow[1] += u32::from(reported_empty);
-        to_slow[0] += u32::from(reported_empty && backend == 0);
+        sent[1] += u32::from(reported_empty);
+        sent[0] += u32::from(reported_empty && backend == 0);
     }
-    assert!(to_slow[1] > 100 && to_slow[0] * 8 < to_slow[1], "{to_slow:?}: an even share is a quarter");
+    assert!(sent[1] > 100 && sent[0] * 8 < sent[1], "{sent:?}: an even share is a quarter");
 }
 
 /// The retry budgets of many gateways together must not cause a retry storm at the first fault.
--- a/crates/policy/tests/large_fleet.rs
+++ b/crates/policy/tests/large_fleet.rs
@@ -142,7 +142,7 @@
 
 /// Charges of requests without a counter call would otherwise be missing in the totals.
 #[test]
-fn calls_also_report_for_skipped_ones() {
+fn calls_report_the_charges_of_skipped_calls() {
     let [_, _, (calls, reported, sent)] = new_customers(1);
     assert!(calls < 20 * GATEWAYS as usize);
     assert!((0.85..1.15).contains(&(reported / sent)), "{reported} reported of {sent}");
--- a/crates/policy/tests/room.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: rejections of requests within their quota. The latency objectives are a few times the mean
-//! service time, and service times vary widely.
+//! Load shedding with widely varying service times, whose mean is only a few times below the latency
+//! objectives: it must not reject requests while the backends are as fast as usual.
 
 mod support;
 
@@ -70,8 +70,8 @@
         let actions = rig.submit(request);
         match sent_to(&actions) {
             Some(backend) => {
-                // The latency does not depend on the load of the backend, so that only the estimate of the
-                // decisions is tested.
+                // The latency does not depend on the load of the backend, so the rejections depend only on how
+                // the gateway estimates the slowness of the fleet.
                 let latency_ms = random.exponential([95.0, 215.0][class])
                     * if next > T0 + 10_000.0 { slowdown } else { 1.0 };
                 in_flight.insert((requests, 0), (backend, latency_ms));
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -11,7 +11,7 @@
 const NEVER_EXECUTED: [Outcome; 2] = [Outcome::Rejected, Outcome::ConnectFailed];
 
 #[test]
-fn unsafe_request_that_may_have_executed_is_failed() {
+fn non_idempotent_request_that_may_have_executed_is_failed() {
     for outcome in MAY_HAVE_EXECUTED {
         let mut rig = Rig::new(settings(), 4);
         let backend = sent_to(&rig.submit(request(1, 2, 3, 1.0))).expect("sent");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn unsafe_request_that_never_executed_is_retried() {
+fn non_idempotent_request_that_never_executed_is_retried() {
     for outcome in NEVER_EXECUTED {
         let mut rig = Rig::new(settings(), 4);
         let backend = sent_to(&rig.submit(request(1, 2, 3, 1.0))).expect("sent");
@@ -171,8 +171,8 @@
     assert!(work > 0.0 && work <= 0.2 * 3.0 * 2_000.0, "{work} ms of work from all gateways");
 }
 
-/// Sends more than the ceiling of plan 1 for some seconds. Returns the units that pass.
-fn flood(rig: &mut Rig, seconds: f64, first: u64) -> f64 {
+/// Submits more units than the ceiling of plan 1 for `seconds`. Returns the units that are sent.
+fn exceed_ceiling(rig: &mut Rig, seconds: f64, first: u64) -> f64 {
     let mut passed = 0.0;
     for step in 0..(seconds * 20.0) as u64 {
         rig.now += 50.0;
@@ -191,13 +191,13 @@
     let mut total = 0.0;
     for _ in 0..2 {
         let mut first = Rig::new(settings(), 4);
-        total += flood(&mut first, 20.0, 0);
+        total += exceed_ceiling(&mut first, 20.0, 0);
         // Killed and restarted: units that were spent before the restart are not available again.
         let now = first.now;
         let mut second =
             Rig { gateway: gateway_policy::Policy::new(settings(), 2, now).expect("settings"), now };
         second.handle(Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &backends(4) });
-        total += flood(&mut second, 20.0, 1_000);
+        total += exceed_ceiling(&mut second, 20.0, 1_000);
     }
     assert!(total <= 40.0 + 4.0 * 40.0, "{total} units exceed the ceiling");
     assert!(total >= 0.5 * 4.0 * 40.0, "{total} units: the refill of the ceiling is not used");
--- a/crates/policy/tests/shared_store.rs
+++ b/crates/policy/tests/shared_store.rs
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Whether the counter is silent now. Empties it at the end of such a fault if the fault says so.
+    /// Returns whether the counter is silent at the current time. The first call after the end of a silent
+    /// fault with `empty` clears all totals.
     fn is_silent(&mut self) -> bool {
         let CounterFault::Silent { from, to, empty } = self.fault else { return false };
         let second = self.now / 1000;
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -4,6 +4,7 @@
 use gateway_policy::interface::*;
 use gateway_policy::Policy;
 
+/// Time at which the tests start, ms.
 pub const T0: f64 = 1_000_000.0;
 
 /// Returns settings for two gateways.
@@ -70,12 +71,14 @@
     }
 }
 
+/// Returns the entries of `n` ready backends, two in each cell.
 pub fn backends(n: u32) -> Vec<BackendEndpoint> {
     let entry =
         |id: u32| BackendEndpoint { id, key: u64::from(id), cell: id / 2, ..BackendEndpoint::default() };
     (0..n).map(entry).collect()
 }
 
+/// Returns a request of customer 7 with a fan-out of 2 and a deadline after ten minutes.
 pub fn request(id: u64, class: usize, plan: usize, units: f64) -> Request {
     let (customer, deadline_ms) = (7, T0 + 600_000.0);
     Request { id, customer, class, plan, units, fan_out: 2.0, deadline_ms, retry: false }
@@ -109,6 +112,7 @@
         self.handle(Event::Request(request))
     }
 
+    /// Ends an attempt after 50 ms. The client has its answer if the outcome is [`Outcome::Ok`].
     pub fn end_attempt(&mut self, id: u64, attempt: u32, backend: u32, outcome: Outcome) -> Vec<Action> {
         self.handle(Event::AttemptEnded {
             id,
@@ -124,6 +128,7 @@
     }
 }
 
+/// Returns the backend of the first attempt in `actions`.
 pub fn sent_to(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|a| match a {
         Action::SendAttempt { backend, .. } => Some(*backend),
@@ -139,6 +144,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
+/// Returns the key and the amount of the first counter call in `actions`.
 pub fn counter_call(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
         Action::IncrementCounter { key, amount, .. } => Some((*key, *amount)),
@@ -146,6 +152,7 @@
     })
 }
 
+/// Returns the token and the time, ms, of each timer in `actions`.
 pub fn timers(actions: &[Action]) -> Vec<(u64, f64)> {
     let timer = |a: &Action| match a {
         Action::ScheduleTimer { token, at_ms } => Some((*token, *at_ms)),
@@ -154,13 +161,14 @@
     actions.iter().filter_map(timer).collect()
 }
 
-/// A shared counter that replies at once.
+/// Totals of a shared counter that answers every call without delay.
 #[derive(Default)]
 pub struct Counter {
     totals: std::collections::BTreeMap<u64, f64>,
 }
 
 impl Counter {
+    /// Adds an amount to a total and returns the new total.
     pub fn add(&mut self, key: u64, amount: f64) -> f64 {
         let total = self.totals.entry(key).or_default();
         *total += amount;
--- a/crates/routing/src/recent_work.rs
+++ b/crates/routing/src/recent_work.rs
@@ -62,7 +62,7 @@
     pub(crate) fn remove_backend(&mut self, now: f64, window_ms: f64, contribution: Contribution) {
         self.backends -= 1;
         self.add_signed(now, window_ms, -1.0, contribution);
-        // Removes the rounding errors when the last backend is gone.
+        // Clears accumulated rounding errors when no backend is left.
         if self.backends == 0 {
             self.sum = DecayingWork::none(now);
             self.shares = 0.0;
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -22,8 +22,9 @@
         let degree = degree(gateways, backends as usize);
         prop_assert!(degree >= f64::from(gateways.min(3)) && degree <= f64::from(gateways));
         for b in 0..backends as usize {
-            let has = all.iter().filter(|t| t[b] < degree).count();
-            prop_assert!(has == degree.floor() as usize || has == degree.ceil() as usize);
+            // Number of gateways that have the backend in their subset.
+            let count = all.iter().filter(|t| t[b] < degree).count();
+            prop_assert!(count == degree.floor() as usize || count == degree.ceil() as usize);
         }
         // The sizes of subsets vary randomly, within five standard deviations of a binomial distribution.
         let mean = degree * f64::from(backends) / f64::from(gateways);
@@ -50,14 +51,14 @@
     fn added_gateway_takes_only_its_share(
         gateways in 2u32..=500, backends in 100u32..=3_000,
     ) {
-        let (gateway, k) = (gateways / 2, 3.0);
+        let (gateway, degree) = (gateways / 2, 3.0);
         let before = thresholds(gateway, gateways, backends);
         let after = thresholds(gateway, gateways + 1, backends);
         // At the same degree, backends only move from this gateway to the new one, and none to this one.
         let pairs = || before.iter().zip(&after);
-        prop_assert_eq!(pairs().filter(|(b, a)| **b >= k && **a < k).count(), 0);
-        let lost = pairs().filter(|(b, a)| **b < k && **a >= k).count() as f64;
-        let had = before.iter().filter(|b| **b < k).count() as f64;
+        prop_assert_eq!(pairs().filter(|(b, a)| **b >= degree && **a < degree).count(), 0);
+        let lost = pairs().filter(|(b, a)| **b < degree && **a >= degree).count() as f64;
+        let had = before.iter().filter(|b| **b < degree).count() as f64;
         let mean = had / f64::from(gateways + 1);
         prop_assert!(lost <= mean + 5.0 * mean.sqrt() + 3.0, "{} lost of {}", lost, had);
     }
@@ -67,9 +68,9 @@
 fn small_fleets_use_every_backend() {
     assert!(thresholds(0, 1, 4_000).into_iter().all(|t| t < degree(1, 4_000)));
     for (gateways, backends) in [(2, 10), (3, 14), (4, 20), (5, 12)] {
-        let most = degree(gateways, backends as usize);
+        let degree = degree(gateways, backends as usize);
         assert!(
-            thresholds(1, gateways, backends).into_iter().all(|t| t < most),
+            thresholds(1, gateways, backends).into_iter().all(|t| t < degree),
             "{gateways} gateways, {backends} backends"
         );
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -29,7 +29,7 @@
         match self {
             RunError::Frame(error) => error.fmt(f),
             RunError::Batch { number, error } => write!(f, "batch {number}: {error}"),
-            RunError::Reply(error) => write!(f, "reply: {error}"),
+            RunError::Reply(error) => write!(f, "cannot write the reply: {error}"),
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -2,7 +2,7 @@
 
 use super::Malformed;
 
-/// Unread big-endian fields of a message. Errors have the name of the message.
+/// Unread big-endian fields of a message. Errors contain the name of the message.
 pub struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
--- a/crates/simulator-adapter/src/wire/frame.rs
+++ b/crates/simulator-adapter/src/wire/frame.rs
@@ -64,5 +64,5 @@
 fn read_up_to(input: &mut dyn Read, count: usize) -> Result<Vec<u8>, Malformed> {
     let mut bytes = Vec::new();
     let read: io::Result<usize> = input.take(count as u64).read_to_end(&mut bytes);
-    read.map(|_| bytes).map_err(|e| Malformed::new(format!("input: {e}")))
+    read.map(|_| bytes).map_err(|e| Malformed::new(format!("cannot read the input: {e}")))
 }
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -88,7 +88,9 @@
                 Event::EndpointsUpdated { scope: UpdateScope::Failed, endpoints: &[] }
             }
             DecodedEvent::EndpointsUpdated { scope, list } => {
-                let endpoints = lists.get(*list).ok_or_else(|| Malformed::new(format!("no list {list}")))?;
+                let endpoints = lists.get(*list).ok_or_else(|| {
+                    Malformed::new(format!("BackendsChanged: endpoint list {list} does not exist"))
+                })?;
                 Event::EndpointsUpdated { scope: *scope, endpoints }
             }
             DecodedEvent::AttemptEnded(ended) => ended.event(),
@@ -133,7 +135,7 @@
 fn endpoint_list<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, Malformed> {
     let list = usize::from(fields.u8("Directory")?);
     if list >= LISTS {
-        return Err(Malformed::new(format!("Directory: no list {list}")));
+        return Err(Malformed::new(format!("Directory: list number {list} is above {}", LISTS - 1)));
     }
     let count = fields.u32("Directory")? as usize;
     let bytes = fields.bytes(count.saturating_mul(ENDPOINT_BYTES), "Directory")?;
@@ -267,6 +269,6 @@
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
         7 => Outcome::NotSent,
-        other => return Err(Malformed::new(format!("unknown reason {other}"))),
+        other => return Err(Malformed::new(format!("unknown outcome code {other}"))),
     })
 }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -19,8 +19,9 @@
 
 /// Size of a reply header: batch number and length of the records.
 const HEADER_BYTES: usize = 8;
-/// Value of the wait field of an attempt: none, so that it waits until the client gives up.
-const NO_WAIT_MS: f64 = 0.0;
+/// Value of the wait field of an attempt without a time limit of its own, ms: the simulator waits for its
+/// answer until the client gives up.
+const NO_WAIT_LIMIT_MS: f64 = 0.0;
 /// Recipient number for a message to all other gateways.
 const ALL_PEERS: u16 = u16::MAX;
 /// Value of the retry advice of a rejection if there is none.
@@ -70,7 +71,7 @@
             // The simulator has no write deadline: attempts are sent at once.
             Action::SendAttempt { id, backend, write_deadline_ms: _ } => {
                 let fields: [&[u8]; 3] =
-                    [&id.to_be_bytes(), &backend.to_be_bytes(), &NO_WAIT_MS.to_be_bytes()];
+                    [&id.to_be_bytes(), &backend.to_be_bytes(), &NO_WAIT_LIMIT_MS.to_be_bytes()];
                 self.put(instance, code::SEND, &fields);
             }
             Action::CancelAttempt { id, attempt } => {
