--- a/crates/policy/tests/customer_records.rs
+++ b/crates/policy/tests/customer_records.rs
@@ -93,7 +93,7 @@
 }
 
 /// The gateway derives its maximum number of customers from its memory budget and the size of a record. A
-/// larger record would lower that number, which operators rely on.
+/// larger record would lower that number, which operators read.
 #[test]
 fn customer_capacity_follows_from_the_bytes_of_a_record() {
     assert_eq!(Policy::customers_fitting(0), 1);
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -70,8 +70,8 @@
         let actions = rig.submit(request);
         match sent_to(&actions) {
             Some(backend) => {
-                // The latency does not depend on the load of the backend, so the rejections depend only on how
-                // the gateway estimates the slowness of the fleet.
+                // The latency does not depend on the load of the backend, so the rejections depend only on
+                // how the gateway estimates the slowness of the fleet.
                 let latency_ms = random.exponential([95.0, 215.0][class])
                     * if next > T0 + 10_000.0 { slowdown } else { 1.0 };
                 in_flight.insert((requests, 0), (backend, latency_ms));
