--- a/crates/agent/src/backend_catalog.rs
+++ b/crates/agent/src/backend_catalog.rs
@@ -96,7 +96,7 @@
         index
     }
 
-    /// Undoes the counts of a replaced or removed list, and frees entries that no gateway lists any more.
+    /// Subtracts a replaced or removed list from the counts. Frees entries that no gateway lists any more.
     fn release(&mut self, list: Option<Box<[ListedEntry]>>) {
         for listed in list.unwrap_or_default() {
             let index = listed.index();
@@ -117,7 +117,7 @@
         self.entries.iter().flatten().map(|entry| &entry.backend)
     }
 
-    /// Whether no gateway has reported its backends yet.
+    /// Whether the catalog holds no gateway's list.
     pub fn is_empty(&self) -> bool {
         self.lists.is_empty()
     }
--- a/crates/agent/src/backend_catalog/tests.rs
+++ b/crates/agent/src/backend_catalog/tests.rs
@@ -1,4 +1,4 @@
-//! Updates and removals of gateways' lists.
+//! Updates and removals of the backend lists of gateways.
 
 use super::*;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn backend_is_listed_and_serving_while_any_gateway_says_so() {
+fn backend_state_combines_the_lists_of_all_gateways() {
     let mut catalog = BackendCatalog::default();
     assert!(catalog.is_empty());
     catalog.update("n0", &[state("a", true), state("b", true)]);
--- a/crates/agent/src/control_loop/registration.rs
+++ b/crates/agent/src/control_loop/registration.rs
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Why a gateway with this name may not register at a new address, if it may not.
+    /// Returns why a gateway may not register with this name at a new address; `None` if it may.
     fn registration_conflict(&self, name: &Name) -> Option<String> {
         let Some(known) = self.gateways.get(name.as_str()) else {
             let is_full = self.gateways.len() >= MAX_GATEWAYS;
--- a/crates/agent/src/gateways.rs
+++ b/crates/agent/src/gateways.rs
@@ -33,7 +33,7 @@
     announced: Health,
 }
 
-/// What an observation shows about a gateway.
+/// Effect of an observation on the record of a gateway.
 pub struct ObservedChange {
     /// Whether the gateway has restarted.
     pub restarted: bool,
--- a/crates/agent/src/order_ledger.rs
+++ b/crates/agent/src/order_ledger.rs
@@ -31,7 +31,7 @@
     pub backends: B,
     /// Names of the reachable gateways.
     pub reachable_gateways: G,
-    /// Whether any gateway has reported its backends.
+    /// Whether the backend list of at least one gateway is known.
     pub has_backend_lists: bool,
     /// Whether the agent manages a gateway with this name, reachable or not.
     pub is_managed: &'a dyn Fn(&str) -> bool,
--- a/crates/agent/src/publication.rs
+++ b/crates/agent/src/publication.rs
@@ -1,4 +1,4 @@
-//! What the control loop publishes to the sessions with gateways.
+//! Publication of the desired state and the newest orders to the sessions with gateways.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,7 +7,8 @@
 use fleet::{DesiredState, Order, Revision, Snapshot};
 use tokio::sync::watch;
 
-/// Maximum number of recent orders to publish. Gateways that have all earlier ones get these, not a snapshot.
+/// Maximum number of recent orders to publish. A session sends these instead of a snapshot to a gateway that
+/// has all earlier orders.
 const MAX_RECENT_ORDERS: usize = 256;
 
 /// The state that gateways are to reach.
--- a/crates/agent/src/start_coordinator.rs
+++ b/crates/agent/src/start_coordinator.rs
@@ -14,7 +14,7 @@
 pub struct StartRequest {
     /// Name of the gateway.
     pub name: Name,
-    /// Number of the gateway's process, new with each start.
+    /// Identifies the gateway's process: a number that differs after each start.
     pub incarnation: u64,
     /// Number of gateways in its fleet.
     pub gateways: u32,
--- a/crates/agent/tests/settling.rs
+++ b/crates/agent/tests/settling.rs
@@ -1,4 +1,4 @@
-//! The agent settles its orders with every 256th since its start or since it last did so.
+//! The agent counts orders from its start. With every 256th, it settles all orders up to that one.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,12 +14,14 @@
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 #[tokio::test]
-async fn settles_orders_with_every_256th() {
+async fn every_256th_order_settles_all_orders() {
     let directory = tempfile::tempdir().expect("temporary directory");
     let base = directory.path().display();
     let text = format!("[agent]\nlisten = \"unix:{base}/agent.sock\"\nlog = \"{base}/log\"");
-    let config =
-        OperatorConfig::parse(Path::new("operator.toml"), &text).expect("valid").agent.expect("an agent");
+    let config = OperatorConfig::parse(Path::new("operator.toml"), &text)
+        .expect("valid configuration")
+        .agent
+        .expect("[agent] section");
     let log = config.log.clone();
     for (orders, expected_floor) in [(255_u64, 0), (256, 511), (257, 767)] {
         let (shutdown, receiver) = oneshot::channel::<()>();
@@ -27,7 +29,9 @@
         let config = config.clone();
         let agent = tokio::spawn(async move {
             let ready = move |_| ready.send(()).expect("receiver exists");
-            run(&config, &[], None, None, ready, async { drop(receiver.await) }).await.expect("it runs");
+            run(&config, &[], None, None, ready, async { drop(receiver.await) })
+                .await
+                .expect("agent runs without errors");
         });
         timeout(TIMEOUT, is_ready).await.expect("before the timeout").expect("agent is ready");
         let stream =
--- a/crates/fleet/src/gateway_record.rs
+++ b/crates/fleet/src/gateway_record.rs
@@ -40,7 +40,7 @@
 pub enum Observation {
     /// The gateway responded.
     Reachable {
-        /// Number of the gateway's process, new with each start.
+        /// Identifies the gateway's process: a number that differs after each start.
         incarnation: u64,
         /// The newest revision that the gateway has applied.
         applied_revision: Revision,
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,8 +1,9 @@
 //! Messages between tools, agent and gateways: one JSON object per line, in both directions.
 //!
 //! Each request has an id, and each response carries the id of its request. A gateway sends one response per
-//! request, in order. The agent may send several responses to one request; the last of them is
-//! [`ToolResponse::Done`], [`ToolResponse::Error`] or the only one.
+//! request, in order. The agent may send several responses to one request. The last of several is
+//! [`ToolResponse::Done`] or [`ToolResponse::Error`]; the events of [`ToolRequest::Watch`] go on until the
+//! connection is closed.
 //!
 //! Names on the wire are fixed for compatibility with peers of other versions. Where a Rust name differs,
 //! `#[serde(rename = ...)]` keeps the wire name. Types keep their wire names in `rename` and `expecting`,
--- a/crates/fleet/src/wire/gateway.rs
+++ b/crates/fleet/src/wire/gateway.rs
@@ -54,7 +54,7 @@
 /// The results of orders at a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Applied {
-    /// Number of the gateway's process, new with each start; below 2^53.
+    /// Identifies the gateway's process: a number that differs after each start; below 2^53.
     #[serde(rename = "boot")]
     pub incarnation: u64,
     /// The newest revision that the gateway has applied.
--- a/crates/fleet/src/wire/gateway_state.rs
+++ b/crates/fleet/src/wire/gateway_state.rs
@@ -12,7 +12,7 @@
     pub name: String,
     /// Version of the gateway's program.
     pub version: String,
-    /// Number of the gateway's process, new with each start; below 2^53.
+    /// Identifies the gateway's process: a number that differs after each start; below 2^53.
     #[serde(rename = "boot")]
     pub incarnation: u64,
     /// The newest revision that the gateway has applied.
@@ -42,22 +42,22 @@
 pub struct GatewayStatistics {
     /// Number of backends on the endpoint list.
     pub listed: u32,
-    /// Those that are serving by the endpoint list.
+    /// Number of backends that are serving according to the endpoint list.
     pub serving: u32,
-    /// Those that are drained by an order.
+    /// Number of backends that an order drains.
     pub drained: u32,
-    /// Those that are ejected as outliers.
+    /// Number of backends that are ejected as outliers.
     pub ejected: u32,
-    /// Those that are warming up.
+    /// Number of backends that are warming up.
     #[serde(rename = "cold")]
     pub warming_up: u32,
-    /// Those that wait for their slot to open a first connection.
+    /// Number of backends that wait for their slot to open a first connection.
     #[serde(default)]
     #[serde(rename = "waiting")]
     pub awaiting_connection: u32,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests: u64,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: u64,
     /// Number of idle connections to backends.
     pub idle_connections: u32,
--- a/crates/fleet/src/wire/tool.rs
+++ b/crates/fleet/src/wire/tool.rs
@@ -69,7 +69,7 @@
     Start {
         /// Name of the gateway.
         name: Name,
-        /// Number of the gateway's process, new with each start; below 2^53.
+        /// Identifies the gateway's process: a number that differs after each start; below 2^53.
         #[serde(rename = "boot")]
         incarnation: u64,
         /// Number of gateways in its fleet.
@@ -82,7 +82,7 @@
     Started {
         /// Name of the gateway.
         name: Name,
-        /// Number of the gateway's process.
+        /// Identifies the gateway's process, as in [`ToolRequest::Start`].
         #[serde(rename = "boot")]
         incarnation: u64,
         /// The call and its outcome.
@@ -104,7 +104,7 @@
     Accepted(OrderAccepted),
     /// The outcome of an order at one gateway.
     Instance(InstanceReport),
-    /// The summary. It is the last response to a request.
+    /// The summary, which is the last response to its request.
     Done(OrderSummary),
     /// The status of all gateways.
     Status(FleetStatus),
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -60,14 +60,14 @@
         picks in prop::collection::vec(any::<prop::sample::Index>(), 0..48),
         shuffle in any::<u64>(),
     ) {
-        let mut order: Vec<&Order> = log.iter().chain(picks.iter().map(|i| i.get(&log))).collect();
+        let mut sequence: Vec<&Order> = log.iter().chain(picks.iter().map(|i| i.get(&log))).collect();
         let mut x = shuffle | 1;
-        for i in (1..order.len()).rev() {
+        for i in (1..sequence.len()).rev() {
             x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            order.swap(i, (x >> 33) as usize % (i + 1));
+            sequence.swap(i, (x >> 33) as usize % (i + 1));
         }
         let mut state = DesiredState::default();
-        for o in &order { drop(state.apply(o)); }
+        for o in &sequence { drop(state.apply(o)); }
         prop_assert_eq!(changes_in(&state), expected_changes(&log));
     }
 
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -23,7 +23,7 @@
 /// Why a connection could not be opened.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// The system's or the TLS library's error, e.g. that nobody listens at the address.
+    /// The system's or the TLS library's error, e.g. because no process listens at the address.
     Io(Address, io::Error),
     /// The connection was not established within the timeout.
     TimedOut(Address),
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -190,8 +190,7 @@
     Ok(TlsAcceptor::from(server_config))
 }
 
-/// Rejects processes of other users. The mode of the socket does so too, but not on every file
-/// system.
+/// Rejects processes of other users. The mode of the socket does so too, but not on every file system.
 fn check_peer(stream: &UnixStream, owner: u32) -> io::Result<()> {
     let user = stream.peer_cred()?.uid();
     if user == owner || user == ROOT_USER {
--- a/crates/transport/tests/access.rs
+++ b/crates/transport/tests/access.rs
@@ -181,8 +181,8 @@
         let (ours, others) =
             (Authority::new(&dir.path().join("ours")), Authority::new(&dir.path().join("others")));
         let any = Address::Tcp("127.0.0.1:0".parse().expect("an address"));
-        let none = Listener::bind(&any, None, MAX_LINE_BYTES).await.expect_err("no certificates");
-        assert!(matches!(none, BindError::Tls(_)), "{none}");
+        let rejected = Listener::bind(&any, None, MAX_LINE_BYTES).await.expect_err("no certificates");
+        assert!(matches!(rejected, BindError::Tls(_)), "{rejected}");
         let server = ours.issue("gateway", &ours);
         let listener = Listener::bind(&any, Some(&server), MAX_LINE_BYTES).await.expect("a listener");
         let address = listener.address().expect("an address");
@@ -211,8 +211,8 @@
         let missing =
             transport::connect(&address, TIMEOUT, MAX_LINE_BYTES).await.expect_err("no client certificate");
         assert!(matches!(missing, ConnectError::NoCertificate(_)), "{missing}");
-        let Address::Tcp(at) = address else { panic!("TCP") };
-        let mut plain = TcpStream::connect(at).await.expect("a listener");
+        let Address::Tcp(tcp_address) = address else { panic!("{address} is not a TCP address") };
+        let mut plain = TcpStream::connect(tcp_address).await.expect("a listener");
         plain.write_all(b"{\"n\":1,\"op\":\"state\"}\n").await.expect("writable connection");
         let mut received = Vec::new();
         let _ = plain.read_to_end(&mut received).await;
@@ -223,9 +223,10 @@
         let untrusted = Listener::bind(&any, Some(&others.issue("gateway", &ours)), MAX_LINE_BYTES)
             .await
             .expect("a listener");
-        let at = untrusted.address().expect("an address");
+        let untrusted_address = untrusted.address().expect("an address");
         let _rejections = spawn_echo(untrusted);
-        let rejected = good.connect(&at, TIMEOUT, MAX_LINE_BYTES).await.expect_err("untrusted server");
+        let rejected =
+            good.connect(&untrusted_address, TIMEOUT, MAX_LINE_BYTES).await.expect_err("untrusted server");
         assert!(rejected.to_string().contains("invalid peer certificate"), "{rejected}");
     });
 }
