--- a/crates/cold-start/src/adaptive_share.rs
+++ b/crates/cold-start/src/adaptive_share.rs
@@ -1,7 +1,7 @@
 //! The fraction of its rounds that a gateway uses, adapted to the responses of the service.
 
-/// Minimum share. It keeps a fleet calling, however long an outage of the service lasts. A service that has
-/// less than this fraction of its stated capacity gets more calls than it can handle.
+/// Minimum share: gateways go on calling a service during an outage, however long it lasts. A service that
+/// has less than this fraction of its stated capacity gets more calls than it can handle.
 pub const MIN_SHARE: f64 = 1.0 / 16.0;
 /// Added to the share by each response.
 const ADDITIVE_INCREASE: f64 = 1.0 / 128.0;
--- a/crates/cold-start/src/call_budget.rs
+++ b/crates/cold-start/src/call_budget.rs
@@ -1,4 +1,4 @@
-//! How many counter calls a gateway makes in the first seconds after its start.
+//! Limit on the counter calls that a gateway makes in the first seconds after its start.
 
 use std::f64::consts::LN_2;
 
--- a/crates/cold-start/src/start_batches.rs
+++ b/crates/cold-start/src/start_batches.rs
@@ -20,7 +20,7 @@
 const MIN_ASK_AGAIN_MS: f64 = 50.0;
 /// Maximum time after which a waiting gateway asks again, ms.
 const MAX_ASK_AGAIN_MS: f64 = 2_000.0;
-/// A gateway that asks again later than this after the given time, ms, loses its position in the queue.
+/// How late a waiting gateway may ask again, ms, before it loses its position in the queue.
 const ASK_AGAIN_GRACE_MS: f64 = 1_000.0;
 /// Age from which a list is fetched again, ms.
 const LIST_FRESH_MS: f64 = 5_000.0;
@@ -83,7 +83,7 @@
     queue: BTreeMap<u64, String>,
     expiries: BTreeSet<Expiry>,
     last_position: u64,
-    /// Earliest time that is not taken by a turn, Unix time in ms.
+    /// Earliest time of the next turn, Unix time in ms.
     free_from_ms: f64,
     /// Length of a round, ms, for the fleet size that the last request stated.
     round_ms: f64,
@@ -128,7 +128,7 @@
     /// Handles a request of a starting or waiting gateway, identified by its name and its incarnation, in a
     /// fleet of `fleet_size` gateways.
     pub fn request_turn(&mut self, now_ms: f64, name: &str, incarnation: u64, fleet_size: u32) -> StartTurn {
-        self.forget_expired(now_ms);
+        self.remove_expired(now_ms);
         let slots = SlotSchedule::new(0, fleet_size, self.calls_per_s);
         self.round_ms = slots.round().as_secs_f64() * 1_000.0;
         let Some(position) = self.queue_position(now_ms, name, incarnation) else {
@@ -146,7 +146,7 @@
         }
         let after_ms = (due_ms - now_ms - MAX_LEAD_MS / 2.0).clamp(MIN_ASK_AGAIN_MS, MAX_ASK_AGAIN_MS);
         let expires_ms = now_ms + after_ms + ASK_AGAIN_GRACE_MS;
-        self.remember(name, incarnation, StartState::Waiting { position }, expires_ms);
+        self.track(name, incarnation, StartState::Waiting { position }, expires_ms);
         StartTurn::AskAgain { after_ms }
     }
 
@@ -164,7 +164,7 @@
                 self.last_position += 1;
                 let position = self.last_position;
                 self.queue.insert(position, name.to_string());
-                self.remember(name, incarnation, StartState::Waiting { position }, now_ms);
+                self.track(name, incarnation, StartState::Waiting { position }, now_ms);
                 Some(position)
             }
         }
@@ -183,7 +183,7 @@
         response_ms: f64,
         has_list: bool,
     ) {
-        self.forget_expired(now_ms);
+        self.remove_expired(now_ms);
         if has_list {
             self.list_fetched_ms = Some(now_ms);
             self.fetch_deadline_ms = None;
@@ -201,7 +201,8 @@
         self.finish(name, incarnation, now_ms);
     }
 
-    /// Whether the gateway whose turn it is should fetch the list for all. If so, the fetch counts as begun.
+    /// Returns whether the gateway that gets a turn should fetch the list for all starting gateways. If
+    /// so, records that the fetch has begun.
     fn claim_fetch(&mut self, now_ms: f64) -> bool {
         let is_fresh = self.list_fetched_ms.is_some_and(|at_ms| now_ms - at_ms < LIST_FRESH_MS);
         let is_being_fetched = self.fetch_deadline_ms.is_some_and(|deadline_ms| now_ms < deadline_ms);
@@ -218,10 +219,10 @@
         {
             self.queue.remove(position);
         }
-        self.remember(name, incarnation, StartState::Done, now_ms + self.round_ms);
+        self.track(name, incarnation, StartState::Done, now_ms + self.round_ms);
     }
 
-    fn remember(&mut self, name: &str, incarnation: u64, state: StartState, expires_ms: f64) {
+    fn track(&mut self, name: &str, incarnation: u64, state: StartState, expires_ms: f64) {
         let expires_us = micros(expires_ms);
         let gateway = StartingGateway { incarnation, state, expires_us };
         if let Some(old) = self.gateways.insert(name.to_string(), gateway) {
@@ -230,12 +231,12 @@
         self.expiries.insert(Expiry { at_us: expires_us, name: name.to_string() });
     }
 
-    fn forget_expired(&mut self, now_ms: f64) {
+    fn remove_expired(&mut self, now_ms: f64) {
         let now_us = micros(now_ms);
         while self.expiries.first().is_some_and(|expiry| expiry.at_us < now_us) {
             let Some(Expiry { name, .. }) = self.expiries.pop_first() else { return };
-            let forgotten = self.gateways.remove(&name).map(|gateway| gateway.state);
-            if let Some(StartState::Waiting { position }) = forgotten {
+            let removed = self.gateways.remove(&name).map(|gateway| gateway.state);
+            if let Some(StartState::Waiting { position }) = removed {
                 self.queue.remove(&position);
             }
         }
--- a/crates/cold-start/tests/call_budget.rs
+++ b/crates/cold-start/tests/call_budget.rs
@@ -40,14 +40,15 @@
         gateways in 1u32..=1_000, wanted_per_s in 1.0..100.0f64
     ) {
         let calls_per_second = simulate(gateways, wanted_per_s, 4, |_| START_MS);
-        let mut all = 0.0;
+        let mut earned = 0.0;
         for (k, calls) in calls_per_second.iter().enumerate() {
             // Calls saved up in earlier seconds may be made in this one.
-            all += 0.9 * CAPACITY_PER_S * 2f64.powi(k as i32 + 1);
-            let most = all.min(f64::from(gateways) * (wanted_per_s + 1.0)) + 0.9 * CAPACITY_PER_S + 2.0;
+            earned += 0.9 * CAPACITY_PER_S * 2f64.powi(k as i32 + 1);
+            let max_calls =
+                earned.min(f64::from(gateways) * (wanted_per_s + 1.0)) + 0.9 * CAPACITY_PER_S + 2.0;
             prop_assert!(
-                (*calls as f64) <= most,
-                "{} in second {k}, {most} allowed of {calls_per_second:?}",
+                (*calls as f64) <= max_calls,
+                "{} in second {k}, {max_calls} allowed of {calls_per_second:?}",
                 calls
             );
         }
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn rate_doubles_every_two_seconds_and_two_calls_are_saved() {
+fn rate_doubles_every_2_s_and_two_calls_are_saved() {
     // A single gateway has the counter's whole capacity, and always attempts more calls.
     let calls = |from: u32, to: u32| {
         let mut budget = CallBudget::new(0, 1, CAPACITY_PER_S, START_MS);
--- a/crates/cold-start/tests/connection_ramp.rs
+++ b/crates/cold-start/tests/connection_ramp.rs
@@ -95,7 +95,7 @@
     /// For any starts, crashes and late timers, a backend gets one first connection per slot, and finally all
     /// backends are open at all gateways. `PROPTEST_RNG_SEED` sets the seed.
     #[test]
-    fn one_first_connection_per_slot_from_fleets_of_any_size(
+    fn fleets_make_one_first_connection_per_slot(
         gateways in 1u32..=1_000,
         backends in 1u32..=20,
         spread_ms in 0.0..20_000.0f64,
@@ -272,7 +272,7 @@
     assert!(!ramp.add(5, 77, 10.0));
     let (at, id) = due(&mut ramp, at);
     assert_eq!(id, Some(5));
-    assert!(!ramp.add(5, 77, 20.0), "a later incarnation is closed");
+    assert!(!ramp.add(5, 77, 20.0), "a later incarnation waits for its slot");
     assert!(!ramp.first_connection_ended(at + 1.0, 5, 10.0, true), "a result for an earlier incarnation");
     assert_eq!((ramp.open_count(), ramp.waiting_count()), (0, 1));
     let (at, id) = due(&mut ramp, at);
--- a/crates/cold-start/tests/service.rs
+++ b/crates/cold-start/tests/service.rs
@@ -13,7 +13,7 @@
 /// Earliest start of a simulation, which is not the beginning of a round.
 const BASE_MS: f64 = 1_764_000_123_457.0;
 
-/// What the service does during an outage.
+/// How the service fails during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outage {
     /// Refuses connections.
@@ -36,8 +36,9 @@
 
 #[derive(Default)]
 struct RunResult {
-    /// Times of all calls, and by gateway, ms since the start.
+    /// Times of all calls, ms since the start.
     calls: Vec<f64>,
+    /// Times of the calls of each gateway, ms since the start.
     by_gateway: Vec<Vec<f64>>,
     /// When each gateway got the list, ms since the start.
     confirmed: Vec<Option<f64>>,
@@ -201,7 +202,7 @@
     /// The last gateway has the list within a round after an outage, or, if calls were lost, after a time
     /// proportional to the outage.
     #[test]
-    fn all_get_the_list_within_a_bounded_time_after_an_outage(
+    fn every_gateway_gets_the_list_after_an_outage(
         gateways in 1u32..=1_000, how in 0usize..3, outage_ms in 500.0f64..20_000.0,
         shift_ms in 0.0f64..60_000.0,
     ) {
--- a/crates/cold-start/tests/start_batches.rs
+++ b/crates/cold-start/tests/start_batches.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn turns_halve_the_start_time_of_a_tenth_of_the_fleet() {
+fn turns_halve_the_start_time_of_few_gateways() {
     let (slots, turns) = (simulate(300, 30, 50.0, false, 14.0), simulate(300, 30, 50.0, true, 14.0));
     assert!(
         turns.last_list_ms() <= 0.5 * slots.last_list_ms(),
@@ -157,8 +157,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In any fleet, no gateway gets the list later than by its slots, and the calls stay within the
-    /// invariant.
+    /// In any fleet, no gateway gets the list later than by its slots, and the rate of calls stays within
+    /// 1.35 times the stated capacity, apart from a constant.
     #[test]
     fn turns_delay_no_gateway_and_stay_within_capacity(
         gateways in 1u32..400, started_fraction in 0.0..1.0f64, capacity_factor in 0.5..2.0f64
@@ -171,11 +171,11 @@
             prop_assert!(result.last_list_ms() <= round + 1_200.0, "{} of {round}", result.last_list_ms());
         }
         for ms in [200.0, 1_000.0, 5_000.0] {
-            let most =
+            let max_calls =
                 1.35 * CAPACITY_PER_S * ms / 1_000.0 + 3.0 + (100.0 + STEP_MS) * CAPACITY_PER_S / 1_000.0;
             prop_assert!(
-                result.max_calls_in(ms) as f64 <= most,
-                "{} in {ms} ms, {most}",
+                result.max_calls_in(ms) as f64 <= max_calls,
+                "{} in {ms} ms, {max_calls} allowed",
                 result.max_calls_in(ms)
             );
         }
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn one_gateway_fetches_the_list_until_it_is_stale_or_times_out() {
+fn list_is_fetched_again_when_stale_or_timed_out() {
     let mut batches = StartBatches::new(CAPACITY_PER_S);
     let fetch = |batches: &mut StartBatches, at: f64, name: &str| {
         turn(batches, START_MS + at, name, 1).map(|(_, f)| f)
