--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -307,16 +307,16 @@
     fn handle_notification(&mut self, now_ms: u64, notification: OwnedNotification<Node>) {
         match notification {
             OwnedNotification::MemberUp(node) => {
-                self.remember(&node, true);
+                self.set_known(&node, true);
                 self.push_change(MemberChange::Up(node));
             }
             OwnedNotification::MemberDown(node) => {
-                self.remember(&node, false);
+                self.set_known(&node, false);
                 self.push_change(MemberChange::Down(node));
             }
             OwnedNotification::Rename(old, new) => {
                 let is_alive = self.known.get(&new.number).is_some_and(|known| known.is_alive);
-                self.remember(&new, is_alive);
+                self.set_known(&new, is_alive);
                 if old.incarnation != new.incarnation {
                     self.push_change(MemberChange::Restarted { old, new });
                 }
@@ -330,7 +330,7 @@
         }
     }
 
-    fn remember(&mut self, node: &Node, is_alive: bool) {
+    fn set_known(&mut self, node: &Node, is_alive: bool) {
         self.known.insert(node.number, KnownNode { node: node.clone(), is_alive });
     }
 }
--- a/crates/membership/src/lease/coordinator.rs
+++ b/crates/membership/src/lease/coordinator.rs
@@ -206,7 +206,8 @@
         higher_ranked.take(turns + 1).count() <= turns
     }
 
-    /// Asks the current lenders for new loans as far as needed, and further members while units are missing.
+    /// Requests loans: from the current lenders as far as units are needed, and from further members while
+    /// units are missing.
     fn borrow_units(&mut self, now_ms: u64, units: u64, view: &MembershipView, outputs: &mut Vec<Output>) {
         let missing = self.need.saturating_sub(units);
         let mut plans = self.plan_repeated_loans(now_ms, units, missing);
--- a/crates/membership/src/lease/holder.rs
+++ b/crates/membership/src/lease/holder.rs
@@ -17,8 +17,8 @@
 pub struct Allocation {
     /// Units; the fleet's bound has [`SLOT_UNITS`](super::SLOT_UNITS) for each member.
     pub units: u64,
-    /// Time of the member's own clock, ms, from which on fewer units may be left. A process that was
-    /// suspended must check its clock before it uses any units.
+    /// Time of the member's own clock, ms, at which `units` expires; fewer units may be left then. A process
+    /// that was suspended must check its clock before it uses any units.
     pub valid_until_ms: u64,
     /// Units that are left from `valid_until_ms` on.
     pub units_after: u64,
@@ -325,7 +325,7 @@
         Allocation {
             units: self.usable_units(now_ms, now_ms),
             valid_until_ms: next_expiry.unwrap_or(u64::MAX),
-            // From then on only units that never expire count, until the allocation is read again.
+            // After the next expiry, only units that never expire count until the allocation is read again.
             units_after: self.usable_units(now_ms, u64::MAX - 1),
         }
     }
--- a/crates/membership/src/lease/mod.rs
+++ b/crates/membership/src/lease/mod.rs
@@ -81,7 +81,7 @@
 /// How much of a slot is granted to a member other than its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Grant {
-    /// Nothing.
+    /// No units.
     Nothing,
     /// [`LENT_UNITS`]: the owner may be alive.
     Lent,
--- a/crates/membership/src/lease/slot_lease.rs
+++ b/crates/membership/src/lease/slot_lease.rs
@@ -23,7 +23,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct SlotLease {
     requests: VecDeque<LeaseRequest>,
+    /// Until when the lent part may be used, ms.
     pub(super) lent_until_ms: u64,
+    /// Until when the whole slot may be used, ms.
     pub(super) whole_until_ms: u64,
 }
 
--- a/crates/membership/tests/detect.rs
+++ b/crates/membership/tests/detect.rs
@@ -32,7 +32,7 @@
     packets: u64,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     members: Vec<Member>,
     queue: BinaryHeap<QueuedEvent>,
@@ -46,8 +46,8 @@
     false_downs: usize,
 }
 
-impl World {
-    fn new(members: u32, loss_rate: f64, seed: u64) -> World {
+impl Simulation {
+    fn new(members: u32, loss_rate: f64, seed: u64) -> Simulation {
         println!("seed {seed}");
         let member = |_| Member {
             detector: None,
@@ -58,7 +58,7 @@
             bytes: 0,
             packets: 0,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
             members: (0..members).map(member).collect(),
             queue: BinaryHeap::new(),
@@ -69,8 +69,8 @@
             downs: BTreeMap::new(),
             false_downs: 0,
         };
-        (0..members).for_each(|i| world.start(i));
-        world
+        (0..members).for_each(|i| simulation.start(i));
+        simulation
     }
 
     fn push(&mut self, at: u64, to: u32, packet: Option<Vec<u8>>) {
@@ -180,24 +180,24 @@
 #[test]
 fn hundreds_join_at_once_and_all_detect_a_crash() {
     for (members, seed) in [(10, 1), (100, 2), (300, 3)] {
-        let mut world = World::new(members, 0.0, seed);
-        let joined = world.run_until_views_agree(10_000);
-        assert_eq!(world.detector(0).view(world.now).alive.len(), members as usize - 1);
-        world.run_until(world.now + 10_000);
-        let started_ms = world.now;
+        let mut simulation = Simulation::new(members, 0.0, seed);
+        let joined = simulation.run_until_views_agree(10_000);
+        assert_eq!(simulation.detector(0).view(simulation.now).alive.len(), members as usize - 1);
+        simulation.run_until(simulation.now + 10_000);
+        let started_ms = simulation.now;
         let (bytes, packets): (u64, u64) =
-            world.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
-        world.run_until(world.now + 10_000);
+            simulation.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
+        simulation.run_until(simulation.now + 10_000);
         let rate = |before: u64, of: fn(&Member) -> u64| {
-            let now: u64 = world.members.iter().map(of).sum();
+            let now: u64 = simulation.members.iter().map(of).sum();
             (now - before) as f64 / 10.0 / f64::from(members)
         };
         let (bytes, packets) = (rate(bytes, |m| m.bytes), rate(packets, |m| m.packets));
-        world.members[7].detector = None;
-        let crashed = world.now;
-        world.run_until(crashed + 12_000);
+        simulation.members[7].detector = None;
+        let crashed = simulation.now;
+        simulation.run_until(crashed + 12_000);
         let mut detected_ms: Vec<u64> =
-            (0..members).filter(|i| *i != 7).map(|i| world.downs[&(i, 7)] - crashed).collect();
+            (0..members).filter(|i| *i != 7).map(|i| simulation.downs[&(i, 7)] - crashed).collect();
         detected_ms.sort_unstable();
         let (first, last) = (detected_ms[0], detected_ms[detected_ms.len() - 1]);
         let p99_ms = detected_ms[detected_ms.len() * 99 / 100];
@@ -208,62 +208,62 @@
         );
         assert!(started_ms > 0 && bytes < 2_000.0);
         assert!(p99_ms <= 6_500, "{p99_ms} ms");
-        assert_eq!(world.count_views(), 1);
-        assert_eq!(world.false_downs, 0);
+        assert_eq!(simulation.count_views(), 1);
+        assert_eq!(simulation.false_downs, 0);
     }
 }
 
 #[test]
 fn packet_loss_causes_no_lasting_suspicion() {
     for (loss_rate, seed) in [(0.05, 4), (0.2, 5)] {
-        let mut world = World::new(60, loss_rate, seed);
-        world.run_until_views_agree(20_000);
-        world.run_until(world.now + 120_000);
-        println!("loss {loss_rate}: {} false detections in 120 s among 60", world.false_downs);
-        assert!(loss_rate > 0.1 || world.false_downs == 0, "{}", world.false_downs);
-        world.run_until_views_agree(60_000);
+        let mut simulation = Simulation::new(60, loss_rate, seed);
+        simulation.run_until_views_agree(20_000);
+        simulation.run_until(simulation.now + 120_000);
+        println!("loss {loss_rate}: {} false detections in 120 s among 60", simulation.false_downs);
+        assert!(loss_rate > 0.1 || simulation.false_downs == 0, "{}", simulation.false_downs);
+        simulation.run_until_views_agree(60_000);
     }
 }
 
 #[test]
 fn views_recover_after_a_partition_and_a_suspension() {
-    let mut world = World::new(60, 0.01, 6);
-    world.run_until_views_agree(10_000);
-    (0..20).for_each(|i| world.members[i as usize].first_side = true);
-    world.partitioned = true;
-    world.run_until(world.now + 30_000);
-    assert_eq!(world.detector(0).view(world.now).alive.len(), 19);
-    assert_eq!(world.detector(30).view(world.now).alive.len(), 39);
-    world.partitioned = false;
-    let agreed_after_ms = world.run_until_views_agree(90_000);
+    let mut simulation = Simulation::new(60, 0.01, 6);
+    simulation.run_until_views_agree(10_000);
+    (0..20).for_each(|i| simulation.members[i as usize].first_side = true);
+    simulation.partitioned = true;
+    simulation.run_until(simulation.now + 30_000);
+    assert_eq!(simulation.detector(0).view(simulation.now).alive.len(), 19);
+    assert_eq!(simulation.detector(30).view(simulation.now).alive.len(), 39);
+    simulation.partitioned = false;
+    let agreed_after_ms = simulation.run_until_views_agree(90_000);
     println!("views agree {agreed_after_ms} ms after a partition of a third");
     // A member that is suspended for 30 s is considered gone and rejoins by itself.
-    world.members[3].suspended = true;
-    world.run_until(world.now + 30_000);
-    assert!(world.detector(30).view(world.now).gone.contains(&3));
-    world.resume(3);
-    let rejoined_after_ms = world.run_until_views_agree(60_000);
+    simulation.members[3].suspended = true;
+    simulation.run_until(simulation.now + 30_000);
+    assert!(simulation.detector(30).view(simulation.now).gone.contains(&3));
+    simulation.resume(3);
+    let rejoined_after_ms = simulation.run_until_views_agree(60_000);
     println!("a member that was suspended for 30 s has rejoined after {rejoined_after_ms} ms");
-    assert!(world.detector(3).local_health() > 0, "late timers did not worsen its local health");
+    assert!(simulation.detector(3).local_health() > 0, "late timers did not worsen its local health");
 }
 
 #[test]
-fn new_incarnation_replaces_old_and_leaver_is_gone_at_once() {
-    let mut world = World::new(30, 0.0, 8);
-    world.run_until_views_agree(10_000);
-    world.members[5].detector = None;
-    world.start(5);
-    world.run_until(world.now + 5_000);
-    world.run_until_views_agree(10_000);
+fn detects_restarted_and_leaving_members() {
+    let mut simulation = Simulation::new(30, 0.0, 8);
+    simulation.run_until_views_agree(10_000);
+    simulation.members[5].detector = None;
+    simulation.start(5);
+    simulation.run_until(simulation.now + 5_000);
+    simulation.run_until_views_agree(10_000);
     assert!((0..30)
         .filter(|i| *i != 5)
-        .all(|i| world.detector(i).alive_nodes().any(|n| n.number == 5 && n.incarnation == 2)));
-    let left = world.now;
-    let outputs = world.members[9].detector.as_mut().expect("the member is running").leave(left);
-    world.send_all(9, outputs);
-    world.members[9].detector = None;
-    world.run_until(left + 4_000);
-    let knows = |i: &u32| world.detector(*i).view(world.now).gone.contains(&9);
+        .all(|i| simulation.detector(i).alive_nodes().any(|n| n.number == 5 && n.incarnation == 2)));
+    let left = simulation.now;
+    let outputs = simulation.members[9].detector.as_mut().expect("the member is running").leave(left);
+    simulation.send_all(9, outputs);
+    simulation.members[9].detector = None;
+    simulation.run_until(left + 4_000);
+    let knows = |i: &u32| simulation.detector(*i).view(simulation.now).gone.contains(&9);
     assert!((0..30).filter(|i| *i != 9).all(|i| knows(&i)), "a member did not learn that 9 left");
 }
 
@@ -278,16 +278,16 @@
 /// A member that was suspended must not consider all others gone when it resumes.
 #[test]
 fn late_timers_worsen_local_health_until_it_recovers() {
-    let mut world = World::new(3, 0.0, 9);
-    world.run_until_views_agree(10_000);
-    assert_eq!(world.detector(1).local_health(), 0);
-    world.members[1].suspended = true;
-    world.run_until(world.now + 1_500);
-    world.resume(1);
-    world.run_until(world.now + 50);
-    assert!(world.detector(1).local_health() > 0);
-    world.run_until(world.now + 30_000);
-    assert_eq!((world.detector(1).local_health(), world.false_downs), (0, 0));
+    let mut simulation = Simulation::new(3, 0.0, 9);
+    simulation.run_until_views_agree(10_000);
+    assert_eq!(simulation.detector(1).local_health(), 0);
+    simulation.members[1].suspended = true;
+    simulation.run_until(simulation.now + 1_500);
+    simulation.resume(1);
+    simulation.run_until(simulation.now + 50);
+    assert!(simulation.detector(1).local_health() > 0);
+    simulation.run_until(simulation.now + 30_000);
+    assert_eq!((simulation.detector(1).local_health(), simulation.false_downs), (0, 0));
 }
 
 #[test]
@@ -295,24 +295,24 @@
 fn measure() {
     let seeds: u64 = std::env::var("DETECT_SEEDS").map_or(10, |s| s.parse().expect("a number"));
     let (mut firsts, mut all) = (Vec::new(), Vec::new());
-    let mut world = World::new(300, 0.0, 11);
-    world.run_until_views_agree(20_000);
+    let mut simulation = Simulation::new(300, 0.0, 11);
+    simulation.run_until_views_agree(20_000);
     for i in 0..seeds {
-        let moment = world.now + 1_000 + world.rng.random_range(0..1_000);
-        world.run_until(moment);
+        let moment = simulation.now + 1_000 + simulation.rng.random_range(0..1_000);
+        simulation.run_until(moment);
         let victim = (i * 7 % 300) as u32;
-        world.members[victim as usize].detector = None;
-        let crashed = world.now;
-        world.run_until(crashed + 15_000);
+        simulation.members[victim as usize].detector = None;
+        let crashed = simulation.now;
+        simulation.run_until(crashed + 15_000);
         let detected_ms: Vec<u64> = (0..300)
-            .filter(|j| world.members[*j as usize].detector.is_some())
-            .filter_map(|j| world.downs.get(&(j, victim)).filter(|at| **at >= crashed))
+            .filter(|j| simulation.members[*j as usize].detector.is_some())
+            .filter_map(|j| simulation.downs.get(&(j, victim)).filter(|at| **at >= crashed))
             .map(|at| at - crashed)
             .collect();
         firsts.push(*detected_ms.iter().min().expect("some member detected the crash"));
         all.extend(detected_ms);
-        world.start(victim);
-        world.run_until(world.now + 5_000);
+        simulation.start(victim);
+        simulation.run_until(simulation.now + 5_000);
     }
     firsts.sort_unstable();
     all.sort_unstable();
@@ -325,16 +325,16 @@
         at(&all, 99),
         at(&all, 100)
     );
-    let mut world = World::new(300, 0.05, 12);
-    world.run_until_views_agree(60_000);
-    let (b, p) = world.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
+    let mut simulation = Simulation::new(300, 0.05, 12);
+    simulation.run_until_views_agree(60_000);
+    let (b, p) = simulation.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
     let duration_s: u64 = std::env::var("DETECT_S").map_or(600, |s| s.parse().expect("a number"));
-    world.run_until(world.now + duration_s * 1_000);
-    let (b2, p2) = world.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
+    simulation.run_until(simulation.now + duration_s * 1_000);
+    let (b2, p2) = simulation.members.iter().fold((0, 0), |(b, p), m| (b + m.bytes, p + m.packets));
     println!(
         "{} false detections in {duration_s} s among 300 at a loss of 0.05; {} B, {:.1} packets per \
          second each",
-        world.false_downs,
+        simulation.false_downs,
         (b2 - b) / duration_s / 300,
         (p2 - p) as f64 / duration_s as f64 / 300.0
     );
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -84,14 +84,14 @@
     Refused(u32),
 }
 
-struct World {
+struct SlotModel {
     flaw: Flaw,
     limits: EventLimits,
     /// How far each clock advances in a tick, ms.
     rates: [u64; 3],
 }
 
-impl World {
+impl SlotModel {
     fn clock(&self, state: &State, node: u32) -> u64 {
         // Clocks have different origins, all in the distant past.
         1_000 * (u64::from(node) + 1) + state.now * self.rates[node as usize]
@@ -144,12 +144,12 @@
                 let GrantedLoan { units, duration_ms } = node.holder.lend(now, from, units, u64::MAX);
                 Some(Message::Loan { request_id, units, duration_ms })
             }
-            Message::Renewed { request_id, granted: out } => {
-                node.holder.renewal_answered(from.number, request_id, out);
+            Message::Renewed { request_id, granted } => {
+                node.holder.renewal_answered(from.number, request_id, granted);
                 None
             }
-            Message::Claimed { request_id, slot, grant: given } => {
-                node.holder.claim_answered(from.number, request_id, slot, given);
+            Message::Claimed { request_id, slot, grant } => {
+                node.holder.claim_answered(from.number, request_id, slot, grant);
                 None
             }
             Message::Loan { request_id, units, duration_ms } => {
@@ -159,8 +159,8 @@
         };
         // Losing a response that grants nothing has the same effect as delivering it.
         let grants_nothing = |response: &Message| match response {
-            Message::Renewed { granted: out, .. } => *out == Grant::Whole,
-            Message::Claimed { grant: given, .. } => *given == Grant::Nothing,
+            Message::Renewed { granted, .. } => *granted == Grant::Whole,
+            Message::Claimed { grant, .. } => *grant == Grant::Nothing,
             Message::Loan { units, .. } => *units == 0,
             _ => false,
         };
@@ -175,7 +175,7 @@
     }
 }
 
-impl Model for World {
+impl Model for SlotModel {
     type State = State;
     type Action = Action;
 
@@ -306,14 +306,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(WITHIN_SLOT, |world: &World, state: &State| world.sum(state) <= SLOT_UNITS),
-            Property::sometimes(OWNER_HAS_ALL, |world: &World, state: &State| {
+            Property::always(WITHIN_SLOT, |model: &SlotModel, state: &State| model.sum(state) <= SLOT_UNITS),
+            Property::sometimes(OWNER_HAS_ALL, |model: &SlotModel, state: &State| {
                 let owner = &state.nodes[OWNER as usize];
-                owner.running && owner.holder.allocation(world.clock(state, OWNER)).units == SLOT_UNITS
+                owner.running && owner.holder.allocation(model.clock(state, OWNER)).units == SLOT_UNITS
             }),
-            Property::sometimes(ANOTHER_HAS_ALL, |world: &World, state: &State| {
+            Property::sometimes(ANOTHER_HAS_ALL, |model: &SlotModel, state: &State| {
                 let other = &state.nodes[1];
-                other.running && other.holder.allocation(world.clock(state, 1)).units == SLOT_UNITS
+                other.running && other.holder.allocation(model.clock(state, 1)).units == SLOT_UNITS
             }),
         ]
     }
@@ -326,7 +326,7 @@
 /// Returns the names of the properties that were discovered among all states within `depth` events.
 fn discovered(flaw: Flaw, limits: EventLimits, rates: [u64; 3], depth: usize) -> Vec<&'static str> {
     let checker =
-        World { flaw, limits, rates }.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
+        SlotModel { flaw, limits, rates }.checker().threads(1).target_max_depth(depth).spawn_bfs().join();
     let discovered: Vec<&str> = checker.discoveries().into_keys().collect();
     println!(
         "{flaw:?}: {} states, depth {}: {discovered:?}",
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn leases_start_at_the_request_and_replaced_requests_are_ignored() {
+fn leases_start_at_request_and_ignore_replaced_requests() {
     let mut holder = LeaseHolder::new(TERMS, OTHER, 0);
     let first = holder.request_claim(NOW, 0).expect("the request is allowed");
     for later in 1..=MAX_PENDING_REQUESTS as u64 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn whole_slot_is_granted_a_lease_after_owner_is_unreachable() {
+fn whole_slot_is_granted_a_lease_after_refusal() {
     let mut grantor = grantor();
     grantor.renew(NOW, OWNER);
     grantor.owner_unreachable(NOW + 1_010, OWNER);
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -92,12 +92,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Links {
-    Whole,
+    Connected,
     Partition,
     OneWayPartition,
 }
 
-struct World {
+struct Simulation {
     scenario: Scenario,
     terms: LeaseTerms,
     now: u64,
@@ -115,8 +115,8 @@
     messages: u64,
 }
 
-impl World {
-    fn new(scenario: Scenario) -> World {
+impl Simulation {
+    fn new(scenario: Scenario) -> Simulation {
         println!("seed {}", scenario.seed);
         let terms = LeaseTerms {
             members: scenario.members,
@@ -146,7 +146,7 @@
         });
         let nodes = nodes.collect();
         let (queue, utilization) = (BinaryHeap::new(), Vec::new());
-        let mut world = World {
+        let mut simulation = Simulation {
             scenario,
             terms,
             now: 0,
@@ -154,21 +154,21 @@
             queue,
             sequence: 0,
             rng,
-            links: Links::Whole,
+            links: Links::Connected,
             utilization,
             need_factor: 1.0,
             max_sum: 0,
             messages: 0,
         };
-        (0..world.scenario.members).for_each(|i| world.start(i));
-        world.at(SAMPLE_MS, Event::Sample);
-        for i in 0..world.scenario.faults.len() {
-            world.at(world.scenario.faults[i].0, Event::Fault(i));
+        (0..simulation.scenario.members).for_each(|i| simulation.start(i));
+        simulation.schedule(SAMPLE_MS, Event::Sample);
+        for i in 0..simulation.scenario.faults.len() {
+            simulation.schedule(simulation.scenario.faults[i].0, Event::Fault(i));
         }
-        world
+        simulation
     }
 
-    fn at(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, after: u64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((self.now + after, self.sequence, event)));
     }
@@ -189,7 +189,7 @@
             seed,
         ));
         let incarnation = node.incarnation;
-        self.at(0, Event::Tick(i, incarnation));
+        self.schedule(0, Event::Tick(i, incarnation));
     }
 
     fn first_members(&self, thousandths: u32) -> std::ops::Range<u32> {
@@ -231,7 +231,7 @@
                 for i in suspended {
                     (self.nodes[i as usize].suspended, self.nodes[i as usize].changed_ms) = (false, now);
                     let incarnation = self.nodes[i as usize].incarnation;
-                    self.at(0, Event::Tick(i, incarnation));
+                    self.schedule(0, Event::Tick(i, incarnation));
                 }
             }
             Fault::Partition(part) | Fault::OneWayPartition(part) => {
@@ -244,7 +244,7 @@
                 self.nodes.iter_mut().for_each(|node| node.changed_ms = now);
             }
             Fault::Heal => {
-                self.links = Links::Whole;
+                self.links = Links::Connected;
                 self.nodes.iter_mut().for_each(|node| (node.first_side, node.changed_ms) = (false, now));
             }
         }
@@ -253,7 +253,7 @@
     /// Whether the network delivers a message from one member to another.
     fn delivers(&self, from: u32, to: u32) -> bool {
         let (from, to) = (self.nodes[from as usize].first_side, self.nodes[to as usize].first_side);
-        from == to || self.links == Links::Whole || self.links == Links::OneWayPartition && to
+        from == to || self.links == Links::Connected || self.links == Links::OneWayPartition && to
     }
 
     fn view(&self, by: u32) -> MembershipView {
@@ -282,7 +282,7 @@
                     for _ in 0..times {
                         if self.rng.random::<f64>() >= self.scenario.loss_rate {
                             let after = delay(&mut self.rng, self.scenario.delay_ms);
-                            self.at(after, Event::Deliver { from, to, incarnation, message });
+                            self.schedule(after, Event::Deliver { from, to, incarnation, message });
                         }
                     }
                 }
@@ -294,7 +294,7 @@
                         && self.delivers(owner.number, from.number)
                     {
                         let after = delay(&mut self.rng, self.scenario.delay_ms);
-                        self.at(
+                        self.schedule(
                             after,
                             Event::Probed { by: from.number, by_incarnation: from.incarnation, owner },
                         );
@@ -316,7 +316,7 @@
                 let outputs = coordinator.tick(clock, (node.need as f64 * self.need_factor) as u64, &view);
                 let after = coordinator.next_tick_ms().saturating_sub(clock).max(1);
                 self.send_all(Member { number: i, incarnation }, outputs);
-                self.at(after, Event::Tick(i, incarnation));
+                self.schedule(after, Event::Tick(i, incarnation));
             }
             Event::Deliver { from, to, incarnation, message } => {
                 if !self.delivers(from.number, to) {
@@ -324,7 +324,7 @@
                 }
                 // A suspended member reads its messages when it resumes.
                 if self.nodes[to as usize].suspended {
-                    return self.at(50, event);
+                    return self.schedule(50, event);
                 }
                 let clock = self.clock(to);
                 let node = &mut self.nodes[to as usize];
@@ -349,7 +349,7 @@
             }
             Event::Sample => {
                 self.sample();
-                self.at(SAMPLE_MS, Event::Sample);
+                self.schedule(SAMPLE_MS, Event::Sample);
             }
             Event::Fault(i) => self.fault(self.scenario.faults[i].1),
         }
@@ -383,7 +383,7 @@
         ));
     }
 
-    fn run(mut self) -> World {
+    fn run(mut self) -> Simulation {
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at > self.scenario.duration_ms {
                 break;
@@ -406,17 +406,17 @@
 }
 
 #[test]
-fn uses_most_of_the_bound_healthy_a_third_down_or_partitioned() {
+fn most_of_the_bound_is_used_despite_faults() {
     for (members, seed) in [(30, 1), (30, 2), (300, 3)] {
         let scenario = Scenario { members, seed, ..Scenario::default() };
-        let healthy = World::new(scenario.clone()).run();
+        let healthy = Simulation::new(scenario.clone()).run();
         let (all, _, equal_shares) = healthy.mean(15_000, 30_000);
         let per_s = healthy.messages as f64 / 30.0 / f64::from(members);
         println!(
             "{members} healthy: {all:.3}, equal shares {equal_shares:.3}, {per_s:.1} messages per second each"
         );
         assert!(all >= 0.95 && equal_shares < 0.9 && per_s < 25.0);
-        let third_down = World::new(Scenario {
+        let third_down = Simulation::new(Scenario {
             faults: vec![(10_000, Fault::Crash(333))],
             duration_ms: 45_000,
             ..scenario.clone()
@@ -425,7 +425,7 @@
         let (third, _, equal_shares) = third_down.mean(25_000, 45_000);
         println!("{members} a third down: {third:.3}, equal shares {equal_shares:.3}");
         assert!(third >= 0.85 && equal_shares < 0.7);
-        let partitioned = World::new(Scenario {
+        let partitioned = Simulation::new(Scenario {
             faults: vec![(10_000, Fault::Partition(400)), (40_000, Fault::Heal)],
             duration_ms: 60_000,
             ..scenario
@@ -474,7 +474,7 @@
             duration_ms,
             ..defaults
         };
-        let world = World::new(scenario).run();
-        prop_assert!(world.max_sum > 0 || loss_rate > 0.0 || delay_ms > 2_000);
+        let simulation = Simulation::new(scenario).run();
+        prop_assert!(simulation.max_sum > 0 || loss_rate > 0.0 || delay_ms > 2_000);
     }
 }
