--- a/crates/cold-start/src/call_budget.rs
+++ b/crates/cold-start/src/call_budget.rs
@@ -6,8 +6,8 @@
 
 /// Fraction of the counter's capacity that a fleet uses at first.
 const INITIAL_UTILIZATION: f64 = 0.5;
-/// Time in which the rate doubles, ms. The limit that is learned from the counter's responses grows by 0.6 in
-/// this time.
+/// Time in which the rate doubles, ms. The call probability, by which a gateway throttles its calls according
+/// to the counter's responses, grows by 0.6 in this time.
 const DOUBLING_MS: f64 = 2_000.0;
 /// Number of doublings after which the budget no longer limits calls.
 const DOUBLINGS: f64 = 6.0;
@@ -19,7 +19,7 @@
 /// Without it, the gateways of a fleet that start at the same time would make every call until each of them
 /// had learned from timeouts that the counter is overloaded. So a gateway starts in its slot of the shared
 /// round, with half of its share of the counter's capacity, and doubles its rate every two seconds (slow
-/// start as in TCP, RFC 5681), until only the learned limit applies. During these seconds it decides more
+/// start as in TCP, RFC 5681), until only the throttling applies. During these seconds it decides more
 /// often by quota shares instead of counter calls.
 #[derive(Clone, Copy, Debug)]
 pub struct CallBudget {
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -185,7 +185,7 @@
 }
 
 fn tls_acceptor(tls: Option<&TlsConfig>) -> Result<TlsAcceptor, TlsError> {
-    let config = tls.ok_or_else(|| TlsError::Invalid("TCP needs them, and none are configured".into()))?;
+    let config = tls.ok_or_else(|| TlsError::Invalid("required for TCP, but not configured".into()))?;
     let server_config = TlsFiles::read(config)?.server()?;
     Ok(TlsAcceptor::from(server_config))
 }
