--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/listen.rs
@@ -185,13 +185,12 @@
 }
 
 fn tls_acceptor(tls: Option<&TlsConfig>) -> Result<TlsAcceptor, TlsError> {
-    let config = tls.ok_or_else(|| TlsError::Invalid("TCP needs them, and none are configured".into()))?;
+    let config = tls.ok_or_else(|| TlsError::Invalid("required for TCP, but not configured".into()))?;
     let server_config = TlsFiles::read(config)?.server()?;
     Ok(TlsAcceptor::from(server_config))
 }
 
-/// Rejects processes of other users. The mode of the socket does so too, but not on every file
-/// system.
+/// Rejects processes of other users. The mode of the socket does so too, but not on every file system.
 fn check_peer(stream: &UnixStream, owner: u32) -> io::Result<()> {
     let user = stream.peer_cred()?.uid();
     if user == owner || user == ROOT_USER {
