--- a/crates/dns-sd/src/catalogue.rs
+++ b/crates/dns-sd/src/catalogue.rs
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Keeps the listed instances of a service whose instances are unknown, and follows their records
-    /// further.
+    /// Keeps the listed instances of a service whose instances are unknown, and continues to follow their
+    /// records.
     fn keep_instances_of(&mut self, service: &Name) {
         self.update.unknown_services += 1;
         let instances = self.listed.values().map(|listed| &listed.endpoint.instance);
--- a/crates/dns-sd/tests/answers.rs
+++ b/crates/dns-sd/tests/answers.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn compression_loops_end() {
+fn compression_pointer_loops_are_rejected() {
     let mut bytes = vec![0x12, 0x34, 0x81, 0x80, 0, 1, 0, 0, 0, 0, 0, 0];
     bytes.extend([0xc0, 12, 0, 12, 0, 1]);
     assert!(matches!(decode_answer(&bytes, ID, &question()), Err(AnswerError::Malformed(_))));
--- a/crates/dns-sd/tests/lifetimes.rs
+++ b/crates/dns-sd/tests/lifetimes.rs
@@ -40,7 +40,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn every_question_has_one_query_in_flight_and_falls_due(
+    fn question_has_at_most_one_query_and_falls_due(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let limits = CacheLimits { max_queries_in_flight: 5, ..CacheLimits::default() };
@@ -136,7 +136,7 @@
     let counts = [65_000.0, 70_000.0, 75_000.0, 80_000.0].map(|at| due_by(&mut cache, at));
     assert_eq!(counts.iter().sum::<usize>(), 1_000);
     assert!(counts.iter().all(|n| (200..300).contains(n)), "{counts:?}");
-    let first = all.first().expect("some").clone();
+    let first = all.first().expect("at least one question").clone();
     let records = vec![RecordData::Address([127, 0, 0, 1].into())];
     cache.record_answer(80_000.0, &first, Answer::Records { records, ttl_s: 0 });
     assert!(cache.take_due(80_599.0).is_empty());
--- a/crates/dns-sd/tests/lists.rs
+++ b/crates/dns-sd/tests/lists.rs
@@ -45,7 +45,8 @@
         }
         let failing = harness.cache.failing_queries().next().expect("a failing query");
         assert!(failing.since_ms < 61_000.0 && failing.reason == error);
-        // Each question is asked at most once in 22 to 30 s, whatever the TTLs of its records.
+        // At the maximum backoff of 30 s, jitter leaves at least 22.5 s between two queries of a question.
+        // Ten more allow for the shorter backoffs before.
         let questions = harness.cache.size().followed;
         let max_queries = HOUR / 22_500.0 * questions as f64 + 10.0 * questions as f64;
         assert!((harness.queries as f64) < max_queries, "{} of {max_queries}", harness.queries);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn removed_instance_leaves_with_its_ttl_and_returns() {
+fn instance_is_removed_within_ttl_and_added_again() {
     let mut harness = harness(&["t1", "t2", "t3", "t4"]);
     harness.remove_pointer("t2");
     let changes = harness.advance(60_000.0);
@@ -84,7 +85,7 @@
     assert_eq!(harness.confirmation_queries, 0);
     harness.add_pointer("t2");
     assert_eq!(harness.advance(60_000.0), [Change::Added("t2".to_string())]);
-    let (_, back) = harness.catalogue.list().find(|(n, _)| *n == "t2").expect("back");
+    let (_, back) = harness.catalogue.list().find(|(n, _)| *n == "t2").expect("t2 is listed again");
     assert_eq!(back.address.port(), 9_001);
 }
 
--- a/crates/endpoint-sources/src/resolver.rs
+++ b/crates/endpoint-sources/src/resolver.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{timeout_at, Instant};
 
-/// Maximum number of unrelated datagrams that a query ignores, so that a flood of forged ones ends it.
+/// Number of unrelated datagrams after which an attempt fails, so that a flood of forged ones ends it.
 const MAX_UNRELATED_DATAGRAMS: usize = 64;
 
 /// An answer and how it was obtained.
--- a/crates/endpoint-sources/src/table.rs
+++ b/crates/endpoint-sources/src/table.rs
@@ -78,7 +78,8 @@
 pub struct EndpointTable {
     index: u64,
     known: bool,
-    /// Tombstones of versions up to this one may have been discarded.
+    /// Tombstones of versions up to this one may have been discarded, so deltas begin at this version or a
+    /// later one.
     oldest_delta_base: u64,
     /// Endpoints by name, including tombstones.
     entries: BTreeMap<String, VersionedEndpoint>,
@@ -154,8 +155,8 @@
 
     /// Returns the update for a reader that has version `after`, or no version yet.
     ///
-    /// It is a snapshot if `after` comes from another start of the agent or is older than the discarded
-    /// tombstones.
+    /// It is a snapshot if `after` is `None`, comes from another start of the agent, or is older than a
+    /// discarded tombstone; otherwise it is a delta.
     #[must_use]
     pub fn updates_after(&self, after: Option<u64>) -> TableUpdate<'_> {
         let after = after.filter(|after| (self.oldest_delta_base..=self.index).contains(after));
--- a/crates/endpoint-sources/tests/resolver.rs
+++ b/crates/endpoint-sources/tests/resolver.rs
@@ -62,7 +62,7 @@
     // Without a genuine answer after them the query fails; it does not yield a negative answer.
     dns.set_answer_fault(AnswerFault::WrongId);
     let resolver = Resolver::new(vec![dns.address], SHORT_TIMEOUT);
-    let failure = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
+    let failure = resolver.query(&question(QueryType::Ptr), false).await.expect_err("no usable answer");
     assert!(failure.to_string().contains("no answer in time"), "{failure}");
 }
 
@@ -110,8 +110,8 @@
     let dns = zone(3).await;
     dns.set_answer_fault(AnswerFault::Truncated);
     let resolver = Resolver::new(vec![dns.address], TIMEOUT);
-    let failure = resolver.query(&question(QueryType::Ptr), false).await.expect_err("none");
+    let failure = resolver.query(&question(QueryType::Ptr), false).await.expect_err("no usable answer");
     assert!(failure.to_string().contains("truncated"), "{failure}");
     let none = Resolver::new(Vec::new(), TIMEOUT).query(&question(QueryType::Ptr), false).await;
-    assert!(none.expect_err("none").to_string().contains("no resolver"));
+    assert!(none.expect_err("no usable answer").to_string().contains("no resolver"));
 }
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -28,7 +28,7 @@
 /// Assignment of a plan to a customer from an instant on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// Start, Unix time in ms; 0 means since always.
+    /// Start, Unix time in ms; 0 if the plan applies at all times before the next assignment.
     pub from_ms: u64,
     /// The plan version.
     pub plan: Plan,
--- a/crates/plans/src/timeline.rs
+++ b/crates/plans/src/timeline.rs
@@ -119,8 +119,9 @@
         self.spans(from_ms, to_ms).map(|span| span.limits.rate * span.duration_ms / 1000.0).sum()
     }
 
-    /// Returns the level of the quota's token bucket at `now_ms`. `total` is the sum of all charges and of
-    /// all overflowed refill since the window began.
+    /// Returns the level of the quota's token bucket at `now_ms` in a window that began at `window_ms`, both
+    /// Unix time in ms. `total` is the sum, in units, of all charges since then and of all refill that
+    /// exceeded the size of the bucket.
     ///
     /// The level may be below 0 after a plan was lowered; nothing is admitted until refill has made up for
     /// it.
@@ -129,15 +130,16 @@
         self.limits_at(now_ms).burst + self.refill(window_ms, now_ms) - total
     }
 
-    /// Converts a level at `from_ms` to the limits at `to_ms` with the same debt and without refill.
+    /// Converts a level, units, at `from_ms` to the limits at `to_ms` with the same debt and without refill.
+    /// Both times are Unix time in ms.
     #[must_use]
     pub fn carry_level(&self, level: f64, from_ms: u64, to_ms: u64) -> f64 {
         level + self.limits_at(to_ms).burst - self.limits_at(from_ms).burst
     }
 
     /// Returns the error of the level, units, at a gateway that still uses an older timeline `known`, at
-    /// `now_ms` in a window that began at `window_ms`. If it is above 0, that gateway may admit this many
-    /// units too much.
+    /// `now_ms` in a window that began at `window_ms`, both Unix time in ms. If it is above 0, that gateway
+    /// may admit this many units too much.
     #[must_use]
     pub fn level_error(&self, known: &PlanTimeline, window_ms: u64, now_ms: u64) -> f64 {
         known.level(0.0, window_ms, now_ms) - self.level(0.0, window_ms, now_ms)
--- a/crates/plans/tests/reservations.rs
+++ b/crates/plans/tests/reservations.rs
@@ -33,8 +33,8 @@
     ));
     assert!(ledger.expire(4_999).is_empty());
     // A confirmed reservation also ends with its lease.
-    assert_eq!(ledger.confirm(token).expect("open").state, ReservationState::Confirmed);
-    ledger.extend(4_000, token, 5_000).expect("open");
+    assert_eq!(ledger.confirm(token).expect("an open reservation").state, ReservationState::Confirmed);
+    ledger.extend(4_000, token, 5_000).expect("an open reservation");
     assert!(ledger.expire(8_999).is_empty());
     let ended = ledger.expire(9_000);
     assert_eq!(
@@ -49,7 +49,10 @@
 fn repeated_order_keeps_its_reservation_and_takeover_fences() {
     let (mut ledger, limits) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     let first = ledger.reserve(0, request("a", 20.0, 10, 20), &limits).expect("reserved").token;
-    assert_eq!(ledger.reserve(1, request("a", 20.0, 10, 20), &limits).expect("the same").token, first);
+    assert_eq!(
+        ledger.reserve(1, request("a", 20.0, 10, 20), &limits).expect("the same reservation").token,
+        first
+    );
     assert_eq!(ledger.open().count(), 1);
     assert_eq!(
         ledger.reserve(1, request("a", 21.0, 10, 20), &limits),
@@ -61,7 +64,7 @@
     assert_eq!(ledger.confirm(first), Err(ReservationError::Fenced));
     assert_eq!(ledger.release(3, first), Err(ReservationError::Fenced));
     assert!(ledger.confirm(second).is_ok());
-    assert_eq!(ledger.release(4, second).expect("open").end, EndReason::Released);
+    assert_eq!(ledger.release(4, second).expect("an open reservation").end, EndReason::Released);
     assert_eq!(ledger.release(5, second), Err(ReservationError::Ended(EndReason::Released)));
     // A late repeat of an ended order makes no new reservation.
     assert_eq!(
@@ -106,8 +109,8 @@
     let pending = ledger.reserve(0, long("pending", 15.0, 100, 101), &limits).expect("reserved").token;
     let newest = ledger.reserve(0, long("new", 15.0, 100, 101), &limits).expect("reserved").token;
     let elsewhere = ledger.reserve(0, long("elsewhere", 15.0, 500, 501), &limits).expect("reserved").token;
-    ledger.confirm(confirmed).expect("open");
-    ledger.confirm(newest).expect("open");
+    ledger.confirm(confirmed).expect("an open reservation");
+    ledger.confirm(newest).expect("an open reservation");
     let lowered = ceiling(10.0, 20.0);
     let lost: Vec<FencingToken> =
         ledger.plan_lowered(1, 7, &lowered).iter().map(|e| e.reservation.token).collect();
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn reservation_ends_with_its_period_and_invalid_requests_are_rejected() {
+fn reservation_ends_with_period_and_invalid_requests_fail() {
     let (mut ledger, limits) = (ReservationLedger::default(), ceiling(10.0, 20.0));
     let long = ReservationRequest { lease_ms: 3_600_000, ..request("a", 5.0, 10, 20) };
     ledger.reserve(0, long, &limits).expect("reserved");
--- a/crates/plans/tests/timeline.rs
+++ b/crates/plans/tests/timeline.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn error_of_a_late_gateway_is_that_of_bursts_and_rates() {
+fn level_error_is_difference_of_bursts_and_rates() {
     let (small, large) = (limits(SMALL.0, SMALL.1), limits(LARGE.0, LARGE.1));
     let (old, new) = (PlanTimeline::always(large), PlanTimeline::always(large).then(2_000, small));
     // The error is 0 before the change; 1 s after it is the difference of the bursts plus that of the rates.
--- a/crates/spool/src/store.rs
+++ b/crates/spool/src/store.rs
@@ -44,7 +44,8 @@
 pub enum AppendOutcome {
     /// The record is in the spool.
     Stored,
-    /// The record was dropped for lack of space, by the limits or on the disk.
+    /// The record was dropped: the spool is at its size limit, the disk is full, or the record or the header
+    /// of its segment is too long for a frame.
     Dropped,
 }
 
@@ -189,7 +190,7 @@
         self.last_sequence
     }
 
-    /// Returns the number of records that this incarnation dropped for lack of space.
+    /// Returns the number of records that this incarnation dropped, see [`AppendOutcome::Dropped`].
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped
--- a/crates/spool/tests/spool.rs
+++ b/crates/spool/tests/spool.rs
@@ -72,7 +72,7 @@
     // After a kill before the acknowledgement all records are returned again and counted once.
     drop(fill(directory.path(), 3, 12));
     let (mut spool, _) = open(directory.path(), 4);
-    let unsent = spool.unsent(|s| ledger.counted_upto(s)).expect("read").expect("there");
+    let unsent = spool.unsent(|s| ledger.counted_upto(s)).expect("read").expect("unsent records");
     unsent.records.iter().for_each(|r| assert_eq!(ledger.record(&unsent.source, r), RecordOutcome::Counted));
     drop(spool);
     (spool, _) = open(directory.path(), 5);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn corrupt_and_replaced_segments_are_reported_and_the_rest_is_sent() {
+fn corrupt_and_replaced_segments_are_reported_and_rest_sent() {
     let directory = tempfile::tempdir().expect("a temporary directory");
     drop(fill(directory.path(), 1, 15));
     let second = segments(directory.path())[1].clone();
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -100,6 +100,7 @@
 /// State of a source.
 #[derive(Clone, Debug, Default)]
 struct SourceState {
+    /// Sequence numbers of records that were counted or reported as lost.
     counted: SequenceSet,
     /// The source has sent all records up to this time, Unix time in ms.
     sent_upto_ms: u64,
--- a/crates/usage/tests/ledger.rs
+++ b/crates/usage/tests/ledger.rs
@@ -34,12 +34,12 @@
     ledger.report_progress(5_000, &b, 999);
     assert!(ledger.close_periods(5_000).is_none());
     ledger.report_progress(5_100, &b, 1_000);
-    let first = ledger.close_periods(5_100).expect("the first second");
+    let first = ledger.close_periods(5_100).expect("a batch of the first second");
     assert_eq!((first.number, first.until_ms, sums(std::slice::from_ref(&first))), (1, 1_000, (2, 3_500)));
     // A late record of a closed period is an adjustment in the next batch, once.
     assert_eq!(ledger.record(&b, &record(2, 950, 500)), RecordOutcome::CountedLate);
     assert_eq!(ledger.record(&b, &record(2, 950, 500)), RecordOutcome::Duplicate);
-    let second = ledger.close_periods(5_200).expect("an adjustment");
+    let second = ledger.close_periods(5_200).expect("a batch with an adjustment");
     assert!(second.lines[0].is_adjustment && second.lines.len() == 1 && second.number == 2);
     assert!(ledger.close_periods(5_200).is_none());
 }
@@ -80,7 +80,7 @@
     }
     assert!(ledger.record_lost(&a, range(0, 0)) && ledger.record_lost(&a, range(9, 3)));
     ledger.report_progress(2_000, &a, 2_000);
-    let batch = ledger.close_periods(2_000).expect("a second");
+    let batch = ledger.close_periods(2_000).expect("a batch");
     assert_eq!((batch.lost, sums(std::slice::from_ref(&batch))), (5, (4, 4_000)));
 }
 
