--- a/crates/gateway/tests/basic_operation.rs
+++ b/crates/gateway/tests/basic_operation.rs
@@ -53,11 +53,11 @@
     let rig = Rig::with_two_backends();
     let mut client = rig.gateway.client();
     client.send(&as_strs(&request_args(1, "safe", "paid", 4, 8000)));
-    let mut bump = rig.counter.next();
-    assert_eq!(bump.words[0], "bump");
-    assert_eq!(bump.words[2], "4");
+    let mut counter_call = rig.counter.next();
+    assert_eq!(counter_call.words[0], "bump");
+    assert_eq!(counter_call.words[2], "4");
     // Other gateways have charged more than the token bucket holds plus a whole window's refill.
-    bump.reply("ok 100\r\n");
+    counter_call.reply("ok 100\r\n");
     let answer = client.read();
     let ms: u32 =
         answer.strip_prefix("-BUSY ").expect("rejection with a retry time").parse().expect("number");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn draining_backend_finishes_open_requests_and_gets_no_new_ones() {
+fn draining_backend_only_finishes_open_requests() {
     let rig = Rig::with_two_backends();
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
     let mut client = rig.gateway.client();
@@ -81,7 +81,7 @@
     held.serve("finished");
     assert_eq!(client.read(), "finished");
     let calls = rig.agent.calls();
-    // Each call asks only for changes after the version held.
+    // Each call asks only for changes after the version that the gateway has.
     assert!(calls[0].contains("after=1&wait_ms="), "{calls:?}");
     assert!(calls[1].contains("after=41&wait_ms="), "{calls:?}");
     assert!(calls[2].contains("after=42&wait_ms="), "{calls:?}");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn deleted_backends_and_those_missing_from_snapshot_get_no_requests() {
+fn deleted_or_unlisted_backends_get_no_requests() {
     let rig = Rig::with_config(3, |_| {});
     let deleted = endpoint("s-0", rig.backends[0].address, 1, "DELETED", 0.0);
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -168,11 +168,11 @@
 #[test]
 fn silent_client_and_incomplete_command_are_disconnected() {
     let rig = Rig::with_config(1, |_| {});
-    let (mut silent, mut half) = (rig.gateway.client(), rig.gateway.client());
-    half.write(b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n0000");
+    let (mut silent, mut incomplete) = (rig.gateway.client(), rig.gateway.client());
+    incomplete.write(b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n0000");
     assert_eq!(silent.read(), "(end)");
-    assert!(half.read().starts_with("-ERR"));
-    assert_eq!(half.read(), "(end)");
+    assert!(incomplete.read().starts_with("-ERR"));
+    assert_eq!(incomplete.read(), "(end)");
 }
 
 #[test]
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn requests_beyond_memory_budget_are_rejected_until_memory_is_freed() {
+fn memory_budget_rejects_requests_until_memory_is_freed() {
     // The memory budget is 256 KiB.
     let rig = Rig::with_config(1, |config| config["limits"]["memory_mb"] = json!(1));
     let large = |id| {
--- a/crates/gateway/tests/counter_connections.rs
+++ b/crates/gateway/tests/counter_connections.rs
@@ -40,7 +40,7 @@
 /// gateway makes hardly any call although the counter answers on all other connections.
 #[test]
 fn silent_counter_connection_is_replaced_without_skipped_calls() {
-    // Long enough that every answered call is answered in time even on a slow machine.
+    // Long enough for each answer to arrive in time even on a slow machine.
     let wait = Duration::from_millis(2_000);
     let rig = Rig::with_config(1, |config| {
         set_large_burst(config);
@@ -54,30 +54,31 @@
     };
     send_requests(&mut clients, 100);
     let mut first = take_calls();
-    for bump in &mut first {
-        bump.reply("ok 60\r\n");
+    for counter_call in &mut first {
+        counter_call.reply("ok 60\r\n");
     }
     serve_all(&rig, &mut clients);
     let silent = first[0].connection;
-    assert_eq!(first.iter().map(|bump| bump.connection).collect::<HashSet<_>>().len(), 4);
+    assert_eq!(first.iter().map(|counter_call| counter_call.connection).collect::<HashSet<_>>().len(), 4);
 
     send_requests(&mut clients, 200);
     let mut pending = take_calls();
     // The other connections answer well after the calls were made.
     sleep(wait / 3);
-    let (unanswered, answered): (Vec<_>, Vec<_>) = pending.iter_mut().partition(|b| b.connection == silent);
+    let (unanswered, answered): (Vec<_>, Vec<_>) =
+        pending.iter_mut().partition(|call| call.connection == silent);
     assert!(!unanswered.is_empty() && !answered.is_empty());
-    for bump in answered.into_iter() {
-        bump.reply("ok 60\r\n");
+    for counter_call in answered.into_iter() {
+        counter_call.reply("ok 60\r\n");
     }
     serve_all(&rig, &mut clients);
 
     // Each request makes a call as before, none of them on the silent connection.
     send_requests(&mut clients, 300);
     let mut last = take_calls();
-    assert!(last.iter().all(|bump| bump.connection != silent));
-    for bump in &mut last {
-        bump.reply("ok 60\r\n");
+    assert!(last.iter().all(|counter_call| counter_call.connection != silent));
+    for counter_call in &mut last {
+        counter_call.reply("ok 60\r\n");
     }
     serve_all(&rig, &mut clients);
     first[0].wait_until_closed();
--- a/crates/gateway/tests/disconnect_and_shutdown_races.rs
+++ b/crates/gateway/tests/disconnect_and_shutdown_races.rs
@@ -38,7 +38,7 @@
         let backend = StandIn::backend_on(self.listener);
         let port = format!(":{:04X}", self.address.port());
         let begun = Instant::now();
-        // Established on the gateway's side.
+        // Waits until the connection is established on the gateway's side.
         while !has_established(gateway.pid(), &port) {
             assert!(begun.elapsed() < MESSAGE_TIMEOUT, "the gateway's connection was never established");
             sleep(Duration::from_millis(5));
@@ -124,7 +124,7 @@
 /// Guards against a request that is written when its backend connection is established although its client
 /// has disconnected, if the settings do not allow attempts to be cancelled.
 #[test]
-fn request_of_disconnected_client_is_not_written_to_new_connection() {
+fn request_of_disconnected_client_is_not_written_after_connect() {
     for cancel in [true, false] {
         let stalled = StalledBackend::new();
         let (rig, client) = send_to_stalled(&stalled, cancel);
@@ -242,7 +242,7 @@
     }
     let (first, second) = (rig.next_request().1, rig.next_request().1);
     let (mut first, second) = if first.words[2].ends_with('1') { (first, second) } else { (second, first) };
-    // Far more than the socket buffers hold. The write blocks, so it has a thread of its own.
+    // Far more than the socket buffers hold. The write blocks, so it runs in a separate thread.
     std::thread::spawn(move || {
         let value = "x".repeat(64 << 20);
         let _ = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| first.serve(&value)));
@@ -278,13 +278,13 @@
         arrived.serve("fine");
         assert_eq!(client.read(), "fine");
     }
-    assert_eq!(reused_at_once, 0, "of 50 requests were written at once after a response");
+    assert_eq!(reused_at_once, 0, "requests out of 50 were written at once after a response");
 }
 
 /// Guards against a duplicate response that arrives while the next request waits for the connection's pause
 /// to end and is used as its response.
 #[test]
-fn duplicate_response_during_pause_is_not_used_for_next_request() {
+fn duplicate_response_during_pause_does_not_answer_next_request() {
     let rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     let mut duplicates_in_pause = 0;
@@ -309,7 +309,7 @@
 
 /// Guards against commands that are read at the end of the drain, forwarded, and lost when the process exits.
 #[test]
-fn command_at_end_of_drain_is_answered_or_not_forwarded() {
+fn command_at_drain_end_is_answered_or_not_forwarded() {
     let mut rig = Rig::with_config(1, |_| {});
     let mut client = rig.gateway.client();
     assert_eq!(client.request(&["PING"]), "+PONG");
@@ -371,7 +371,7 @@
 /// Guards against connections in the kernel's accept queue that are reset, with the requests written to them,
 /// when the gateway exits without accepting them.
 #[test]
-fn connections_in_accept_queue_at_end_of_drain_are_answered() {
+fn queued_connections_at_drain_end_are_answered() {
     let (mut rig, _kept, _arrived) = rig_at_client_limit();
     rig.gateway.terminate();
     // Each waits 0.1 s for a descriptor, so these are more than the drain has time for.
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Accepts the next snapshot call, on a connection of its own.
+/// Accepts the next snapshot call, which the gateway makes on a new connection.
 fn accept_snapshot_call(agent: &TcpListener) -> TcpStream {
     let (mut stream, _) = agent.accept().expect("accept a call from the gateway");
     let mut line = String::new();
@@ -134,7 +134,7 @@
 
 /// Guards against waiting for an unanswered call while discovery is available again and announces drains.
 #[test]
-fn silent_discovery_is_called_again_and_any_answer_is_applied() {
+fn silent_discovery_is_called_again_and_either_answer_applied() {
     for answered in 0..2 {
         let agent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let (counter, backend) = (StandIn::counter(), StandIn::backend());
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -14,13 +14,13 @@
 
 /// Starts a gateway with a management address; returns that address too.
 fn managed_rig(backends: usize) -> (Rig, SocketAddr) {
-    let at = unused_loopback_address();
-    (Rig::with_config(backends, |config| config["management"] = json!(at.to_string())), at)
+    let management = unused_loopback_address();
+    (Rig::with_config(backends, |config| config["management"] = json!(management.to_string())), management)
 }
 
 /// Sends bytes to the management address and returns the response, which must be a single line.
-fn send_command(at: SocketAddr, line: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).expect("connect to the gateway");
+fn send_command(management: SocketAddr, line: &[u8]) -> String {
+    let mut stream = TcpStream::connect(management).expect("connect to the gateway");
     stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     stream.write_all(line).expect("write to the socket");
     let mut answer = String::new();
@@ -30,24 +30,24 @@
 }
 
 /// Sends a command that must succeed.
-fn expect_success(at: SocketAddr, line: &str) -> String {
-    let answer = send_command(at, format!("{line}\r\n").as_bytes());
+fn expect_success(management: SocketAddr, line: &str) -> String {
+    let answer = send_command(management, format!("{line}\r\n").as_bytes());
     assert!(answer.starts_with("SUCCESS"), "{line}: {answer}");
     answer
 }
 
 /// Sends a command that must fail.
-fn expect_failure(at: SocketAddr, line: &str) -> String {
-    let answer = send_command(at, format!("{line}\n").as_bytes());
+fn expect_failure(management: SocketAddr, line: &str) -> String {
+    let answer = send_command(management, format!("{line}\n").as_bytes());
     assert!(answer.starts_with("FAILURE"), "{line}: {answer}");
     answer
 }
 
 #[test]
 fn invalid_commands_fail_with_reason() {
-    let (rig, at) = managed_rig(1);
-    assert!(expect_success(at, "READY").contains("ready"));
-    for (line, why) in [
+    let (rig, management) = managed_rig(1);
+    assert!(expect_success(management, "READY").contains("ready"));
+    for (line, reason) in [
         ("REBOOT", "unknown call"),
         ("", "empty"),
         ("DISABLE", "missing"),
@@ -57,32 +57,32 @@
         (&format!("DISABLE {}", "x".repeat(10_000)), "10000 bytes"),
         (&"x".repeat(40_000), "more than"),
     ] {
-        let answer = expect_failure(at, line);
-        assert!(answer.contains(why), "{answer}");
+        let answer = expect_failure(management, line);
+        assert!(answer.contains(reason), "{answer}");
     }
-    assert!(send_command(at, b"DISABLE \xff\xfe\n").contains("a line of text"));
+    assert!(send_command(management, b"DISABLE \xff\xfe\n").contains("a line of text"));
     // An incomplete command, after which the client shuts down its sending side.
-    let mut half = TcpStream::connect(at).expect("connect to the gateway");
-    half.write_all(b"DRA").expect("write to the socket");
-    half.shutdown(std::net::Shutdown::Write).expect("socket is open");
+    let mut incomplete = TcpStream::connect(management).expect("connect to the gateway");
+    incomplete.write_all(b"DRA").expect("write to the socket");
+    incomplete.shutdown(std::net::Shutdown::Write).expect("socket is open");
     let mut answer = String::new();
-    half.read_to_string(&mut answer).expect("read the response");
+    incomplete.read_to_string(&mut answer).expect("read the response");
     assert!(answer.starts_with("FAILURE"), "{answer}");
     assert_eq!(rig.gateway.client().request(&["PING"]), "+PONG");
 }
 
 #[test]
 fn silent_connections_do_not_block_commands() {
-    let (rig, at) = managed_rig(1);
+    let (rig, management) = managed_rig(1);
     let silent: Vec<TcpStream> = (0..100)
         .map(|i| {
-            let mut stream = TcpStream::connect(at).expect("connect to the gateway");
+            let mut stream = TcpStream::connect(management).expect("connect to the gateway");
             stream.write_all(if i % 2 == 0 { b"" } else { b"REA" }).expect("write to the socket");
             stream
         })
         .collect();
     for _ in 0..5 {
-        expect_success(at, "READY");
+        expect_success(management, "READY");
     }
     drop(silent);
     assert_eq!(rig.gateway.client().request(&["PING"]), "+PONG");
@@ -90,15 +90,15 @@
 
 #[test]
 fn banned_backend_gets_no_requests_until_enabled() {
-    let (rig, at) = managed_rig(2);
+    let (rig, management) = managed_rig(2);
     let both = |since: f64| {
         let listed = |i: usize| endpoint(&format!("s-{i}"), rig.backends[i].address, 1, "SERVING", since);
         [listed(0), listed(1)]
     };
     rig.send_snapshot(&both(0.0));
     let mut client = rig.gateway.client();
-    expect_success(at, "DISABLE s-0");
-    assert!(expect_success(at, "DISABLE s-0").contains("already"));
+    expect_success(management, "DISABLE s-0");
+    assert!(expect_success(management, "DISABLE s-0").contains("already"));
     let assert_not_served_by_banned = |client: &mut Client, from: u64| {
         for id in from..from + 8 {
             assert_eq!(rig.serve_one(client, id).0, 1);
@@ -114,41 +114,41 @@
     rig.agent.deliver(&list(44, true, &both(0.0)[1..]));
     rig.agent.deliver(&list(45, true, &both(3_000.0)));
     assert_not_served_by_banned(&mut client, 60);
-    expect_success(at, "ENABLE s-0");
+    expect_success(management, "ENABLE s-0");
     let mut served = false;
     for id in 100..400 {
         served |= rig.serve_one(&mut client, id).0 == 0;
     }
     assert!(served, "the enabled backend gets no requests");
     // With all backends banned, requests are rejected at once instead of queued.
-    expect_success(at, "DISABLE s-0");
-    expect_success(at, "DISABLE s-1");
+    expect_success(management, "DISABLE s-0");
+    expect_success(management, "DISABLE s-1");
     client.send(&as_strs(&request_args(500, "safe", "free", 1, 8000)));
     assert_eq!(client.read(), "-BUSY");
 }
 
 #[test]
 fn connection_from_before_ban_is_not_reused() {
-    let (rig, at) = managed_rig(1);
+    let (rig, management) = managed_rig(1);
     rig.send_snapshot(&[serving(0, &rig.backends[0])]);
     let mut client = rig.gateway.client();
     let (_, before) = rig.serve_one(&mut client, 1);
-    expect_success(at, "DISABLE s-0");
+    expect_success(management, "DISABLE s-0");
     before.wait_until_closed();
-    expect_success(at, "ENABLE s-0");
+    expect_success(management, "ENABLE s-0");
     let (_, after) = rig.serve_one(&mut client, 2);
     assert_ne!(before.connection, after.connection);
 }
 
 #[test]
 fn drained_gateway_finishes_requests_and_serves_again_after_undrain() {
-    let (rig, at) = managed_rig(1);
+    let (rig, management) = managed_rig(1);
     let (mut client, mut idle) = (rig.gateway.client(), rig.gateway.client());
     client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
-    expect_success(at, "DRAIN");
+    expect_success(management, "DRAIN");
     assert!(rig.gateway.client().request(&["PING"]).starts_with("-ERR"));
-    assert!(expect_failure(at, "READY").contains("drained"));
+    assert!(expect_failure(management, "READY").contains("drained"));
     // The idle connection is closed; the other one still awaits a response.
     assert_eq!(idle.read(), "(end)");
     arrived.serve("fine");
@@ -158,24 +158,24 @@
     let mut late = rig.gateway.client();
     assert!(late.request(&["PING"]).starts_with("-ERR"));
     assert_eq!(late.read(), "(end)");
-    expect_success(at, "UNDRAIN");
-    expect_success(at, "READY");
+    expect_success(management, "UNDRAIN");
+    expect_success(management, "READY");
     let mut again = rig.gateway.client();
     assert_eq!(again.request(&["PING"]), "+PONG");
     rig.serve_one(&mut again, 2);
     // Commands in quick succession: the last one applies.
-    expect_success(at, "DRAIN");
-    expect_success(at, "UNDRAIN");
-    expect_success(at, "DRAIN");
+    expect_success(management, "DRAIN");
+    expect_success(management, "UNDRAIN");
+    expect_success(management, "DRAIN");
     assert!(rig.gateway.client().request(&["PING"]).starts_with("-ERR"));
     assert_eq!(again.read(), "(end)");
 }
 
 #[test]
 fn drain_closes_connections_that_are_never_idle() {
-    let (rig, at) = managed_rig(1);
+    let (rig, management) = managed_rig(1);
     let mut busy = rig.gateway.client();
-    expect_success(at, "DRAIN");
+    expect_success(management, "DRAIN");
     let start = Instant::now();
     // There is always one more command sent than responses read.
     busy.send(&["PING"]);
@@ -189,7 +189,7 @@
 
 #[test]
 fn ready_is_answered_while_requests_are_queued() {
-    let (rig, at) = managed_rig(1);
+    let (rig, management) = managed_rig(1);
     let mut clients: Vec<Client> = (0..64).map(|_| rig.gateway.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         for k in 0..32 {
@@ -199,7 +199,7 @@
     let slowest = (0..20)
         .map(|_| {
             let start = Instant::now();
-            expect_success(at, "READY");
+            expect_success(management, "READY");
             start.elapsed()
         })
         .max();
--- a/crates/gateway/tests/recorded_client_errors.rs
+++ b/crates/gateway/tests/recorded_client_errors.rs
@@ -128,7 +128,7 @@
         keyless,
         extra_argument,
     ];
-    let calls = calls.iter().map(|each| command(&as_strs(each)));
+    let calls = calls.iter().map(|words| command(&as_strs(words)));
     let invalid_utf8 =
         b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000001\r\n$2\r\n\xff\xfe\r\n";
     plain.iter().map(|text| text.as_bytes().to_vec()).chain(calls).chain([invalid_utf8.to_vec()]).collect()
--- a/crates/gateway/tests/recorded_operator_protocol.rs
+++ b/crates/gateway/tests/recorded_operator_protocol.rs
@@ -21,8 +21,8 @@
 
 /// Sends bytes to a management address, then shuts down sending if `shut_down` is set, and returns the
 /// response.
-fn response_to(at: SocketAddr, bytes: &[u8], shut_down: bool) -> String {
-    let mut stream = TcpStream::connect(at).expect("connect to the gateway");
+fn response_to(management: SocketAddr, bytes: &[u8], shut_down: bool) -> String {
+    let mut stream = TcpStream::connect(management).expect("connect to the gateway");
     stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     stream.write_all(bytes).expect("write to the socket");
     if shut_down {
@@ -35,8 +35,8 @@
 
 #[test]
 fn management_commands_get_recorded_responses() {
-    let at = unused_loopback_address();
-    let mut rig = Rig::with_config(2, |config| config["management"] = json!(at.to_string()));
+    let management = unused_loopback_address();
+    let mut rig = Rig::with_config(2, |config| config["management"] = json!(management.to_string()));
     let long_id = format!("DISABLE {}", "x".repeat(254));
     let long_line = "x".repeat(16 * 1024 + 1);
     let commands = [
@@ -73,11 +73,11 @@
     let mut actual = String::new();
     for line in commands {
         let shown: String = line.chars().take(24).collect();
-        let answer = response_to(at, format!("{line}\n").as_bytes(), false);
+        let answer = response_to(management, format!("{line}\n").as_bytes(), false);
         writeln!(actual, "{shown:?} -> {answer}").expect("write to a string");
     }
     for (bytes, shut_down) in [(&b"DISABLE \xff\xfe\n"[..], false), (b"DRA", true), (b"", true)] {
-        writeln!(actual, "{} -> {}", bytes.escape_ascii(), response_to(at, bytes, shut_down))
+        writeln!(actual, "{} -> {}", bytes.escape_ascii(), response_to(management, bytes, shut_down))
             .expect("write to a string");
     }
     // After SIGTERM, with an open request that keeps the process running.
@@ -85,9 +85,9 @@
     client.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut arrived) = rig.next_request();
     rig.gateway.terminate();
-    let mut last = response_to(at, b"READY\n", false);
+    let mut last = response_to(management, b"READY\n", false);
     while last == "SUCCESS ready\\r\\n" {
-        last = response_to(at, b"READY\n", false);
+        last = response_to(management, b"READY\n", false);
     }
     writeln!(actual, "READY after SIGTERM -> {last}").expect("write to a string");
     arrived.serve("fine");
@@ -126,8 +126,8 @@
     stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
     let mut answers = BufReader::new(stream.try_clone().expect("duplicate the handle"));
     let mut actual = String::new();
-    for ask in recorded::text("admin_asks.jsonl").lines() {
-        stream.write_all(format!("{ask}\n").as_bytes()).expect("write to the socket");
+    for message in recorded::text("admin_asks.jsonl").lines() {
+        stream.write_all(format!("{message}\n").as_bytes()).expect("write to the socket");
         let mut answer = String::new();
         answers.read_line(&mut answer).expect("read the response");
         actual += &recorded::mask(&answer, &VOLATILE);
@@ -162,14 +162,14 @@
 
 #[test]
 fn management_address_in_use_is_reported_at_start() {
-    let at = unused_loopback_address();
-    let _taken = std::net::TcpListener::bind(at).expect("bind the address");
+    let management = unused_loopback_address();
+    let _taken = std::net::TcpListener::bind(management).expect("bind the address");
     let mut config = config(unused_loopback_address(), unused_loopback_address(), &[]);
-    config["management"] = json!(at.to_string());
+    config["management"] = json!(management.to_string());
     let (process, _file) = spawn_gateway(&config.to_string());
     let output = process.wait_with_output().expect("child process");
     assert!(!output.status.success() && output.stdout.is_empty());
     let text = String::from_utf8(output.stderr).expect("UTF-8 text");
-    let text = text.replace(&at.to_string(), "ADDRESS");
+    let text = text.replace(&management.to_string(), "ADDRESS");
     assert_eq!(text, "admission-gateway: management: ADDRESS: Address already in use (os error 98)\n");
 }
--- a/crates/gateway/tests/recorded_state_files.rs
+++ b/crates/gateway/tests/recorded_state_files.rs
@@ -30,7 +30,7 @@
 /// A gateway with three backends, a state directory and a management address.
 struct ManagedGateway {
     rig: Rig,
-    at: SocketAddr,
+    management: SocketAddr,
 }
 
 impl ManagedGateway {
@@ -39,20 +39,20 @@
     }
 
     fn start_with(parent: &Path, change: impl FnOnce(&mut Value)) -> ManagedGateway {
-        let at = unused_loopback_address();
+        let management = unused_loopback_address();
         let change = |config: &mut Value| {
-            config["management"] = json!(at.to_string());
+            config["management"] = json!(management.to_string());
             change(config);
         };
         let rig = Rig::with_command(3, change, |command: &mut Command| {
             command.env("TMPDIR", parent);
         });
-        ManagedGateway { rig, at }
+        ManagedGateway { rig, management }
     }
 
     /// Sends a management command and returns the response.
     fn send_command(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.at).expect("connect to the gateway");
+        let mut stream = TcpStream::connect(self.management).expect("connect to the gateway");
         stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
         stream.write_all(format!("{line}\n").as_bytes()).expect("write to the socket");
         let mut answer = String::new();
@@ -214,7 +214,7 @@
     for name in ["book", "untold-1"] {
         fs::copy(recorded::path("state").join(name), directory.join(name)).expect("recorded file");
     }
-    // File of a process that has ended, in whatever way.
+    // File of a process that no longer runs.
     fs::write(directory.join("life-1"), "").expect("write the file");
     let managed = ManagedGateway::start(parent.path());
     let mut client = managed.rig.gateway.client();
@@ -235,11 +235,11 @@
     let mut request = request_args(100, "safe", "paid", 1, 8000);
     request[1] = CUSTOMER.to_string();
     client.send(&as_strs(&request));
-    let mut bump = managed.rig.counter.next();
-    assert_eq!(bump.words[0], "bump");
-    let reported: f64 = bump.words[2].parse().expect("number");
-    assert!(reported > 3.5 && reported <= 4.0, "{:?}", bump.words);
-    bump.reply("ok 4\r\n");
+    let mut counter_call = managed.rig.counter.next();
+    assert_eq!(counter_call.words[0], "bump");
+    let reported: f64 = counter_call.words[2].parse().expect("number");
+    assert!(reported > 3.5 && reported <= 4.0, "{:?}", counter_call.words);
+    counter_call.reply("ok 4\r\n");
     managed.rig.next_request().1.serve("fine");
     assert_eq!(client.read(), "fine");
 }
--- a/crates/gateway/tests/run_command.rs
+++ b/crates/gateway/tests/run_command.rs
@@ -68,7 +68,7 @@
     let first_call = &rig.agent.calls()[0];
     assert!(first_call.contains("after=1&wait_ms=4000"), "{first_call}");
     rig.send_snapshot(&[serving(0, &rig.backends[0]), serving(1, &rig.backends[1])]);
-    // Backends: connections are not ramped; as many open at once as there are requests.
+    // Backends: connections are not ramped; as many are opened at once as there are requests.
     let mut clients: Vec<Client> = (0..6).map(|_| rig.gateway.client()).collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.send(&as_strs(&request_args(id, "safe", "free", 1, 8000)));
@@ -83,9 +83,9 @@
         let mut request = request_args(id, "safe", "paid", 1, 8000);
         request[1] = format!("{:016x}", 0x1_0000 + id);
         clients[0].send(&as_strs(&request));
-        let mut bump = rig.counter.next();
-        assert_eq!((bump.words[0].as_str(), bump.words[2].as_str()), ("bump", "1"));
-        bump.reply("ok 1\r\n");
+        let mut counter_call = rig.counter.next();
+        assert_eq!((counter_call.words[0].as_str(), counter_call.words[2].as_str()), ("bump", "1"));
+        counter_call.reply("ok 1\r\n");
         rig.next_request().1.serve("fine");
         assert_eq!(clients[0].read(), "fine");
     }
--- a/crates/gateway/tests/settings_reload.rs
+++ b/crates/gateway/tests/settings_reload.rs
@@ -77,9 +77,9 @@
     let (mut before, mut after) = (rig.gateway.client(), rig.gateway.client());
     before.send(&as_strs(&request_args(1, "safe", "free", 1, 8000)));
     let (_, mut first) = rig.next_request();
-    let mut one = rig.config.clone();
-    one["settings"]["policy-limits"]["max-attempts"] = json!(1);
-    assert!(reload(&mut rig, &one.to_string()).contains("in force"));
+    let mut single_attempt = rig.config.clone();
+    single_attempt["settings"]["policy-limits"]["max-attempts"] = json!(1);
+    assert!(reload(&mut rig, &single_attempt.to_string()).contains("in force"));
     first.reply("-ERR failed\r\n");
     let (_, mut second) = rig.next_request();
     second.serve("fine");
@@ -119,10 +119,10 @@
     for part in 1..12 {
         wrong.push((text[..text.len() * part / 12].to_string(), "not JSON"));
     }
-    let mut change = |pointer: &str, value: Value, why: &'static str| {
+    let mut change = |pointer: &str, value: Value, reason: &'static str| {
         let mut file = good.clone();
         *file.pointer_mut(pointer).expect("key exists") = value;
-        wrong.push((file.to_string(), why));
+        wrong.push((file.to_string(), reason));
     };
     change("/settings/profiles/1/deadline-ms", json!(0), "classes[1]");
     change("/settings/profiles/1/deadline-ms", json!(-5), "classes[1]");
@@ -139,9 +139,9 @@
     let nan = text.replacen("4000.0", "NaN", 1);
     let huge = text.replacen("4000.0", "1e400", 1);
     wrong.extend([(nan, "not JSON"), (huge, "not JSON")]);
-    for (id, (file, why)) in (1..).zip(wrong) {
+    for (id, (file, reason)) in (1..).zip(wrong) {
         let line = reload(&mut rig, &file);
-        assert!(line.contains(why) && line.contains("stays"), "{why}: {line}");
+        assert!(line.contains(reason) && line.contains("stays"), "{reason}: {line}");
         assert!(send_request(&rig, &mut client, id, "new").starts_with("-ERR unknown class"));
     }
     assert!(reload(&mut rig, &text).contains("in force"));
--- a/crates/gateway/tests/shared_counter.rs
+++ b/crates/gateway/tests/shared_counter.rs
@@ -9,11 +9,12 @@
 use gateway_rig::*;
 use serde_json::json;
 
-/// Longer than the backoff after one broken connection to the counter.
-const COUNTER_BACKOFF: Duration = Duration::from_millis(300);
+/// Wait that exceeds the gateway's backoff after one broken connection to the counter.
+const COUNTER_BACKOFF_WAIT: Duration = Duration::from_millis(300);
 
-/// Longer than a silent connection is kept when counter calls time out after 30 ms.
-const SILENT_CONNECTION_KEPT: Duration = Duration::from_millis(400);
+/// Wait that exceeds the time for which the gateway keeps a silent connection to the counter, if counter
+/// calls time out after 30 ms.
+const SILENT_CONNECTION_WAIT: Duration = Duration::from_millis(400);
 
 /// Serves requests until one leads to a counter call, and returns that call. While calls fail, the gateway
 /// skips some at random.
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn silent_counter_delays_no_request_and_late_answer_is_ignored() {
+fn silent_counter_delays_nothing_and_late_answer_is_ignored() {
     within_one_window(|| {
         let rig = Rig::with_config(1, set_large_burst);
         let mut client = rig.gateway.client();
@@ -47,13 +48,13 @@
         // No answer in time: the token bucket decides alone.
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        let mut bump = serve_until_counter_call(&rig, &mut client);
-        if late.words[1] != bump.words[1] {
+        let mut counter_call = serve_until_counter_call(&rig, &mut client);
+        if late.words[1] != counter_call.words[1] {
             return None;
         }
-        assert_eq!(late.connection, bump.connection);
+        assert_eq!(late.connection, counter_call.connection);
         late.reply("ok 5000\r\n");
-        bump.reply("ok 180\r\n");
+        counter_call.reply("ok 180\r\n");
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         Some(())
@@ -72,20 +73,20 @@
         let silent = rig.counter.next();
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        sleep(SILENT_CONNECTION_KEPT);
+        sleep(SILENT_CONNECTION_WAIT);
         // Calls made now queue behind the unanswered one.
         for id in 2..6 {
             client.send(&as_strs(&request_args(id, "safe", "paid", 60, 8000)));
             rig.next_request().1.serve("fine");
             assert_eq!(client.read(), "fine");
         }
-        while let Some(bump) = rig.counter.try_next() {
-            if bump.words[1] != silent.words[1] {
+        while let Some(counter_call) = rig.counter.try_next() {
+            if counter_call.words[1] != silent.words[1] {
                 return None;
             }
         }
         silent.wait_until_closed();
-        sleep(COUNTER_BACKOFF);
+        sleep(COUNTER_BACKOFF_WAIT);
         assert_ne!(serve_until_counter_call(&rig, &mut client).connection, silent.connection);
         Some(())
     });
@@ -115,18 +116,18 @@
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
         client.send(&as_strs(&request_args(2, "safe", "paid", 60, 8000)));
-        let mut bump = rig.counter.next();
-        bump.reply(answer);
+        let mut counter_call = rig.counter.next();
+        counter_call.reply(answer);
         if answer.is_empty() {
-            bump.close();
+            counter_call.close();
         }
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
-        bump.wait_until_closed();
+        counter_call.wait_until_closed();
         // Each request makes a call as before, on a new connection: nothing indicates a busy counter.
         client.send(&as_strs(&request_args(3, "safe", "paid", 60, 8000)));
         let next = rig.counter.next();
-        assert_ne!(next.connection, bump.connection, "{answer:?}");
+        assert_ne!(next.connection, counter_call.connection, "{answer:?}");
         let amount: f64 = next.words[2].parse().expect("number");
         assert!(amount < 120.0, "{answer:?}: {amount}");
     }
@@ -148,9 +149,9 @@
     let mut client = rig.gateway.client();
     let mut serve_counted = |id| {
         client.send(&as_strs(&call_for_customer(1, id)));
-        let mut bump = rig.counter.next();
-        let amount = bump.words[2].clone();
-        bump.reply(&format!("ok {amount}\r\n"));
+        let mut counter_call = rig.counter.next();
+        let amount = counter_call.words[2].clone();
+        counter_call.reply(&format!("ok {amount}\r\n"));
         rig.next_request().1.serve("fine");
         assert_eq!(client.read(), "fine");
     };
@@ -162,8 +163,8 @@
         other.send(&as_strs(&call_for_customer(customer, customer)));
     }
     let pending: Vec<IncomingMessage> = (0..BURST).map(|_| rig.counter.next()).collect();
-    for mut bump in pending.into_iter() {
-        bump.reply("busy\r\n");
+    for mut counter_call in pending.into_iter() {
+        counter_call.reply("busy\r\n");
     }
     (0..BURST).for_each(|_| rig.next_request().1.serve("fine"));
     for other in &mut others {
@@ -175,17 +176,17 @@
 /// Guards against charges of rejected requests that stay in the totals and empty the token buckets of all
 /// gateways.
 #[test]
-fn charge_of_request_rejected_by_total_is_reversed_at_once() {
+fn charge_of_rejected_request_is_reversed_at_once() {
     within_one_window(|| {
         let rig = Rig::with_config(1, set_large_burst);
         let mut client = rig.gateway.client();
         client.send(&as_strs(&request_args(1, "safe", "paid", 60, 8000)));
-        let mut bump = rig.counter.next();
-        bump.reply("ok 5000\r\n");
+        let mut counter_call = rig.counter.next();
+        counter_call.reply("ok 5000\r\n");
         assert!(client.read().starts_with("-BUSY"));
-        // Nothing is reversed in a window that is over.
+        // Without a reversal the window ended in between, and the scenario is repeated.
         let reversal = rig.counter.next_within(Duration::from_secs(5))?;
-        assert_eq!((&reversal.words[1], reversal.words[2].as_str()), (&bump.words[1], "-60"));
+        assert_eq!((&reversal.words[1], reversal.words[2].as_str()), (&counter_call.words[1], "-60"));
         Some(())
     });
 }
--- a/crates/gateway/tests/streamed_values.rs
+++ b/crates/gateway/tests/streamed_values.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn streamed_value_is_forwarded_at_once_and_connections_are_reused() {
+fn streamed_value_is_forwarded_at_once_and_connections_reused() {
     let rig = Rig::with_config(1, |_| {});
     let (mut client, mut arrived) = open_request(&rig, 1);
     let value = varied_text(LONG_VALUE);
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -127,7 +127,7 @@
     Backend { address, received }
 }
 
-/// Clients that send requests one after another in threads of their own.
+/// Clients that each send requests one after another, with one thread per client.
 struct Load {
     stop: Arc<AtomicBool>,
     /// ID of the request that was started last.
@@ -155,7 +155,7 @@
 impl Load {
     /// Starts clients that keep each connection until the gateway closes it. Each thread returns its number
     /// of responses, and panics if a request is neither served nor rejected.
-    fn start(at: SocketAddr, clients: u64) -> Load {
+    fn start(address: SocketAddr, clients: u64) -> Load {
         let (stop, last) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
         let current: Arc<Vec<AtomicU64>> = Arc::new((0..clients).map(|_| AtomicU64::new(0)).collect());
         let client = |index: u64| {
@@ -171,7 +171,8 @@
                     let mut answer = None;
                     for _ in 0..2 {
                         let mut stream = open.take().unwrap_or_else(|| {
-                            let stream = TcpStream::connect(at).expect("connect to the inherited listener");
+                            let stream =
+                                TcpStream::connect(address).expect("connect to the inherited listener");
                             stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
                             BufReader::new(stream)
                         });
@@ -266,7 +267,7 @@
 }
 
 #[test]
-fn repeated_upgrades_lose_and_duplicate_no_requests_and_keep_bans() {
+fn upgrades_lose_or_duplicate_no_requests_and_keep_bans() {
     let rig = upgrade_rig();
     let mut old = rig.start();
     old.wait_until_ready();
@@ -332,7 +333,7 @@
 }
 
 #[test]
-fn remaining_process_takes_over_share_and_bans_of_killed_one() {
+fn remaining_process_takes_over_share_and_bans() {
     let rig = upgrade_rig();
     let mut old = rig.start();
     old.wait_until_ready();
@@ -344,7 +345,7 @@
     old.child.wait().expect("child process");
     new.wait_for_log("0 other processes");
     assert!(new.send_command("DISABLE s-1").is_some_and(|a| a.contains("already")));
-    // A process starts without its `book` file if that is truncated.
+    // A truncated `book` file does not keep a process from starting.
     let directory = std::fs::read_dir(rig.state_parent.path())
         .expect("read the directory")
         .flatten()
