--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -16,7 +16,7 @@
 use support::{max_in_window, program, AnyError};
 use testbed::backend::Backend;
 use testbed::client::LoadProfile;
-use testbed::harness::fleet::{column, served_fraction, Fleet};
+use testbed::harness::fleet::{served_fraction, table_cell, Fleet};
 use testbed::harness::Node;
 use testbed::journal::Event;
 use testbed::switch::Fault;
@@ -206,9 +206,9 @@
                 results.mean_connections,
                 results.connections_to_lost,
                 results.requests_to_lost,
-                column(&results.share_of_lost),
+                table_cell(&results.share_of_lost),
                 results.all_ready_s,
-                column(&results.served),
+                table_cell(&results.served),
                 results.served_in_all,
                 results.refused,
                 results.failed,
--- a/crates/gatewayctl/examples/measure_cold_counter.rs
+++ b/crates/gatewayctl/examples/measure_cold_counter.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use support::{program, AnyError};
 use testbed::client::LoadProfile;
-use testbed::harness::fleet::{column, served_fraction, Fleet};
+use testbed::harness::fleet::{served_fraction, table_cell, Fleet};
 use testbed::harness::Node;
 use tokio::time::sleep;
 
@@ -138,11 +138,11 @@
                 results.variant,
                 results.seed,
                 calls.join(" "),
-                column(&results.late),
+                table_cell(&results.late),
                 results.late_in_5_s,
                 results.late_in_all,
                 results.in_time_per_s,
-                column(&results.served),
+                table_cell(&results.served),
                 results.refused,
                 results.failed,
                 results.lost
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -7,7 +7,7 @@
 use crate::journal::{Answer, Class, Event, Journal};
 use crate::platform;
 
-/// A rule.
+/// A rule that the auditor checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Every request accepted by a gateway gets exactly one final answer.
@@ -25,11 +25,11 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// Id of the request; the last one where several are involved.
     pub id: u64,
-    /// What happened.
+    /// Description of the violation.
     pub details: String,
 }
 
@@ -42,7 +42,7 @@
 /// Parameters of an audit.
 #[derive(Clone, Copy, Debug)]
 pub struct AuditOptions {
-    /// Time after its drain from which a backend must not receive new attempts.
+    /// Time after a backend's drain from which it must not receive new attempts.
     pub drain_grace: Duration,
     /// Whether every request must have been answered by now; false while a load is still running.
     pub complete: bool,
@@ -117,20 +117,20 @@
     let mut ran: HashMap<u64, Vec<Duration>> = HashMap::new();
     for (at, event) in events {
         let Event::AttemptReceived { id, class, backend, ran: true, .. } = event else { continue };
-        let before = ran.entry(*id).or_default();
-        let again = match class {
+        let earlier_runs = ran.entry(*id).or_default();
+        let is_violation = match class {
             Class::Safe => false,
-            Class::Unsafe => !before.is_empty(),
-            Class::Keyed => before.first().is_some_and(|first| at.saturating_sub(*first) > window),
+            Class::Unsafe => !earlier_runs.is_empty(),
+            Class::Keyed => earlier_runs.first().is_some_and(|first| at.saturating_sub(*first) > window),
         };
-        if again {
+        if is_violation {
             violations.push(violation(
                 Rule::Twice,
                 *id,
-                format!("ran {} times, last on {backend}", before.len() + 1),
+                format!("ran {} times, last on {backend}", earlier_runs.len() + 1),
             ));
         }
-        before.push(*at);
+        earlier_runs.push(*at);
     }
 }
 
@@ -148,10 +148,10 @@
             Event::BackendUndrained { backend } => drop(drained.remove(backend.as_str())),
             Event::AttemptReceived { id, backend, first_byte_at, .. } => {
                 for (drained_at, gateway) in drained.get(backend.as_str()).into_iter().flatten() {
-                    let late = first_byte_at.saturating_sub(*drained_at);
+                    let delay = first_byte_at.saturating_sub(*drained_at);
                     let ordered = gateway.is_none_or(|g| gateway_of.get(id) == Some(&g));
-                    if ordered && late > options.drain_grace {
-                        let ms = late.as_millis();
+                    if ordered && delay > options.drain_grace {
+                        let ms = delay.as_millis();
                         violations.push(violation(
                             Rule::Drain,
                             *id,
@@ -168,7 +168,7 @@
 /// Checks that no warming backend is overloaded: its requests in flight must not exceed the overload multiple
 /// of its current capacity for longer than the overload window.
 fn check_cold_backends(events: &Events, violations: &mut Vec<Violation>) {
-    struct Cold {
+    struct WarmingBackend {
         started: Duration,
         slots: usize,
         in_flight: usize,
@@ -176,18 +176,18 @@
         reported: bool,
     }
     let window = Duration::from_secs_f64(platform::OVERLOAD_WINDOW_MS / 1000.0);
-    let mut all: HashMap<&str, Cold> = HashMap::new();
+    let mut warming: HashMap<&str, WarmingBackend> = HashMap::new();
     for (at, event) in events {
         let (name, id) = match event {
             Event::BackendStarted { backend, slots } => {
-                let cold = Cold {
+                let backend_state = WarmingBackend {
                     started: *at,
                     slots: *slots,
                     in_flight: 0,
                     overloaded_since: None,
                     reported: false,
                 };
-                all.insert(backend, cold);
+                warming.insert(backend, backend_state);
                 continue;
             }
             Event::AttemptReceived { backend, id, .. } | Event::AttemptEnded { backend, id, .. } => {
@@ -195,26 +195,28 @@
             }
             _ => continue,
         };
-        let Some(cold) = all.get_mut(name) else { continue };
+        let Some(state) = warming.get_mut(name) else { continue };
         match event {
-            Event::AttemptReceived { .. } => cold.in_flight += 1,
-            _ => cold.in_flight = cold.in_flight.saturating_sub(1),
+            Event::AttemptReceived { .. } => state.in_flight += 1,
+            _ => state.in_flight = state.in_flight.saturating_sub(1),
         }
-        let warmth = (at.saturating_sub(cold.started).as_secs_f64() * 1000.0 / platform::WARM_UP_MS).min(1.0);
+        let warmth =
+            (at.saturating_sub(state.started).as_secs_f64() * 1000.0 / platform::WARM_UP_MS).min(1.0);
         let capacity = platform::INITIAL_CAPACITY + (1.0 - platform::INITIAL_CAPACITY) * warmth;
-        if warmth < 1.0 && cold.in_flight as f64 > platform::OVERLOAD_MULTIPLE * capacity * cold.slots as f64
+        if warmth < 1.0
+            && state.in_flight as f64 > platform::OVERLOAD_MULTIPLE * capacity * state.slots as f64
         {
-            let since = *cold.overloaded_since.get_or_insert(*at);
-            if at.saturating_sub(since) > window && !cold.reported {
-                cold.reported = true;
+            let since = *state.overloaded_since.get_or_insert(*at);
+            if at.saturating_sub(since) > window && !state.reported {
+                state.reported = true;
                 violations.push(violation(
                     Rule::Cold,
                     id,
-                    format!("{} in flight on cold {name}", cold.in_flight),
+                    format!("{} in flight on cold {name}", state.in_flight),
                 ));
             }
         } else {
-            cold.overloaded_since = None;
+            state.overloaded_since = None;
         }
     }
 }
@@ -224,8 +226,8 @@
 fn check_ceilings(events: &Events, violations: &mut Vec<Violation>) {
     let (rate, burst) =
         (platform::PAID_RATE * platform::PAID_CEILING, platform::PAID_BURST * platform::PAID_CEILING);
-    // A tenth of the burst, and what the ceiling's rate refills in 0.15 s, as journal times may be off by
-    // that much.
+    // A tenth of the burst plus the units that the ceiling's rate refills in 0.15 s, because times in the
+    // journal may be off by that much.
     let slack = burst / 10.0 + rate * 0.15;
     let mut pending: HashMap<u64, (u64, f64)> = HashMap::new();
     let mut buckets: HashMap<u64, (Duration, f64)> = HashMap::new();
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -27,7 +27,8 @@
     pub kind: String,
     /// Group (cell) on the endpoint list.
     pub group: u32,
-    /// Requests that run at once. As many again may wait; further ones are rejected.
+    /// Maximum number of requests that run at the same time. As many again may wait; further ones are
+    /// rejected.
     pub slots: usize,
     /// Service time of a request once it has a slot.
     pub service_time: Duration,
@@ -58,7 +59,7 @@
 /// A running backend, stopped when dropped.
 #[derive(Debug)]
 pub struct Backend {
-    /// Properties that it was started with.
+    /// Properties with which it was started.
     pub spec: Spec,
     /// Listen address.
     pub address: SocketAddr,
@@ -205,7 +206,7 @@
                 let first_byte_at = self.journal.now().saturating_sub(message.took);
                 tokio::select! {
                     answer = self.request(&words, first_byte_at, refused) => answer,
-                    // The gateway has given up on the request.
+                    // The gateway closes the connection when it gives up on the request.
                     () = closed_by_peer(&stream) => return,
                 }
             } else {
@@ -267,8 +268,8 @@
 
     fn service_time(&self) -> Duration {
         let Some((initial_factor, warm_up)) = self.spec.cold else { return self.spec.service_time };
-        let cold = 1.0 - (self.started.elapsed().as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
-        self.spec.service_time.mul_f64(1.0 + (initial_factor - 1.0).max(0.0) * cold)
+        let remaining = 1.0 - (self.started.elapsed().as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
+        self.spec.service_time.mul_f64(1.0 + (initial_factor - 1.0).max(0.0) * remaining)
     }
 }
 
@@ -291,13 +292,13 @@
         let mut byte = [0];
         match stream.peek(&mut byte).await {
             Ok(0) | Err(_) => return,
-            // A pipelined command; the current one is still being worked on.
+            // The bytes of the next command have arrived; the current command is still being worked on.
             Ok(_) => sleep(Duration::from_millis(5)).await,
         }
     }
 }
 
-/// Records how a request ended when dropped, also if its connection ends first.
+/// Records the end of a request when dropped, so also when its connection ends early.
 struct RunningRequest<'a> {
     server: &'a Server,
     id: u64,
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -30,11 +30,11 @@
 /// Rate and mix of a load's requests.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Requests per second over all gateways.
+    /// Requests per second over all gateways; values below 0.1 count as 0.1.
     pub rate: f64,
     /// Number of customers that send the requests.
     pub customers: u64,
-    /// Fraction of the requests on the plan with a quota.
+    /// Fraction of the requests, 0 to 1, on the plan with a quota.
     pub paid: f64,
     /// Weights of the classes `safe`, `keyed` and `unsafe`.
     pub classes: [u64; 3],
@@ -48,10 +48,10 @@
     }
 }
 
-/// Numbers of requests by their answers so far.
+/// Numbers of requests by their final answers so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounts {
-    /// Requests that were started.
+    /// Requests that clients began to send.
     pub asked: u64,
     /// Served with a value.
     pub served: u64,
@@ -79,7 +79,7 @@
     in_flight: AtomicUsize,
 }
 
-/// A load on several gateways. Clones share its counts and connections.
+/// A load on several gateways. Clones share its counts and idle connections.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Sets the clients' fault: slow clients write a command in two halves, silent ones write half of it and
@@ -90,7 +90,7 @@
     counts: Arc<Counts>,
     latencies: Arc<Mutex<Histogram<u64>>>,
     journal: Journal,
-    /// Id of the load's first request.
+    /// Id of the first request; the others follow in sequence.
     first_id: u64,
 }
 
@@ -132,8 +132,8 @@
         latencies.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Sends requests by the profile until `end`, then waits for the remaining answers. Cancelling begins
-    /// nothing more, and what is open goes on.
+    /// Sends requests by the profile until `end`, then waits for the remaining answers. Dropping the future
+    /// aborts the requests in flight: their answers are neither counted nor recorded in the journal.
     pub async fn run(&self, profile: &LoadProfile, end: impl std::future::Future<Output = ()>) {
         let mut rng = Rng::new(profile.seed);
         let mut tick = interval(Duration::from_secs_f64(1.0 / profile.rate.max(0.1)));
@@ -171,7 +171,8 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Sends one request and returns its answer. `class` and `plan` index [`CLASSES`] and [`PLANS`].
+    /// Sends one request to the gateway with this index and returns its answer. `class` and
+    /// `plan` index [`CLASSES`] and [`PLANS`].
     pub async fn send_request(
         &self,
         gateway: usize,
--- a/crates/testbed/src/counter.rs
+++ b/crates/testbed/src/counter.rs
@@ -1,4 +1,4 @@
-//! A shared counter stand-in. It keeps the true totals whatever its faults make it answer.
+//! A shared counter stand-in. It keeps correct totals even while a fault makes it send wrong answers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,14 +13,16 @@
 
 /// Maximum number of counter names; a call for a further one is answered `busy`.
 const MAX_KEYS: usize = 100_000;
-/// Maximum lifetime of a counter name.
+/// Maximum lifetime of a total; a longer TTL in a call is reduced to it.
 const MAX_KEY_TTL: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Default)]
 struct Store {
+    /// Total and expiry time by counter name.
     totals: HashMap<String, (f64, Instant)>,
+    /// Number of executed `bump` calls.
     calls: u64,
-    /// Sum of all amounts ever added, whatever was answered or cleared.
+    /// Sum of all amounts ever added, also of those that were cleared or whose answer was garbled.
     added: f64,
     /// Arrival time of each call and its time until the answer, up to [`MAX_RECORDED_WAITS`].
     waits: Vec<(Duration, Duration)>,
@@ -38,6 +40,7 @@
 #[derive(Clone, Debug)]
 struct CallQueue {
     time_per_call: Duration,
+    /// Time at which the work on all calls so far is done.
     free_at: Arc<tokio::sync::Mutex<Instant>>,
 }
 
@@ -45,10 +48,10 @@
     /// Waits for a call's turn and works on it. The average rate is one call per `time_per_call`: time lost
     /// to sleeps that last too long is made up for, up to [`MAX_CATCH_UP`].
     async fn work(&self) {
-        let mut free = self.free_at.lock().await;
+        let mut free_at = self.free_at.lock().await;
         let now = Instant::now();
-        *free = (*free).max(now.checked_sub(MAX_CATCH_UP).unwrap_or(now)) + self.time_per_call;
-        tokio::time::sleep_until((*free).into()).await;
+        *free_at = (*free_at).max(now.checked_sub(MAX_CATCH_UP).unwrap_or(now)) + self.time_per_call;
+        tokio::time::sleep_until((*free_at).into()).await;
     }
 }
 
@@ -73,8 +76,8 @@
         Counter::with_time_per_call(Duration::ZERO).await
     }
 
-    /// Starts an empty counter that works on calls one after another, each for this time; zero works on all
-    /// calls at once.
+    /// Starts an empty counter that works on calls one after another, each for this time; if it is
+    /// zero, on all calls at once.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
@@ -125,7 +128,7 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner).waits.clone()
     }
 
-    /// Returns the sum of all amounts ever added, whatever was answered.
+    /// Returns the sum of all amounts ever added, also of those whose answer was garbled.
     #[must_use]
     pub fn added(&self) -> f64 {
         self.store.lock().unwrap_or_else(PoisonError::into_inner).added
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -21,6 +21,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct List {
+    /// Version of the list.
     index: u64,
     /// Endpoints by backend name, each with the version that changed it last.
     endpoints: BTreeMap<String, (u64, Value)>,
@@ -60,7 +61,7 @@
     switch: Switch,
     capacity: Option<DiscoveryCapacity>,
     list: watch::Sender<List>,
-    /// Incremented by [`Discovery::restart_at_index`], which ends all connections.
+    /// Number of calls of [`Discovery::restart_at_index`]; each closes all connections.
     restarts: watch::Sender<u64>,
     calls: Mutex<Vec<DiscoveryCall>>,
     /// Number of calls on each listener.
@@ -107,7 +108,7 @@
     }
 }
 
-/// Removes a call from the queue when dropped, also if its connection ends first.
+/// Removes a call from the queue when dropped, so also when its connection ends early.
 struct QueuedCall<'a>(&'a Shared);
 
 impl Drop for QueuedCall<'_> {
@@ -184,8 +185,8 @@
         self.shared.started.elapsed()
     }
 
-    /// Acts as a service that took this one's place: closes all connections and serves the same list under
-    /// this version.
+    /// Simulates a replacement of the service by another one: closes all connections and serves the same
+    /// list as version `index`.
     pub fn restart_at_index(&self, index: u64) {
         self.shared.list.send_modify(|list| {
             list.index = index;
@@ -212,12 +213,12 @@
         ]);
     }
 
-    /// Publishes an endpoint unchecked, as the given JSON.
+    /// Publishes an endpoint as the given JSON, without checking it.
     pub fn publish(&self, name: &str, endpoint: Value) {
         self.publish_all([(name, endpoint)]);
     }
 
-    /// Publishes endpoints unchecked, in one version.
+    /// Publishes endpoints in one version, without checking them.
     fn publish_all<'a>(
         &self,
         endpoints: impl IntoIterator<Item = (&'a (impl AsRef<str> + ?Sized + 'a), Value)>,
@@ -231,7 +232,7 @@
         });
     }
 
-    /// Returns the number of rejected calls, and of those among them that asked for the whole list.
+    /// Returns the number of rejected calls, and the number of those that asked for the whole list.
     #[must_use]
     pub fn rejected_calls(&self) -> (u64, u64) {
         let calls = self.shared.calls();
@@ -318,22 +319,25 @@
                 break;
             }
         }
-        let number = |name: &str| -> Option<u64> {
+        let query_number = |name: &str| -> Option<u64> {
             let (_, query) = path.split_once('?')?;
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?.parse().ok()
         };
-        let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0).min(60_000));
+        let (after, wait) = (query_number("after"), query_number("wait_ms").unwrap_or(0).min(60_000));
         let recorded = shared.record(listener_index, after, Duration::from_millis(wait));
         // Calls received while the service is silent are worked on afterwards.
         switch.until(|f| f != Fault::Silent).await;
-        let odd = shared.calls_by_listener[listener_index].fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
-        let rejected = switch.now() == Fault::Busy || odd && switch.now() == Fault::AlternateBusy;
+        // `fetch_add` returns 0 at the first call, so this holds for the first, third, fifth, ... call.
+        let alternate =
+            shared.calls_by_listener[listener_index].fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
+        let rejected = switch.now() == Fault::Busy || alternate && switch.now() == Fault::AlternateBusy;
         if rejected || !shared.work().await {
             if let Some(call) = shared.calls().get_mut(recorded) {
                 call.rejected = true;
             }
-            let busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-            stream.write_all(busy).await.ok()?;
+            let response =
+                b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+            stream.write_all(response).await.ok()?;
             return None;
         }
         if let Some(after) = after {
--- a/crates/testbed/src/dns.rs
+++ b/crates/testbed/src/dns.rs
@@ -14,16 +14,16 @@
 
 use crate::switch::{Fault, Switch};
 
-/// Record types.
+// Record types.
 const A: u16 = 1;
 const SOA: u16 = 6;
 const PTR: u16 = 12;
 const TXT: u16 = 16;
 const SRV: u16 = 33;
 const OPT: u16 = 41;
-/// Maximum length of a UDP answer to a question without EDNS (RFC 1035, section 4.2.1).
+/// Maximum length of a UDP answer to a question without EDNS, bytes (RFC 1035, section 4.2.1).
 const MAX_PLAIN_ANSWER_BYTES: usize = 512;
-/// Maximum number of questions, or of TCP connections, handled at once.
+/// Maximum number of UDP questions being answered, and of open TCP connections.
 const MAX_TASKS: usize = 1_024;
 /// Time after which an idle TCP connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -75,6 +75,7 @@
     /// answers REFUSED, and [`Fault::Garbled`] answers bytes that are not a DNS message.
     pub switch: Switch,
     zone: Arc<Mutex<Zone>>,
+    /// Numbers of questions received over UDP and over TCP.
     question_counts: Arc<(AtomicU64, AtomicU64)>,
     tasks: [JoinHandle<()>; 2],
 }
@@ -159,15 +160,15 @@
 
 /// Binds a UDP and a TCP socket to the same port.
 async fn bind_udp_and_tcp() -> std::io::Result<(UdpSocket, TcpListener)> {
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..16 {
         let tcp = TcpListener::bind("127.0.0.1:0").await?;
         match UdpSocket::bind(tcp.local_addr()?).await {
             Ok(udp) => return Ok((udp, tcp)),
-            Err(e) => last = Some(e),
+            Err(e) => last_error = Some(e),
         }
     }
-    Err(last.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into()))
+    Err(last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into()))
 }
 
 /// Converts a name to lower case and appends the final dot.
@@ -179,7 +180,7 @@
     format!("{}.{}", label.to_lowercase(), fold_case(service))
 }
 
-/// Encodes a name.
+/// Encodes a name as length-prefixed labels.
 fn encode_name(name: &str) -> Vec<u8> {
     let labels = name.split('.').filter(|l| !l.is_empty());
     let bytes = labels.flat_map(|l| std::iter::once(l.len() as u8).chain(l.bytes()));
@@ -258,6 +259,7 @@
             return vec![vec![0xff; 40]];
         }
         let Some(question) = Question::read(bytes) else { return Vec::new() };
+        // SERVFAIL is 2, REFUSED is 5.
         let code = match fault {
             Fault::Failing | Fault::Busy => Some(2),
             Fault::Refusing => Some(5),
@@ -291,7 +293,7 @@
     /// Name in lower case.
     name: String,
     record_type: u16,
-    /// Maximum length of a UDP answer.
+    /// Maximum length of a UDP answer, bytes.
     max_udp_answer: usize,
 }
 
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -65,11 +65,11 @@
                 .await?;
         let (counter, journal) =
             (Counter::with_time_per_call(counter_time_per_call).await?, Journal::new(4_000_000));
-        let mut started = Vec::new();
+        let mut started_backends = Vec::new();
         for i in 0..backends {
-            started.push(Backend::start(Spec::plain(i), journal.clone()).await?);
+            started_backends.push(Backend::start(Spec::plain(i), journal.clone()).await?);
         }
-        for b in &started {
+        for b in &started_backends {
             service.list(b, "SERVING");
         }
         let known = service.known();
@@ -87,7 +87,7 @@
             config["seed"] = format!("{:016x}", (seed << 32) + me as u64).into();
             nodes.push(Node::new(folder.path(), &config)?);
         }
-        let backends = started;
+        let backends = started_backends;
         let mut fleet = Fleet {
             nodes,
             service,
@@ -175,13 +175,13 @@
 
 /// Returns the fraction served of the requests sent between two samples.
 #[must_use]
-pub fn served_fraction(now: LoadCounts, before: LoadCounts) -> f64 {
-    (now.served - before.served) as f64 / (now.asked - before.asked).max(1) as f64
+pub fn served_fraction(later: LoadCounts, earlier: LoadCounts) -> f64 {
+    (later.served - earlier.served) as f64 / (later.asked - earlier.asked).max(1) as f64
 }
 
-/// Formats fractions as one cell of a table, separated by spaces.
+/// Formats fractions with two decimal places as one cell of a table, separated by spaces.
 #[must_use]
-pub fn column(fractions: &[f64]) -> String {
+pub fn table_cell(fractions: &[f64]) -> String {
     fractions.iter().map(|fraction| format!("{fraction:.2}")).collect::<Vec<_>>().join(" ")
 }
 
--- a/crates/testbed/src/harness/node.rs
+++ b/crates/testbed/src/harness/node.rs
@@ -21,7 +21,7 @@
 pub enum NodeError {
     /// The system's error.
     Io(io::Error),
-    /// It exited or did not print the expected line in time; with its name and log.
+    /// The process exited or did not print the expected line in time. Contains its name and its log.
     NotReady(String, String),
 }
 
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             NodeError::Io(e) => e.fmt(f),
-            NodeError::NotReady(name, logged) => write!(f, "{name} did not get ready: {logged}"),
+            NodeError::NotReady(name, logged) => write!(f, "{name} did not become ready: {logged}"),
         }
     }
 }
@@ -60,6 +60,7 @@
     /// Listen address, kept over restarts; `None` until it was ready for the first time.
     pub address: Option<SocketAddr>,
     folder: PathBuf,
+    /// The process and the lines of its standard output.
     running: Option<(Child, Option<Lines<BufReader<ChildStdout>>>)>,
     /// A killed process that may not have exited yet.
     killed: Option<Child>,
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The class of a request, as the auditor's rules distinguish them.
+/// The idempotency class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// May run several times.
@@ -131,8 +131,8 @@
 }
 
 impl Journal {
-    /// Creates a journal with room for this many events. Further ones are only counted, and an audit then
-    /// fails.
+    /// Creates a journal with room for this many events. Further ones are dropped and counted, and an audit
+    /// of the journal then fails.
     #[must_use]
     pub fn new(capacity: usize) -> Journal {
         Journal { started: Instant::now(), capacity, records: Arc::default() }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! ```text
 //!  client::Load ──▶ gateways ──▶ backend::Backend      each with a Switch: slow, silent, refusing, ...
-//!                      │  └────▶ counter::Counter      knows the true totals, whatever it answers
+//!                      │  └────▶ counter::Counter      keeps correct totals under faults
 //!                      └───────▶ discovery::Discovery
 //!                 dns::Dns: a resolver with its own zone, for DNS endpoint lists
 //!        every message on the sockets ──▶ journal::Journal ──▶ audit::audit: requests that break one
@@ -15,7 +15,7 @@
 //! - [`harness`]: gateway and agent processes, with links between them that can fail.
 //! - [`rig`]: a simulation of many gateways' policies in front of thousands of backends.
 //!
-//! Nothing here is part of a gateway, and nothing listens on any address but loopback.
+//! No gateway contains this code. All sockets listen on loopback only.
 
 pub mod audit;
 pub mod backend;
@@ -49,7 +49,7 @@
         rng
     }
 
-    /// Returns the next number, of 53 bits.
+    /// Returns the next number, from 0 to 2^53 - 1.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_mul(LCG.0).wrapping_add(LCG.1);
         let x = self.0 ^ (self.0 >> 33);
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -16,15 +16,15 @@
 pub const PAID_CEILING: f64 = 3.0;
 /// Deadline of a request over all its attempts, ms.
 pub const DEADLINE_MS: f64 = 3_000.0;
-/// Fraction of its full capacity that a backend has at its start, at least.
+/// Minimum fraction of its full capacity that a backend has at its start.
 pub const INITIAL_CAPACITY: f64 = 0.2;
 /// Time after which a backend has its full capacity, ms.
 pub const WARM_UP_MS: f64 = 10_000.0;
-/// A warming backend fails under load above this multiple of its current capacity ...
+/// Multiple of its current capacity above which the load overloads a warming backend.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// ... that lasts this long, ms.
+/// Time for which an overload must last until the backend fails, ms.
 pub const OVERLOAD_WINDOW_MS: f64 = 2_000.0;
-/// Time after its drain from which a backend receives no new attempts, ms.
+/// Time after a backend's drain from which it receives no new attempts, ms.
 pub const DRAIN_GRACE_MS: f64 = 500.0;
 
 /// Returns the settings of the gateway with index `me` of `gateways`.
@@ -61,8 +61,8 @@
     })
 }
 
-/// Returns the configuration of the gateway with index `me` of `gateways`. It listens on a port of the
-/// system's choice unless an address is given.
+/// Returns the configuration of the gateway with index `me` of `gateways`, with the endpoint list `known`.
+/// It listens on a port of the system's choice unless an address is given.
 #[must_use]
 pub fn config(
     me: usize,
--- a/crates/testbed/src/rig.rs
+++ b/crates/testbed/src/rig.rs
@@ -207,25 +207,26 @@
     pub requests: u64,
     /// Requests served within the latency objective.
     pub in_time: u64,
-    /// Requests served.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
     /// Requests without exactly one answer. Must be 0.
     pub wrongly_answered: u64,
-    /// Unanswered requests at a gateway when it was killed.
+    /// Requests that were unanswered when their gateway was killed.
     pub interrupted: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Attempts that no backend ran.
+    /// Attempts whose outcome shows that no backend ran them.
     pub never_executed: u64,
     /// Keyed requests that ran in more than one cell. Must be 0.
     pub repeated_across_cells: u64,
-    /// Attempts to a backend that was tried before, while another was listed ready. It must be 0.
+    /// Attempts to a backend to which an earlier attempt of the same request was sent. Each one is counted,
+    /// whether or not another backend was ready.
     pub repeated_at_backend: u64,
-    /// Fraction of all work that served no client.
+    /// Fraction of the backends' work, 0 to 1, that led to no answer to a client.
     pub wasted: f64,
     /// Latencies of served requests, us.
     pub latencies: Histogram<u64>,
@@ -235,10 +236,11 @@
     /// Maximum use of the slow-start limit by any warming backend in any overload window; above 1 the backend
     /// fails.
     pub max_slow_start_use: f64,
-    /// The same over windows in which more than two thirds of the work came from gateways that knew of the
-    /// start; above 1 the slow-start rule is violated.
+    /// Like `max_slow_start_use`, but only over windows in which more than two thirds of the work came from
+    /// gateways that knew of the start; above 1 the slow-start rule is violated.
     pub max_notified_slow_start_use: f64,
-    /// Minimum work sent to a cold backend, relative to the mean of the warm ones in the same time.
+    /// Minimum over the cold backends of the work sent to one, relative to the mean work sent to a warm
+    /// backend in the same time.
     pub min_slow_start_work: f64,
     /// Connections opened, and connections refused because a backend had reached its limit.
     pub connects: (u64, u64),
--- a/crates/testbed/src/rig/attempts.rs
+++ b/crates/testbed/src/rig/attempts.rs
@@ -10,12 +10,13 @@
 
 pub(super) struct Attempt {
     pub request: u64,
+    /// Position among the attempts of its request, from 0.
     pub number: u32,
     pub backend: u32,
     /// Incarnation of the backend at the opening of the attempt's connection; `None` without a connection.
     pub connection: Option<u32>,
     pub sent_ms: f64,
-    /// Service time at this backend, ms, once the work has begun.
+    /// Service time at this backend, ms; `None` until the work begins.
     pub service_time_ms: Option<f64>,
     /// Whether the outcome is being reported or has been reported.
     pub settled: bool,
@@ -24,6 +25,7 @@
 }
 
 impl Simulation<'_> {
+    /// Handles the arrival of an attempt at its backend, which may refuse, fail, queue or begin it.
     pub(super) fn attempt_reached(&mut self, index: usize) {
         let Attempt { request, backend, settled, .. } = self.attempts[index];
         self.backends[backend as usize].in_transit -= 1;
@@ -33,7 +35,7 @@
             return self.settle(index, CONNECT_TIMEOUT_MS, Outcome::ConnectFailed);
         }
         let incarnation = self.backends[backend as usize].incarnation;
-        if self.attempts[index].connection.is_none_or(|of| of != incarnation) {
+        if self.attempts[index].connection.is_none_or(|opened_in| opened_in != incarnation) {
             self.attempts[index].connection = self.open_connection(backend);
             if self.attempts[index].connection.is_none() {
                 // A backend at its connection limit rejects the attempt.
@@ -57,12 +59,14 @@
         }
     }
 
+    /// Begins the work of an attempt, ms of service time on a warm backend.
     pub(super) fn begin(&mut self, index: usize, work: f64) {
         let service_time = self.backends[self.attempts[index].backend as usize].service_time(self.now, work);
         self.attempts[index].service_time_ms = Some(service_time);
         self.schedule(service_time, SimulationEvent::WorkDone(index));
     }
 
+    /// Handles the end of an attempt's work and begins the next waiting attempt.
     pub(super) fn work_done(&mut self, index: usize) {
         let backend = self.attempts[index].backend as usize;
         // Skips attempts that were cancelled while they waited.
@@ -78,6 +82,7 @@
         }
     }
 
+    /// Fixes the outcome of an attempt, which reaches the gateway after `after` ms.
     pub(super) fn settle(&mut self, index: usize, after: f64, outcome: Outcome) {
         self.attempts[index].settled = true;
         self.report.never_executed += u64::from(outcome.never_executed());
@@ -85,7 +90,7 @@
     }
 
     pub(super) fn outcome_reported(&mut self, index: usize, outcome: Outcome) {
-        let Attempt { request: id, number, backend, sent_ms: sent, .. } = self.attempts[index];
+        let Attempt { request: id, number, backend, sent_ms, .. } = self.attempts[index];
         let Some(request) = self.requests.get(&id) else { return };
         if request.closed {
             return;
@@ -102,7 +107,7 @@
             return self.send_ideally(id);
         }
         if self.scenario.chooser != Chooser::Ideal {
-            let (latency_ms, closed) = (self.now - sent, self.requests[&id].answers > 0);
+            let (latency_ms, answered) = (self.now - sent_ms, self.requests[&id].answers > 0);
             let (metered_use, actual_units, load) = (None, None, &[][..]);
             let attempt = number;
             self.decide(
@@ -113,7 +118,7 @@
                     backend,
                     outcome,
                     latency_ms,
-                    answered: closed,
+                    answered,
                     metered_use,
                     actual_units,
                     load,
--- a/crates/testbed/src/rig/backend.rs
+++ b/crates/testbed/src/rig/backend.rs
@@ -6,7 +6,7 @@
 
 use super::{FaultKind, Scenario};
 
-/// A request at a backend.
+/// An attempt that waits or runs at a backend.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Job {
     /// Index of its attempt.
@@ -18,7 +18,9 @@
 /// Work sent to a warming backend.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStartSend {
+    /// Time of the send, ms.
     pub at: f64,
+    /// Service time on a warm backend, ms.
     pub work: f64,
     /// Whether the sending gateway had been notified of the backend's start.
     pub notified: bool,
@@ -39,6 +41,7 @@
     pub connected: u32,
     /// Incremented when a fault closes all connections.
     pub incarnation: u32,
+    /// Number of occupied slots.
     pub busy: u32,
     /// Requests sent but not yet received.
     pub in_transit: u32,
@@ -51,6 +54,7 @@
     /// that.
     pub list_position: Option<usize>,
     slots: u32,
+    /// Maximum number of waiting jobs.
     queue: usize,
     slow_start: SlowStart,
     /// Offset of its pauses, as a fraction of the pause period.
--- a/crates/testbed/src/rig/fleet_events.rs
+++ b/crates/testbed/src/rig/fleet_events.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Gives a gateway the list of the run's start, as from its own configuration.
+    /// Gives a gateway the list at the start of the run, as if it came from the gateway's configuration.
     pub(super) fn load_initial_list(&mut self, g: u32) {
         let all = (0..self.scenario.backends).zip(&self.backends);
         let initial = |(n, b): (u32, &Backend)| BackendEndpoint {
--- a/crates/testbed/src/rig/measurements.rs
+++ b/crates/testbed/src/rig/measurements.rs
@@ -18,7 +18,7 @@
         self.report.wasted = if total_work > 0.0 { wasted / total_work } else { 0.0 };
         for request in self.requests.values() {
             self.report.wrongly_answered += u64::from(request.answers != 1);
-            // The ideal chooser need not keep the rule on cells.
+            // The ideal chooser may send a keyed request to several cells.
             if request.class == 1 && self.scenario.chooser != Chooser::Ideal {
                 let ran = request
                     .attempts
--- a/crates/testbed/src/rig/node.rs
+++ b/crates/testbed/src/rig/node.rs
@@ -8,17 +8,18 @@
 
 use super::Scenario;
 
-/// First and longest delay between rejected calls to discovery. This and the next three values are those of a
-/// gateway.
+/// Initial and maximum delay after a rejected call to discovery. This and the next three constants have the
+/// values that a gateway uses.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1_000));
 /// Assumed time of a discovery call.
 const TIME_PER_CALL: Duration = Duration::from_millis(20);
-/// Upper limit of the delay, also in large fleets.
+/// Upper limit of the delay, which grows with the size of the fleet.
 const DELAY_LIMIT: Duration = Duration::from_millis(3_000);
 /// Upper limit of the delay before the first call.
 const MAX_INITIAL_DELAY: Duration = Duration::from_millis(250);
 
-/// An idle connection: the time since when, and the incarnation of its backend at its opening.
+/// An idle connection: the time since which it is idle, ms, and the incarnation of its backend at its
+/// opening.
 type Idle = (f64, u32);
 
 pub(super) struct Node {
@@ -86,7 +87,7 @@
     /// Takes an idle connection; those to an earlier incarnation of the backend are closed and discarded.
     pub fn take_idle(&mut self, backend: u32, incarnation: u32) -> bool {
         let Some(idle) = self.idle.get_mut(&backend) else { return false };
-        idle.retain(|(_, of)| *of == incarnation);
+        idle.retain(|(_, opened_in)| *opened_in == incarnation);
         idle.pop().is_some()
     }
 
@@ -98,9 +99,9 @@
     /// backend.
     pub fn close_idle(&mut self, since: f64, backend: u32, incarnation: u32) -> u32 {
         let Some(idle) = self.idle.get_mut(&backend) else { return 0 };
-        let old = idle.iter().filter(|(at, of)| *at <= since && *of == incarnation).count();
-        idle.retain(|(at, of)| *at > since && *of == incarnation);
-        old as u32
+        let expired = idle.iter().filter(|(at, opened_in)| *at <= since && *opened_in == incarnation).count();
+        idle.retain(|(at, opened_in)| *at > since && *opened_in == incarnation);
+        expired as u32
     }
 }
 
--- a/crates/testbed/src/rig/requests.rs
+++ b/crates/testbed/src/rig/requests.rs
@@ -10,12 +10,13 @@
 use super::simulation::{Simulation, BEGIN_MS, ONE_WAY_LATENCY_MS};
 use super::{Chooser, FaultKind};
 
-/// Share of the classes safe, keyed and unsafe, of ten requests.
+/// Number of requests of the classes safe, keyed and unsafe among ten.
 const CLASS_WEIGHTS: [u64; 3] = [5, 2, 3];
 
 pub(super) struct ClientRequest {
     pub arrived_ms: f64,
     pub class: usize,
+    /// Service time on a warm backend, ms.
     pub work: f64,
     pub gateway: u32,
     pub answers: u32,
@@ -34,6 +35,7 @@
 }
 
 impl Simulation<'_> {
+    /// Creates a request with random class, work and gateway, and schedules the next arrival.
     pub(super) fn arrival(&mut self) {
         let s = self.scenario;
         let capacity = f64::from(s.backends * s.slots) / s.service_time_ms;
@@ -119,6 +121,7 @@
         }
     }
 
+    /// Sends an attempt of a request to a backend.
     pub(super) fn send(&mut self, id: u64, backend: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (number, index) = (request.attempts.len() as u32, self.attempts.len());
@@ -151,6 +154,7 @@
         self.schedule(trips * ONE_WAY_LATENCY_MS, SimulationEvent::AttemptReached(index));
     }
 
+    /// Records a final answer to a request; only the first one is counted in the report's outcomes.
     pub(super) fn answer(&mut self, id: u64, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.answers += 1;
--- a/crates/testbed/src/rig/simulation.rs
+++ b/crates/testbed/src/rig/simulation.rs
@@ -18,8 +18,7 @@
 
 /// Network latency in one direction between a gateway and a backend, ms.
 pub(super) const ONE_WAY_LATENCY_MS: f64 = 0.25;
-/// Clock at the start of a run, ms. It is not 0, as a start time of 0 stands for a backend that is already
-/// warm.
+/// Clock at the start of a run, ms. It is not 0, because a backend with start time 0 counts as warm.
 pub(super) const BEGIN_MS: f64 = 1_000_000.0;
 
 pub(super) struct Simulation<'a> {
@@ -146,7 +145,7 @@
     fn change_fault(&mut self, index: usize, begins: bool) {
         let (fault, now, mut recovered) = (self.scenario.faults[index], self.now, Vec::new());
         for (number, backend) in (0..).zip(&mut self.backends) {
-            // A random fraction is drawn at the beginning only; the backends with the fault then recover.
+            // The affected backends are drawn at the beginning; at the end, those with the fault recover.
             let affected = match fault.target {
                 FaultTarget::Fraction(fraction) if begins => self.rng.next_f64() < fraction,
                 FaultTarget::Fraction(_) => backend.fault == Some(fault.kind),
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -1,5 +1,5 @@
 //! Servers that hand every message to the test, which writes the answer. They run in threads of their own and
-//! panic where the test is to fail.
+//! panic on errors, so that the test fails.
 #![allow(clippy::missing_panics_doc)] // Only tests use this module.
 
 use std::net::SocketAddr;
--- a/crates/testbed/src/scripted/client.rs
+++ b/crates/testbed/src/scripted/client.rs
@@ -15,14 +15,14 @@
 impl Client {
     /// Connects to a gateway.
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("the gateway listens");
+        let stream = TcpStream::connect(address).expect("connect to the gateway");
         stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
         Client { stream: BufReader::new(stream) }
     }
 
     /// Writes raw bytes.
     pub fn write(&mut self, bytes: &[u8]) {
-        self.stream.get_mut().write_all(bytes).expect("the gateway reads");
+        self.stream.get_mut().write_all(bytes).expect("write to the gateway");
     }
 
     /// Writes a command.
@@ -37,8 +37,8 @@
 
     /// Reads the next answer if any of it arrives within 2 ms.
     pub fn try_read(&mut self) -> Option<String> {
-        let brief = Some(Duration::from_millis(2));
-        self.stream.get_ref().set_read_timeout(brief).expect("set the read timeout");
+        let short_timeout = Some(Duration::from_millis(2));
+        self.stream.get_ref().set_read_timeout(short_timeout).expect("set the read timeout");
         let arrived = self.stream.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
         self.stream.get_ref().set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("set the read timeout");
         arrived.then(|| self.read())
@@ -77,6 +77,7 @@
 
 /// Returns the deadline in the terms of a request, ms.
 pub fn deadline_ms_of(terms: &str) -> u32 {
-    let deadline = terms.split(',').find_map(|t| t.strip_prefix("d=")).expect("d");
+    let deadline =
+        terms.split(',').find_map(|t| t.strip_prefix("d=")).expect("the request has a deadline term");
     deadline.parse().expect("a whole number")
 }
--- a/crates/testbed/src/scripted/discovery.rs
+++ b/crates/testbed/src/scripted/discovery.rs
@@ -21,7 +21,7 @@
     json!({"index": index, "snapshot": snapshot, "endpoints": endpoints})
 }
 
-/// Returns a serving endpoint named `s-` and its number.
+/// Returns a serving endpoint named `s-0` for index 0, and so on.
 pub fn serving(i: usize, backend: &StandIn) -> Value {
     endpoint(&format!("s-{i}"), backend.address, 1, "SERVING", 0.0)
 }
@@ -58,7 +58,7 @@
 impl DiscoveryStandIn {
     /// Starts a server without queued answers on a port of the system's choice.
     pub fn start() -> DiscoveryStandIn {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let address = listener.local_addr().expect("an address");
         let state = Arc::<(Mutex<State>, Condvar)>::default();
         let discovery = DiscoveryStandIn { address, state };
@@ -80,13 +80,13 @@
                 from.read_line(&mut head).ok().filter(|n| *n > 0)?;
             }
             let (lock, changed) = &*self.state;
-            let mut state = lock.lock().expect("unpoisoned");
+            let mut state = lock.lock().expect("the lock is not poisoned");
             state.calls.push(head.lines().next().unwrap_or_default().to_string());
             state.acknowledged += usize::from(earlier_calls > 0);
             changed.notify_all();
             // A call whose connection was closed consumes no answer.
             while state.answers.is_empty() {
-                (state, _) = changed.wait_timeout(state, POLL_INTERVAL).expect("unpoisoned");
+                (state, _) = changed.wait_timeout(state, POLL_INTERVAL).expect("the lock is not poisoned");
                 if closed_by_gateway(&stream) {
                     return None;
                 }
@@ -105,35 +105,35 @@
     /// Queues one more answer.
     pub fn queue_answer(&self, body: &str) {
         let (lock, changed) = &*self.state;
-        lock.lock().expect("unpoisoned").answers.push(body.to_string());
+        lock.lock().expect("the lock is not poisoned").answers.push(body.to_string());
         changed.notify_all();
     }
 
     /// Queues an answer and waits until the gateway has processed it and called again on the same connection.
     pub fn deliver(&self, body: &Value) {
         let (lock, changed) = &*self.state;
-        let mut state = lock.lock().expect("unpoisoned");
+        let mut state = lock.lock().expect("the lock is not poisoned");
         let before = state.acknowledged;
         state.answers.push(body.to_string());
         changed.notify_all();
         let (state, _) = changed
-            .wait_timeout_while(state, MESSAGE_TIMEOUT, |t| t.acknowledged <= before)
-            .expect("unpoisoned");
-        assert!(state.acknowledged > before, "{:?}", state.calls);
+            .wait_timeout_while(state, MESSAGE_TIMEOUT, |s| s.acknowledged <= before)
+            .expect("the lock is not poisoned");
+        assert!(state.acknowledged > before, "no call after the answer: {:?}", state.calls);
     }
 
     /// Returns the first line of each call so far.
     pub fn calls(&self) -> Vec<String> {
-        self.state.0.lock().expect("unpoisoned").calls.clone()
+        self.state.0.lock().expect("the lock is not poisoned").calls.clone()
     }
 
     /// Waits until there have been this many calls.
     pub fn wait_for_calls(&self, calls: usize) {
         let (lock, changed) = &*self.state;
-        let state = lock.lock().expect("unpoisoned");
+        let state = lock.lock().expect("the lock is not poisoned");
         let (state, _) = changed
-            .wait_timeout_while(state, MESSAGE_TIMEOUT, |t| t.calls.len() < calls)
-            .expect("unpoisoned");
-        assert!(state.calls.len() >= calls, "{:?}", state.calls);
+            .wait_timeout_while(state, MESSAGE_TIMEOUT, |s| s.calls.len() < calls)
+            .expect("the lock is not poisoned");
+        assert!(state.calls.len() >= calls, "fewer than {calls} calls: {:?}", state.calls);
     }
 }
--- a/crates/testbed/src/scripted/stand_in.rs
+++ b/crates/testbed/src/scripted/stand_in.rs
@@ -11,7 +11,7 @@
 
 /// A message received by a stand-in, and the connection to answer on.
 pub struct IncomingMessage {
-    /// Its words: the arguments of a command, or the words of a line.
+    /// The arguments of a command, or the words of a line.
     pub words: Vec<String>,
     /// Index of the connection, in order of acceptance.
     pub connection: usize,
@@ -21,12 +21,15 @@
 impl IncomingMessage {
     /// Writes raw text.
     pub fn reply(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("the gateway listens");
+        self.stream.write_all(text.as_bytes()).expect("write the reply");
     }
 
     /// Answers as a backend that served the request at the cost of its estimated units.
     pub fn serve(&mut self, value: &str) {
-        let units = self.words[3].split(',').find_map(|t| t.strip_prefix("units=")).expect("units");
+        let units = self.words[3]
+            .split(',')
+            .find_map(|t| t.strip_prefix("units="))
+            .expect("the request has a units term");
         let used = format!("used=0,cost={units}");
         let (value_length, used_length) = (value.len(), used.len());
         self.reply(&format!("*3\r\n${value_length}\r\n{value}\r\n${used_length}\r\n{used}\r\n$-1\r\n"));
@@ -57,7 +60,7 @@
 
 impl StandIn {
     fn start(read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>) -> StandIn {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         StandIn::start_on(listener, read)
     }
 
@@ -71,10 +74,10 @@
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else { return };
                 // Without this an answer could be delayed until the gateway sends its next bytes.
-                stream.set_nodelay(true).expect("a connection");
+                stream.set_nodelay(true).expect("set TCP_NODELAY");
                 let sender: Sender<IncomingMessage> = sender.clone();
                 thread::spawn(move || {
-                    let mut from = BufReader::new(stream.try_clone().expect("a handle"));
+                    let mut from = BufReader::new(stream.try_clone().expect("clone the socket"));
                     while let Some(words) = read(&mut from) {
                         let Ok(stream) = stream.try_clone() else { return };
                         if sender.send(IncomingMessage { words, connection, stream }).is_err() {
@@ -129,8 +132,8 @@
 
 /// Returns an address that refuses connections while the returned socket is held.
 pub fn refusing_address() -> (tokio::net::TcpSocket, SocketAddr) {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    let socket = tokio::net::TcpSocket::new_v4().expect("create a socket");
+    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bind a port");
     let address = socket.local_addr().expect("an address");
     (socket, address)
 }
--- a/crates/testbed/src/switch.rs
+++ b/crates/testbed/src/switch.rs
@@ -40,8 +40,8 @@
 }
 
 impl Switch {
-    /// Sets the fault. It applies to messages that arrive from now on, and silence also to those being worked
-    /// on.
+    /// Sets the fault. A stand-in reads it while it handles a message, so it may also affect messages that
+    /// have already arrived.
     pub fn set(&self, fault: Fault) {
         self.0.send_replace(fault);
     }
@@ -58,7 +58,7 @@
         let _ = self.0.subscribe().wait_for(|f| condition(*f)).await;
     }
 
-    /// Waits for the delay of a slow stand-in, and as long as the stand-in is silent.
+    /// Waits for the delay if the stand-in is slow, and then until it is no longer silent.
     pub(crate) async fn delay(&self) {
         if let Fault::Slow(by) = self.now() {
             tokio::time::sleep(by).await;
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -25,7 +25,7 @@
 }
 
 fn violated_rules(journal: &Journal) -> Vec<(Rule, u64)> {
-    violations(journal, AuditOptions::default()).into_iter().map(|b| (b.rule, b.id)).collect()
+    violations(journal, AuditOptions::default()).into_iter().map(|v| (v.rule, v.id)).collect()
 }
 
 #[test]
@@ -42,7 +42,7 @@
     assert_eq!(violated_rules(&journal), [2, 3, 4, 5].map(|id| (Rule::Lost, id)));
     // While the load runs, a request without an answer yet is no violation.
     let running = violations(&journal, AuditOptions { complete: false, ..AuditOptions::default() });
-    assert!(running.iter().all(|b| b.id != 5), "{running:?}");
+    assert!(running.iter().all(|v| v.id != 5), "{running:?}");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     journal.note(received(&journal, 3, Class::Safe, "a", true));
     (1..=3).for_each(|id| journal.note(answered(id, Answer::Served)));
     let found = violations(&journal, options);
-    assert_eq!(found.iter().map(|b| (b.rule, b.id)).collect::<Vec<_>>(), [(Rule::Drain, 2)]);
+    assert_eq!(found.iter().map(|v| (v.rule, v.id)).collect::<Vec<_>>(), [(Rule::Drain, 2)]);
     assert!(found[0].to_string().contains("to a "), "{}", found[0]);
 }
 
@@ -124,7 +124,7 @@
     let first = found.first().expect("a violation");
     assert_eq!(first.rule, Rule::Ceiling);
     assert!((burst..burst + burst / 2).contains(&first.id), "{first}");
-    assert!(found.iter().all(|b| b.id < 9_000), "a customer without a ceiling was reported");
+    assert!(found.iter().all(|v| v.id < 9_000), "a customer without a ceiling was reported");
 }
 
 #[test]
--- a/crates/testbed/tests/large_fleet.rs
+++ b/crates/testbed/tests/large_fleet.rs
@@ -33,8 +33,8 @@
     let relative = report.in_time_fraction() / ideal.in_time_fraction();
     println!(
         "{relative:.3} of the ideal ({:.3}); p99 {:.0} ms; {} interrupted, {} rejected, {} failed of {}; \
-         {:.3} attempts per request; slow-start limit {:.2} used, {:.2} by notified gateways, {:.2} of a warm \
-         one's work; {:?} connections, {} at one backend; {:?} calls, {:.0} ms without a list",
+         {:.3} attempts per request; slow-start limit {:.2} used, {:.2} by notified gateways, {:.2} of a \
+         warm one's work; {:?} connections, {} at one backend; {:?} calls, {:.0} ms without a list",
         ideal.in_time_fraction(),
         report.latency_ms(0.99),
         report.interrupted,
@@ -84,8 +84,8 @@
     for seed in [1, 2] {
         let (report, relative) = run_checked(&Scenario { restarts: restarts(), ..scenario(seed) });
         let (calls, rejected, peak) = report.calls;
-        // Each calls at least once. Without spreading, all 80 would call within 0.1 s, and again after each
-        // pause.
+        // Each gateway calls at least once. Without spreading, all 80 would call within 0.1 s, and again
+        // after each delay.
         assert!(calls >= 80 && rejected < 160, "{:?}", report.calls);
         assert!(peak <= 20, "{peak} calls in 100 ms");
         assert!(
@@ -132,10 +132,10 @@
     }
 }
 
-/// The backends are back before the list announces their restart, so gateways send to them as to warm ones.
+/// The backends restart before the list announces it, so gateways at first send to them as to warm ones.
 /// The slow-start limit binds a gateway only once it has been notified.
 #[test]
-fn backends_back_cold_before_the_list_tells_are_limited_once_announced() {
+fn cold_backends_are_limited_once_the_list_announces_them() {
     for (fraction, load, seeds) in [(0.6, 0.7, [12, 13, 14]), (0.8, 0.5, [15, 16, 17])] {
         for seed in seeds {
             let (target, kind) = (FaultTarget::Fraction(fraction), FaultKind::Lost);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn replacing_36_of_60_backends_by_cold_ones_serves() {
+fn replacing_36_of_60_backends_keeps_serving() {
     for seed in [6, 7] {
         let replaced = vec![Replace { from_ms: 4_000.0, over_ms: 7_000.0, backends: 36, grace_ms: 500.0 }];
         // The load is low, as the cold backends have less capacity and the remaining ones must carry it.
@@ -171,12 +171,12 @@
         let target = FaultTarget::Fraction(0.1);
         let fault = Fault { from_ms: 4_000.0, to_ms: 16_000.0, target, kind };
         let (_, relative) = run_checked(&Scenario { faults: vec![fault], ..scenario(seed) });
-        // Without detection, 0.947 where they fail.
+        // Without detection it is 0.947 for failing backends.
         assert!(relative > 0.97, "{kind:?}: {relative} of the ideal");
     }
 }
 
-/// Gateways must not take a backend at its connection limit for dead, all at the same time.
+/// Gateways must not all treat a backend at its connection limit as dead.
 #[test]
 fn backends_at_their_connection_limit_still_serve() {
     let limited = Connections { max_per_backend: 8, ..CONNECTIONS };
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -17,7 +17,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
     let link = Link::to(listener.local_addr().expect("an address"), 7).await.expect("start the link");
     let client = TcpStream::connect(link.address).await.expect("the relay accepts");
-    let (server, _) = timeout(TIMEOUT, listener.accept()).await.expect("in time").expect("it arrives");
+    let (server, _) = timeout(TIMEOUT, listener.accept()).await.expect("no timeout").expect("no I/O error");
     (link, client, server)
 }
 
@@ -27,7 +27,7 @@
     let mut received = vec![0; bytes];
     let (wrote, read) = tokio::join!(from.write_all(&sent), timeout(TIMEOUT, to.read_exact(&mut received)));
     wrote.expect("the bytes are written");
-    read.expect("in time").expect("it arrives");
+    read.expect("no timeout").expect("no I/O error");
     assert_eq!(received, sent);
     started.elapsed()
 }
@@ -45,7 +45,7 @@
     assert_silent(&mut client).await;
     link.set_both(Condition::HEALTHY);
     let mut received = [0; 5];
-    timeout(TIMEOUT, client.read_exact(&mut received)).await.expect("in time").expect("it arrives");
+    timeout(TIMEOUT, client.read_exact(&mut received)).await.expect("no timeout").expect("no I/O error");
     assert_eq!(&received, b"later");
 }
 
--- a/crates/testbed/tests/sizes.rs
+++ b/crates/testbed/tests/sizes.rs
@@ -23,7 +23,7 @@
         fraction in 0.0f64..0.6,
         seed in any::<u64>(),
     ) {
-        // About 3,000 requests, whatever the number of backends.
+        // About 3,000 requests for any number of backends.
         let load = 0.6f64.min(0.6 * 600.0 / f64::from(backends * 2));
         let duration_ms = 3_000.0 * 20.0 / (f64::from(backends * 2) * load);
         let at = |fraction: f64| duration_ms * fraction;
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behave as their faults say, towards a caller that acts like a gateway.
+//! Answers of the stand-ins under each fault, and their counts and journal events.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn counter_keeps_the_true_total_whatever_it_answers() {
+fn counter_total_includes_garbled_but_not_busy_calls() {
     let runtime = runtime();
     let counter = runtime.block_on(Counter::start()).expect("start");
     let mut client = connect(counter.address);
