--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -168,7 +168,7 @@
         all_ready_s: all_ready.as_secs_f64(),
         served: samples.iter().zip(previous).take(10).map(|(now, was)| served_fraction(*now, *was)).collect(),
         served_in_all: served_fraction(last, first),
-        refused: last.refused - first.refused,
+        refused: last.rejected - first.rejected,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
     })
--- a/crates/gatewayctl/examples/measure_cold_counter.rs
+++ b/crates/gatewayctl/examples/measure_cold_counter.rs
@@ -76,8 +76,8 @@
         format!("[start]\nlist_calls_per_s = 50\n{}", if is_limited { limit.as_str() } else { "" });
     let program = program()?;
     let mut fleet = Fleet::start(program, (args.gateways, 20), call_time, &operator_config, seed).await?;
-    let plan = LoadProfile { rate: args.rate, customers: 400, paid: 1.0, seed, ..LoadProfile::default() };
-    let load = fleet.load(plan);
+    let profile = LoadProfile { rate: args.rate, customers: 400, paid: 1.0, seed, ..LoadProfile::default() };
+    let load = fleet.load(profile);
     sleep(Duration::from_secs(8) + Duration::from_millis(seed * 1_237 % 3_000)).await;
     fleet.nodes.iter_mut().for_each(Node::kill);
     sleep(Duration::from_secs(1)).await;
@@ -107,7 +107,7 @@
         late_in_all: late_fraction(calls_between(0, args.duration_s)),
         in_time_per_s: (first_5_s.0 - first_5_s.1) as f64 / 5.0,
         served: samples.iter().zip(previous).take(8).map(|(now, was)| served_fraction(*now, *was)).collect(),
-        refused: last.refused - first.refused,
+        refused: last.rejected - first.rejected,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
     })
--- a/crates/gatewayctl/examples/measure_cold_start.rs
+++ b/crates/gatewayctl/examples/measure_cold_start.rs
@@ -159,7 +159,7 @@
     let measured_until =
         started_at + outage + call_time * args.gateways as u32 + Duration::from_secs(args.duration_s);
     sleep(measured_until.saturating_sub(service.now())).await;
-    let first = service.calls();
+    let measured_calls = service.calls();
     // Calls of idle gateways, over at least two rounds of watches.
     let idle = Duration::from_secs(args.idle_s);
     let measures_idle = args.idle_s > 0 && start.outage.is_none() && seed == 1;
@@ -170,13 +170,13 @@
         service.calls().iter().filter(|c| c.at >= measured_until).count() as f64 / idle.as_secs_f64()
     });
     let mut received = vec![None; args.gateways];
-    for call in &first {
+    for call in &measured_calls {
         if let Some(at) = call.answered {
             let first = received[call.listener_index].get_or_insert(at);
             *first = (*first).min(at);
         }
     }
-    let call_times: Vec<Duration> = first.iter().map(|call| call.at).collect();
+    let call_times: Vec<Duration> = measured_calls.iter().map(|call| call.at).collect();
     let times: Vec<f64> =
         received.iter().flatten().map(|at| at.saturating_sub(started_at).as_secs_f64()).collect();
     let last = times.iter().copied().fold(0.0, f64::max);
@@ -185,7 +185,7 @@
     } else {
         measured_until
     };
-    let calls_until_last = first.iter().filter(|c| c.at <= last_at).count();
+    let calls_until_last = measured_calls.iter().filter(|c| c.at <= last_at).count();
     let exited = nodes.iter_mut().map(|n| usize::from(!n.is_running())).sum();
     Ok(Results {
         start: start.name,
@@ -194,10 +194,10 @@
         gateways: args.gateways,
         max_in_100_ms: max_in_window(&call_times, Duration::from_millis(100)),
         max_in_1_s: max_in_window(&call_times, Duration::from_secs(1)),
-        in_first_10_s: first.iter().filter(|c| c.at < started_at + Duration::from_secs(10)).count(),
-        calls: first.len(),
-        rejected: first.iter().filter(|c| c.rejected).count(),
-        full_lists: first.iter().filter(|c| c.after.is_none()).count(),
+        in_first_10_s: measured_calls.iter().filter(|c| c.at < started_at + Duration::from_secs(10)).count(),
+        calls: measured_calls.len(),
+        rejected: measured_calls.iter().filter(|c| c.rejected).count(),
+        full_lists: measured_calls.iter().filter(|c| c.after.is_none()).count(),
         received: times.len(),
         last_received_s: (times.len() == args.gateways).then_some(last),
         mean_received_s: times.iter().sum::<f64>() / times.len().max(1) as f64,
--- a/crates/gatewayctl/examples/measure_fleet.rs
+++ b/crates/gatewayctl/examples/measure_fleet.rs
@@ -215,11 +215,11 @@
             Load::new(vec![gateways[index].1], (round * 2 + index as u64) << 32, journal.clone())
         };
         let loads = [load(0), load(1)];
-        let plan = LoadProfile { rate: 1_500.0, paid: 0.0, ..LoadProfile::default() };
+        let profile = LoadProfile { rate: 1_500.0, paid: 0.0, ..LoadProfile::default() };
         let before = [cpu_ticks(gateways[0].0.id())?, cpu_ticks(gateways[1].0.id())?];
         tokio::join!(
-            loads[0].run(&plan, sleep(Duration::from_secs(4))),
-            loads[1].run(&plan, sleep(Duration::from_secs(4))),
+            loads[0].run(&profile, sleep(Duration::from_secs(4))),
+            loads[1].run(&profile, sleep(Duration::from_secs(4))),
         );
         let cost = |index: usize| -> Result<f64, AnyError> {
             let served = loads[index].counts().served as f64;
--- a/crates/gatewayctl/examples/measure_gateway.rs
+++ b/crates/gatewayctl/examples/measure_gateway.rs
@@ -90,7 +90,8 @@
         tasks.spawn(async move {
             let (mut id, mut served) = (first_id + (client << 24), 0);
             while started.elapsed() < ROUND {
-                // The forwarder passes on the backend's answer unchanged, which the client counts as odd.
+                // The forwarder passes on the backend's answer unchanged, which the client reports as
+                // malformed.
                 let answer = load.send_request(0, id, client, 0, 0).await;
                 served += u64::from(matches!(answer, Answer::Served | Answer::Malformed));
                 id += 1;
@@ -127,15 +128,15 @@
             });
         }
         while tasks.join_next().await.is_some() {}
-        let (tally, peak) = (load.counts(), peak_memory_mb(proxy.process.id())?);
+        let (counts, peak) = (load.counts(), peak_memory_mb(proxy.process.id())?);
         let (p99, seconds) = (load.latency_ms(0.99), FLOOD.as_secs());
         let budget = if memory_mb == 32 { "32 MB" } else { "no end" };
         println!(
             "flood, {budget}: {memory_before:.1} MB before, {peak:.1} MB at the peak; {} new customers \
              in {seconds} s, {} served, {} refused, p99 {p99:.1} ms",
-            tally.served + tally.refused + tally.failed + tally.lost,
-            tally.served,
-            tally.refused,
+            counts.served + counts.rejected + counts.failed + counts.lost,
+            counts.served,
+            counts.rejected,
         );
     }
     Ok(())
--- a/crates/gatewayctl/examples/measure_ordered_start.rs
+++ b/crates/gatewayctl/examples/measure_ordered_start.rs
@@ -80,7 +80,7 @@
     sleep(round * 2 + round.mul_f64((seed as f64 * 0.37).fract())).await;
     let since = fleet.service.now();
     let restarted = (0..args.gateways).step_by(args.one_in.max(1));
-    restarted.clone().for_each(|place| fleet.nodes[place].kill());
+    restarted.clone().for_each(|index| fleet.nodes[index].kill());
     fleet.start_some(restarted.clone()).await?;
     sleep(round + Duration::from_secs(2)).await;
     let calls: Vec<DiscoveryCall> = fleet.service.calls().into_iter().filter(|c| c.at >= since).collect();
--- a/crates/gatewayctl/examples/support/mod.rs
+++ b/crates/gatewayctl/examples/support/mod.rs
@@ -38,20 +38,23 @@
 pub async fn start(mut command: Command, prefixes: &[&str]) -> Result<(Process, Vec<String>), AnyError> {
     command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
     let mut child = command.spawn()?;
-    let stdout = child.stdout.take().ok_or("no standard output")?;
+    let stdout = child.stdout.take().ok_or("the standard output is not available")?;
     let process = Process(child);
     let mut lines = BufReader::new(tokio::process::ChildStdout::from_std(stdout)?).lines();
     let mut rests = Vec::new();
     for prefix in prefixes {
         let mut rest = None;
         for _ in 0..MAX_LINES_READ {
-            let line = lines.next_line().await?.ok_or("the process exited")?;
+            let line = lines
+                .next_line()
+                .await?
+                .ok_or_else(|| format!("the process exited before it printed {prefix:?}"))?;
             rest = line.strip_prefix(prefix).map(str::to_string);
             if rest.is_some() {
                 break;
             }
         }
-        rests.push(rest.ok_or("the process did not print the expected line")?);
+        rests.push(rest.ok_or_else(|| format!("the process did not print {prefix:?}"))?);
     }
     Ok((process, rests))
 }
@@ -59,7 +62,11 @@
 /// Returns the path of the built executable, in the parent of the example's directory.
 pub fn program() -> Result<PathBuf, AnyError> {
     let example = std::env::current_exe()?;
-    Ok(example.parent().and_then(Path::parent).ok_or("no directory")?.join("gatewayctl"))
+    Ok(example
+        .parent()
+        .and_then(Path::parent)
+        .ok_or("the executable is in no target directory")?
+        .join("gatewayctl"))
 }
 
 /// Returns an unused address: a loopback address derived from the process id, with a new port for each call.
@@ -76,7 +83,7 @@
     let mut sum = 0.0;
     for task in fs::read_dir(format!("/proc/{pid}/task"))? {
         let text = fs::read_to_string(task?.path().join("schedstat"))?;
-        sum += text.split(' ').next().ok_or("no time")?.parse::<f64>()? / 1000.0;
+        sum += text.split(' ').next().ok_or("schedstat has no CPU time")?.parse::<f64>()? / 1000.0;
     }
     Ok(sum)
 }
@@ -86,9 +93,10 @@
     const USER_TIME: usize = 11;
     const SYSTEM_TIME: usize = 12;
     let text = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let after_name = text.rsplit(") ").next().ok_or("no state")?;
+    let after_name = text.rsplit(") ").next().ok_or("stat is empty")?;
     let field = |index: usize| after_name.split(' ').nth(index).and_then(|text| text.parse::<f64>().ok());
-    Ok(field(USER_TIME).ok_or("no utime")? + field(SYSTEM_TIME).ok_or("no stime")?)
+    Ok(field(USER_TIME).ok_or("stat has no user time")?
+        + field(SYSTEM_TIME).ok_or("stat has no system time")?)
 }
 
 /// Returns the peak resident memory of a process, MB.
@@ -103,7 +111,10 @@
 
 fn memory_mb(pid: u32, key: &str) -> Result<f64, AnyError> {
     let text = fs::read_to_string(format!("/proc/{pid}/status"))?;
-    let value = text.lines().find_map(|line| line.strip_prefix(key)).ok_or("no such line")?;
+    let value = text
+        .lines()
+        .find_map(|line| line.strip_prefix(key))
+        .ok_or_else(|| format!("the status of process {pid} has no line {key}"))?;
     Ok(value.trim().trim_end_matches("kB").trim().parse::<f64>()? / 1024.0)
 }
 
--- a/crates/gatewayctl/src/up.rs
+++ b/crates/gatewayctl/src/up.rs
@@ -107,13 +107,13 @@
 /// Runs the load, or only waits if its rate is 0.
 async fn run_load(args: &Up, load: &Load, until_end: impl Future<Output = ()>) {
     if args.requests_per_s > 0.0 {
-        let plan = LoadProfile {
+        let profile = LoadProfile {
             rate: args.requests_per_s,
             customers: CUSTOMERS,
             seed: args.seed,
             ..LoadProfile::default()
         };
-        load.run(&plan, until_end).await;
+        load.run(&profile, until_end).await;
     } else {
         until_end.await;
     }
@@ -139,21 +139,21 @@
     }
 }
 
-/// Prints the totals of the load and the auditor's verdict. Fails if a rule was broken.
+/// Prints the totals of the load and the result of the audit. Fails if the auditor found violations.
 fn show_result(fleet: &LocalFleet, load: &Load, output: Output) -> Result<(), CommandError> {
-    let verdict = audit(&fleet.journal, AuditOptions::default());
+    let audit_result = audit(&fleet.journal, AuditOptions::default());
     match output {
-        Output::Json => print_json(&json!({"down": report::result(load, &verdict)}))?,
+        Output::Json => print_json(&json!({"down": report::result(load, &audit_result)}))?,
         Output::Table => {
             if std::io::stderr().is_terminal() {
                 eprintln!();
             }
             print_text(&format!("\n{}\n", report::status_line(&load.counts(), 0.0, load)));
-            print_text(&report::verdict_text(&verdict));
+            print_text(&report::audit_text(&audit_result));
         }
     }
-    match verdict {
-        Ok(breaches) if !breaches.is_empty() => Err(CommandError::FaultsFound),
+    match audit_result {
+        Ok(violations) if !violations.is_empty() => Err(CommandError::FaultsFound),
         _ => Ok(()),
     }
 }
--- a/crates/gatewayctl/src/up/local_fleet.rs
+++ b/crates/gatewayctl/src/up/local_fleet.rs
@@ -18,8 +18,8 @@
 use super::process::Process;
 use crate::cli::Up;
 
-/// Capacity of the event journal: several minutes of the default load. The auditor gives no verdict on a
-/// journal that overflowed.
+/// Capacity of the event journal: several minutes of the default load. The auditor rejects a journal that
+/// has dropped events.
 const MAX_EVENTS: usize = 400_000;
 const AGENT: &str = "agent";
 /// Terminal sequence that returns to the start of the line and clears it.
--- a/crates/gatewayctl/src/up/process.rs
+++ b/crates/gatewayctl/src/up/process.rs
@@ -22,7 +22,8 @@
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Held outside `child`, because waiting for a child closes a standard input that it still owns.
+    /// Write end of the child's standard input. Held outside `child`, because `Child::wait` closes the one
+    /// that it owns, and the child exits when its standard input closes.
     stdin: Option<ChildStdin>,
     stdout: Lines<BufReader<ChildStdout>>,
     name: String,
@@ -112,8 +113,8 @@
     if let Some(path) = config {
         command.env("GW_CONFIG", path);
     }
-    // In a process group of its own the child does not receive Ctrl-C: this process stops the children in
-    // order.
+    // In its own process group the child does not receive SIGINT from Ctrl-C, so that this process can stop
+    // the children in order.
     command.process_group(0).kill_on_drop(true);
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(log);
     command.spawn()
--- a/crates/gatewayctl/src/up/report.rs
+++ b/crates/gatewayctl/src/up/report.rs
@@ -8,12 +8,12 @@
 use super::local_fleet::{Gateway, LocalFleet};
 use crate::output::table;
 
-/// Verdict of the auditor: the breaches found, or the reason why there is no verdict.
-type Verdict = Result<Vec<Violation>, String>;
+/// Result of the audit: the violations found, or the reason why the journal could not be audited.
+type AuditResult = Result<Vec<Violation>, String>;
 
 const HEADER: [&str; 3] = ["NAME", "WHAT", "ADDRESS"];
-/// Maximum number of breaches shown.
-const MAX_BREACHES_SHOWN: usize = 10;
+/// Maximum number of violations shown.
+const MAX_VIOLATIONS_SHOWN: usize = 10;
 /// Customer id in the example command.
 const EXAMPLE_CUSTOMER: &str = "0000000000000001";
 /// Request id in the example command.
@@ -81,34 +81,38 @@
     })
 }
 
-/// Formats the status line; a rate of 0 is left out.
-pub fn status_line(tally: &LoadCounts, served_per_s: f64, load: &Load) -> String {
-    let LoadCounts { asked, served, refused, failed, lost, held_back, .. } = tally;
+/// Formats the status line; `served_per_s` is left out if it is 0.
+pub fn status_line(counts: &LoadCounts, served_per_s: f64, load: &Load) -> String {
+    let LoadCounts { sent, served, rejected, failed, lost, not_sent, .. } = counts;
     let rate = if served_per_s > 0.0 { format!(" ({served_per_s:.0}/s)") } else { String::new() };
-    let held = if *held_back > 0 { format!(", {held_back} held back") } else { String::new() };
+    let held_back = if *not_sent > 0 { format!(", {not_sent} held back") } else { String::new() };
     let (p50, p99) = (load.latency_ms(0.5), load.latency_ms(0.99));
-    let answers = format!("served {served}{rate}, refused {refused}, failed {failed}, lost {lost}{held}");
-    format!("asked {asked}, {answers}, p50 {p50:.1} ms, p99 {p99:.1} ms")
+    let answers =
+        format!("served {served}{rate}, refused {rejected}, failed {failed}, lost {lost}{held_back}");
+    format!("asked {sent}, {answers}, p50 {p50:.1} ms, p99 {p99:.1} ms")
 }
 
-/// Returns the totals of the load and the auditor's verdict as JSON.
-pub fn result(load: &Load, verdict: &Verdict) -> Value {
-    let tally = load.counts();
-    let breaches = verdict.as_ref().ok().map(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>());
+/// Returns the totals of the load and the result of the audit as JSON.
+pub fn result(load: &Load, audit_result: &AuditResult) -> Value {
+    let counts = load.counts();
+    let violations =
+        audit_result.as_ref().ok().map(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>());
     json!({
-        "asked": tally.asked, "served": tally.served, "refused": tally.refused, "failed": tally.failed,
-        "lost": tally.lost, "held_back": tally.held_back, "p50_ms": load.latency_ms(0.5),
-        "p99_ms": load.latency_ms(0.99), "breaches": breaches, "not_judged": verdict.as_ref().err(),
+        "asked": counts.sent, "served": counts.served, "refused": counts.rejected, "failed": counts.failed,
+        "lost": counts.lost, "held_back": counts.not_sent, "p50_ms": load.latency_ms(0.5),
+        "p99_ms": load.latency_ms(0.99), "breaches": violations, "not_judged": audit_result.as_ref().err(),
     })
 }
 
-/// Formats the auditor's verdict with the first breaches.
-pub fn verdict_text(verdict: &Verdict) -> String {
-    match verdict {
-        Ok(breaches) if breaches.is_empty() => "the five rules held\n".to_string(),
-        Ok(breaches) => {
-            breaches.iter().take(MAX_BREACHES_SHOWN).map(|breach| format!("BROKEN {breach}\n")).collect()
-        }
+/// Formats the result of the audit, with the first violations.
+pub fn audit_text(audit_result: &AuditResult) -> String {
+    match audit_result {
+        Ok(violations) if violations.is_empty() => "the five rules held\n".to_string(),
+        Ok(violations) => violations
+            .iter()
+            .take(MAX_VIOLATIONS_SHOWN)
+            .map(|violation| format!("BROKEN {violation}\n"))
+            .collect(),
         Err(reason) => format!("not judged: {reason}\n"),
     }
 }
--- a/crates/gatewayctl/tests/agent_crashes.rs
+++ b/crates/gatewayctl/tests/agent_crashes.rs
@@ -20,19 +20,19 @@
 /// Number of times that the agent is killed.
 const KILLS: u64 = 24;
 
-/// Sends orders over one connection until it closes, and records which were sent and which were acknowledged.
+/// Sends random orders over one connection until it closes, and records the sent and the acknowledged ones.
 async fn send_orders(address: Address, tool: u64, round: u64, record: Arc<Mutex<OrderRecord>>) {
-    let mut dice = Rng::new(tool << 32 | round);
+    let mut rng = Rng::new(tool << 32 | round);
     let Ok(mut lines) = Connector::default().connect(&address, TIMEOUT, MAX_LINE_BYTES).await else {
         return;
     };
     for n in 0.. {
         let id = format!("r{round}-t{tool}-{n}");
-        let subject: Subject = format!("till-{}", dice.below(4)).parse().expect("a subject");
-        let change = match dice.below(4) {
+        let subject: Subject = format!("till-{}", rng.below(4)).parse().expect("a subject");
+        let change = match rng.below(4) {
             0 => Change::Drain,
             1 => Change::Undrain,
-            _ => Change::Weight(0.25 + dice.below(8) as f64 / 4.0),
+            _ => Change::Weight(0.25 + rng.below(8) as f64 / 4.0),
         };
         record.lock().expect("the lock is not poisoned").sent.insert(id.clone(), (subject.clone(), change));
         let (order_id, forced) = (id.parse().expect("an id"), true);
@@ -87,7 +87,7 @@
 fn killed_agent_keeps_every_acknowledged_order() {
     let seed = 0xbeec_0010;
     println!("seed {seed:#x}");
-    let mut dice = Rng::new(seed);
+    let mut rng = Rng::new(seed);
     let mut fleet = Fleet::start(2, 4);
     fleet.wait_until_healthy();
     let running_load = fleet.start_load(2, 60.0);
@@ -98,10 +98,10 @@
             .map(|tool| fleet.runtime.spawn(send_orders(address.clone(), tool, round, Arc::clone(&record))))
             .collect();
         // Some rounds end during the first write to the log, others during the fan-out of a later order.
-        std::thread::sleep(Duration::from_micros(dice.below(60_000)));
+        std::thread::sleep(Duration::from_micros(rng.below(60_000)));
         fleet.kill_agent();
         for tool in tools {
-            fleet.runtime.block_on(tool).expect("it ends");
+            fleet.runtime.block_on(tool).expect("the wait succeeds");
         }
         // The last order that each gateway applied must be in the log, whenever the agent was killed.
         let applied: Vec<String> =
@@ -137,9 +137,9 @@
             );
         }
     }
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -173,7 +173,7 @@
             Ok((_, contents)) => assert_eq!(contents.orders.len(), 40, "{part}/16: orders are missing"),
         }
     }
-    assert!(rejected > 4, "{rejected}");
+    assert!(rejected > 4, "only {rejected} of 15 truncated logs were rejected");
     fs::write(fleet.log_path(), &intact[..intact.len() / 4]).expect("the file is written");
     assert_rejected("truncated");
     // Flip a bit in the text of an order, in every place where the file holds it.
@@ -189,13 +189,13 @@
     assert_rejected("bit flipped");
     // Flip random bits: the log is either rejected or has the same orders, never fewer or other ones.
     let seed = 0xbeec_0011;
-    let (mut dice, mut detected) = (Rng::new(seed), 0);
+    let (mut rng, mut detected) = (Rng::new(seed), 0);
     let orders = |contents: &Contents| contents.orders.iter().map(|l| l.order.clone()).collect::<Vec<_>>();
     fs::write(fleet.log_path(), &intact).expect("the file is written");
     let expected = orders(&Log::open(&fleet.log_path()).expect("the log opens").1);
     for _ in 0..300 {
-        let (mut flipped, at) = (intact.clone(), dice.below(intact.len() as u64) as usize);
-        flipped[at] ^= 1 << dice.below(8);
+        let (mut flipped, at) = (intact.clone(), rng.below(intact.len() as u64) as usize);
+        flipped[at] ^= 1 << rng.below(8);
         fs::write(fleet.log_path(), &flipped).expect("the file is written");
         match Log::open(&fleet.log_path()) {
             Err(_) => detected += 1,
@@ -242,7 +242,8 @@
 fn next_agent_finishes_interrupted_fan_out() {
     let mut fleet = Fleet::start_with(1, 4, &["slow"], "answer_ms = 20000");
     let address = Address::Unix(fleet.dir.path().join("slow.sock"));
-    let slow = fleet.runtime.block_on(GatewayStandIn::start("slow", 7, &address, 4)).expect("it starts");
+    let slow =
+        fleet.runtime.block_on(GatewayStandIn::start("slow", 7, &address, 4)).expect("the start succeeds");
     fleet.wait_until_healthy();
     slow.switch.set(Fault::Silent);
     let output = fleet.cli_json(&["drain", "till-0", "--deadline", "1s"]);
--- a/crates/gatewayctl/tests/bad_input.rs
+++ b/crates/gatewayctl/tests/bad_input.rs
@@ -41,7 +41,7 @@
 
 /// Writes bytes to a socket and returns everything that the peer sends until it closes the connection.
 fn exchange_raw(socket: &Path, bytes: &[u8]) -> String {
-    let mut stream = UnixStream::connect(socket).expect("it listens");
+    let mut stream = UnixStream::connect(socket).expect("the peer is reachable");
     stream.set_read_timeout(Some(support::TIMEOUT)).expect("the timeout is set");
     for part in bytes.chunks(64 * 1024) {
         // The peer may close the connection before it has read everything.
@@ -60,7 +60,9 @@
     let fleet = Fleet::start(1, 4);
     fleet.wait_until_healthy();
     let agent = fleet.dir.path().join("agent.sock");
-    let Address::Unix(gateway) = fleet.gateways[0].admin.clone() else { panic!("a Unix socket") };
+    let Address::Unix(gateway) = fleet.gateways[0].admin.clone() else {
+        panic!("the admin address is not a Unix socket")
+    };
     let secret = "hunter2-hunter2-hunter2";
     let malformed =
         format!("{{\"n\":1,\"op\":\"drain\",\"password\":\"{secret}\"\n[1,2\n{{\"n\":2,\"op\":\"none\"}}\n");
@@ -87,7 +89,10 @@
     // The line is short enough, but the name is too long.
     let response = exchange_raw(&agent, order(&long_name[..300]).as_bytes());
     assert!(response.contains("name has 300 bytes; 253 at most") && response.len() < 300, "{response}");
-    for log in [&fleet.agent.as_ref().expect("it runs").log_text(), &fleet.gateways[0].process.log_text()] {
+    for log in [
+        &fleet.agent.as_ref().expect("the agent was started").log_text(),
+        &fleet.gateways[0].process.log_text(),
+    ] {
         assert!(!log.contains(secret) && log.len() < 10_000, "{log}");
     }
     fleet.wait_until_healthy();
@@ -163,7 +168,7 @@
     let run_with = |name: &str, args: &[&str]| {
         let socket = format!("unix:{}/{name}.sock", dir.display());
         let output = Command::new(PROGRAM).args(["--agent", &socket, "-o", "json"]).args(args).output();
-        support::CommandOutput::from(output.expect("it runs"))
+        support::CommandOutput::from(output.expect("the program runs"))
     };
     let trusted = start_agent("trusted", "agent", "ca");
     wait_until("the trusted agent reaches the gateway", || {
--- a/crates/gatewayctl/tests/cold_backends.rs
+++ b/crates/gatewayctl/tests/cold_backends.rs
@@ -12,7 +12,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 /// Round of the slot schedule: 30 gateways at 9 (nine tenths of 10) first connections per second.
 const ROUND: Duration = Duration::from_millis(3_334);
-/// Requests per second: 10 for each gateway, so that each needs all of its backends at once.
+/// Requests per second: 10 for each gateway, so that each needs connections to all backends immediately.
 const RATE: f64 = 300.0;
 
 fn shape(seed: u64) -> FleetShape {
@@ -77,9 +77,9 @@
         let arrived = |name: &String| arrived_requests(fleet, std::slice::from_ref(name), since);
         silent.iter().all(|name| arrived(name) > 10)
     });
-    let tally = fleet.finish_load(running_load);
-    assert!(tally.served > 900, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert!(counts.served > 900, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -93,7 +93,8 @@
     // A backend fails, and a cold one replaces it on the list. All gateways learn of it at the same time.
     fleet.timeline.note("till-8 replaces till-0");
     let spec = Spec { cold: Some((4.0, Duration::from_secs(4))), ..Spec::plain(8) };
-    let new = fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts");
+    let new =
+        fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("the start succeeds");
     let (since, failed) = (fleet.journal.now(), fleet.backends.remove(0));
     fleet.service.replace_backend(&new, &failed);
     drop(failed);
@@ -106,9 +107,9 @@
     let first = accepted_within(&new, since, TIMEOUT)[0];
     assert_spread(&new, since, first - since + ROUND);
     fleet.backends.push(new);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -124,7 +125,7 @@
     }
     fleet.wait_until_ready(0..20);
     fleet.wait_until_served(&running_load, 300);
-    let tally = fleet.finish_load(running_load);
+    let counts = fleet.finish_load(running_load);
     // Twenty of thirty gateways start five times and need all backends each time.
     for backend in &fleet.backends {
         let at = backend.accepted();
@@ -133,8 +134,8 @@
         // The pools of the other gateways may grow on demand after a round.
         assert!((at.len() as f64) <= 1.5 * max, "{} in {elapsed_s:.1} s at {}", at.len(), backend.spec.name);
     }
-    assert!(tally.served > 300, "{tally:?}");
-    fleet.assert_no_breach();
+    assert!(counts.served > 300, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -155,9 +156,9 @@
     fleet.wait_until_served(&running_load, 300);
     fleet.sleep(ROUND.saturating_sub(fleet.journal.now() - since));
     fleet.backends.iter().for_each(|b| assert_spread(b, since, ROUND));
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -170,12 +171,12 @@
     fleet.wait_until_ready(fleet.all());
     assert!(fleet.journal.now() - since >= ROUND * 2 / 3, "ready too early, without a backend");
     let running_load = fleet.start_load(100.0);
-    fleet.wait_until("requests are rejected", |_| running_load.counts().refused > 50);
+    fleet.wait_until("requests are rejected", |_| running_load.counts().rejected > 50);
     assert_eq!(running_load.counts().served, 0);
     fleet.timeline.note("two backends recover");
     fleet.backends[..2].iter().for_each(|b| b.switch.set(Fault::None));
     fleet.wait_until_served(&running_load, 200);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
--- a/crates/gatewayctl/tests/cold_counter.rs
+++ b/crates/gatewayctl/tests/cold_counter.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn plan() -> LoadProfile {
+fn profile() -> LoadProfile {
     LoadProfile { rate: RATE, paid: 1.0, customers: 100, ..LoadProfile::default() }
 }
 
@@ -35,7 +35,7 @@
     let mut fleet = ColdFleet::new(shape(0x41_41));
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let running_load = fleet.start_load_with(plan());
+    let running_load = fleet.start_load_with(profile());
     fleet.wait_until_served(&running_load, 200);
     fleet.kill(fleet.all());
     // The counter finishes the waiting calls within this time.
@@ -51,9 +51,9 @@
     // increase. That makes about 60 calls in the first second; without a limit the load would cause 300.
     let first = calls_within(&fleet, since, Duration::from_secs(1));
     assert!(first <= 100, "{first} calls in the first second");
-    let tally = fleet.finish_load(running_load);
-    assert!(tally.served > 300, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert!(counts.served > 300, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -62,13 +62,13 @@
     fleet.counter.switch.set(Fault::Refusing);
     fleet.start(fleet.all());
     fleet.wait_until_ready(fleet.all());
-    let running_load = fleet.start_load_with(plan());
+    let running_load = fleet.start_load_with(profile());
     fleet.wait_until_served(&running_load, 100);
     assert_eq!(fleet.counter.calls(), 0);
     fleet.timeline.note("counter recovers");
     fleet.counter.switch.set(Fault::None);
     fleet.wait_until("the counter is called", |fleet| fleet.counter.calls() > 100);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
--- a/crates/gatewayctl/tests/cold_start.rs
+++ b/crates/gatewayctl/tests/cold_start.rs
@@ -46,7 +46,8 @@
     }
     for i in 8..12 {
         let spec = Spec { cold: Some((4.0, Duration::from_secs(4))), ..Spec::plain(i) };
-        let new = fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts");
+        let new =
+            fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("the start succeeds");
         fleet.service.list(&new, "SERVING");
         fleet.backends.push(new);
     }
@@ -62,9 +63,9 @@
     assert!(calls.len() as f64 <= 1.3 * 30.0, "{} calls until all gateways had the list", calls.len());
     assert_eq!(calls.iter().filter(|c| c.rejected || c.after.is_none()).count(), 0, "{calls:?}");
     fleet.wait_until_served(&running_load, 100);
-    let tally = fleet.finish_load(running_load);
-    assert!(tally.served > 200, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert!(counts.served > 200, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -79,9 +80,9 @@
     assert_spread(&calls);
     let running_load = fleet.start_load(100.0);
     fleet.wait_until_served(&running_load, 100);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.refused), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.rejected), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 /// Applies a fault to the list service for two rounds and checks that each gateway calls once per round and
@@ -106,9 +107,9 @@
         calls_by_gateway.iter().all(|n| *n <= rounds + 1),
         "{calls_by_gateway:?} in {rounds} rounds, recovered at {recovered_at:?}"
     );
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -218,7 +219,7 @@
     assert_spread(&fleet.service.calls());
     fleet.wait_until_served(&running_load, 50);
     fleet.finish_load(running_load);
-    fleet.assert_no_breach();
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -272,12 +273,12 @@
     assert_spread(&fleet.service.calls());
     let running_load = fleet.start_load(100.0);
     fleet.wait_until_served(&running_load, 50);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
-/// Thirty gateways that learn of a change at the same time must not all call again at once.
+/// Thirty gateways that learn of a change at the same time must not all call again at the same time.
 #[test]
 fn list_change_causes_no_burst_of_calls() {
     let mut fleet = ColdFleet::new(FleetShape { seed: 0x41_0b, ..FleetShape::default() });
--- a/crates/gatewayctl/tests/dns_sd.rs
+++ b/crates/gatewayctl/tests/dns_sd.rs
@@ -84,9 +84,9 @@
     fleet.journal.note(Event::BackendUndrained { backend: "till-0".to_string() });
     zone.put(&fleet.backends[0]);
     wait_until("the backend receives requests again", || fleet.backends[0].arrived() > earlier + 20);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -106,11 +106,11 @@
         zone.dns.switch.set(Fault::None);
         wait_until("all entries are fresh", || fleet.cli_json(&["sources"]).code == 0);
     }
-    let log = fleet.agent.as_ref().expect("it runs").log_text();
+    let log = fleet.agent.as_ref().expect("the agent was started").log_text();
     assert!(log.contains("ALARM") && log.contains("answered again"), "{log}");
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -134,8 +134,8 @@
     wait_until("the list is known", || sources().json()["known"].as_bool() == Some(true));
     zone.dns.remove_pointer(SERVICE, "till-1");
     wait_until("the gateway follows the change", || fleet.listed_backends(0) == ["till-0", "till-2"]);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
 }
 
 #[test]
@@ -145,7 +145,7 @@
         let server = zone.dns.address.to_string();
         let mut command = Command::new(PROGRAM);
         command.args(["resolve", "--server", &server, "--each", "200ms", "--deadline", "3s"]).args(args);
-        command.output().expect("it runs").into()
+        command.output().expect("the program runs").into()
     };
     let put = |label: &str, text: &[&str]| {
         let text = text.iter().map(ToString::to_string).collect();
--- a/crates/gatewayctl/tests/drains.rs
+++ b/crates/gatewayctl/tests/drains.rs
@@ -40,9 +40,9 @@
     fleet.journal.note(Event::BackendUndrained { backend: "till-0".to_string() });
     assert_eq!(fleet.cli_json(&["undrain", "till-0"]).code, 0);
     wait_until("the backend receives requests again", || fleet.backends[0].arrived() > earlier + 20);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -80,7 +80,7 @@
     sleep(Duration::from_millis(300));
     assert_eq!(fleet.backends[0].arrived(), earlier);
     fleet.finish_load(running_load);
-    fleet.assert_no_breach();
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -91,23 +91,23 @@
     let running_load = fleet.start_load(2, 400.0);
     wait_until("enough requests are served", || running_load.load.counts().served > 1_200);
     fleet.finish_load(running_load);
-    let [reduced, others @ ..] = &fleet.backends[..] else { panic!("four") };
+    let [reduced, others @ ..] = &fleet.backends[..] else { panic!("the fleet has four backends") };
     let mean = others.iter().map(testbed::backend::Backend::arrived).sum::<u64>() as f64 / 3.0;
     let ratio = reduced.arrived() as f64 / mean;
     // Only an upper bound: one slow answer at the start can keep requests from any backend for some seconds.
     // The exact share is covered by tests without a real clock.
-    assert!(ratio < 0.45, "{ratio}");
+    assert!(ratio < 0.45, "the backend received {ratio} of the mean of the others");
     let invalid = fleet.cli(&["weight", "till-0", "0"]);
     assert_eq!(invalid.code, 2);
     assert!(invalid.stderr.contains("0.01 to 100"), "{}", invalid.stderr);
-    fleet.assert_no_breach();
+    fleet.assert_no_violation();
 }
 
 /// Sends `PING` on a new connection and returns the response line.
 fn ping(address: std::net::SocketAddr) -> String {
     use std::io::{BufRead, BufReader, Write};
-    let mut stream = std::net::TcpStream::connect(address).expect("it listens");
-    stream.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
+    let mut stream = std::net::TcpStream::connect(address).expect("the peer is reachable");
+    stream.write_all(b"*1\r\n$4\r\nPING\r\n").expect("the write succeeds");
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).expect("a response");
     line
@@ -136,9 +136,9 @@
     assert_eq!(fleet.cli_json(&["undrain", "gateway/n1"]).code, 0);
     wait_until("the gateway accepts clients", || ping(address).starts_with("+PONG"));
     wait_until("clients connect to the gateway", || fleet.state(1).statistics.client_connections > 0);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -155,7 +155,7 @@
         .request(&fleet.gateways[0].admin, GatewayRequest::Apply { orders })
     {
         GatewayResponse::Applied(Applied { results, .. }) => results,
-        other => panic!("{other:?}"),
+        other => panic!("unexpected response: {other:?}"),
     };
     let undrain = order("new", 2, Change::Undrain);
     assert_eq!(apply(vec![undrain.clone()])[0].outcome, ApplyOutcome::Applied);
--- a/crates/gatewayctl/tests/faults.rs
+++ b/crates/gatewayctl/tests/faults.rs
@@ -1,5 +1,5 @@
 //! A load combined with a seeded script of faults, orders and a killed agent. Every request that a gateway
-//! accepts must get exactly one final answer, and the auditor must find no breach.
+//! accepts must get exactly one final answer, and the auditor must find no violation.
 
 mod support;
 
@@ -48,17 +48,17 @@
         assert!([0, 3, 4, 5].contains(&undrained.code), "{seed:#x}: {}", undrained.stderr);
         round += 1;
     }
-    assert!(round > 6, "the script ended before all steps output: {round}");
+    assert!(round > 6, "the script ended after {round} rounds, before all steps had run");
     fleet.discovery.switch.set(Fault::None);
     fleet.counter.switch.set(Fault::None);
     fleet.wait_until_healthy();
     let earlier = running_load.load.counts().served;
     wait_until("requests are served again", || running_load.load.counts().served > earlier + 150);
-    let tally = fleet.finish_load(running_load);
-    println!("{tally:?}");
-    assert_eq!(tally.lost, 0, "{seed:#x}: {tally:?}");
-    assert!(tally.served * 2 > tally.asked, "{seed:#x}: too few requests were served: {tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    println!("{counts:?}");
+    assert_eq!(counts.lost, 0, "{seed:#x}: {counts:?}");
+    assert!(counts.served * 2 > counts.sent, "{seed:#x}: too few requests were served: {counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -77,8 +77,8 @@
     let earlier = faulty.load.counts().served;
     wait_until("the recovered clients are served", || faulty.load.counts().served > earlier + 30);
     let (faulty, healthy) = (fleet.finish_load(faulty), fleet.finish_load(healthy));
-    assert!(faulty.left > 60, "{faulty:?}");
-    assert_eq!((faulty.lost, healthy.lost, healthy.left), (0, 0, 0), "{faulty:?} {healthy:?}");
+    assert!(faulty.abandoned > 60, "{faulty:?}");
+    assert_eq!((faulty.lost, healthy.lost, healthy.abandoned), (0, 0, 0), "{faulty:?} {healthy:?}");
     wait_until("no request is open", || (0..2).all(|index| fleet.state(index).statistics.requests == 0));
-    fleet.assert_no_breach();
+    fleet.assert_no_violation();
 }
--- a/crates/gatewayctl/tests/gateway_commands.rs
+++ b/crates/gatewayctl/tests/gateway_commands.rs
@@ -11,7 +11,7 @@
 
 /// Runs a `gateway` command. Returns its exit code, standard output and standard error.
 fn run(args: &[&str]) -> (i32, String, String) {
-    let output = Command::new(PROGRAM).arg("gateway").args(args).output().expect("it runs");
+    let output = Command::new(PROGRAM).arg("gateway").args(args).output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code().expect("an exit code"), text(&output.stdout), text(&output.stderr))
 }
--- a/crates/gatewayctl/tests/large_fleet.rs
+++ b/crates/gatewayctl/tests/large_fleet.rs
@@ -34,17 +34,17 @@
     assert_eq!(full, 0, "of {all} calls");
     // All gateways receive a change made in the meantime soon after the list service recovers.
     let new_backend = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
-    let new_backend = new_backend.expect("it starts");
+    let new_backend = new_backend.expect("the start succeeds");
     fleet.discovery.list(&new_backend, "SERVING");
     fleet.discovery.switch.set(Fault::None);
     wait_until("all gateways list the new backend", || {
         (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&new_backend.spec.name))
     });
-    let tally = fleet.finish_load(running_load);
-    println!("{tally:?}");
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    println!("{counts:?}");
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    assert!(counts.served * 10 > counts.sent * 9, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 /// A gateway must not wait at its start for a list service that accepts calls and never answers.
@@ -59,22 +59,22 @@
     let running_load = fleet.start_load(GATEWAYS, 300.0);
     wait_until("requests are served from the known list", || running_load.load.counts().served > 300);
     let new_backend = fleet.runtime.block_on(Backend::start(Spec::plain(6), fleet.journal.clone()));
-    let new_backend = new_backend.expect("it starts");
+    let new_backend = new_backend.expect("the start succeeds");
     fleet.discovery.list(&new_backend, "SERVING");
     fleet.discovery.switch.set(Fault::None);
     wait_until("all gateways list the new backend", || {
         (0..GATEWAYS).all(|index| fleet.listed_backends(index).contains(&new_backend.spec.name))
     });
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 /// Starts a backend with this name that needs to warm up.
 fn start_cold_backend(fleet: &Fleet, name: &str, number: usize) -> Backend {
     let cold = Some((5.0, Duration::from_millis(WARM_UP_MS as u64)));
     let spec = Spec { name: name.to_string(), cold, ..Spec::plain(number) };
-    fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("it starts")
+    fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone())).expect("the start succeeds")
 }
 
 #[test]
@@ -115,9 +115,9 @@
         running_load.load.counts().served > served + 600
     });
     assert!(fleet.backends.iter().all(|b| b.served() > 0));
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 /// A backend that accepts no further connections must be treated as neither failed nor overloaded.
@@ -127,7 +127,7 @@
     for number in 0..6 {
         let spec = Spec { connections: 4, ..Spec::plain(number) };
         let backend = fleet.runtime.block_on(Backend::start(spec, fleet.journal.clone()));
-        fleet.backends.push(backend.expect("it starts"));
+        fleet.backends.push(backend.expect("the start succeeds"));
         fleet.discovery.list(&fleet.backends[number], "SERVING");
     }
     wait_until("all gateways list the backends", || {
@@ -139,14 +139,14 @@
     });
     let served = running_load.load.counts().served;
     wait_until("requests are still served", || running_load.load.counts().served > served + 1_500);
-    let tally = fleet.finish_load(running_load);
+    let counts = fleet.finish_load(running_load);
     println!(
-        "{tally:?}, connections over the limit {:?}",
+        "{counts:?}, connections over the limit {:?}",
         fleet.backends.iter().map(Backend::refused_connections).collect::<Vec<_>>()
     );
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    assert!(tally.served * 10 > tally.asked * 9, "{tally:?}");
-    fleet.assert_no_breach();
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    assert!(counts.served * 10 > counts.sent * 9, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 /// The list in a gateway's configuration may be entirely out of date, and the list service may send invalid
@@ -162,7 +162,7 @@
     drop(old);
     for number in 3..6 {
         let backend = fleet.runtime.block_on(Backend::start(Spec::plain(number), fleet.journal.clone()));
-        fleet.backends.push(backend.expect("it starts"));
+        fleet.backends.push(backend.expect("the start succeeds"));
         fleet.discovery.list(&fleet.backends[number - 3], "SERVING");
     }
     // The gateways' configurations still list the three removed backends.
@@ -191,7 +191,7 @@
     wait_until("every backend serves by its last valid entry", || {
         fleet.backends.iter().all(|b| b.served() > 0)
     });
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.failed), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.failed), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
--- a/crates/gatewayctl/tests/large_list.rs
+++ b/crates/gatewayctl/tests/large_list.rs
@@ -44,15 +44,17 @@
     // Gateways that had not reacted to the faults would send a third of the requests to faulty backends.
     assert!(to_faulty * 6 < to_healthy, "{to_faulty} to faulty backends, {to_healthy} to healthy ones");
     fleet.backends.iter().for_each(|b| b.switch.set(Fault::None));
-    let now = running_load.load.counts().served;
-    wait_until("requests are served after recovery", || running_load.load.counts().served > now + 500);
-    let tally = fleet.finish_load(running_load);
-    println!("{tally:?}");
-    assert_eq!(tally.lost, 0, "{tally:?}");
+    let before_recovery = running_load.load.counts().served;
+    wait_until("requests are served after recovery", || {
+        running_load.load.counts().served > before_recovery + 500
+    });
+    let counts = fleet.finish_load(running_load);
+    println!("{counts:?}");
+    assert_eq!(counts.lost, 0, "{counts:?}");
     // The retry budget allows one further attempt per ten requests. Attempts that never reached a backend
     // cost nothing and are not counted as arrived.
     let attempts = arrived(true) + arrived(false);
-    assert!(attempts * 10 <= tally.asked * 11 + 400, "{attempts} attempts for {tally:?}");
-    assert!(tally.served * 10 > tally.asked * 8, "{tally:?}");
-    fleet.assert_no_breach();
+    assert!(attempts * 10 <= counts.sent * 11 + 400, "{attempts} attempts for {counts:?}");
+    assert!(counts.served * 10 > counts.sent * 8, "{counts:?}");
+    fleet.assert_no_violation();
 }
--- a/crates/gatewayctl/tests/ordered_start.rs
+++ b/crates/gatewayctl/tests/ordered_start.rs
@@ -71,9 +71,9 @@
     fleet.timeline.note("list service recovers");
     fleet.service.switch.set(Fault::None);
     fleet.wait_until_all_answered(restarted, since);
-    let tally = fleet.finish_load(running_load);
-    assert_eq!((tally.lost, tally.refused), (0, 0), "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!((counts.lost, counts.rejected), (0, 0), "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
--- a/crates/gatewayctl/tests/plans.rs
+++ b/crates/gatewayctl/tests/plans.rs
@@ -37,8 +37,11 @@
 
 /// Runs a command on a file. Returns its exit code, standard output and standard error.
 fn run(args: &[&str], file: &Path) -> (i32, String, String) {
-    let Output { status, stdout, stderr } =
-        Command::new(env!("CARGO_BIN_EXE_gatewayctl")).args(args).arg(file).output().expect("it runs");
+    let Output { status, stdout, stderr } = Command::new(env!("CARGO_BIN_EXE_gatewayctl"))
+        .args(args)
+        .arg(file)
+        .output()
+        .expect("the program runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     (status.code().expect("an exit code"), text(stdout), text(stderr))
 }
--- a/crates/gatewayctl/tests/recorded_output.rs
+++ b/crates/gatewayctl/tests/recorded_output.rs
@@ -77,7 +77,7 @@
         .args(["--agent", &fleet.agent_address().to_string(), "-o", "json", "watch"])
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the start succeeds");
     let mut events = BufReader::new(watch.stdout.take().expect("stdout is piped"));
     let mut next_event = || {
         let mut line = String::new();
@@ -114,8 +114,8 @@
         transcript.add(args, &fleet.cli_json(args));
     }
     let second = next_event();
-    watch.kill().expect("it runs");
-    watch.wait().expect("it ends");
+    watch.kill().expect("the process is killed");
+    watch.wait().expect("the wait succeeds");
     let events = transcript.normalizer.value(&json!([first, second]));
     transcript.outcomes.insert("watch".to_string(), events);
     wait_until_settled(&fleet, Some("a10"));
@@ -331,7 +331,7 @@
 fn older_tool_requests_get_recorded_answers() {
     let fleet = Fleet::start(1, 4);
     wait_until_settled(&fleet, None);
-    let mut stream = UnixStream::connect(fleet.dir.path().join("agent.sock")).expect("it listens");
+    let mut stream = UnixStream::connect(fleet.dir.path().join("agent.sock")).expect("the peer is reachable");
     stream.set_read_timeout(Some(TIMEOUT)).expect("the timeout is set");
     let mut responses = BufReader::new(stream.try_clone().expect("a socket"));
     let requests =
@@ -339,7 +339,7 @@
     let normalizer = Normalizer { dir: fleet.dir.path(), volatile: VOLATILE };
     let mut answers = Vec::new();
     for request in requests.lines() {
-        writeln!(stream, "{request}").expect("it reads");
+        writeln!(stream, "{request}").expect("the write succeeds");
         let sent: Value = serde_json::from_str(request).expect("the recording is JSON");
         // An order, or a status with backends, gets several answers, of which the last is "done" or "fault".
         let has_several_answers = sent["op"] == "order" || sent["backends"] == true;
--- a/crates/gatewayctl/tests/support/cold_fleet.rs
+++ b/crates/gatewayctl/tests/support/cold_fleet.rs
@@ -96,18 +96,20 @@
         let directory = tempfile::Builder::new().prefix("br-").tempdir().expect("a temporary directory");
         let (service, counter, backends, links) = runtime.block_on(async {
             let capacity = DiscoveryCapacity { time_per_call: LIST_CALL_TIME, max_queued: LIST_CALLS_MAX };
-            let service = Discovery::with_listeners(gateways, Some(capacity)).await.expect("it starts");
+            let service =
+                Discovery::with_listeners(gateways, Some(capacity)).await.expect("the start succeeds");
             let mut started = Vec::new();
             for i in 0..backends {
-                started.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
+                started
+                    .push(Backend::start(Spec::plain(i), journal.clone()).await.expect("the start succeeds"));
             }
             let mut links = Vec::new();
             for (index, address) in service.addresses.iter().enumerate() {
-                links.push(Link::to(*address, seed ^ index as u64).await.expect("it starts"));
+                links.push(Link::to(*address, seed ^ index as u64).await.expect("the start succeeds"));
             }
             (
                 service,
-                Counter::with_time_per_call(counter_call_time).await.expect("it starts"),
+                Counter::with_time_per_call(counter_call_time).await.expect("the start succeeds"),
                 started,
                 links,
             )
@@ -159,7 +161,7 @@
         let (nodes, program) = (&mut self.nodes, &self.gateway_program);
         self.runtime.block_on(async {
             for index in indices {
-                nodes[index].start(program).await.expect("it starts");
+                nodes[index].start(program).await.expect("the start succeeds");
             }
         });
     }
@@ -169,8 +171,8 @@
         self.timeline.note("agent started");
         let (agent, program) = (&mut self.agent, &self.agent_program);
         self.runtime.block_on(async {
-            agent.start(program).await.expect("it starts");
-            agent.wait_for_line("overseeing ").await.expect("it listens");
+            agent.start(program).await.expect("the start succeeds");
+            agent.wait_for_line("overseeing ").await.expect("the peer is reachable");
         });
     }
 
@@ -179,12 +181,12 @@
         let nodes = &mut self.nodes;
         self.runtime.block_on(async {
             for index in indices {
-                nodes[index].ready().await.expect("it becomes ready");
+                nodes[index].ready().await.expect("the gateway becomes ready");
             }
         });
     }
 
-    /// Kills gateways and records the kills for [`ColdFleet::assert_no_breach`].
+    /// Kills gateways and records the kills for [`ColdFleet::assert_no_violation`].
     pub fn kill(&mut self, indices: impl IntoIterator<Item = usize>) {
         let indices: Vec<usize> = indices.into_iter().collect();
         self.timeline.note(format!("killed: {indices:?}"));
@@ -246,11 +248,11 @@
         self.start_load_with(LoadProfile { rate, ..LoadProfile::default() })
     }
 
-    /// Starts a load with the given plan on all gateways that are ready.
-    pub fn start_load_with(&self, plan: LoadProfile) -> RunningLoad {
+    /// Starts a load with this profile on all gateways that are ready.
+    pub fn start_load_with(&self, profile: LoadProfile) -> RunningLoad {
         let addresses = self.nodes.iter().filter_map(|n| n.address).collect();
         let load = Load::new(addresses, 1 << 40, self.journal.clone());
-        RunningLoad::start(&self.runtime, load, plan)
+        RunningLoad::start(&self.runtime, load, profile)
     }
 
     /// Waits until more than `more` further requests are served.
@@ -264,10 +266,11 @@
         load.finish(&self.runtime)
     }
 
-    /// Asserts that the auditor finds no breach, except where a gateway was killed: its open requests may be
-    /// lost, and a request may run twice, because the client sends it again after its connection has closed.
-    pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, AuditOptions::default()).expect("the journal is complete");
+    /// Asserts that the auditor finds no violation, except where a gateway was killed: its open requests may
+    /// be lost, and a request may run twice, because the client sends it again after its connection has
+    /// closed.
+    pub fn assert_no_violation(&self) {
+        let violations = audit(&self.journal, AuditOptions::default()).expect("the journal is complete");
         let sent: HashMap<u64, (usize, Duration)> = self
             .journal
             .events()
@@ -286,13 +289,13 @@
                     && *killed_at < *at + deadline
             })
         };
-        let unexcused: Vec<String> = breaches
+        let unexcused: Vec<String> = violations
             .iter()
             .filter(|b| !matches!(b.rule, Rule::Lost | Rule::Twice) || !gateway_was_killed(b.id))
             .map(ToString::to_string)
             .collect();
         let shown = unexcused.iter().take(10).collect::<Vec<_>>();
-        assert!(unexcused.is_empty(), "{} breaches: {shown:#?}", unexcused.len());
+        assert!(unexcused.is_empty(), "{} violations: {shown:#?}", unexcused.len());
     }
 }
 
--- a/crates/gatewayctl/tests/support/fleet.rs
+++ b/crates/gatewayctl/tests/support/fleet.rs
@@ -65,11 +65,12 @@
         let (discovery, counter, backends) = runtime.block_on(async {
             let mut started = Vec::new();
             for i in 0..backends {
-                started.push(Backend::start(Spec::plain(i), journal.clone()).await.expect("it starts"));
+                started
+                    .push(Backend::start(Spec::plain(i), journal.clone()).await.expect("the start succeeds"));
             }
             (
-                Discovery::start().await.expect("it starts"),
-                Counter::start().await.expect("it starts"),
+                Discovery::start().await.expect("the start succeeds"),
+                Counter::start().await.expect("the start succeeds"),
                 started,
             )
         });
@@ -211,7 +212,7 @@
     pub fn cli(&self, args: &[&str]) -> CommandOutput {
         let agent = self.agent_address().to_string();
         let output = Command::new(PROGRAM).args(["--agent", &agent]).args(args).output();
-        output.expect("it runs").into()
+        output.expect("the program runs").into()
     }
 
     /// Runs a command with JSON output against the fleet's agent.
@@ -231,8 +232,10 @@
     /// Sends a request to a gateway's admin listener and returns the response.
     pub fn request(&self, admin: &Address, request: GatewayRequest) -> GatewayResponse {
         self.runtime.block_on(async {
-            let mut lines =
-                Connector::default().connect(admin, TIMEOUT, MAX_LINE_BYTES).await.expect("it listens");
+            let mut lines = Connector::default()
+                .connect(admin, TIMEOUT, MAX_LINE_BYTES)
+                .await
+                .expect("the peer is reachable");
             request_on(&mut lines, request).await
         })
     }
@@ -241,7 +244,7 @@
     pub fn state(&self, index: usize) -> GatewayState {
         match self.request(&self.gateways[index].admin, GatewayRequest::State { backends: true }) {
             GatewayResponse::State(state) => state,
-            other => panic!("{other:?}"),
+            other => panic!("unexpected response: {other:?}"),
         }
     }
 
@@ -260,8 +263,8 @@
     pub fn start_load_from(&self, gateways: usize, rate: f64, first_id: u64) -> RunningLoad {
         let addresses = self.gateways.iter().take(gateways).map(|g| g.address).collect();
         let load = Load::new(addresses, first_id, self.journal.clone());
-        let plan = LoadProfile { rate, ..LoadProfile::default() };
-        let running = RunningLoad::start(&self.runtime, load, plan);
+        let profile = LoadProfile { rate, ..LoadProfile::default() };
+        let running = RunningLoad::start(&self.runtime, load, profile);
         wait_until("the load is served", || running.counts().served > 20);
         running
     }
@@ -271,17 +274,17 @@
         running.finish(&self.runtime)
     }
 
-    /// Asserts that the auditor finds no breach in the journal.
-    pub fn assert_no_breach(&self) {
-        let breaches = audit(&self.journal, AuditOptions::default()).expect("the journal is complete");
-        let shown: Vec<String> = breaches.iter().map(ToString::to_string).take(10).collect();
-        assert!(breaches.is_empty(), "{} breaches: {shown:#?}", breaches.len());
+    /// Asserts that the auditor finds no violation in the journal.
+    pub fn assert_no_violation(&self) {
+        let violations = audit(&self.journal, AuditOptions::default()).expect("the journal is complete");
+        let shown: Vec<String> = violations.iter().map(ToString::to_string).take(10).collect();
+        assert!(violations.is_empty(), "{} violations: {shown:#?}", violations.len());
     }
 }
 
 /// Sends a request on an open connection and returns the response.
 pub async fn request_on(lines: &mut JsonLines, request: GatewayRequest) -> GatewayResponse {
-    lines.send(&Envelope { request_id: 1, body: request }).await.expect("it listens");
+    lines.send(&Envelope { request_id: 1, body: request }).await.expect("the peer is reachable");
     let response: Option<Envelope<GatewayResponse>> = lines.next().await.expect("a line");
     response.expect("a response").body
 }
--- a/crates/gatewayctl/tests/support/load.rs
+++ b/crates/gatewayctl/tests/support/load.rs
@@ -13,12 +13,12 @@
 }
 
 impl RunningLoad {
-    /// Starts a load as its plan describes.
-    pub fn start(runtime: &Runtime, load: Load, plan: LoadProfile) -> RunningLoad {
+    /// Starts a load as its profile describes.
+    pub fn start(runtime: &Runtime, load: Load, profile: LoadProfile) -> RunningLoad {
         let (stop, stopped) = oneshot::channel::<()>();
         let generator = load.clone();
         let task = runtime.spawn(async move {
-            generator.run(&plan, async { drop(stopped.await) }).await;
+            generator.run(&profile, async { drop(stopped.await) }).await;
         });
         RunningLoad { load, stop, task }
     }
@@ -31,7 +31,7 @@
     /// Stops sending requests, waits for the outstanding answers and returns the counts.
     pub fn finish(self, runtime: &Runtime) -> LoadCounts {
         let _ = self.stop.send(());
-        runtime.block_on(self.task).expect("it ends");
+        runtime.block_on(self.task).expect("the wait succeeds");
         self.load.counts()
     }
 }
--- a/crates/gatewayctl/tests/support/process.rs
+++ b/crates/gatewayctl/tests/support/process.rs
@@ -30,7 +30,7 @@
         if let Some(config) = config {
             command.env("GW_CONFIG", config);
         }
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("the start succeeds");
         let mut stdout = BufReader::new(child.stdout.take().expect("stdout is piped"));
         let process = Process { child, log: log.to_path_buf() };
         let mut rests = Vec::new();
@@ -99,7 +99,8 @@
 
 /// Runs a command until it exits; kills it after [`TIMEOUT`].
 pub fn run_to_exit(mut command: Command) -> CommandOutput {
-    let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
+    let mut child =
+        command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("the start succeeds");
     let start = Instant::now();
     while child.try_wait().expect("the child exists").is_none() && start.elapsed() < TIMEOUT {
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/gatewayctl/tests/unreachable.rs
+++ b/crates/gatewayctl/tests/unreachable.rs
@@ -57,9 +57,9 @@
         let backends = fleet.state(index).backends.expect("the backends are included");
         assert_eq!(backends.iter().find(|b| b.name == "till-1").expect("the backend is listed").weight, 0.5);
     }
-    let tally = fleet.finish_load(running_load);
-    assert_eq!(tally.lost, 0, "{tally:?}");
-    fleet.assert_no_breach();
+    let counts = fleet.finish_load(running_load);
+    assert_eq!(counts.lost, 0, "{counts:?}");
+    fleet.assert_no_violation();
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let agent = format!("unix:{register}");
     let output =
         std::process::Command::new(support::PROGRAM).args(["--agent", &agent, "drain", "till-0"]).output();
-    let output = support::CommandOutput::from(output.expect("it runs"));
+    let output = support::CommandOutput::from(output.expect("the program runs"));
     assert_eq!(output.code, 4);
     assert!(output.stderr.contains("gateways register here"), "{}", output.stderr);
     // The registration is stored and survives a restart of the agent.
@@ -165,12 +165,12 @@
             let address = address.clone();
             tools.spawn(async move {
                 let connected = Connector::default().connect(&address, TIMEOUT, MAX_LINE_BYTES).await;
-                let (mut lines, mut answers) = (connected.expect("it listens"), Vec::new());
+                let (mut lines, mut answers) = (connected.expect("the peer is reachable"), Vec::new());
                 for n in 0..25 {
                     let (id, subject) = ("one".parse().expect("an id"), "till-0".parse().expect("a subject"));
                     let (change, forced, deadline_ms) = (Change::Drain, false, 20_000);
                     let body = ToolRequest::Order { id, subject, change, forced, deadline_ms };
-                    lines.send(&Envelope { request_id: n, body }).await.expect("it listens");
+                    lines.send(&Envelope { request_id: n, body }).await.expect("the peer is reachable");
                     let mut accepted = None;
                     loop {
                         let response: Option<Envelope<ToolResponse>> = lines.next().await.expect("a line");
@@ -183,7 +183,7 @@
                                 break;
                             }
                             ToolResponse::Instance(_) => {}
-                            other => panic!("{other:?}"),
+                            other => panic!("unexpected response: {other:?}"),
                         }
                     }
                 }
--- a/crates/gatewayctl/tests/up.rs
+++ b/crates/gatewayctl/tests/up.rs
@@ -24,7 +24,7 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("the start succeeds");
     let mut stdout = BufReader::new(up.stdout.take().expect("stdout is piped"));
     let mut line = String::new();
     stdout.read_line(&mut line).expect("a line");
@@ -42,7 +42,7 @@
     assert_eq!(client.read(), format!("{:016x}", 7));
     let status = || {
         let output = Command::new(PROGRAM).args(["--agent", &agent, "status"]).output();
-        output.expect("it runs")
+        output.expect("the program runs")
     };
     wait_until("all gateways are ok", || status().status.success());
     // Time for some requests at 50 per second.
@@ -51,7 +51,7 @@
     assert!(Command::new("kill").args(["-INT", &id]).status().expect("kill runs").success());
     let mut rest = String::new();
     stdout.read_to_string(&mut rest).expect("the rest of the output");
-    assert!(up.wait().expect("it ends").success(), "{rest}");
+    assert!(up.wait().expect("the wait succeeds").success(), "{rest}");
     let result: Value = serde_json::from_str(&rest).expect("JSON");
     let result = &result["down"];
     assert!(result["served"].as_u64().expect("a number") > 0, "{result}");
@@ -73,14 +73,14 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("the start succeeds");
     let mut line = String::new();
     BufReader::new(up.stdout.take().expect("stdout is piped")).read_line(&mut line).expect("a line");
     let started: Value = serde_json::from_str(&line).expect("JSON");
     let pid = started["up"]["gateways"][0]["pid"].clone();
     assert!(is_running(&pid));
-    up.kill().expect("it runs");
-    up.wait().expect("it ends");
+    up.kill().expect("the process is killed");
+    up.wait().expect("the wait succeeds");
     wait_until("the gateway has exited", || !is_running(&pid));
     let socket =
         started["up"]["agent"].as_str().expect("a string").strip_prefix("unix:").expect("a Unix socket");
@@ -94,7 +94,7 @@
         .args(["up", "--gateways", "1", "--backends", "2", "--load", "40", "--for", "500ms"])
         .stdin(Stdio::null())
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     let stdout = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{stdout}");
     for part in ["redis-cli -h 127.0.0.1 -p ", "its admin listener", "till-1", "the five rules held"] {
--- a/crates/gatewayctl/tests/watch_and_help.rs
+++ b/crates/gatewayctl/tests/watch_and_help.rs
@@ -15,7 +15,7 @@
         .args(["--agent", &fleet.agent_address().to_string(), "-o", "json", "watch"])
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the start succeeds");
     let mut stdout = BufReader::new(watch.stdout.take().expect("stdout is piped"));
     let mut next_event = || {
         let mut line = String::new();
@@ -32,14 +32,14 @@
     let lines = [next_event(), next_event()];
     assert!(lines.contains(&"gateway n1 has started anew".to_string()), "{lines:?}");
     assert!(lines.contains(&"gateway n1 is ok".to_string()), "{lines:?}");
-    watch.kill().expect("it runs");
-    watch.wait().expect("it ends");
+    watch.kill().expect("the process is killed");
+    watch.wait().expect("the wait succeeds");
 }
 
 #[test]
 fn prints_completions_man_page_and_help() {
     let run = |args: &[&str]| {
-        let output = Command::new(PROGRAM).args(args).output().expect("it runs");
+        let output = Command::new(PROGRAM).args(args).output().expect("the program runs");
         assert!(output.status.success(), "{args:?}");
         String::from_utf8(output.stdout).expect("UTF-8")
     };
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -22,7 +22,7 @@
 const GRACE: Duration = Duration::from_millis(1_500);
 /// Time after which a client that abandons its request disconnects.
 const DISCONNECT_DELAY: Duration = Duration::from_millis(5);
-/// Maximum number of requests in flight per load; further ones are not sent and counted as held back.
+/// Maximum number of requests in flight per load; further ones are not sent, only counted.
 const MAX_IN_FLIGHT: usize = 512;
 /// Maximum number of idle connections kept per gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
@@ -52,30 +52,30 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounts {
     /// Requests that clients began to send.
-    pub asked: u64,
+    pub sent: u64,
     /// Served with a value.
     pub served: u64,
     /// Rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed, or not accepted by any gateway.
     pub failed: u64,
     /// Without a complete answer, or with a malformed one.
     pub lost: u64,
     /// Abandoned by their client because of its fault.
-    pub left: u64,
+    pub abandoned: u64,
     /// Not sent, as 512 requests of the load were in flight.
-    pub held_back: u64,
+    pub not_sent: u64,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
-    asked: AtomicU64,
+    sent: AtomicU64,
     served: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     failed: AtomicU64,
     lost: AtomicU64,
-    left: AtomicU64,
-    held_back: AtomicU64,
+    abandoned: AtomicU64,
+    not_sent: AtomicU64,
     in_flight: AtomicUsize,
 }
 
@@ -115,13 +115,13 @@
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         let c = &self.counts;
         LoadCounts {
-            asked: get(&c.asked),
+            sent: get(&c.sent),
             served: get(&c.served),
-            refused: get(&c.refused),
+            rejected: get(&c.rejected),
             failed: get(&c.failed),
             lost: get(&c.lost),
-            left: get(&c.left),
-            held_back: get(&c.held_back),
+            abandoned: get(&c.abandoned),
+            not_sent: get(&c.not_sent),
         }
     }
 
@@ -148,7 +148,7 @@
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => continue,
             }
             if self.counts.in_flight.load(Ordering::Relaxed) >= MAX_IN_FLIGHT {
-                self.counts.held_back.fetch_add(1, Ordering::Relaxed);
+                self.counts.not_sent.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             let total_weight: u64 = profile.classes.iter().sum();
@@ -160,7 +160,7 @@
             });
             let customer = rng.below(profile.customers.max(1));
             let paid = rng.next_f64() < profile.paid;
-            let id = self.first_id + self.counts.asked.fetch_add(1, Ordering::Relaxed);
+            let id = self.first_id + self.counts.sent.fetch_add(1, Ordering::Relaxed);
             let (gateway, class) = (next_gateway % self.gateways.len().max(1), class.unwrap_or(0));
             next_gateway += 1;
             let load = self.clone();
@@ -206,10 +206,10 @@
         };
         let count = match answer {
             Answer::Served => &self.counts.served,
-            Answer::Rejected(_) => &self.counts.refused,
+            Answer::Rejected(_) => &self.counts.rejected,
             Answer::Failed | Answer::NotAccepted => &self.counts.failed,
             Answer::Missing | Answer::Malformed => &self.counts.lost,
-            Answer::Abandoned => &self.counts.left,
+            Answer::Abandoned => &self.counts.abandoned,
         };
         count.fetch_add(1, Ordering::Relaxed);
         if answer == Answer::Served {
--- a/crates/testbed/src/harness/fleet.rs
+++ b/crates/testbed/src/harness/fleet.rs
@@ -176,7 +176,7 @@
 /// Returns the fraction served of the requests sent between two samples.
 #[must_use]
 pub fn served_fraction(later: LoadCounts, earlier: LoadCounts) -> f64 {
-    (later.served - earlier.served) as f64 / (later.asked - earlier.asked).max(1) as f64
+    (later.served - earlier.served) as f64 / (later.sent - earlier.sent).max(1) as f64
 }
 
 /// Formats fractions with two decimal places as one cell of a table, separated by spaces.
