--- a/crates/gatewayctl/examples/measure_cold_backends.rs
+++ b/crates/gatewayctl/examples/measure_cold_backends.rs
@@ -16,7 +16,7 @@
 use support::{max_in_window, program, AnyError};
 use testbed::backend::Backend;
 use testbed::client::LoadProfile;
-use testbed::harness::fleet::{column, served_fraction, Fleet};
+use testbed::harness::fleet::{served_fraction, table_cell, Fleet};
 use testbed::harness::Node;
 use testbed::journal::Event;
 use testbed::switch::Fault;
@@ -168,7 +168,7 @@
         all_ready_s: all_ready.as_secs_f64(),
         served: samples.iter().zip(previous).take(10).map(|(now, was)| served_fraction(*now, *was)).collect(),
         served_in_all: served_fraction(last, first),
-        refused: last.refused - first.refused,
+        refused: last.rejected - first.rejected,
         failed: last.failed - first.failed,
         lost: last.lost - first.lost,
     })
@@ -206,9 +206,9 @@
                 results.mean_connections,
                 results.connections_to_lost,
                 results.requests_to_lost,
-                column(&results.share_of_lost),
+                table_cell(&results.share_of_lost),
                 results.all_ready_s,
-                column(&results.served),
+                table_cell(&results.served),
                 results.served_in_all,
                 results.refused,
                 results.failed,
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -22,7 +22,7 @@
 const GRACE: Duration = Duration::from_millis(1_500);
 /// Time after which a client that abandons its request disconnects.
 const DISCONNECT_DELAY: Duration = Duration::from_millis(5);
-/// Maximum number of requests in flight per load; further ones are not sent and counted as held back.
+/// Maximum number of requests in flight per load; further ones are not sent, only counted.
 const MAX_IN_FLIGHT: usize = 512;
 /// Maximum number of idle connections kept per gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
@@ -30,11 +30,11 @@
 /// Rate and mix of a load's requests.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Requests per second over all gateways.
+    /// Requests per second over all gateways; values below 0.1 count as 0.1.
     pub rate: f64,
     /// Number of customers that send the requests.
     pub customers: u64,
-    /// Fraction of the requests on the plan with a quota.
+    /// Fraction of the requests, 0 to 1, on the plan with a quota.
     pub paid: f64,
     /// Weights of the classes `safe`, `keyed` and `unsafe`.
     pub classes: [u64; 3],
@@ -48,38 +48,38 @@
     }
 }
 
-/// Numbers of requests by their answers so far.
+/// Numbers of requests by their final answers so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounts {
-    /// Requests that were started.
-    pub asked: u64,
+    /// Requests that clients began to send.
+    pub sent: u64,
     /// Served with a value.
     pub served: u64,
     /// Rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed, or not accepted by any gateway.
     pub failed: u64,
     /// Without a complete answer, or with a malformed one.
     pub lost: u64,
     /// Abandoned by their client because of its fault.
-    pub left: u64,
+    pub abandoned: u64,
     /// Not sent, as 512 requests of the load were in flight.
-    pub held_back: u64,
+    pub not_sent: u64,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
-    asked: AtomicU64,
+    sent: AtomicU64,
     served: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     failed: AtomicU64,
     lost: AtomicU64,
-    left: AtomicU64,
-    held_back: AtomicU64,
+    abandoned: AtomicU64,
+    not_sent: AtomicU64,
     in_flight: AtomicUsize,
 }
 
-/// A load on several gateways. Clones share its counts and connections.
+/// A load on several gateways. Clones share its counts and idle connections.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Sets the clients' fault: slow clients write a command in two halves, silent ones write half of it and
@@ -90,7 +90,7 @@
     counts: Arc<Counts>,
     latencies: Arc<Mutex<Histogram<u64>>>,
     journal: Journal,
-    /// Id of the load's first request.
+    /// Id of the first request; the others follow in sequence.
     first_id: u64,
 }
 
@@ -115,13 +115,13 @@
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         let c = &self.counts;
         LoadCounts {
-            asked: get(&c.asked),
+            sent: get(&c.sent),
             served: get(&c.served),
-            refused: get(&c.refused),
+            rejected: get(&c.rejected),
             failed: get(&c.failed),
             lost: get(&c.lost),
-            left: get(&c.left),
-            held_back: get(&c.held_back),
+            abandoned: get(&c.abandoned),
+            not_sent: get(&c.not_sent),
         }
     }
 
@@ -132,8 +132,8 @@
         latencies.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Sends requests by the profile until `end`, then waits for the remaining answers. Cancelling begins
-    /// nothing more, and what is open goes on.
+    /// Sends requests by the profile until `end`, then waits for the remaining answers. Dropping the future
+    /// aborts the requests in flight: their answers are neither counted nor recorded in the journal.
     pub async fn run(&self, profile: &LoadProfile, end: impl std::future::Future<Output = ()>) {
         let mut rng = Rng::new(profile.seed);
         let mut tick = interval(Duration::from_secs_f64(1.0 / profile.rate.max(0.1)));
@@ -148,7 +148,7 @@
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => continue,
             }
             if self.counts.in_flight.load(Ordering::Relaxed) >= MAX_IN_FLIGHT {
-                self.counts.held_back.fetch_add(1, Ordering::Relaxed);
+                self.counts.not_sent.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             let total_weight: u64 = profile.classes.iter().sum();
@@ -160,7 +160,7 @@
             });
             let customer = rng.below(profile.customers.max(1));
             let paid = rng.next_f64() < profile.paid;
-            let id = self.first_id + self.counts.asked.fetch_add(1, Ordering::Relaxed);
+            let id = self.first_id + self.counts.sent.fetch_add(1, Ordering::Relaxed);
             let (gateway, class) = (next_gateway % self.gateways.len().max(1), class.unwrap_or(0));
             next_gateway += 1;
             let load = self.clone();
@@ -171,7 +171,8 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Sends one request and returns its answer. `class` and `plan` index [`CLASSES`] and [`PLANS`].
+    /// Sends one request to the gateway with this index and returns its answer. `class` and
+    /// `plan` index [`CLASSES`] and [`PLANS`].
     pub async fn send_request(
         &self,
         gateway: usize,
@@ -205,10 +206,10 @@
         };
         let count = match answer {
             Answer::Served => &self.counts.served,
-            Answer::Rejected(_) => &self.counts.refused,
+            Answer::Rejected(_) => &self.counts.rejected,
             Answer::Failed | Answer::NotAccepted => &self.counts.failed,
             Answer::Missing | Answer::Malformed => &self.counts.lost,
-            Answer::Abandoned => &self.counts.left,
+            Answer::Abandoned => &self.counts.abandoned,
         };
         count.fetch_add(1, Ordering::Relaxed);
         if answer == Answer::Served {
