--- a/crates/fleet/src/gateway_record.rs
+++ b/crates/fleet/src/gateway_record.rs
@@ -99,7 +99,7 @@
         let Some(last_seen_ms) = self.last_seen_ms else { return Health::Unknown };
         let silence_ms = now_ms - last_seen_ms;
         if silence_ms > max_silence_ms {
-            Health::Unreachable { reason: format!("no response for {silence_ms:.0} ms") }
+            Health::Unreachable { reason: format!("silent for {silence_ms:.0} ms") }
         } else if self.applied_revision < newest {
             Health::Behind
         } else {
